--- a/crates/coralstep-state/src/frame/tests.rs
+++ b/crates/coralstep-state/src/frame/tests.rs
@@ -49,3 +49,16 @@
     );
     assert!((0..HEAD).all(|cut| version(&bytes[..cut], Kind::Tokens).is_none()));
 }
+
+/// Guards against a mark, length, checksum or head of another order or width, which every file begins with.
+#[test]
+fn heads_and_records_keep_their_bytes() {
+    let all = [(Kind::Learned, 1), (Kind::Tokens, 2), (Kind::Fleet, 3)];
+    for (kind, number) in all {
+        assert_eq!(head(kind, 0x0201), *[&b"CORALST\n"[..], &[number, 0x01, 0x02]].concat());
+    }
+    let mut bytes = Vec::new();
+    put(&mut bytes, &[7; 300]);
+    assert_eq!(bytes[..10], [0xc5, 0x7e, 0x2c, 0x01, 0x00, 0x00, 0xc5, 0x2f, 0x53, 0x84]);
+    assert_eq!((bytes.len(), take(&bytes)), (310, Some((&[7; 300][..], 310))));
+}
--- a/crates/coralstep-state/src/snapshot/tests.rs
+++ b/crates/coralstep-state/src/snapshot/tests.rs
@@ -184,3 +184,28 @@
     assert_eq!(save(&mut full, &learned(6), &of(), 2, 110).unwrap_err().kind(), io::ErrorKind::StorageFull);
     assert_eq!(limit(&load(&full, &of(), 120)), Some(5));
 }
+
+/// Guards against a version 1 that changes along with the current one: it is only read, never written any more.
+#[test]
+fn version_1_keeps_its_bytes() {
+    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/version_1/learned.0");
+    let one = StoredOne {
+        number: (1 << 40) + 201,
+        written_s: 1_790_000_300,
+        server: "server-17.alps".to_owned(),
+        cores: 144,
+        methods: ["search", "order/place", "grüße"].map(str::to_owned).to_vec(),
+        dependency: Some(0.375),
+        runs: (0..3).map(|method| std::array::from_fn(|bin| (method * 12 + bin as u32) * 131)).collect(),
+        calls: std::array::from_fn(|bin| 1 << (bin * 2)),
+        limit: Some(300),
+        permits: Some(3.625),
+        best: Some((1 << 33) + 7),
+    };
+    let mut bytes = frame::head(Kind::Learned, 1);
+    frame::put(&mut bytes, &postcard::to_stdvec(&one).unwrap());
+    if std::env::var_os("GOLDEN_WRITE").is_some() {
+        std::fs::write(path, &bytes).unwrap();
+    }
+    assert_eq!(std::fs::read(path).unwrap(), bytes);
+}
