--- /dev/null
+++ b/crates/coralstep-fleet/tests/golden.rs
@@ -0,0 +1,256 @@
+//! The bytes between servers and of a fleet record, held still by the tables under `tests/golden`.
+//! `GOLDEN_WRITE=1` writes these anew.
+use std::fmt::Debug;
+
+use coralstep_fleet::audit::{Chain, Entry, verify};
+use coralstep_fleet::envelope::{self, Datagram, Rider};
+use coralstep_fleet::members::{Change, Members};
+use coralstep_fleet::versions::{Letter, Version};
+use coralstep_fleet::words::{Order, Past, Word, Words};
+use coralstep_fleet::{Fleet, FleetTerms, Id, Member};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+/// The bytes of a committed table (lines of a name and hexadecimal digits), which has to be what is written
+/// now.
+fn golden(table: &str, written: &[(String, Vec<u8>)]) -> Vec<Vec<u8>> {
+    let path = format!("{}/tests/golden/{table}.hex", env!("CARGO_MANIFEST_DIR"));
+    let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
+    if std::env::var_os("GOLDEN_WRITE").is_some() {
+        let lines = written.iter().map(|(name, bytes)| format!("{name} {}\n", hex(bytes)));
+        std::fs::write(&path, lines.collect::<String>()).unwrap();
+    }
+    let text = std::fs::read_to_string(&path).unwrap();
+    let lines: Vec<(&str, &str)> = text.lines().map(|line| line.split_once(' ').unwrap()).collect();
+    assert_eq!(lines.len(), written.len(), "{table}");
+    for ((name, digits), (written_name, bytes)) in lines.iter().zip(written) {
+        assert_eq!((*name, *digits), (written_name.as_str(), hex(bytes).as_str()), "{table}");
+    }
+    let byte = |digits: &[u8]| u8::from_str_radix(std::str::from_utf8(digits).unwrap(), 16).unwrap();
+    lines.iter().map(|(_, digits)| digits.as_bytes().chunks(2).map(byte).collect()).collect()
+}
+
+/// Each value is written to its golden bytes, and these are read as the value.
+fn both_ways<T: Serialize + DeserializeOwned + PartialEq + Debug>(table: &str, values: &[(&str, T)]) {
+    let bytes = |value: &T| postcard::to_allocvec(value).unwrap();
+    let written: Vec<_> = values.iter().map(|(name, value)| ((*name).to_owned(), bytes(value))).collect();
+    for (golden, (name, value)) in golden(table, &written).iter().zip(values) {
+        assert_eq!(postcard::from_bytes::<T>(golden).as_ref(), Ok(value), "{table} {name}");
+    }
+}
+
+fn near() -> Member {
+    Member::new("server-17.alps", "10.1.2.200:7300".parse().unwrap(), 1_790_000_000_123)
+}
+
+fn far() -> Member {
+    Member::new("süd-2", "[2001:db8::ff]:65535".parse().unwrap(), (1 << 40) + 5)
+}
+
+fn id(number: u64) -> Id {
+    Id { number, hash: std::array::from_fn(|at| 0xf0 + at as u8) }
+}
+
+fn past() -> Past {
+    Past { version: id(299), from_ms: 1_789_999_000_000, to_ms: 1_790_000_000_001, rpcs: (1 << 34) + 9 }
+}
+
+fn orders() -> Vec<Order> {
+    let order = |server: &str, number, shut| Order { server: server.to_owned(), number, shut };
+    vec![order("server-17.alps", 1 << 41, true), order("süd-2", 200, false)]
+}
+
+/// What a server says of itself at its start, with every field set, and with each flag alone.
+fn words() -> Vec<(&'static str, Word)> {
+    let first = Word {
+        of: far(),
+        number: 1,
+        leaving: false,
+        shut: false,
+        wants_out: false,
+        acts_on: Id::default(),
+        since_ms: 1_790_000_000_000,
+        rpcs: 0,
+        ok: 0,
+        before: None,
+        knows: Id::default(),
+        turned_down: None,
+        chain: [0; 8],
+        entries: 0,
+        orders: Vec::new(),
+    };
+    let full = Word {
+        of: near(),
+        number: 300,
+        acts_on: id(300),
+        since_ms: 1_790_000_000_002,
+        rpcs: (1 << 33) + 2,
+        ok: (1 << 33) + 1,
+        before: Some(past()),
+        knows: id(1 << 36),
+        turned_down: Some((id(301), "limits[0].rps: −1 is not from 0.01".to_owned())),
+        chain: std::array::from_fn(|at| 0x80 + at as u8),
+        entries: 70_000,
+        orders: orders(),
+        ..first.clone()
+    };
+    vec![
+        ("first", first.clone()),
+        ("full", full),
+        ("leaving", Word { leaving: true, ..first.clone() }),
+        ("shut", Word { shut: true, ..first.clone() }),
+        ("wants_out", Word { wants_out: true, ..first }),
+    ]
+}
+
+fn version() -> Version {
+    Version {
+        number: 300,
+        replaces: id(299),
+        must: true,
+        by: "server-17.alps".to_owned(),
+        at_ms: 1_790_000_000_123,
+        waves: vec![0.05, 0.3, 1.0],
+        pause_ms: (1 << 32) + 600,
+        content: "{\"limits\":[{\"name\":\"größte\",\"rps\":200.5}]}".to_owned(),
+    }
+}
+
+fn chain() -> Chain {
+    let mut chain = Chain::default();
+    chain.add(Id::default(), 1_789_000_000_000, 1_789_999_000_000, 0);
+    chain.add(id(299), 1_789_999_000_000, 1_790_000_000_001, (1 << 34) + 9);
+    chain.add(id(300), 1_790_000_000_001, 1_790_000_000_002, 130);
+    chain
+}
+
+/// Guards against a rider of another number, or a head that servers of an earlier release can't read.
+#[test]
+fn a_datagram_keeps_its_bytes() {
+    let all = [
+        Rider::Members,
+        Rider::Words,
+        Rider::Versions,
+        Rider::Limits,
+        Rider::LimitLetter,
+        Rider::Verdicts,
+        Rider::VerdictLetter,
+    ];
+    let datagram = |from: Member, number, echo| {
+        let parts = all.iter().enumerate().map(|(at, rider)| (*rider, vec![0xf0 + at as u8; at * 30]));
+        let mut datagram = Datagram::new(envelope::fleet("alps"), from, 1_790_000_000_456);
+        (datagram.number, datagram.echo, datagram.parts) = (number, echo, parts.collect());
+        datagram
+    };
+    let values = [("near", datagram(near(), 200, 1 << 33)), ("far", datagram(far(), (1 << 50) + 1, 0))];
+    let written = values.clone().map(|(name, value)| (name.to_owned(), value.bytes()));
+    for (bytes, (name, value)) in golden("datagrams", &written).iter().zip(values) {
+        assert_eq!(Datagram::read(bytes, envelope::fleet("alps")), Ok(value), "{name}");
+    }
+}
+
+/// Guards against a field or letter whose place changes: servers of two releases would misread it.
+#[test]
+fn words_and_letters_keep_their_bytes() {
+    both_ways("words", &words());
+    let piece = (0..=255).collect();
+    let letters = [
+        ("want", Letter::Want { id: id(300), pieces: vec![0, 127, 128, 262] }),
+        ("piece", Letter::Piece { id: id(1 << 40), bytes: 262_144, at: 200, piece }),
+    ];
+    both_ways("letters", &letters);
+}
+
+/// Guards against a list of words, with their ages, that other servers read otherwise.
+#[test]
+fn words_on_their_way_keep_their_bytes() {
+    let mut all = words().into_iter().map(|(_, word)| word);
+    let (passed, own) = (all.next().unwrap(), all.next().unwrap());
+    let mut spread = Words::default();
+    let told = postcard::to_allocvec(&vec![(passed.clone(), 5_000u32)]).unwrap();
+    spread.heard(100_000, &own.of, &told);
+    spread.own(own.clone());
+    let written = [("own_and_passed".to_owned(), spread.said(165_535, 1_000).unwrap())];
+    let bytes = golden("spread", &written).remove(0);
+    let mut other = Words::default();
+    assert_eq!(other.heard(200_000, &Member::new("x", near().at, 1), &bytes), [own.clone(), passed.clone()]);
+    assert_eq!(other.of(&own.of).map(|heard| heard.at), Some(200_000));
+    assert_eq!(other.of(&passed.of).map(|heard| heard.at), Some(200_000 - 70_535));
+}
+
+/// Guards against another blob, id or wave of one version: two releases have to check it and take it alike.
+#[test]
+fn a_version_keeps_its_bytes_id_and_waves() {
+    let plain = Version { must: false, waves: Vec::new(), pause_ms: 0, replaces: Id::default(), ..version() };
+    let all = [("waved", version()), ("plain", plain)];
+    let mut written: Vec<_> = all.iter().map(|(name, one)| ((*name).to_owned(), one.blob())).collect();
+    for (name, one) in &all {
+        let (id, _) = Version::of(&one.blob()).unwrap();
+        let waves = (0..64).map(|at| one.wave(&format!("n{at}")).unwrap() as u8).collect();
+        written.push((format!("{name}_id"), id.to_string().into_bytes()));
+        written.push((format!("{name}_waves"), waves));
+    }
+    let bytes = golden("versions", &written);
+    for (blob, (_, one)) in bytes.iter().zip(&all) {
+        assert_eq!(Version::of(blob).map(|(_, version)| version).as_ref(), Some(one));
+    }
+}
+
+/// Guards against a record that a restart throws away: its entries' bytes and the hashes that chain them.
+#[test]
+fn a_fleet_record_keeps_its_bytes_and_is_believed() {
+    let chain = chain();
+    let entries: Vec<Entry> = chain.entries().cloned().collect();
+    let names = ["none", "older", "newer"];
+    both_ways("entries", &names.into_iter().zip(entries.iter().cloned()).collect::<Vec<_>>());
+    assert_eq!(verify(entries.iter()), Ok(()));
+    let (head, count) = chain.head();
+    golden("chain_head", &[("head".to_owned(), [&head[..], &count.to_le_bytes()].concat())]);
+
+    let own = near();
+    let terms = FleetTerms {
+        name: "alps".to_owned(),
+        own,
+        peers: Vec::new(),
+        behind: 10_000,
+        silent: 10_000,
+        silent_shuts: false,
+        seed: 7,
+    };
+    let mut fleet = Fleet::new(terms, 0, 1_790_000_001_000);
+    let kept: Vec<Vec<u8>> = entries.iter().map(|entry| postcard::to_allocvec(entry).unwrap()).collect();
+    let (id, _) = Version::of(&version().blob()).unwrap();
+    assert_eq!(fleet.restore(&version().blob(), &kept), Some(id));
+    assert_eq!((fleet.events(), fleet.record().1), (Vec::new(), kept));
+}
+
+/// Guards against members of two releases that don't find each other: an identity or message in other bytes.
+#[test]
+fn membership_messages_keep_their_bytes() {
+    let mut all = [Members::new(near(), &[far().at], 7), Members::new(far(), &[], 8)];
+    let mut written = Vec::new();
+    for now in (0..2_500).step_by(100) {
+        for from in 0..2 {
+            all[from].tick(now);
+            for (_, bytes) in all[from].send() {
+                all[1 - from].heard(now, &bytes);
+                written.push((format!("{now}_from_{from}"), bytes));
+            }
+        }
+    }
+    assert!(all[1].changes().contains(&Change::Up(near())) && all[0].changes().contains(&Change::Up(far())));
+    all[0].leave(2_500);
+    let gone = all[0].send().into_iter().map(|(_, bytes)| ("leaves".to_owned(), bytes));
+    written.extend(gone);
+    let bytes = golden("members", &written);
+    // Another process in the second one's place hears the golden bytes.
+    let mut other = Members::new(far(), &[], 9);
+    let heard = |other: &mut Members, from: &str| {
+        let to_it = bytes.iter().zip(&written).filter(|(_, (name, _))| name.ends_with(from));
+        to_it.for_each(|(bytes, _)| other.heard(0, bytes));
+    };
+    heard(&mut other, "from_0");
+    assert_eq!(other.changes(), [Change::Up(near())]);
+    heard(&mut other, "leaves");
+    assert_eq!(other.changes(), [Change::Down(near())]);
+}
