--- a/crates/coralstep-limits/tests/golden.rs
+++ b/crates/coralstep-limits/tests/golden.rs
@@ -26,6 +26,15 @@
     lines.iter().map(|(_, digits)| digits.as_bytes().chunks(2).map(byte).collect()).collect()
 }
 
+/// `text` has to be what the golden file holds.
+fn same_text(name: &str, text: &str) {
+    let path = format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR"));
+    if std::env::var_os("GOLDEN_WRITE").is_some() {
+        std::fs::write(&path, text).unwrap();
+    }
+    assert_eq!(std::fs::read_to_string(&path).unwrap(), text, "{name}");
+}
+
 fn near() -> Member {
     Member::new("server-17.alps", "10.1.2.200:7300".parse().unwrap(), 1_790_000_000_123)
 }
@@ -122,7 +131,8 @@
 /// RPCs come for so long, in milliseconds: past the time in which no RPCs in hand are given.
 const RUN_MS: u64 = 20_000;
 
-/// Guards against shares that other servers show wrongly: limit, units, RPCs in hand, admitted beyond.
+/// Guards against shares that other servers show wrongly (limit, units, RPCs in hand, admitted beyond), and
+/// against JSON keys that are renamed with the fields.
 #[test]
 fn shares_on_their_way_keep_their_bytes() {
     let (mut part, start) = giving();
@@ -142,6 +152,7 @@
     let mut other = Limits::new(&far(), &[], 10_000, 8, 0);
     other.set(0, &limits());
     other.heard(now + 70_000, &far(), &bytes);
+    same_text("rows.json", &serde_json::to_string_pretty(&other.rows(now + 70_000)).unwrap());
     let figures = |row: &Row| (row.limit.clone(), row.share, row.used, row.over);
     let theirs = other.rows(now + 70_000);
     let theirs: Vec<_> = theirs.iter().filter(|row| row.server == near().name).map(figures).collect();
