--- a/crates/coralstep-state/tests/golden.rs
+++ b/crates/coralstep-state/tests/golden.rs
@@ -3,6 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use coralstep::Learned;
+use coralstep_fleet::{Fleet, FleetTerms, Id, Member};
 use coralstep_state::faulty::Faulty;
 use coralstep_state::files::Look;
 use coralstep_state::journal::{End, Event, Journal, RESULT, Verdict};
@@ -79,8 +80,31 @@
     (learned, Fingerprint { dependency: None, ..fingerprint() })
 }
 
-fn fleet_record() -> Record {
-    Record { acts_on: (0..=255).collect(), entries: vec![vec![0xff; 40], Vec::new(), b"third".to_vec()] }
+fn fleet() -> Fleet {
+    let terms = FleetTerms {
+        name: "alps".to_owned(),
+        own: Member::new("server-17.alps", "10.1.2.200:7300".parse().unwrap(), 1_790_000_000_123),
+        peers: Vec::new(),
+        behind: 10_000,
+        silent: 10_000,
+        silent_shuts: false,
+        seed: 7,
+    };
+    Fleet::new(terms, 0, WRITTEN_S[0] * 1_000)
+}
+
+/// The version that a server acts on after it published and took two, and its record of the earlier ones.
+fn fleet_record() -> (Record, Id) {
+    let mut fleet = fleet();
+    for second in 1..=2 {
+        let (now, wall_ms) = (second * 1_000, (WRITTEN_S[0] + second) * 1_000);
+        fleet.tick(now, wall_ms, (second << 33, second * 200));
+        let content = format!("{{\"limits\":[],\"größe\":{second}}}");
+        let id = fleet.publish(now, wall_ms, content, second == 2, vec![0.25, 1.0], 70_000).unwrap();
+        fleet.took(now, wall_ms, id);
+    }
+    let (acts_on, entries) = fleet.record();
+    (Record { acts_on, entries }, fleet.acts_on())
 }
 
 /// A run of each end, each known from then on as the verdict says.
@@ -122,7 +146,7 @@
     let (older, of) = nothing_optional();
     snapshot::save(&mut files, &older, &of, NUMBERS[0], WRITTEN_S[0]).unwrap();
     snapshot::save(&mut files, &learned(300), &fingerprint(), NUMBERS[1], WRITTEN_S[1]).unwrap();
-    record::save(&mut files, &fleet_record()).unwrap();
+    record::save(&mut files, &fleet_record().0).unwrap();
     write_journal(files)
 }
 
@@ -153,7 +177,13 @@
         snapshot::load(&folder, &fingerprint(), NOW_S),
         believed(learned(300), WRITTEN_S[1], NUMBERS[1])
     );
-    assert_eq!(record::load(&folder).unwrap(), Some((fleet_record(), 0)));
+    let (expected, acts_on) = fleet_record();
+    let (read, spoilt) = record::load(&folder).unwrap().unwrap();
+    assert_eq!((&read, spoilt), (&expected, 0));
+    let mut restarted = fleet();
+    assert_eq!(restarted.restore(&read.acts_on, &read.entries), Some(acts_on));
+    // Its chain of entries hangs together, else there were an event.
+    assert_eq!((restarted.events(), restarted.record().1), (Vec::new(), expected.entries));
     // The older generation counts where the newer one is gone.
     folder.remove("learned.1").unwrap();
     let (older, of) = nothing_optional();
--- a/crates/coralstep-verdicts/tests/golden.rs
+++ b/crates/coralstep-verdicts/tests/golden.rs
@@ -1,20 +1,27 @@
-//! The bytes between servers about their dependencies, held still by the file under `tests/golden`.
-//! `GOLDEN_WRITE=1` writes it anew.
+//! The bytes between servers about their dependencies, held still by the files under `tests/golden`.
+//! `GOLDEN_WRITE=1` writes these anew.
 use coralstep_fleet::Member;
+use coralstep_fleet::rider::Rider;
 use coralstep_fleet::spread::Spread;
 use coralstep_verdicts::said::{Said, State, Word};
+use coralstep_verdicts::{Parts, Verdicts};
 
-/// The bytes of a committed file of hexadecimal digits; they have to be those that are written now.
-fn golden(name: &str, written: &[u8]) -> Vec<u8> {
-    let path = format!("{}/tests/golden/{name}.hex", env!("CARGO_MANIFEST_DIR"));
-    let written: String = written.iter().map(|byte| format!("{byte:02x}")).collect();
+/// The text of a committed file, which has to be what is written now.
+fn golden(name: &str, written: &str) -> String {
+    let path = format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR"));
     if std::env::var_os("GOLDEN_WRITE").is_some() {
         std::fs::write(&path, format!("{written}\n")).unwrap();
     }
     let text = std::fs::read_to_string(&path).unwrap();
     assert_eq!(text.trim_end(), written, "{name}");
+    text.trim_end().to_owned()
+}
+
+/// The same of bytes, as hexadecimal digits.
+fn golden_bytes(name: &str, written: &[u8]) -> Vec<u8> {
+    let text = golden(name, &written.iter().map(|byte| format!("{byte:02x}")).collect::<String>());
     let byte = |digits: &[u8]| u8::from_str_radix(std::str::from_utf8(digits).unwrap(), 16).unwrap();
-    text.trim_end().as_bytes().chunks(2).map(byte).collect()
+    text.as_bytes().chunks(2).map(byte).collect()
 }
 
 fn said(dependency: &str, state: State, healed_ms: Option<u32>) -> Said {
@@ -39,8 +46,17 @@
     let mut spread = Spread::<Word>::default();
     spread.heard(100_000, &own.of, &postcard::to_allocvec(&vec![(passed.clone(), 200u32)]).unwrap());
     spread.own(own.clone());
-    let bytes = golden("words", &spread.said(100_100, 1_000).unwrap());
+    let bytes = golden_bytes("words.hex", &spread.said(100_100, 1_000).unwrap());
     assert_eq!(postcard::from_bytes(&bytes), Ok(vec![(own.clone(), 0u32), (passed.clone(), 300)]));
     let nobody = Member::new("x", own.of.at, 1);
     assert_eq!(Spread::<Word>::default().heard(200_000, &nobody, &bytes), [own, passed]);
 }
+
+/// Guards against JSON keys or states that are renamed with the code: operators' tools read these.
+#[test]
+fn rows_of_dependencies_keep_their_keys() {
+    let own = Member::new("x", words()[0].of.at, 1);
+    let mut part = Verdicts::new(&own, Parts::default(), 7);
+    part.heard(100_000, &own, &postcard::to_allocvec(&words().map(|word| (word, 200u32)).to_vec()).unwrap());
+    golden("rows.json", &serde_json::to_string_pretty(&part.rows(100_500)).unwrap());
+}
