--- a/crates/coralstep/src/state.rs
+++ b/crates/coralstep/src/state.rs
@@ -1,42 +1,39 @@
 //! The whole state of a server as one figure: for what plays many histories and wants to know which it has met before. Nothing here
 //! is decided, and no decision reads it.
-use std::fmt::{self, Write};
+use std::fmt::Write;
 use std::hash::{DefaultHasher, Hasher};
 
 use super::Server;
 
-/// Hashes what is written to it.
-struct Sink(DefaultHasher);
-
-impl Write for Sink {
-    fn write_str(&mut self, text: &str) -> fmt::Result {
-        self.0.write(text.as_bytes());
-        Ok(())
-    }
-}
-
 impl Server {
     /// The same for servers that will act alike from now on; almost never the same for others.
     pub fn digest(&self) -> u64 {
-        let mut sink = Sink(DefaultHasher::new());
+        let mut hasher = DefaultHasher::new();
+        hasher.write(self.state_text().as_bytes());
+        hasher.finish()
+    }
+
+    /// The whole state, for diagnosis and for tests; its form may change with any version.
+    pub fn state_text(&self) -> String {
+        let mut text = String::new();
         let (guard, cores, bulkhead) = (&self.guard, &self.cores, &self.bulkhead);
-        // A sink takes all that it is given.
-        let _ = write!(sink, "{:?} {:?}", self.site, (self.repeats.key_kb, self.repeats.kept));
-        let _ = write!(sink, "{:?}", (guard.grace, guard.noticed, guard.stop));
+        // Writing to a String can't fail.
+        let _ = write!(text, "{:?} {:?}", self.site, (self.repeats.key_kb, self.repeats.kept));
+        let _ = write!(text, "{:?}", (guard.grace, guard.noticed, guard.stop));
         let _ = write!(
-            sink,
+            text,
             "{:?}",
             (cores.limit, cores.crowd, cores.cold_until, cores.lack, cores.moved, cores.stalled)
         );
-        let _ = write!(sink, "{:?}", (bulkhead.permits, bulkhead.share, bulkhead.range));
-        let _ = write!(sink, "{:?}", (&bulkhead.hand, bulkhead.best));
+        let _ = write!(text, "{:?}", (bulkhead.permits, bulkhead.share, bulkhead.range));
+        let _ = write!(text, "{:?}", (&bulkhead.hand, bulkhead.best));
         let _ = write!(
-            sink,
+            text,
             "{:?}",
             (&self.breaker, self.advert, self.callers, self.shed, self.idle, self.max_idle)
         );
-        let _ = write!(sink, "{:?}", (self.unread, self.drowned, self.worn, self.beat, self.reviewed));
-        sink.0.finish()
+        let _ = write!(text, "{:?}", (self.unread, self.drowned, self.worn, self.beat, self.reviewed));
+        text
     }
 }
 
