--- a/crates/coralstep-fleet/tests/golden.rs
+++ b/crates/coralstep-fleet/tests/golden.rs
@@ -16,27 +16,55 @@
 /// now.
 fn golden(table: &str, written: &[(String, Vec<u8>)]) -> Vec<Vec<u8>> {
     let path = format!("{}/tests/golden/{table}.hex", env!("CARGO_MANIFEST_DIR"));
-    let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
+    let hex = |bytes: &[u8]| {
+        bytes
+            .iter()
+            .map(|byte| format!("{byte:02x}"))
+            .collect::<String>()
+    };
     if std::env::var_os("GOLDEN_WRITE").is_some() {
-        let lines = written.iter().map(|(name, bytes)| format!("{name} {}\n", hex(bytes)));
+        let lines = written
+            .iter()
+            .map(|(name, bytes)| format!("{name} {}\n", hex(bytes)));
         std::fs::write(&path, lines.collect::<String>()).unwrap();
     }
     let text = std::fs::read_to_string(&path).unwrap();
-    let lines: Vec<(&str, &str)> = text.lines().map(|line| line.split_once(' ').unwrap()).collect();
+    let lines: Vec<(&str, &str)> = text
+        .lines()
+        .map(|line| line.split_once(' ').unwrap())
+        .collect();
     assert_eq!(lines.len(), written.len(), "{table}");
     for ((name, digits), (written_name, bytes)) in lines.iter().zip(written) {
-        assert_eq!((*name, *digits), (written_name.as_str(), hex(bytes).as_str()), "{table}");
+        assert_eq!(
+            (*name, *digits),
+            (written_name.as_str(), hex(bytes).as_str()),
+            "{table}"
+        );
     }
-    let byte = |digits: &[u8]| u8::from_str_radix(std::str::from_utf8(digits).unwrap(), 16).unwrap();
-    lines.iter().map(|(_, digits)| digits.as_bytes().chunks(2).map(byte).collect()).collect()
+    let byte =
+        |digits: &[u8]| u8::from_str_radix(std::str::from_utf8(digits).unwrap(), 16).unwrap();
+    lines
+        .iter()
+        .map(|(_, digits)| digits.as_bytes().chunks(2).map(byte).collect())
+        .collect()
 }
 
 /// Each value is written to its golden bytes, and these are read as the value.
-fn both_ways<T: Serialize + DeserializeOwned + PartialEq + Debug>(table: &str, values: &[(&str, T)]) {
+fn both_ways<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+    table: &str,
+    values: &[(&str, T)],
+) {
     let bytes = |value: &T| postcard::to_allocvec(value).unwrap();
-    let written: Vec<_> = values.iter().map(|(name, value)| ((*name).to_owned(), bytes(value))).collect();
+    let written: Vec<_> = values
+        .iter()
+        .map(|(name, value)| ((*name).to_owned(), bytes(value)))
+        .collect();
     for (golden, (name, value)) in golden(table, &written).iter().zip(values) {
-        assert_eq!(postcard::from_bytes::<T>(golden).as_ref(), Ok(value), "{table} {name}");
+        assert_eq!(
+            postcard::from_bytes::<T>(golden).as_ref(),
+            Ok(value),
+            "{table} {name}"
+        );
     }
 }
 
@@ -44,24 +72,47 @@
 const WALL_MS: u64 = 1_790_000_001_000;
 
 fn near() -> Member {
-    Member::new("server-17.alps", "10.1.2.200:7300".parse().unwrap(), 1_790_000_000_123)
+    Member::new(
+        "server-17.alps",
+        "10.1.2.200:7300".parse().unwrap(),
+        1_790_000_000_123,
+    )
 }
 
 fn far() -> Member {
-    Member::new("süd-2", "[2001:db8::ff]:65535".parse().unwrap(), (1 << 40) + 5)
+    Member::new(
+        "süd-2",
+        "[2001:db8::ff]:65535".parse().unwrap(),
+        (1 << 40) + 5,
+    )
 }
 
 fn id(number: u64) -> Id {
-    Id { number, hash: std::array::from_fn(|at| 0xf0 + at as u8) }
+    Id {
+        number,
+        hash: std::array::from_fn(|at| 0xf0 + at as u8),
+    }
 }
 
 fn past() -> Past {
-    Past { version: id(299), from_ms: 1_789_999_000_000, to_ms: 1_790_000_000_001, rpcs: (1 << 34) + 9 }
+    Past {
+        version: id(299),
+        from_ms: 1_789_999_000_000,
+        to_ms: 1_790_000_000_001,
+        rpcs: (1 << 34) + 9,
+    }
 }
 
 fn orders() -> Vec<Order> {
-    let order = |server: &str, number, shut| Order { server: server.to_owned(), number, shut };
-    vec![order("server-17.alps", 1 << 41, true), order("süd-2", 200, false)]
+    let order = |server: &str, number, shut| Order {
+        server: server.to_owned(),
+        number,
+        shut,
+    };
+    vec![
+        order("server-17.alps", 1 << 41, true),
+        order("süd-2", 200, false),
+    ]
 }
 
 /// What a server says of itself at its start, with every field set, and with each flag alone.
@@ -101,9 +152,27 @@
     vec![
         ("first", first.clone()),
         ("full", full),
-        ("leaving", Word { leaving: true, ..first.clone() }),
-        ("shut", Word { shut: true, ..first.clone() }),
-        ("wants_out", Word { wants_out: true, ..first }),
+        (
+            "leaving",
+            Word {
+                leaving: true,
+                ..first.clone()
+            },
+        ),
+        (
+            "shut",
+            Word {
+                shut: true,
+                ..first.clone()
+            },
+        ),
+        (
+            "wants_out",
+            Word {
+                wants_out: true,
+                ..first
+            },
+        ),
     ]
 }
 
@@ -130,7 +199,15 @@
 
 fn server(own: Member, peers: Vec<SocketAddr>) -> Fleet {
     let name = "alps".to_owned();
-    let terms = FleetTerms { name, own, peers, behind: 10_000, silent: 10_000, silent_shuts: false, seed: 7 };
+    let terms = FleetTerms {
+        name,
+        own,
+        peers,
+        behind: 10_000,
+        silent: 10_000,
+        silent_shuts: false,
+        seed: 7,
+    };
     Fleet::new(terms, 0, WALL_MS)
 }
 
@@ -147,15 +224,27 @@
         Rider::VerdictLetter,
     ];
     let datagram = |from: Member, number, echo| {
-        let parts = all.iter().enumerate().map(|(at, rider)| (*rider, vec![0xf0 + at as u8; at * 30]));
+        let parts = all
+            .iter()
+            .enumerate()
+            .map(|(at, rider)| (*rider, vec![0xf0 + at as u8; at * 30]));
         let mut datagram = Datagram::new(envelope::fleet("alps"), from, 1_790_000_000_456);
         (datagram.number, datagram.echo, datagram.parts) = (number, echo, parts.collect());
         datagram
     };
-    let values = [("near", datagram(near(), 200, 1 << 33)), ("far", datagram(far(), (1 << 50) + 1, 0))];
-    let written = values.clone().map(|(name, value)| (name.to_owned(), value.bytes()));
+    let values = [
+        ("near", datagram(near(), 200, 1 << 33)),
+        ("far", datagram(far(), (1 << 50) + 1, 0)),
+    ];
+    let written = values
+        .clone()
+        .map(|(name, value)| (name.to_owned(), value.bytes()));
     for (bytes, (name, value)) in golden("datagrams", &written).iter().zip(values) {
-        assert_eq!(Datagram::read(bytes, envelope::fleet("alps")), Ok(value), "{name}");
+        assert_eq!(
+            Datagram::read(bytes, envelope::fleet("alps")),
+            Ok(value),
+            "{name}"
+        );
     }
 }
 
@@ -165,8 +254,22 @@
     both_ways("words", &words());
     let piece = (0..=255).collect();
     let letters = [
-        ("want", Letter::Want { id: id(300), pieces: vec![0, 127, 128, 262] }),
-        ("piece", Letter::Piece { id: id(1 << 40), bytes: 262_144, at: 200, piece }),
+        (
+            "want",
+            Letter::Want {
+                id: id(300),
+                pieces: vec![0, 127, 128, 262],
+            },
+        ),
+        (
+            "piece",
+            Letter::Piece {
+                id: id(1 << 40),
+                bytes: 262_144,
+                at: 200,
+                piece,
+            },
+        ),
     ];
     both_ways("letters", &letters);
 }
@@ -180,29 +283,52 @@
     let told = postcard::to_allocvec(&vec![(passed.clone(), 5_000u32)]).unwrap();
     spread.heard(100_000, &own.of, &told);
     spread.own(own.clone());
-    let written = [("own_and_passed".to_owned(), spread.said(165_535, 1_000).unwrap())];
+    let written = [(
+        "own_and_passed".to_owned(),
+        spread.said(165_535, 1_000).unwrap(),
+    )];
     let bytes = golden("spread", &written).remove(0);
     let mut other = Words::default();
-    assert_eq!(other.heard(200_000, &Member::new("x", near().at, 1), &bytes), [own.clone(), passed.clone()]);
+    assert_eq!(
+        other.heard(200_000, &Member::new("x", near().at, 1), &bytes),
+        [own.clone(), passed.clone()]
+    );
     assert_eq!(other.of(&own.of).map(|heard| heard.at), Some(200_000));
-    assert_eq!(other.of(&passed.of).map(|heard| heard.at), Some(200_000 - 70_535));
+    assert_eq!(
+        other.of(&passed.of).map(|heard| heard.at),
+        Some(200_000 - 70_535)
+    );
 }
 
 /// Guards against another blob, id or wave of one version: two releases have to check it and take it alike.
 #[test]
 fn a_version_keeps_its_bytes_id_and_waves() {
-    let plain = Version { must: false, waves: Vec::new(), pause_ms: 0, replaces: Id::default(), ..version() };
+    let plain = Version {
+        must: false,
+        waves: Vec::new(),
+        pause_ms: 0,
+        replaces: Id::default(),
+        ..version()
+    };
     let all = [("waved", version()), ("plain", plain)];
-    let mut written: Vec<_> = all.iter().map(|(name, one)| ((*name).to_owned(), one.blob())).collect();
+    let mut written: Vec<_> = all
+        .iter()
+        .map(|(name, one)| ((*name).to_owned(), one.blob()))
+        .collect();
     for (name, one) in &all {
         let (id, _) = Version::of(&one.blob()).unwrap();
-        let waves = (0..64).map(|at| one.wave(&format!("n{at}")).unwrap() as u8).collect();
+        let waves = (0..64)
+            .map(|at| one.wave(&format!("n{at}")).unwrap() as u8)
+            .collect();
         written.push((format!("{name}_id"), id.to_string().into_bytes()));
         written.push((format!("{name}_waves"), waves));
     }
     let bytes = golden("versions", &written);
     for (blob, (_, one)) in bytes.iter().zip(&all) {
-        assert_eq!(Version::of(blob).map(|(_, version)| version).as_ref(), Some(one));
+        assert_eq!(
+            Version::of(blob).map(|(_, version)| version).as_ref(),
+            Some(one)
+        );
     }
 }
 
@@ -212,13 +338,28 @@
     let chain = chain();
     let entries: Vec<Entry> = chain.entries().cloned().collect();
     let names = ["none", "older", "newer"];
-    both_ways("entries", &names.into_iter().zip(entries.iter().cloned()).collect::<Vec<_>>());
+    both_ways(
+        "entries",
+        &names
+            .into_iter()
+            .zip(entries.iter().cloned())
+            .collect::<Vec<_>>(),
+    );
     assert_eq!(verify(entries.iter()), Ok(()));
     let (head, count) = chain.head();
-    golden("chain_head", &[("head".to_owned(), [&head[..], &count.to_le_bytes()].concat())]);
+    golden(
+        "chain_head",
+        &[(
+            "head".to_owned(),
+            [&head[..], &count.to_le_bytes()].concat(),
+        )],
+    );
 
     let mut fleet = server(near(), Vec::new());
-    let kept: Vec<Vec<u8>> = entries.iter().map(|entry| postcard::to_allocvec(entry).unwrap()).collect();
+    let kept: Vec<Vec<u8>> = entries
+        .iter()
+        .map(|entry| postcard::to_allocvec(entry).unwrap())
+        .collect();
     let (id, _) = Version::of(&version().blob()).unwrap();
     assert_eq!(fleet.restore(&version().blob(), &kept), Some(id));
     assert_eq!((fleet.events(), fleet.record().1), (Vec::new(), kept));
@@ -227,7 +368,10 @@
 /// Guards against members of two releases that don't find each other: an identity or message in other bytes.
 #[test]
 fn membership_messages_keep_their_bytes() {
-    let mut all = [Members::new(near(), &[far().at], 7), Members::new(far(), &[], 8)];
+    let mut all = [
+        Members::new(near(), &[far().at], 7),
+        Members::new(far(), &[], 8),
+    ];
     let mut written = Vec::new();
     for now in (0..2_500).step_by(100) {
         for from in 0..2 {
@@ -238,15 +382,24 @@
             }
         }
     }
-    assert!(all[1].changes().contains(&Change::Up(near())) && all[0].changes().contains(&Change::Up(far())));
+    assert!(
+        all[1].changes().contains(&Change::Up(near()))
+            && all[0].changes().contains(&Change::Up(far()))
+    );
     all[0].leave(2_500);
-    let gone = all[0].send().into_iter().map(|(_, bytes)| ("leaves".to_owned(), bytes));
+    let gone = all[0]
+        .send()
+        .into_iter()
+        .map(|(_, bytes)| ("leaves".to_owned(), bytes));
     written.extend(gone);
     let bytes = golden("members", &written);
     // Another process in the second one's place hears the golden bytes.
     let mut other = Members::new(far(), &[], 9);
     let heard = |other: &mut Members, from: &str| {
-        let to_it = bytes.iter().zip(&written).filter(|(_, (name, _))| name.ends_with(from));
+        let to_it = bytes
+            .iter()
+            .zip(&written)
+            .filter(|(_, (name, _))| name.ends_with(from));
         to_it.for_each(|(bytes, _)| other.heard(0, bytes));
     };
     heard(&mut other, "from_0");
@@ -258,14 +411,19 @@
 /// What two servers of a fleet send each other within five seconds: one publishes two versions, the other takes
 /// the first and turns down the second, is shut out and let in; then the first leaves.
 fn play() -> Vec<(String, Vec<u8>)> {
-    let mut all = [server(near(), vec![far().at]), server(far(), vec![near().at])];
+    let mut all = [
+        server(near(), vec![far().at]),
+        server(far(), vec![near().at]),
+    ];
     let mut sent = Vec::new();
     for now in (0..5_000).step_by(100) {
         let wall_ms = WALL_MS + now;
         match now {
             1_500 | 2_500 => {
                 let content = format!("{{\"limits\":[],\"at\":{now}}}");
-                let id = all[0].publish(now, wall_ms, content, now > 2_000, Vec::new(), 0).unwrap();
+                let id = all[0]
+                    .publish(now, wall_ms, content, now > 2_000, Vec::new(), 0)
+                    .unwrap();
                 all[0].took(now, wall_ms, id);
             }
             3_000 => all[0].by_hand(now, &far().name, true).unwrap(),
@@ -296,12 +454,18 @@
     let sent = play();
     let letters = |(_, bytes): &&(String, Vec<u8>)| {
         let datagram = Datagram::read(bytes, envelope::fleet("alps")).unwrap();
-        datagram.parts.iter().any(|(rider, _)| *rider == Rider::Versions)
+        datagram
+            .parts
+            .iter()
+            .any(|(rider, _)| *rider == Rider::Versions)
     };
     // Two versions are asked for, and come in a piece each.
     assert_eq!(sent.iter().filter(letters).count(), 4);
     // Their hashes, and the last ones whole.
-    let mut written: Vec<_> = sent.iter().map(|(name, bytes)| (name.clone(), hash(bytes).to_vec())).collect();
+    let mut written: Vec<_> = sent
+        .iter()
+        .map(|(name, bytes)| (name.clone(), hash(bytes).to_vec()))
+        .collect();
     written.extend(sent[sent.len() - 4..].iter().cloned());
     golden("play", &written);
 }
--- a/crates/coralstep-state/src/frame/tests.rs
+++ b/crates/coralstep-state/src/frame/tests.rs
@@ -44,7 +44,11 @@
 fn a_head_tells_kind_and_version() {
     let bytes = head(Kind::Tokens, 7);
     assert_eq!(
-        (bytes.len(), version(&bytes, Kind::Tokens), version(&bytes, Kind::Learned)),
+        (
+            bytes.len(),
+            version(&bytes, Kind::Tokens),
+            version(&bytes, Kind::Learned)
+        ),
         (HEAD, Some(7), None)
     );
     assert!((0..HEAD).all(|cut| version(&bytes[..cut], Kind::Tokens).is_none()));
@@ -55,10 +59,19 @@
 fn heads_and_records_keep_their_bytes() {
     let all = [(Kind::Learned, 1), (Kind::Tokens, 2), (Kind::Fleet, 3)];
     for (kind, number) in all {
-        assert_eq!(head(kind, 0x0201), *[&b"CORALST\n"[..], &[number, 0x01, 0x02]].concat());
+        assert_eq!(
+            head(kind, 0x0201),
+            *[&b"CORALST\n"[..], &[number, 0x01, 0x02]].concat()
+        );
     }
     let mut bytes = Vec::new();
     put(&mut bytes, &[7; 300]);
-    assert_eq!(bytes[..10], [0xc5, 0x7e, 0x2c, 0x01, 0x00, 0x00, 0xc5, 0x2f, 0x53, 0x84]);
-    assert_eq!((bytes.len(), take(&bytes)), (310, Some((&[7; 300][..], 310))));
+    assert_eq!(
+        bytes[..10],
+        [0xc5, 0x7e, 0x2c, 0x01, 0x00, 0x00, 0xc5, 0x2f, 0x53, 0x84]
+    );
+    assert_eq!(
+        (bytes.len(), take(&bytes)),
+        (310, Some((&[7; 300][..], 310)))
+    );
 }
--- a/crates/coralstep-state/tests/golden.rs
+++ b/crates/coralstep-state/tests/golden.rs
@@ -22,7 +22,9 @@
 const READ_MOST: usize = 1 << 20;
 
 fn golden(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name)
 }
 
 /// `bytes` have to be what the golden file holds.
@@ -30,7 +32,10 @@
     if std::env::var_os("GOLDEN_WRITE").is_some() {
         std::fs::write(golden(name), bytes).unwrap();
     }
-    assert!(std::fs::read(golden(name)).unwrap() == bytes, "{name} is written otherwise: {bytes:02x?}");
+    assert!(
+        std::fs::read(golden(name)).unwrap() == bytes,
+        "{name} is written otherwise: {bytes:02x?}"
+    );
 }
 
 /// A folder of its own that holds copies of the golden files; it goes with its guard.
@@ -38,7 +43,8 @@
 
 impl Copied {
     fn new(test: &str, from: &str) -> (Copied, Folder) {
-        let path = std::env::temp_dir().join(format!("coralstep-golden-{test}-{}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("coralstep-golden-{test}-{}", std::process::id()));
         let folder = Folder::open(&path).unwrap();
         for file in std::fs::read_dir(golden(from)).unwrap() {
             let file = file.unwrap();
@@ -58,7 +64,9 @@
     Fingerprint {
         server: "server-17.alps".to_owned(),
         cores: 144,
-        methods: ["search", "order/place", "grüße"].map(str::to_owned).to_vec(),
+        methods: ["search", "order/place", "grüße"]
+            .map(str::to_owned)
+            .to_vec(),
         dependency: Some(0.375),
         tenants: ["north", "south-östlich"].map(str::to_owned).to_vec(),
     }
@@ -66,7 +74,9 @@
 
 fn learned(limit: u32) -> Learned {
     Learned {
-        runs: (0..3).map(|method| std::array::from_fn(|bin| (method * 12 + bin as u32) * 131)).collect(),
+        runs: (0..3)
+            .map(|method| std::array::from_fn(|bin| (method * 12 + bin as u32) * 131))
+            .collect(),
         calls: std::array::from_fn(|bin| 1 << (bin * 2)),
         limit: Some(limit),
         permits: Some(3.625),
@@ -76,14 +86,29 @@
 }
 
 fn nothing_optional() -> (Learned, Fingerprint) {
-    let learned = Learned { limit: None, permits: None, best: None, ..learned(0) };
-    (learned, Fingerprint { dependency: None, ..fingerprint() })
+    let learned = Learned {
+        limit: None,
+        permits: None,
+        best: None,
+        ..learned(0)
+    };
+    (
+        learned,
+        Fingerprint {
+            dependency: None,
+            ..fingerprint()
+        },
+    )
 }
 
 fn fleet() -> Fleet {
     let terms = FleetTerms {
         name: "alps".to_owned(),
-        own: Member::new("server-17.alps", "10.1.2.200:7300".parse().unwrap(), 1_790_000_000_123),
+        own: Member::new(
+            "server-17.alps",
+            "10.1.2.200:7300".parse().unwrap(),
+            1_790_000_000_123,
+        ),
         peers: Vec::new(),
         behind: 10_000,
         silent: 10_000,
@@ -100,7 +125,9 @@
         let (now, wall_ms) = (second * 1_000, (WRITTEN_S[0] + second) * 1_000);
         fleet.tick(now, wall_ms, (second << 33, second * 200));
         let content = format!("{{\"limits\":[],\"größe\":{second}}}");
-        let id = fleet.publish(now, wall_ms, content, second == 2, vec![0.25, 1.0], 70_000).unwrap();
+        let id = fleet
+            .publish(now, wall_ms, content, second == 2, vec![0.25, 1.0], 70_000)
+            .unwrap();
         fleet.took(now, wall_ms, id);
     }
     let (acts_on, entries) = fleet.record();
@@ -111,9 +138,21 @@
 fn runs() -> Vec<(&'static [u8], Option<End>, Verdict)> {
     let result: Vec<u8> = (0..200).collect();
     vec![
-        (b"good", Some(End::Good(result.clone())), Verdict::Replay(result)),
-        (b"good without a result", Some(End::Good(Vec::new())), Verdict::Replay(Vec::new())),
-        (b"good, its result too long", Some(End::Good(vec![1; RESULT + 1])), Verdict::Aborted),
+        (
+            b"good",
+            Some(End::Good(result.clone())),
+            Verdict::Replay(result),
+        ),
+        (
+            b"good without a result",
+            Some(End::Good(Vec::new())),
+            Verdict::Replay(Vec::new()),
+        ),
+        (
+            b"good, its result too long",
+            Some(End::Good(vec![1; RESULT + 1])),
+            Verdict::Aborted,
+        ),
         (b"bad", Some(End::Bad), Verdict::Aborted),
         (b"never ran", Some(End::NeverRan), Verdict::Fresh),
         (&[0xfe; 150], None, Verdict::Aborted),
@@ -145,14 +184,25 @@
     let mut files = Faulty::default();
     let (older, of) = nothing_optional();
     snapshot::save(&mut files, &older, &of, NUMBERS[0], WRITTEN_S[0]).unwrap();
-    snapshot::save(&mut files, &learned(300), &fingerprint(), NUMBERS[1], WRITTEN_S[1]).unwrap();
+    snapshot::save(
+        &mut files,
+        &learned(300),
+        &fingerprint(),
+        NUMBERS[1],
+        WRITTEN_S[1],
+    )
+    .unwrap();
     record::save(&mut files, &fleet_record().0).unwrap();
     write_journal(files)
 }
 
 fn believed(learned: Learned, written_s: u64, number: u64) -> Found {
     let trust = trust::by_age((NOW_S - written_s) as f64);
-    Found { learned: Some((learned, trust)), number, refused: Vec::new() }
+    Found {
+        learned: Some((learned, trust)),
+        number,
+        refused: Vec::new(),
+    }
 }
 
 /// Guards against a field, variant or frame that is written in another order or width than before.
@@ -162,10 +212,19 @@
     let names = files.list().unwrap();
     assert_eq!(
         names,
-        ["fleet", "learned.0", "learned.1", "tokens.0000000000000000", "tokens.0000000000000001"]
+        [
+            "fleet",
+            "learned.0",
+            "learned.1",
+            "tokens.0000000000000000",
+            "tokens.0000000000000001"
+        ]
     );
     for name in names {
-        same_as_golden(&format!("folder/{name}"), &files.read(&name, READ_MOST).unwrap());
+        same_as_golden(
+            &format!("folder/{name}"),
+            &files.read(&name, READ_MOST).unwrap(),
+        );
     }
 }
 
@@ -181,22 +240,46 @@
     let (read, spoilt) = record::load(&folder).unwrap().unwrap();
     assert_eq!((&read, spoilt), (&expected, 0));
     let mut restarted = fleet();
-    assert_eq!(restarted.restore(&read.acts_on, &read.entries), Some(acts_on));
+    assert_eq!(
+        restarted.restore(&read.acts_on, &read.entries),
+        Some(acts_on)
+    );
     // Its chain of entries hangs together, else there were an event.
-    assert_eq!((restarted.events(), restarted.record().1), (Vec::new(), expected.entries));
+    assert_eq!(
+        (restarted.events(), restarted.record().1),
+        (Vec::new(), expected.entries)
+    );
     // The older generation counts where the newer one is gone.
     folder.remove("learned.1").unwrap();
     let (older, of) = nothing_optional();
-    assert_eq!(snapshot::load(&folder, &of, NOW_S), believed(older, WRITTEN_S[0], NUMBERS[0]));
+    assert_eq!(
+        snapshot::load(&folder, &of, NOW_S),
+        believed(older, WRITTEN_S[0], NUMBERS[0])
+    );
 
     let mut journal = Journal::open(folder, JOURNAL_MOST).unwrap();
     while journal.recover(NOW_MS) {}
     for (token, _, verdict) in runs() {
-        assert_eq!(journal.verdict(token, NOW_MS), verdict, "{}", token.escape_ascii());
+        assert_eq!(
+            journal.verdict(token, NOW_MS),
+            verdict,
+            "{}",
+            token.escape_ascii()
+        );
     }
-    assert_eq!(journal.verdict(b"second segment", UNTIL_MS), Verdict::Aborted);
-    assert_eq!(journal.verdict(b"second segment", UNTIL_MS + 1), Verdict::Fresh);
-    assert_eq!(journal.verdict(b"good", UNTIL_MS), Verdict::Fresh, "its window is over");
+    assert_eq!(
+        journal.verdict(b"second segment", UNTIL_MS),
+        Verdict::Aborted
+    );
+    assert_eq!(
+        journal.verdict(b"second segment", UNTIL_MS + 1),
+        Verdict::Fresh
+    );
+    assert_eq!(
+        journal.verdict(b"good", UNTIL_MS),
+        Verdict::Fresh,
+        "its window is over"
+    );
     assert_eq!(journal.events(), [] as [Event; 0]);
 }
 
@@ -204,8 +287,14 @@
 #[test]
 fn a_snapshot_of_version_1_is_believed_without_tenants() {
     let (_copied, folder) = Copied::new("version_1", "version_1");
-    let expected = Learned { tenants: vec![[0.0; 2]; 2], ..learned(300) };
-    assert_eq!(snapshot::load(&folder, &fingerprint(), NOW_S), believed(expected, WRITTEN_S[1], NUMBERS[1]));
+    let expected = Learned {
+        tenants: vec![[0.0; 2]; 2],
+        ..learned(300)
+    };
+    assert_eq!(
+        snapshot::load(&folder, &fingerprint(), NOW_S),
+        believed(expected, WRITTEN_S[1], NUMBERS[1])
+    );
 }
 
 /// Guards against JSON keys that are renamed with the fields: operators' tools read these.
--- a/crates/coralstep/src/state.rs
+++ b/crates/coralstep/src/state.rs
@@ -18,21 +18,54 @@
         let mut text = String::new();
         let (guard, cores, bulkhead) = (&self.guard, &self.cores, &self.bulkhead);
         // Writing to a String can't fail.
-        let _ = write!(text, "{:?} {:?}", self.site, (self.repeats.key_kb, self.repeats.kept));
+        let _ = write!(
+            text,
+            "{:?} {:?}",
+            self.site,
+            (self.repeats.key_kb, self.repeats.kept)
+        );
         let _ = write!(text, "{:?}", (guard.grace, guard.noticed, guard.stop));
         let _ = write!(
             text,
             "{:?}",
-            (cores.limit, cores.crowd, cores.cold_until, cores.lack, cores.moved, cores.stalled)
+            (
+                cores.limit,
+                cores.crowd,
+                cores.cold_until,
+                cores.lack,
+                cores.moved,
+                cores.stalled
+            )
+        );
+        let _ = write!(
+            text,
+            "{:?}",
+            (bulkhead.permits, bulkhead.share, bulkhead.range)
         );
-        let _ = write!(text, "{:?}", (bulkhead.permits, bulkhead.share, bulkhead.range));
         let _ = write!(text, "{:?}", (&bulkhead.hand, bulkhead.best));
         let _ = write!(
             text,
             "{:?}",
-            (&self.breaker, self.advert, self.callers, self.shed, self.idle, self.max_idle)
+            (
+                &self.breaker,
+                self.advert,
+                self.callers,
+                self.shed,
+                self.idle,
+                self.max_idle
+            )
+        );
+        let _ = write!(
+            text,
+            "{:?}",
+            (
+                self.unread,
+                self.drowned,
+                self.worn,
+                self.beat,
+                self.reviewed
+            )
         );
-        let _ = write!(text, "{:?}", (self.unread, self.drowned, self.worn, self.beat, self.reviewed));
         text
     }
 }
--- a/crates/coralstep/tests/pinned.rs
+++ b/crates/coralstep/tests/pinned.rs
@@ -22,7 +22,10 @@
 
 impl Rng {
     fn below(&mut self, end: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % end
     }
 }
@@ -60,8 +63,12 @@
     }
 
     fn pick(&self, rng: &mut Rng, wanted: impl Fn(Phase) -> bool) -> Option<RpcId> {
-        let ids: Vec<u32> =
-            self.phases.iter().filter(|(_, phase)| wanted(**phase)).map(|(id, _)| *id).collect();
+        let ids: Vec<u32> = self
+            .phases
+            .iter()
+            .filter(|(_, phase)| wanted(**phase))
+            .map(|(id, _)| *id)
+            .collect();
         (!ids.is_empty()).then(|| RpcId(ids[rng.below(ids.len() as u64) as usize]))
     }
 }
@@ -186,9 +193,18 @@
 }
 
 fn call_result(rng: &mut Rng, failing: bool) -> Outcome {
-    const FAILED: [Outcome; 5] =
-        [Outcome::Error, Outcome::TimedOut, Outcome::PushedBack, Outcome::Unreachable, Outcome::Broken];
-    if failing || rng.below(12) == 0 { FAILED[rng.below(5) as usize] } else { Outcome::Ok }
+    const FAILED: [Outcome; 5] = [
+        Outcome::Error,
+        Outcome::TimedOut,
+        Outcome::PushedBack,
+        Outcome::Unreachable,
+        Outcome::Broken,
+    ];
+    if failing || rng.below(12) == 0 {
+        FAILED[rng.below(5) as usize]
+    } else {
+        Outcome::Ok
+    }
 }
 
 fn run_result(rng: &mut Rng) -> Outcome {
@@ -209,7 +225,9 @@
             server.rpc(now, arrival, out);
         }
         6..10 => {
-            let id = out.pick(rng, |phase| matches!(phase, Phase::Running | Phase::Replaying));
+            let id = out.pick(rng, |phase| {
+                matches!(phase, Phase::Running | Phase::Replaying)
+            });
             if let Some(id) = id {
                 server.settled(now, id, run_result(rng), out);
             }
@@ -222,7 +240,9 @@
         }
         13..17 => {
             if let Some(id) = out.pick(rng, |phase| matches!(phase, Phase::Calling(_))) {
-                let Some(Phase::Calling(began)) = out.phases.insert(id.0, Phase::Waiting) else { return };
+                let Some(Phase::Calling(began)) = out.phases.insert(id.0, Phase::Waiting) else {
+                    return;
+                };
                 let outcome = call_result(rng, event / 5_000 % 3 == 1);
                 if outcome == Outcome::Ok {
                     out.phases.insert(id.0, Phase::Running);
@@ -236,13 +256,28 @@
             }
         }
         18 if rng.below(200) == 0 => {
-            let level = Level { hold: 0.5, skip_calls: rng.below(2) == 0, value: 0.7, ..Level::default() };
-            server.level(now, if rng.below(2) == 0 { level } else { Level::default() }, out);
+            let level = Level {
+                hold: 0.5,
+                skip_calls: rng.below(2) == 0,
+                value: 0.7,
+                ..Level::default()
+            };
+            server.level(
+                now,
+                if rng.below(2) == 0 {
+                    level
+                } else {
+                    Level::default()
+                },
+                out,
+            );
             server.versioned();
         }
-        19 if rng.below(50) == 0 => {
-            server.hear(now, 2 + rng.below(19) as u32, Some(Span::ms(rng.below(900))))
-        }
+        19 if rng.below(50) == 0 => server.hear(
+            now,
+            2 + rng.below(19) as u32,
+            Some(Span::ms(rng.below(900))),
+        ),
         _ => {}
     }
 }
@@ -252,12 +287,16 @@
     let text = server.state_text();
     let words = text.split(|at: char| !at.is_ascii_alphanumeric() && !matches!(at, '.' | '-'));
     let is_value = |word: &&str| {
-        matches!(*word, "true" | "false") || word.starts_with(|at: char| at.is_ascii_digit() || at == '-')
+        matches!(*word, "true" | "false")
+            || word.starts_with(|at: char| at.is_ascii_digit() || at == '-')
     };
     let mut values: Vec<&str> = words.filter(is_value).collect();
     values.sort_unstable();
     let mut digest = Digest(0xcbf2_9ce4_8422_2325);
-    values.iter().flat_map(|value| value.bytes().chain([0])).for_each(|byte| digest.add(u64::from(byte)));
+    values
+        .iter()
+        .flat_map(|value| value.bytes().chain([0]))
+        .for_each(|byte| digest.add(u64::from(byte)));
     digest.0
 }
 
@@ -276,8 +315,10 @@
     for event in 0..EVENTS {
         out.now = out.now + Span(rng.below(60));
         if out.now >= out.timer {
-            let gauges =
-                Gauges { busy: Some(rng.below(101) as f64 / 100.0), connections: Some(rng.below(60) as f64) };
+            let gauges = Gauges {
+                busy: Some(rng.below(101) as f64 / 100.0),
+                connections: Some(rng.below(60) as f64),
+            };
             server.timer(out.now, gauges, &mut out);
         }
         if event == EVENTS - 2_000 {
@@ -298,7 +339,12 @@
         (0, 11, 1_029_266_313_548_693_095, 2_760_822_768_949_938_020),
         (0, 12, 5_494_593_168_559_385_049, 15_806_529_715_442_292_236),
         (1, 11, 12_903_406_329_756_872_303, 6_371_050_736_492_408_710),
-        (1, 12, 13_355_749_073_585_840_093, 11_105_370_791_268_635_374),
+        (
+            1,
+            12,
+            13_355_749_073_585_840_093,
+            11_105_370_791_268_635_374,
+        ),
         (2, 11, 9_518_850_854_038_760_338, 15_128_944_329_797_808_672),
         (2, 12, 3_027_950_431_325_850_106, 15_807_281_336_624_211_255),
     ];
