--- /dev/null
+++ b/crates/coralstep-scgi/tests/golden.rs
@@ -0,0 +1,107 @@
+//! What both directions of the codec write, and how they read it, compared with golden files. `GOLDEN_WRITE=1` writes
+//! them anew.
+use std::fmt::Display;
+use std::path::Path;
+
+use coralstep_scgi::{Bounds, Fault, answer, request};
+
+const BOUNDS: Bounds = Bounds { head: 400, headers: 4, body: 20 };
+
+fn compare(name: &str, text: &str) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    if std::env::var_os("GOLDEN_WRITE").is_some() {
+        return std::fs::write(path, text).unwrap();
+    }
+    let golden = std::fs::read_to_string(path).unwrap();
+    assert_eq!(text.lines().collect::<Vec<_>>(), golden.lines().collect::<Vec<_>>(), "{name}");
+}
+
+fn fault(fault: Fault) -> String {
+    match fault {
+        Fault::Malformed(why) => format!("malformed, {why}"),
+        Fault::TooLarge(why) => format!("too large, {why}"),
+    }
+}
+
+/// Guards against a request of another form: its order of headers, its lengths, its ends.
+#[test]
+fn requests_keep_their_bytes() {
+    let binary: Vec<u8> = (0..=255).collect();
+    let cases: [(&[request::Header<'_>], &[u8]); 4] = [
+        (&[], b""),
+        (&[("REQUEST_METHOD", b"POST"), ("PATH_INFO", b"/save")], b"\0body\r\n"),
+        (&[("HTTP_IDEMPOTENCY_KEY", b"\xff 1"), ("EMPTY", b"")], b"x"),
+        (&[], &binary),
+    ];
+    let mut text = String::new();
+    for (headers, body) in cases {
+        let mut bytes = Vec::new();
+        request::put(&mut bytes, headers, body).unwrap();
+        text += &format!("{}\n", bytes.escape_ascii());
+        let (read, used) = request::read(&bytes, &Bounds::default()).unwrap().unwrap();
+        assert_eq!((&read.headers[2..], read.body, used), (headers, body, bytes.len()));
+    }
+    compare("requests.txt", &text);
+}
+
+/// Guards against an answer of another form, for each status that has a reason and one that has none.
+#[test]
+fn answers_keep_their_bytes() {
+    let mut text = String::new();
+    for status in [200, 400, 404, 405, 408, 413, 500, 503, 599] {
+        let fields: [(&str, &dyn Display); 2] = [("Content-Type", &"text/plain"), ("Retry-After", &7)];
+        for (fields, body) in [(&fields[..], &b"a\r\n\xff"[..]), (&[], b"")] {
+            let mut bytes = Vec::new();
+            answer::put(&mut bytes, status, fields, body);
+            text += &format!("{}\n", bytes.escape_ascii());
+            assert_eq!(answer::read(&bytes, false, &Bounds::default()), Ok(Some((status, body))));
+        }
+    }
+    compare("answers.txt", &text);
+}
+
+/// Guards against a changed reason: callers of SCGI are told it.
+#[test]
+fn reasons_why_bytes_are_no_message_keep_their_words() {
+    let head = |headers: &str| format!("{}:{headers},", headers.len());
+    let mut text = String::new();
+    for bytes in [
+        "x".to_owned(),
+        "01:".to_owned(),
+        "401:".to_owned(),
+        "99999999".to_owned(),
+        "1:ab".to_owned(),
+        head("A"),
+        head("A\0"),
+        head("\0b\0"),
+        head("A\0b\0A\0c\0"),
+        head("A\0b\0B\0b\0C\0b\0D\0b\0E\0b\0"),
+        head("A\0b\0"),
+        head("CONTENT_LENGTH\0-1\0"),
+        head("CONTENT_LENGTH\x000\0"),
+        head("CONTENT_LENGTH\x0021\0SCGI\x001\0"),
+    ] {
+        let why = fault(request::read(bytes.as_bytes(), &BOUNDS).unwrap_err());
+        text += &format!("request {}: {why}\n", bytes.escape_default());
+    }
+    for bytes in [
+        "\r\n",
+        "Status 200\r\n\r\n",
+        "Status: 99\r\n\r\n",
+        "Status: 200\r\nStatus: 200\r\n\r\n",
+        "Content-Length: -1\r\n\r\n",
+        "Content-Length: 21\r\n\r\n",
+        "Content-Length: 1\r\nContent-Length: 1\r\n\r\n",
+        "Status: 200\r\nContent-Length: 1\r\n\r\nab",
+        "Status: 200\r\nContent-Length: 3\r\n\r\nab",
+        "Status: 200\r\n\r\nabcdefghijklmnopqrstuvwxyz",
+        "A: b\r\nA: b\r\nA: b\r\nA: b\r\nA: b\r\nA: b\r\n",
+        ": x\r\n\r\n",
+        "",
+        &"A".repeat(401),
+    ] {
+        let why = fault(answer::read(bytes.as_bytes(), true, &BOUNDS).unwrap_err());
+        text += &format!("answer {}: {why}\n", bytes.escape_default());
+    }
+    compare("faults.txt", &text);
+}
--- a/crates/coralstep-server/src/callers/gateway.rs
+++ b/crates/coralstep-server/src/callers/gateway.rs
@@ -53,7 +53,7 @@
 }
 
 /// An open request, by its sequence number.
-struct Seq(i32);
+pub(super) struct Seq(pub(super) i32);
 
 impl Writer for Seq {
     fn answer(&self, out: &mut Vec<u8>, reply: &Reply<'_>, about: &About) {
--- a/crates/coralstep-server/src/callers/mod.rs
+++ b/crates/coralstep-server/src/callers/mod.rs
@@ -7,3 +7,6 @@
 pub mod said;
 pub mod scgi;
 pub mod thrift;
+
+#[cfg(test)]
+mod tests;
--- a/crates/coralstep-server/src/callers/scgi.rs
+++ b/crates/coralstep-server/src/callers/scgi.rs
@@ -274,7 +274,7 @@
 }
 
 /// The one RPC of a connection.
-struct One;
+pub(super) struct One;
 
 impl Writer for One {
     fn answer(&self, out: &mut Vec<u8>, reply: &Reply<'_>, about: &About) {
--- a/crates/coralstep-server/tests/stand_ins/mod.rs
+++ b/crates/coralstep-server/tests/stand_ins/mod.rs
@@ -10,6 +10,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 pub mod engine;
+pub mod golden;
 pub mod scgi;
 
 /// The longest that anything may take.
