--- a/crates/coralstep-scgi/tests/golden.rs
+++ b/crates/coralstep-scgi/tests/golden.rs
@@ -5,15 +5,25 @@
 
 use coralstep_scgi::{Bounds, Fault, answer, request};
 
-const BOUNDS: Bounds = Bounds { head: 400, headers: 4, body: 20 };
+const BOUNDS: Bounds = Bounds {
+    head: 400,
+    headers: 4,
+    body: 20,
+};
 
 fn compare(name: &str, text: &str) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name);
     if std::env::var_os("GOLDEN_WRITE").is_some() {
         return std::fs::write(path, text).unwrap();
     }
     let golden = std::fs::read_to_string(path).unwrap();
-    assert_eq!(text.lines().collect::<Vec<_>>(), golden.lines().collect::<Vec<_>>(), "{name}");
+    assert_eq!(
+        text.lines().collect::<Vec<_>>(),
+        golden.lines().collect::<Vec<_>>(),
+        "{name}"
+    );
 }
 
 fn fault(fault: Fault) -> String {
@@ -29,7 +39,10 @@
     let binary: Vec<u8> = (0..=255).collect();
     let cases: [(&[request::Header<'_>], &[u8]); 4] = [
         (&[], b""),
-        (&[("REQUEST_METHOD", b"POST"), ("PATH_INFO", b"/save")], b"\0body\r\n"),
+        (
+            &[("REQUEST_METHOD", b"POST"), ("PATH_INFO", b"/save")],
+            b"\0body\r\n",
+        ),
         (&[("HTTP_IDEMPOTENCY_KEY", b"\xff 1"), ("EMPTY", b"")], b"x"),
         (&[], &binary),
     ];
@@ -39,7 +52,10 @@
         request::put(&mut bytes, headers, body).unwrap();
         text += &format!("{}\n", bytes.escape_ascii());
         let (read, used) = request::read(&bytes, &Bounds::default()).unwrap().unwrap();
-        assert_eq!((&read.headers[2..], read.body, used), (headers, body, bytes.len()));
+        assert_eq!(
+            (&read.headers[2..], read.body, used),
+            (headers, body, bytes.len())
+        );
     }
     compare("requests.txt", &text);
 }
@@ -49,12 +65,16 @@
 fn answers_keep_their_bytes() {
     let mut text = String::new();
     for status in [200, 400, 404, 405, 408, 413, 500, 503, 599] {
-        let fields: [(&str, &dyn Display); 2] = [("Content-Type", &"text/plain"), ("Retry-After", &7)];
+        let fields: [(&str, &dyn Display); 2] =
+            [("Content-Type", &"text/plain"), ("Retry-After", &7)];
         for (fields, body) in [(&fields[..], &b"a\r\n\xff"[..]), (&[], b"")] {
             let mut bytes = Vec::new();
             answer::put(&mut bytes, status, fields, body);
             text += &format!("{}\n", bytes.escape_ascii());
-            assert_eq!(answer::read(&bytes, false, &Bounds::default()), Ok(Some((status, body))));
+            assert_eq!(
+                answer::read(&bytes, false, &Bounds::default()),
+                Ok(Some((status, body)))
+            );
         }
     }
     compare("answers.txt", &text);
--- a/crates/coralstep-server/src/callers/tests.rs
+++ b/crates/coralstep-server/src/callers/tests.rs
@@ -10,16 +10,48 @@
     ("ok", Reply::Ok(b"\0\r\n\xff")),
     ("ok, empty", Reply::Ok(b"")),
     ("aborted", Reply::Aborted),
-    ("rejected", Reply::PushedBack { after_ms: 0, last: false }),
-    ("rejected, come back", Reply::PushedBack { after_ms: 1001, last: false }),
-    ("rejected, nowhere else", Reply::PushedBack { after_ms: 0, last: true }),
-    ("rejected, come back, nowhere else", Reply::PushedBack { after_ms: 250, last: true }),
+    (
+        "rejected",
+        Reply::PushedBack {
+            after_ms: 0,
+            last: false,
+        },
+    ),
+    (
+        "rejected, come back",
+        Reply::PushedBack {
+            after_ms: 1001,
+            last: false,
+        },
+    ),
+    (
+        "rejected, nowhere else",
+        Reply::PushedBack {
+            after_ms: 0,
+            last: true,
+        },
+    ),
+    (
+        "rejected, come back, nowhere else",
+        Reply::PushedBack {
+            after_ms: 250,
+            last: true,
+        },
+    ),
 ];
 
 /// Nothing known; a value; a level; both.
 fn abouts() -> [About; 4] {
-    [(None, None), (Some(0.625), None), (None, Some("lean")), (Some(1.0), Some("lean"))]
-        .map(|(value, level)| About { value, level: level.map(str::to_owned) })
+    [
+        (None, None),
+        (Some(0.625), None),
+        (None, Some("lean")),
+        (Some(1.0), Some("lean")),
+    ]
+    .map(|(value, level)| About {
+        value,
+        level: level.map(str::to_owned),
+    })
 }
 
 /// One line for what `write` puts behind bytes that are already there.
@@ -35,19 +67,27 @@
     for about in abouts() {
         for (case, reply) in &REPLIES {
             let known = (about.value, about.level.as_deref().unwrap_or("no level"));
-            text += &line(&format!("{case} {known:?}"), |out| writer.answer(out, reply, &about));
+            text += &line(&format!("{case} {known:?}"), |out| {
+                writer.answer(out, reply, &about)
+            });
         }
     }
     text
 }
 
 fn compare(name: &str, text: &str) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name);
     if std::env::var_os("GOLDEN_WRITE").is_some() {
         return std::fs::write(path, text).unwrap();
     }
     let golden = std::fs::read_to_string(path).unwrap();
-    assert_eq!(text.lines().collect::<Vec<_>>(), golden.lines().collect::<Vec<_>>(), "{name}");
+    assert_eq!(
+        text.lines().collect::<Vec<_>>(),
+        golden.lines().collect::<Vec<_>>(),
+        "{name}"
+    );
 }
 
 /// Guards against a changed field, its order or its type in any answer to a gateway.
@@ -55,10 +95,16 @@
 fn answers_to_gateways_keep_their_bytes() {
     let mut text = answers(&gateway::Seq(0x0102_0304)) + &answers(&gateway::Seq(-1));
     text += &line("closing", thrift::closing);
-    text += &line("exception", |out| thrift::exception(out, 7, "unknown service"));
+    text += &line("exception", |out| {
+        thrift::exception(out, 7, "unknown service")
+    });
     let fields = [("pressure", "0.5".to_owned())];
-    text += &line("good ping", |out| thrift::answer(out, "ping", 2, b"", &fields, true));
-    text += &line("bad ping", |out| thrift::answer(out, "ping", 2, b"", &[], false));
+    text += &line("good ping", |out| {
+        thrift::answer(out, "ping", 2, b"", &fields, true)
+    });
+    text += &line("bad ping", |out| {
+        thrift::answer(out, "ping", 2, b"", &[], false)
+    });
     compare("thrift_answers.txt", &text);
 }
 
--- a/crates/coralstep-server/tests/stand_ins/golden.rs
+++ b/crates/coralstep-server/tests/stand_ins/golden.rs
@@ -19,7 +19,9 @@
 
     /// Compares with the golden file `name`; writes it instead where `GOLDEN_WRITE` is set.
     pub fn compare(&self, name: &str) {
-        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+        let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+            .join("tests/golden")
+            .join(name);
         if std::env::var_os("GOLDEN_WRITE").is_some() {
             return std::fs::write(path, &*self.0.borrow()).unwrap();
         }
@@ -40,7 +42,12 @@
         // The value is as long as its length says, and so is the frame; both change with the value.
         let length = start + b"pressure\0\0\0".len();
         let value = length + 1..length + 1 + bytes[length] as usize;
-        assert!(std::str::from_utf8(&bytes[value.clone()]).unwrap().parse::<f64>().is_ok());
+        assert!(
+            std::str::from_utf8(&bytes[value.clone()])
+                .unwrap()
+                .parse::<f64>()
+                .is_ok()
+        );
         bytes[length] = 1;
         bytes.splice(value, *b"#");
         let frame = bytes.len() as u32 - 4;
@@ -56,8 +63,13 @@
 }
 
 fn hide_figure(bytes: &mut Vec<u8>, before: &[u8]) {
-    let Some(start) = position(bytes, before).map(|start| start + before.len()) else { return };
-    let figure = bytes[start..].iter().take_while(|byte| byte.is_ascii_digit() || **byte == b'.').count();
+    let Some(start) = position(bytes, before).map(|start| start + before.len()) else {
+        return;
+    };
+    let figure = bytes[start..]
+        .iter()
+        .take_while(|byte| byte.is_ascii_digit() || **byte == b'.')
+        .count();
     assert!(figure > 0, "no figure: {}", bytes.escape_ascii());
     bytes.splice(start..start + figure, *b"#");
 }
@@ -105,12 +117,20 @@
 impl Link {
     pub fn accept(listener: &TcpListener, peer: &'static str, transcript: &Transcript) -> Link {
         let stream = BufReader::new(accept(listener));
-        Link { stream, peer, gauges: "0.5 1 0.1 3", transcript: transcript.clone() }
+        Link {
+            stream,
+            peer,
+            gauges: "0.5 1 0.1 3",
+            transcript: transcript.clone(),
+        }
     }
 
     /// An engine that has been up for an hour, and says these gauges.
     pub fn engine(listener: &TcpListener, gauges: &'static str, transcript: &Transcript) -> Link {
-        let mut link = Link { gauges, ..Link::accept(listener, "engine", transcript) };
+        let mut link = Link {
+            gauges,
+            ..Link::accept(listener, "engine", transcript)
+        };
         link.next();
         link.send("HELLO old 3600000\r\n");
         assert_eq!(link.next(), "STAT attached\r\n");
@@ -124,7 +144,8 @@
     }
 
     pub fn send(&mut self, text: &str) {
-        self.transcript.add(&format!("{} -> server", self.peer), text.as_bytes());
+        self.transcript
+            .add(&format!("{} -> server", self.peer), text.as_bytes());
         self.stream.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
@@ -144,7 +165,10 @@
                 write!(self.stream.get_mut(), "STATS gauges {}\r\n", self.gauges).unwrap();
                 continue;
             }
-            if ["RUN ", "FEED ", "CALL "].iter().any(|word| line.starts_with(word)) {
+            if ["RUN ", "FEED ", "CALL "]
+                .iter()
+                .any(|word| line.starts_with(word))
+            {
                 let length: usize = line.trim_end().rsplit_once(' ').unwrap().1.parse().unwrap();
                 let head = bytes.len();
                 bytes.resize(head + length + 2, 0);
--- a/crates/coralstep-server/tests/wire.rs
+++ b/crates/coralstep-server/tests/wire.rs
@@ -20,7 +20,10 @@
 
 impl Gateway {
     fn new(rig: &Rig, transcript: &Transcript) -> Gateway {
-        Gateway { gate: rig.gate(), transcript: transcript.clone() }
+        Gateway {
+            gate: rig.gate(),
+            transcript: transcript.clone(),
+        }
     }
 
     fn write(&mut self, bytes: &[u8]) {
@@ -32,10 +35,26 @@
         self.invoke_since(&now_ms(), method, index, body, more);
     }
 
-    fn invoke_since(&mut self, since: &str, method: &str, index: u64, body: &[u8], more: &[(&str, &str)]) {
+    fn invoke_since(
+        &mut self,
+        since: &str,
+        method: &str,
+        index: u64,
+        body: &[u8],
+        more: &[(&str, &str)],
+    ) {
         let id = id(index);
-        let fields = [("service", method), ("ref", &id[..]), ("since", since), ("sender", "4")];
-        let rest = [("project", "north"), ("room", "24.5"), ("class_rank", "0.6250")];
+        let fields = [
+            ("service", method),
+            ("ref", &id[..]),
+            ("since", since),
+            ("sender", "4"),
+        ];
+        let rest = [
+            ("project", "north"),
+            ("room", "24.5"),
+            ("class_rank", "0.6250"),
+        ];
         let bytes = self.gate.framed(&[&fields[..], &rest, more].concat(), body);
         self.write(&bytes);
     }
@@ -47,7 +66,8 @@
     }
 
     fn told(&mut self) {
-        self.transcript.add("server -> gateway", &frame(&mut self.gate.stream));
+        self.transcript
+            .add("server -> gateway", &frame(&mut self.gate.stream));
     }
 }
 
@@ -145,7 +165,8 @@
     gateway.invoke("lock", 3, b"", &[]);
     gateway.told();
     // Both cores stand still: the list hears of it in time.
-    let not_ready = (0..20).find_map(|_| Some(lease(&rig)).filter(|lease| lease != b"lease n3 Ready"));
+    let not_ready =
+        (0..20).find_map(|_| Some(lease(&rig)).filter(|lease| lease != b"lease n3 Ready"));
     transcript.add("server -> control", &not_ready.unwrap());
     transcript.compare("rejections.txt");
 }
@@ -156,10 +177,16 @@
     let (rig, transcript) = (Rig::start(), Transcript::default());
     let (now, long) = (now_ms(), "x".repeat(257));
     let ref_one = id(1);
-    let good = [("service", "read"), ("ref", &ref_one[..]), ("since", &now[..]), ("room", "1")];
+    let good = [
+        ("service", "read"),
+        ("ref", &ref_one[..]),
+        ("since", &now[..]),
+        ("room", "1"),
+    ];
     let with = |key: &'static str, value: &str| {
         let mut gateway = Gateway::new(&rig, &Transcript::default());
-        let mut fields: Vec<(&str, &str)> = good.into_iter().filter(|(name, _)| *name != key).collect();
+        let mut fields: Vec<(&str, &str)> =
+            good.into_iter().filter(|(name, _)| *name != key).collect();
         if value != "-" {
             fields.push((key, value));
         }
@@ -191,7 +218,11 @@
     let bytes = gateway.gate.framed(&good, &[b'x'; 2049]);
     gateway.gate.write(&bytes);
     cases.push(("a long body".to_owned(), gateway));
-    for (name, arguments) in [("novelty", &b""[..]), ("invoke", b""), ("invoke", b"\x63\x00\x01")] {
+    for (name, arguments) in [
+        ("novelty", &b""[..]),
+        ("invoke", b""),
+        ("invoke", b"\x63\x00\x01"),
+    ] {
         let (mut gateway, _) = with("dup", "1");
         let bytes = gateway.gate.call(name, arguments);
         gateway.gate.write(&bytes);
@@ -253,12 +284,21 @@
         caller
     };
     let with_id = |path: &str, index: u64, more: &[(&str, &str)], body: &[u8]| {
-        rig.ask(path, &[&[("HTTP_X_REQUEST_ID", &id(index)[..])], more].concat(), body)
+        rig.ask(
+            path,
+            &[&[("HTTP_X_REQUEST_ID", &id(index)[..])], more].concat(),
+            body,
+        )
     };
     // Who never ends is told last.
     let slow = raw(b"70:CONTENT_LENGTH");
     tell("health", raw(&request("GET", "/health", &[], b"")));
-    let caller = with_id("/read/a?b=c", 1, &[("HTTP_X_TENANT", "north")], b"\0\r\n\xff");
+    let caller = with_id(
+        "/read/a?b=c",
+        1,
+        &[("HTTP_X_TENANT", "north")],
+        b"\0\r\n\xff",
+    );
     engine.next();
     engine.send(&format!("DONE 1 {} good 7 4\r\na\r\nb\r\n", id(1)));
     tell("ok", caller);
@@ -268,7 +308,12 @@
     tell("aborted", caller);
     tell(
         "aborted, repeated",
-        with_id("/pay", 3, &[("HTTP_IDEMPOTENCY_KEY", "k"), ("HTTP_X_RETRY", "1")], b"once"),
+        with_id(
+            "/pay",
+            3,
+            &[("HTTP_IDEMPOTENCY_KEY", "k"), ("HTTP_X_RETRY", "1")],
+            b"once",
+        ),
     );
     let head = |head: &str| format!("{}:{head},", head.len()).into_bytes();
     for bytes in [
@@ -298,9 +343,14 @@
         ("HTTP_IDEMPOTENCY_KEY", &long),
         ("HTTP_X_REQUEST_ID", &long),
     ] {
-        tell(&format!("{header} {value:.8}"), rig.ask("/read/x", &[(header, value)], b""));
+        tell(
+            &format!("{header} {value:.8}"),
+            rig.ask("/read/x", &[(header, value)], b""),
+        );
     }
-    let running: Vec<Caller> = (4..=5).map(|index| with_id("/pay", index, &[], b"")).collect();
+    let running: Vec<Caller> = (4..=5)
+        .map(|index| with_id("/pay", index, &[], b""))
+        .collect();
     (4..=5).for_each(|_| drop(engine.next()));
     tell("rejected", with_id("/lock", 6, &[], b""));
     drop(running);
@@ -319,13 +369,19 @@
 /// Guards against a renamed header or path in what applications read.
 #[test]
 fn requests_to_applications_keep_their_bytes() {
-    let (listener, transcript) = (TcpListener::bind("127.0.0.1:0").unwrap(), Transcript::default());
+    let (listener, transcript) = (
+        TcpListener::bind("127.0.0.1:0").unwrap(),
+        Transcript::default(),
+    );
     let paths = ",\"paths\": {\"read\": \"/plan\"}";
     let rig = Rig::site(&site(&[listener.local_addr().unwrap()], paths));
     let mut gateway = Gateway::new(&rig, &transcript);
     known_value(&rig);
     let says = ["Status: 200 OK\r\n\r\nran", "Status: 404 no\r\n\r\n"];
-    for (index, (method, key)) in [("read", None), ("pay", Some(("replay", "T-1")))].into_iter().enumerate() {
+    for (index, (method, key)) in [("read", None), ("pay", Some(("replay", "T-1")))]
+        .into_iter()
+        .enumerate()
+    {
         gateway.invoke(method, index as u64 + 1, b"\0\r\n\xff", key.as_slice());
         let mut stream = accept(&listener);
         let mut bytes = Vec::new();
