--- a/crates/coralstep-adapter/src/fields.rs
+++ b/crates/coralstep-adapter/src/fields.rs
@@ -2,7 +2,7 @@
 use std::str::FromStr;
 
 use coralstep::Span;
-use coralstep_terms::parse;
+use coralstep_config::parse;
 
 use crate::NS_PER_TICK;
 
--- a/crates/coralstep-adapter/src/instance.rs
+++ b/crates/coralstep-adapter/src/instance.rs
@@ -3,7 +3,7 @@
 use std::fmt::{Arguments, Write};
 
 use coralstep::{Arrival, Gauges, Outlet, RpcId, Server, Span, Time};
-use coralstep_terms::{Names, amount, flag, parse};
+use coralstep_config::{Names, amount, flag, parse};
 
 use crate::fields::Fields;
 use crate::{NS_PER_TICK, prior};
@@ -62,7 +62,7 @@
         now_ns: u64,
         reply: &mut String,
     ) -> Result<Instance, String> {
-        let (terms, names) = coralstep_terms::from_pairs(fields.pairs())?;
+        let (terms, names) = coralstep_config::from_pairs(fields.pairs())?;
         let mut instance = Instance {
             number,
             server: None,
--- a/crates/coralstep-pool/benches/choice.rs
+++ b/crates/coralstep-balancer/benches/choice.rs
@@ -1,6 +1,6 @@
 //! What a choice costs, by the number of applications, beside a scan for the least loaded and plain round robin.
 use coralstep::Time;
-use coralstep_pool::{End, Pool, PoolTerms};
+use coralstep_balancer::{End, Pool, PoolTerms};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 
 fn choice(criterion: &mut Criterion) {
--- a/crates/coralstep-pool/examples/spread.rs
+++ b/crates/coralstep-balancer/examples/spread.rs
@@ -1,12 +1,12 @@
 //! Load spread and tail of the pool in virtual time, beside plain random choice and round robin: applications of
 //! different speeds (and one in fifty that fails for ten seconds of each minute), each serving one at a time from a line.
 //!
-//!     cargo run --release -p coralstep-pool --example spread -- [--seed N] [--seconds N] [--json]
+//!     cargo run --release -p coralstep-balancer --example spread -- [--seed N] [--seconds N] [--json]
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
 use coralstep::Time;
-use coralstep_pool::{End, Pick, Pool, PoolTerms};
+use coralstep_balancer::{End, Pick, Pool, PoolTerms};
 use hdrhistogram::Histogram;
 use lexopt::Arg::Long;
 use rand::rngs::SmallRng;
--- a/crates/coralstep-pool/src/lib.rs
+++ b/crates/coralstep-balancer/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! ```
 //! use coralstep::Time;
-//! use coralstep_pool::{End, Pool, PoolTerms};
+//! use coralstep_balancer::{End, Pool, PoolTerms};
 //!
 //! let mut pool = Pool::new(PoolTerms::default(), 7);
 //! pool.set(Time(0), &["10.0.0.1:4000", "10.0.0.2:4000"]);
--- a/crates/coralstep-pool/tests/pool.rs
+++ b/crates/coralstep-balancer/tests/pool.rs
@@ -2,7 +2,7 @@
 use std::collections::HashMap;
 
 use coralstep::{Span, Time};
-use coralstep_pool::{End, Pick, Pool, PoolTerms};
+use coralstep_balancer::{End, Pick, Pool, PoolTerms};
 use proptest::prelude::*;
 
 const KEYS: [&str; 4] = ["a", "b", "c", "d"];
--- a/crates/coralstep-pool/tests/ramp.rs
+++ b/crates/coralstep-balancer/tests/ramp.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 
 use coralstep::{Span, Time};
-use coralstep_pool::{End, Pick, Pool, PoolTerms, RampTerms};
+use coralstep_balancer::{End, Pick, Pool, PoolTerms, RampTerms};
 use nanorand::{Rng, WyRand};
 
 const KEYS: [&str; 4] = ["a", "b", "c", "back"];
--- a/crates/coralstep-terms/src/site.rs
+++ b/crates/coralstep-config/src/site.rs
@@ -6,11 +6,11 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use coralstep_levels::LevelTerms;
-use coralstep_limits::terms::look_up;
-use coralstep_limits::{Limit, LimitTerms};
+use coralstep_degradation::LevelTerms;
+use coralstep_quota::terms::look_up;
+use coralstep_quota::{Limit, LimitTerms};
 use coralstep_route::Routes;
-use coralstep_verdicts::Parts;
+use coralstep_shared_health::Parts;
 use ipnet::IpNet;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -516,7 +516,7 @@
         }
         let limits = look_up(
             terms,
-            &coralstep_limits::terms::Names {
+            &coralstep_quota::terms::Names {
                 methods: &names.methods,
                 calls: &names.calls,
                 tenants: &names.tenants,
@@ -525,7 +525,7 @@
         )?;
         // A share of what is in hand is used only for RPCs that are over before its lease is.
         for (at, limit) in limits.iter().enumerate() {
-            if matches!(limit.kind, coralstep_limits::Kind::Rate { .. }) {
+            if matches!(limit.kind, coralstep_quota::Kind::Rate { .. }) {
                 continue;
             }
             let longest = names
@@ -535,7 +535,7 @@
                 .filter(|(method, _)| limit.method.is_none_or(|of| of == *method))
                 .map(|(_, ms)| *ms)
                 .max();
-            let lease = coralstep_limits::bounds::shrunk(u64::from(fleet.lease_ms))
+            let lease = coralstep_quota::bounds::shrunk(u64::from(fleet.lease_ms))
                 - fleet_round(fleet.lease_ms);
             if let Some(longest) = longest.filter(|longest| *longest > lease) {
                 return Err(format!(
--- a/crates/coralstep-levels/benches/observe.rs
+++ b/crates/coralstep-degradation/benches/observe.rs
@@ -2,7 +2,7 @@
 use std::hint::black_box;
 
 use coralstep::{Signals, Span, Time};
-use coralstep_levels::{LevelTerms, Levels, Signal};
+use coralstep_degradation::{LevelTerms, Levels, Signal};
 use criterion::{Criterion, criterion_group, criterion_main};
 
 fn observe(criterion: &mut Criterion) {
--- a/crates/coralstep-levels/src/lib.rs
+++ b/crates/coralstep-degradation/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! ```
 //! use coralstep::{Signals, Span, Time};
-//! use coralstep_levels::{Levels, LevelTerms};
+//! use coralstep_degradation::{Levels, LevelTerms};
 //!
 //! let mut levels = Levels::new(&LevelTerms::default(), Time(0)).unwrap();
 //! let crowded = Signals { hold: Some(1.0), ..Signals::default() };
--- a/crates/coralstep-levels/tests/fleet.rs
+++ b/crates/coralstep-degradation/tests/fleet.rs
@@ -4,7 +4,7 @@
     Arrival, Below, Effect, Gauges, Level, Method, Outcome, Outlet, RpcId, Server, Span, Terms,
     Time,
 };
-use coralstep_levels::{LevelTerms, Levels};
+use coralstep_degradation::{LevelTerms, Levels};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
--- a/crates/coralstep-levels/tests/levels.rs
+++ b/crates/coralstep-degradation/tests/levels.rs
@@ -1,7 +1,7 @@
 //! Levels in virtual time: load that hovers at each boundary, causes that come and go, and figures that are missing or
 //! nonsense.
 use coralstep::{Signals, Span, Time};
-use coralstep_levels::{Change, LevelTerms, Levels, Sample, Signal, replay};
+use coralstep_degradation::{Change, LevelTerms, Levels, Sample, Signal, replay};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/coralstep-lab/src/baseline.rs
+++ b/crates/coralstep-lab/src/baseline.rs
@@ -12,7 +12,7 @@
     /// The real module.
     #[default]
     Module,
-    /// The real module, told what the others say of the dependency (`coralstep-verdicts`), as old as it comes by gossip.
+    /// The real module, told what the others say of the dependency (`coralstep-shared-health`), as old as it comes by gossip.
     Sharing,
     /// A pool of four runs a core and a line of as many, first come first served; no breaker.
     Plain,
--- a/crates/coralstep-lab/src/explore/pool.rs
+++ b/crates/coralstep-lab/src/explore/pool.rs
@@ -1,7 +1,7 @@
 //! The pool of applications in a small scope: two applications, attempts that end in each way or not at all, applications that go and
 //! come. Checked: no attempt at one that is shut but its trial, no more in hand than allowed, and coming free.
 use coralstep::{Span, Time};
-use coralstep_pool::{End, Pick, Pool as Real, PoolTerms, RampTerms};
+use coralstep_balancer::{End, Pick, Pool as Real, PoolTerms, RampTerms};
 
 use super::Play;
 
--- a/crates/coralstep-lab/src/explore/shares.rs
+++ b/crates/coralstep-lab/src/explore/shares.rs
@@ -3,9 +3,9 @@
 //! over all that is free is in use again within the stated bound.
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use coralstep_limits::Kind;
-use coralstep_limits::bounds::{free_after_crash, keeper_after_crash, stretched};
-use coralstep_limits::terms::CutOff;
+use coralstep_quota::Kind;
+use coralstep_quota::bounds::{free_after_crash, keeper_after_crash, stretched};
+use coralstep_quota::terms::CutOff;
 
 use super::Play;
 use crate::shares::{Cheat, World, limit};
@@ -134,7 +134,7 @@
         // Who left is replaced.
         (0..SERVERS).for_each(|server| self.world.start(server));
         self.world
-            .pass(keeper_after_crash() + stretched(coralstep_limits::bounds::TENURE));
+            .pass(keeper_after_crash() + stretched(coralstep_quota::bounds::TENURE));
         let kept = self.world.keeper().is_some();
         self.world.pass(free_after_crash(LEASE, 500));
         // All demand is at one: it gets all.
--- a/crates/coralstep-lab/src/shares.rs
+++ b/crates/coralstep-lab/src/shares.rs
@@ -1,15 +1,15 @@
 //! Limits of a whole fleet in virtual time, on the real decisions: servers with clocks that run apart, letters that are lost, late, doubled,
-//! cuts, stops, kills. Judged at every moment by the formulas of `coralstep_limits::bounds` alone: what all admit together, and that no
+//! cuts, stops, kills. Judged at every moment by the formulas of `coralstep_quota::bounds` alone: what all admit together, and that no
 //! more than one gives.
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 use coralstep_fleet::Member;
 use coralstep_fleet::rider::{Rider, View};
-use coralstep_limits::bounds::{DRIFT, most_in};
-use coralstep_limits::holder::{Pass, Which};
-use coralstep_limits::terms::CutOff;
-use coralstep_limits::{Kind, Limit, Limits};
+use coralstep_quota::bounds::{DRIFT, most_in};
+use coralstep_quota::holder::{Pass, Which};
+use coralstep_quota::terms::CutOff;
+use coralstep_quota::{Kind, Limit, Limits};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
--- a/crates/coralstep-lab/src/simulate/clockwork.rs
+++ b/crates/coralstep-lab/src/simulate/clockwork.rs
@@ -1,6 +1,6 @@
 //! What happens when: events in their order, what is looked at ten times a second, the end of the day.
 use coralstep::Time;
-use coralstep_pool::End;
+use coralstep_balancer::End;
 use rand::Rng;
 
 use super::{Day, Event, LOOK, ORIGIN, Sim, ticks};
--- a/crates/coralstep-lab/src/simulate/engine.rs
+++ b/crates/coralstep-lab/src/simulate/engine.rs
@@ -1,6 +1,6 @@
 //! What runs the RPCs: cores that they share, applications, the calls to the dependency.
 use coralstep::{Outcome, RpcId, Span, Time};
-use coralstep_pool::End;
+use coralstep_balancer::End;
 use rand::Rng;
 
 use super::{Event, STUCK, Sim, ticks};
--- a/crates/coralstep-lab/src/simulate/mod.rs
+++ b/crates/coralstep-lab/src/simulate/mod.rs
@@ -2,8 +2,8 @@
 use std::collections::HashMap;
 
 use coralstep::{Below, Effect as Of, Method, Outcome, RpcId, Span, Terms};
-use coralstep_levels::Levels;
-use coralstep_pool::{Pick, Pool};
+use coralstep_balancer::{Pick, Pool};
+use coralstep_degradation::Levels;
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/coralstep-lab/src/simulate/server.rs
+++ b/crates/coralstep-lab/src/simulate/server.rs
@@ -2,8 +2,8 @@
 use std::collections::HashMap;
 
 use coralstep::{Gauges, Outcome, RpcId, Span, Time};
-use coralstep_levels::Levels;
-use coralstep_pool::{Pool, PoolTerms};
+use coralstep_balancer::{Pool, PoolTerms};
+use coralstep_degradation::Levels;
 use rand::Rng;
 
 use super::{Cheat, Event, Rpc, Sim, terms, ticks};
--- a/crates/coralstep-lab/src/simulate/sharing.rs
+++ b/crates/coralstep-lab/src/simulate/sharing.rs
@@ -1,11 +1,11 @@
-//! What the servers of a world tell each other of the dependency, on the real decisions (`coralstep-verdicts`): each sees the others as they
+//! What the servers of a world tell each other of the dependency, on the real decisions (`coralstep-shared-health`): each sees the others as they
 //! were a while ago, as long as words take in a fleet of processes.
 use std::collections::VecDeque;
 
 use coralstep::Span;
-use coralstep_verdicts::said::AGE_MOST;
-use coralstep_verdicts::weigh::{Other, Parts, Weigh};
-use coralstep_verdicts::{Advice, State};
+use coralstep_shared_health::said::AGE_MOST;
+use coralstep_shared_health::weigh::{Other, Parts, Weigh};
+use coralstep_shared_health::{Advice, State};
 
 use super::Sim;
 
--- a/crates/coralstep-lab/src/world.rs
+++ b/crates/coralstep-lab/src/world.rs
@@ -1,5 +1,5 @@
 //! A world: a fleet of servers, what they depend on, who asks, and what goes wrong. JSON of one shape; messages name the key.
-use coralstep_levels::LevelTerms;
+use coralstep_degradation::LevelTerms;
 use rand::Rng;
 use rand_distr::{Distribution, Exp, Gamma, LogNormal, Pareto, Weibull};
 use schemars::JsonSchema;
--- a/crates/coralstep-lab/tests/limits.rs
+++ b/crates/coralstep-lab/tests/limits.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeMap;
 
 use coralstep_lab::shares::{Cheat, World, limit};
-use coralstep_limits::Kind;
-use coralstep_limits::bounds::{free_after_crash, keeper_after_crash, open_over, stretched};
-use coralstep_limits::terms::CutOff;
+use coralstep_quota::Kind;
+use coralstep_quota::bounds::{free_after_crash, keeper_after_crash, open_over, stretched};
+use coralstep_quota::terms::CutOff;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
--- a/crates/coralstep-limits/benches/limits.rs
+++ b/crates/coralstep-quota/benches/limits.rs
@@ -1,10 +1,10 @@
 //! What a look at the fleet's limits costs an RPC, by how many limits there are, against a local token bucket in the same run.
 use std::hint::black_box;
 
-use coralstep_limits::holder::{Holder, Which};
-use coralstep_limits::letters::{Ask, Give};
-use coralstep_limits::terms::CutOff;
-use coralstep_limits::{Kind, Limit};
+use coralstep_quota::holder::{Holder, Which};
+use coralstep_quota::letters::{Ask, Give};
+use coralstep_quota::terms::CutOff;
+use coralstep_quota::{Kind, Limit};
 use criterion::{Criterion, criterion_group, criterion_main};
 
 fn limit(number: usize) -> Limit {
--- a/crates/coralstep-limits/tests/golden.rs
+++ b/crates/coralstep-quota/tests/golden.rs
@@ -2,10 +2,10 @@
 //! `GOLDEN_WRITE=1` writes these anew.
 use coralstep_fleet::Member;
 use coralstep_fleet::rider::{Rider, View};
-use coralstep_limits::holder::Which;
-use coralstep_limits::letters::{Ask, Give, Letter};
-use coralstep_limits::terms::{CutOff, Limit, LimitTerms, Names, look_up};
-use coralstep_limits::{Limits, part::Row};
+use coralstep_quota::holder::Which;
+use coralstep_quota::letters::{Ask, Give, Letter};
+use coralstep_quota::terms::{CutOff, Limit, LimitTerms, Names, look_up};
+use coralstep_quota::{Limits, part::Row};
 
 /// The bytes of a committed table (lines of a name and hexadecimal digits), which has to be what is written
 /// now.
--- a/crates/coralstep-server/benches/front.rs
+++ b/crates/coralstep-server/benches/front.rs
@@ -10,6 +10,8 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, block_on};
 use coralstep::{Method, Span, Terms};
+use coralstep_config::Names;
+use coralstep_config::site::{RouteTerms, ScgiTerms, SiteTerms};
 use coralstep_scgi::request;
 use coralstep_server::base::config::Limits;
 use coralstep_server::base::descriptors::Descriptors;
@@ -23,8 +25,6 @@
 use coralstep_server::dependency::store::Store;
 use coralstep_server::runs::course::Course;
 use coralstep_server::runs::{Notice, Notices, Order, Run, Runs};
-use coralstep_terms::Names;
-use coralstep_terms::site::{RouteTerms, ScgiTerms, SiteTerms};
 use criterion::{Criterion, criterion_group, criterion_main};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 
--- a/crates/coralstep-server/src/base/config.rs
+++ b/crates/coralstep-server/src/base/config.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use coralstep::{Preemption, Terms};
-use coralstep_terms::Names;
-use coralstep_terms::site::SiteTerms;
-use coralstep_terms::starves;
+use coralstep_config::Names;
+use coralstep_config::site::SiteTerms;
+use coralstep_config::starves;
 use serde_json::Value;
 
 use super::descriptors;
@@ -167,7 +167,7 @@
         let seed = word("seed", "")?;
         let settings = json.get("settings").ok_or("settings: missing")?;
         let (terms, mut names) =
-            coralstep_terms::from_json(settings).map_err(|why| format!("settings: {why}"))?;
+            coralstep_config::from_json(settings).map_err(|why| format!("settings: {why}"))?;
         names.instance = word("name", "RELAY_NAME")?;
         if terms.methods.is_empty() {
             return Err("settings.classes: names no class".to_owned());
--- a/crates/coralstep-server/src/base/log.rs
+++ b/crates/coralstep-server/src/base/log.rs
@@ -4,7 +4,7 @@
 use std::io::stderr;
 use std::time::{Duration, Instant};
 
-use coralstep_terms::site::{LogFormat, LogTerms};
+use coralstep_config::site::{LogFormat, LogTerms};
 use tracing_subscriber::filter::Targets;
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
--- a/crates/coralstep-server/src/callers/connections/tests.rs
+++ b/crates/coralstep-server/src/callers/connections/tests.rs
@@ -1,5 +1,5 @@
 use coralstep::{Method, Terms};
-use coralstep_terms::Names;
+use coralstep_config::Names;
 
 use super::*;
 use crate::base::endpoints::{Endpoint, Endpoints};
--- a/crates/coralstep-server/src/callers/scgi.rs
+++ b/crates/coralstep-server/src/callers/scgi.rs
@@ -6,11 +6,11 @@
 
 use async_io::Async;
 use coralstep::Span;
+use coralstep_config::Names;
+use coralstep_config::site::{ScgiTerms, Target};
 use coralstep_route::{Found, Routes};
 use coralstep_scgi::request::{self, Request};
 use coralstep_scgi::{Bounds, Fault, answer};
-use coralstep_terms::Names;
-use coralstep_terms::site::{ScgiTerms, Target};
 use futures_lite::AsyncReadExt;
 use futures_lite::future::yield_now;
 
--- a/crates/coralstep-server/src/cli/fleet.rs
+++ b/crates/coralstep-server/src/cli/fleet.rs
@@ -1,8 +1,8 @@
 //! `coralstep fleet`: who is there, versions of the settings, and who acted on which.
 use std::path::PathBuf;
 
+use coralstep_config::site::Listen;
 use coralstep_server::operators::ops::Question;
-use coralstep_terms::site::Listen;
 use lexopt::Arg::{Long, Short, Value};
 use lexopt::ValueExt;
 use serde_json::Value as Json;
--- a/crates/coralstep-server/src/cli/levels.rs
+++ b/crates/coralstep-server/src/cli/levels.rs
@@ -8,9 +8,9 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use coralstep_levels::{LevelTerms, replay};
+use coralstep_config::site::{Listen, SiteTerms};
+use coralstep_degradation::{LevelTerms, replay};
 use coralstep_server::operators::ops::Question;
-use coralstep_terms::site::{Listen, SiteTerms};
 use lexopt::Arg::{Long, Short, Value};
 use lexopt::ValueExt;
 use serde_json::Value as Json;
--- a/crates/coralstep-server/src/decisions/facade.rs
+++ b/crates/coralstep-server/src/decisions/facade.rs
@@ -11,9 +11,9 @@
 use coralstep::{
     Arrival, Gauges, Learned, Level, Outcome, Outlet, Prior, RpcId, Server, Span, Terms, Time, Turn,
 };
-use coralstep_levels::LevelTerms;
-use coralstep_limits::holder::{Pass, Which};
-use coralstep_terms::Names;
+use coralstep_config::Names;
+use coralstep_degradation::LevelTerms;
+use coralstep_quota::holder::{Pass, Which};
 use event_listener::Event;
 
 use crate::base::clock::{self, Clock};
--- a/crates/coralstep-server/src/decisions/levels.rs
+++ b/crates/coralstep-server/src/decisions/levels.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, SystemTime};
 
 use coralstep::{Level, Signals, Span, Time};
-use coralstep_levels::{Change, LevelTerms, Levels, Sample, View};
+use coralstep_degradation::{Change, LevelTerms, Levels, Sample, View};
 use serde::Serialize;
 
 use crate::base::clock::Clock;
--- a/crates/coralstep-server/src/life/keep.rs
+++ b/crates/coralstep-server/src/life/keep.rs
@@ -7,11 +7,11 @@
 
 use async_io::Timer;
 use coralstep::Learned;
+use coralstep_config::site::StateTerms;
 use coralstep_state::Folder;
 use coralstep_state::schedule::{Budget, Cost, Scheduler};
 use coralstep_state::snapshot::{self, Found, Refused};
 use coralstep_state::trust::Fingerprint;
-use coralstep_terms::site::StateTerms;
 
 use crate::base::config::Config;
 use crate::decisions::facade::Facade;
--- a/crates/coralstep-server/src/life/reload.rs
+++ b/crates/coralstep-server/src/life/reload.rs
@@ -6,9 +6,9 @@
 
 use async_signal::{Signal, Signals};
 use coralstep::Terms;
-use coralstep_terms::Names;
-use coralstep_terms::site::SiteTerms;
-use coralstep_terms::starves;
+use coralstep_config::Names;
+use coralstep_config::site::SiteTerms;
+use coralstep_config::starves;
 use futures_lite::StreamExt;
 
 use crate::base::config::{Config, Source};
--- a/crates/coralstep-server/src/main.rs
+++ b/crates/coralstep-server/src/main.rs
@@ -10,9 +10,9 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+use coralstep_config::site::SiteTerms;
 use coralstep_server::Fault;
 use coralstep_server::base::config::{Config, Source};
-use coralstep_terms::site::SiteTerms;
 use lexopt::Arg::{Long, Short, Value};
 
 const USAGE: &str = "\
--- a/crates/coralstep-server/src/operators/ops.rs
+++ b/crates/coralstep-server/src/operators/ops.rs
@@ -9,8 +9,8 @@
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
+use coralstep_config::site::Listen;
 use coralstep_fleet::audit::Filter;
-use coralstep_terms::site::Listen;
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, FutureExt};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
--- a/crates/coralstep-server/src/runs/applications.rs
+++ b/crates/coralstep-server/src/runs/applications.rs
@@ -1,5 +1,5 @@
 //! RPCs run on SCGI applications: one connection an attempt. Which application, and whether there is another attempt, is the
-//! pool's word (`coralstep-pool`); what an attempt proves is found out here.
+//! pool's word (`coralstep-balancer`); what an attempt proves is found out here.
 //!
 //! | seen | told | proves that it never ran |
 //! | --- | --- | --- |
@@ -20,9 +20,9 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
 use coralstep::{Time, Turn};
-use coralstep_pool::{End, Pick, Pool, PoolTerms, RampTerms};
+use coralstep_balancer::{End, Pick, Pool, PoolTerms, RampTerms};
+use coralstep_config::site::ApplicationTerms;
 use coralstep_scgi::{Bounds, answer, request};
-use coralstep_terms::site::ApplicationTerms;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 
 use crate::base::clock::{self, Clock};
--- a/crates/coralstep-server/tests/limits.rs
+++ b/crates/coralstep-server/tests/limits.rs
@@ -1,5 +1,5 @@
 //! Limits that hold for a fleet of real processes with faults between them, judged by what callers were told and engines ran alone. Times are
-//! wide enough for a machine three times as slow; the formulas are those of `coralstep_limits::bounds`.
+//! wide enough for a machine three times as slow; the formulas are those of `coralstep_quota::bounds`.
 use std::path::Path;
 use std::time::{Duration, Instant};
 
@@ -11,12 +11,12 @@
 use coralstep_lab::fleet::judge::excess;
 use coralstep_lab::fleet::processes::{METHODS, TENANTS};
 use coralstep_lab::fleet::{Drive, Fault, Fleet, Guest, Setup, Told};
-use coralstep_limits::bounds::{
+use coralstep_quota::bounds::{
     DRIFT, TOKENS, free_after_crash, keeper_after_crash, most_in, stretched,
 };
-use coralstep_limits::letters::{Ask, Letter};
-use coralstep_limits::terms::{Names, look_up};
-use coralstep_limits::{Kind, LimitTerms};
+use coralstep_quota::letters::{Ask, Letter};
+use coralstep_quota::terms::{Names, look_up};
+use coralstep_quota::{Kind, LimitTerms};
 use serde_json::{Value, json};
 
 const LIMIT: Duration = Duration::from_secs(40);
--- a/crates/coralstep-server/tests/ramp.rs
+++ b/crates/coralstep-server/tests/ramp.rs
@@ -1,4 +1,4 @@
-//! What an application that has come back gets from many processes of the program together. In virtual time, and in CI: `coralstep-pool`.
+//! What an application that has come back gets from many processes of the program together. In virtual time, and in CI: `coralstep-balancer`.
 mod stand_ins;
 
 use std::sync::atomic::Ordering;
--- a/crates/coralstep-server/tests/verdicts.rs
+++ b/crates/coralstep-server/tests/verdicts.rs
@@ -11,7 +11,7 @@
 use coralstep_lab::emulate::store::Store;
 use coralstep_lab::fleet::{Drive, Faults, Fleet, Guest, Setup, Told};
 use coralstep_lab::world::Dependency;
-use coralstep_verdicts::{Own, Parts, State, Verdicts};
+use coralstep_shared_health::{Own, Parts, State, Verdicts};
 use serde_json::{Value, json};
 
 const LIMIT: Duration = Duration::from_secs(40);
--- a/crates/coralstep-verdicts/tests/golden.rs
+++ b/crates/coralstep-shared-health/tests/golden.rs
@@ -3,8 +3,8 @@
 use coralstep_fleet::Member;
 use coralstep_fleet::rider::Rider;
 use coralstep_fleet::spread::Spread;
-use coralstep_verdicts::said::{Said, State, Word};
-use coralstep_verdicts::{Parts, Verdicts};
+use coralstep_shared_health::said::{Said, State, Word};
+use coralstep_shared_health::{Parts, Verdicts};
 
 /// The text of a committed file, which has to be what is written now.
 fn golden(name: &str, written: &str) -> String {
--- a/crates/coralstep/src/level.rs
+++ b/crates/coralstep/src/level.rs
@@ -1,5 +1,5 @@
 //! Levels of reduced service, as far as the decisions know of them: what is observed here ([`Signals`]), and what a level asks
-//! ([`Level`]). Which level holds is decided elsewhere (`coralstep-levels`); the stages in `choice.rs` carry it out.
+//! ([`Level`]). Which level holds is decided elsewhere (`coralstep-degradation`); the stages in `choice.rs` carry it out.
 use crate::door::*;
 
 /// What the decisions observe of themselves. Each is none while nothing can be said.
