--- a/crates/coralstep-adapter/src/instance.rs
+++ b/crates/coralstep-adapter/src/instance.rs
@@ -2,7 +2,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::fmt::{Arguments, Write};
 
-use coralstep::{Arrival, Gauges, Outlet, RpcId, Server, Span, Time};
+use coralstep::{Actions, Gauges, Request, RpcId, Scheduler, Span, Time};
 use coralstep_config::{Names, amount, flag, parse};
 
 use crate::fields::Fields;
@@ -49,7 +49,7 @@
 
 pub struct Instance {
     number: u64,
-    server: Option<Server>,
+    server: Option<Scheduler>,
     names: Names,
     pub ids: Ids,
 }
@@ -75,7 +75,7 @@
             ids: &mut instance.ids,
             reply,
         };
-        instance.server = Some(Server::start(
+        instance.server = Some(Scheduler::start(
             &terms,
             seed,
             Time(now_ns / NS_PER_TICK),
@@ -89,7 +89,7 @@
         &mut self,
         now_ns: u64,
         reply: &mut String,
-        event: impl FnOnce(&mut Server, &mut dyn Outlet),
+        event: impl FnOnce(&mut Scheduler, &mut dyn Actions),
     ) {
         let mut out = Writer {
             number: self.number,
@@ -102,8 +102,8 @@
         }
     }
 
-    pub fn arrival(&mut self, fields: &Fields, now_ns: u64) -> Result<Arrival, String> {
-        let mut arrival = Arrival::default();
+    pub fn arrival(&mut self, fields: &Fields, now_ns: u64) -> Result<Request, String> {
+        let mut arrival = Request::default();
         let (mut handle, mut method, mut earlier) = (None, None, None);
         for (name, value) in fields.pairs() {
             match name {
@@ -117,14 +117,14 @@
                 }
                 "due" => {
                     let due: u64 = parse(name, value)?;
-                    arrival.due = (due > 0).then_some(Time(due / NS_PER_TICK));
+                    arrival.deadline = (due > 0).then_some(Time(due / NS_PER_TICK));
                 }
                 "predicted" => {
                     let work: u64 = parse(name, value)?;
                     arrival.work = (work > 0).then_some(Span(work.div_ceil(NS_PER_TICK)));
                 }
-                "footprint" => arrival.held_kb = amount(name, value)?,
-                "again_by_client" => arrival.retry = flag(name, value)?,
+                "footprint" => arrival.queued_kb = amount(name, value)?,
+                "again_by_client" => arrival.is_retry = flag(name, value)?,
                 "queued_for" => {
                     arrival.age = Span(parse::<u64>(name, value)?.div_ceil(NS_PER_TICK))
                 }
@@ -133,7 +133,7 @@
             }
         }
         arrival.method = method.ok_or("no type")?;
-        arrival.prior = prior(self, earlier);
+        arrival.earlier_attempt = prior(self, earlier);
         arrival.id = self.ids.add(handle.ok_or("no handle")?, now_ns)?;
         Ok(arrival)
     }
@@ -145,8 +145,8 @@
                 continue;
             }
             match name.as_str() {
-                "cpu_busy" => gauges.busy = Some(amount(name, value)?),
-                "sockets" => gauges.connections = Some(amount(name, value)?),
+                "cpu_busy" => gauges.cpu_busy = Some(amount(name, value)?),
+                "sockets" => gauges.open_connections = Some(amount(name, value)?),
                 _ => {}
             }
         }
@@ -181,12 +181,12 @@
     span.0.saturating_mul(NS_PER_TICK)
 }
 
-impl Outlet for Writer<'_> {
+impl Actions for Writer<'_> {
     fn admit(&mut self, rpc: RpcId) {
         self.on("ADMIT", rpc);
     }
 
-    fn push_back(&mut self, rpc: RpcId, after: Span, last: bool) {
+    fn reject(&mut self, rpc: RpcId, after: Span, last: bool) {
         let (handle, last) = (self.handle(rpc), if last { " give_up=1" } else { "" });
         match ns(after) {
             0 => self.put("DENY", format_args!(" handle={handle}{last}")),
@@ -197,7 +197,7 @@
         }
     }
 
-    fn abort(&mut self, rpc: RpcId) {
+    fn fail(&mut self, rpc: RpcId) {
         self.on("SURRENDER", rpc);
     }
 
@@ -209,7 +209,7 @@
         );
     }
 
-    fn skip(&mut self, rpc: RpcId) {
+    fn skip_call(&mut self, rpc: RpcId) {
         self.on("FALL_BACK", rpc);
     }
 
@@ -217,12 +217,12 @@
         self.on("PREEMPT", rpc);
     }
 
-    fn keep_token(&mut self, rpc: RpcId, span: Span) {
+    fn retain_key(&mut self, rpc: RpcId, span: Span) {
         let handle = self.handle(rpc);
         self.put("RETAIN", format_args!(" handle={handle} span={}", ns(span)));
     }
 
-    fn drop_token(&mut self, rpc: RpcId) {
+    fn release_key(&mut self, rpc: RpcId) {
         self.on("UNPIN", rpc);
     }
 
@@ -230,22 +230,22 @@
         self.on("REPLAY", rpc);
     }
 
-    fn health(&mut self, good: bool) {
+    fn set_health(&mut self, good: bool) {
         self.put(
             "SET_HEALTH",
             format_args!(" enable={} stored=1", u8::from(good)),
         );
     }
 
-    fn advertise(&mut self, value: f64) {
+    fn report_load(&mut self, value: f64) {
         self.put("SIGNAL", format_args!(" amount={value}"));
     }
 
-    fn idle_limit(&mut self, span: Span) {
+    fn set_idle_timeout(&mut self, span: Span) {
         self.put("IDLE_LIMIT", format_args!(" span={}", ns(span)));
     }
 
-    fn timer(&mut self, span: Span) {
+    fn set_timer(&mut self, span: Span) {
         self.put("DEFER", format_args!(" in={} name=beat", ns(span)));
     }
 
@@ -253,7 +253,7 @@
         self.put("LOG", format_args!(" words={text}"));
     }
 
-    fn release(&mut self, rpc: RpcId) {
+    fn release_id(&mut self, rpc: RpcId) {
         self.ids.released.push_back((self.now_ns, rpc.0));
     }
 }
--- a/crates/coralstep-adapter/src/main.rs
+++ b/crates/coralstep-adapter/src/main.rs
@@ -7,7 +7,7 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use coralstep::{Outcome, Prior, RpcId, Time};
+use coralstep::{EarlierAttempt, Outcome, RpcId, Time};
 use fields::Fields;
 use instance::Instance;
 
@@ -85,39 +85,39 @@
             "INBOUND" => {
                 let arrival = instance.arrival(fields, self.now_ns)?;
                 instance.tell(self.now_ns, &mut self.reply, |server, out| {
-                    server.rpc(now, arrival, out)
+                    server.handle_request(now, arrival, out)
                 });
             }
             "SETTLED" | "CALLED" => {
                 let (rpc, outcome) = (id(instance)?, outcome(fields.need("state_code")?)?);
                 let took = fields.span_up("latency")?.unwrap_or_default();
                 instance.tell(self.now_ns, &mut self.reply, |server, out| match word {
-                    "CALLED" => server.called(now, rpc, outcome, took, out),
-                    _ => server.settled(now, rpc, outcome, out),
+                    "CALLED" => server.handle_call_result(now, rpc, outcome, took, out),
+                    _ => server.handle_completion(now, rpc, outcome, out),
                 });
             }
             "WANTS_CALL" => {
                 let rpc = id(instance)?;
                 instance.tell(self.now_ns, &mut self.reply, |server, out| {
-                    server.needs_call(now, rpc, out)
+                    server.handle_call_needed(now, rpc, out)
                 });
             }
             "ABORTED" => {
                 let rpc = id(instance)?;
                 instance.tell(self.now_ns, &mut self.reply, |server, out| {
-                    server.gone(now, rpc, out)
+                    server.handle_cancellation(now, rpc, out)
                 });
             }
             "WIND_DOWN" => {
                 let stop = Time(fields.need("due")? / NS_PER_TICK);
                 instance.tell(self.now_ns, &mut self.reply, |server, out| {
-                    server.wind_down(now, stop, out)
+                    server.begin_drain(now, stop, out)
                 });
             }
             "REMINDER" => {
                 let gauges = instance.gauges(fields.text("load").unwrap_or(""))?;
                 instance.tell(self.now_ns, &mut self.reply, |server, out| {
-                    server.timer(now, gauges, out)
+                    server.handle_timeout(now, gauges, out)
                 });
             }
             _ => return Err(format!("unknown message {word}")),
@@ -130,24 +130,24 @@
     Ok(match code {
         200 => Outcome::Ok,
         502 => Outcome::Error,
-        429 => Outcome::PushedBack,
+        429 => Outcome::Rejected,
         408 => Outcome::TimedOut,
         521 => Outcome::Unreachable,
-        520 => Outcome::Broken,
+        520 => Outcome::ConnectionLost,
         444 => Outcome::Cancelled,
-        409 => Outcome::Moot,
+        409 => Outcome::NoLongerNeeded,
         _ => return Err(format!("unknown state_code {code}")),
     })
 }
 
 /// The earlier RPC named by `prior`, where there is one.
-fn prior(instance: &Instance, handle: Option<u64>) -> Prior {
+fn prior(instance: &Instance, handle: Option<u64>) -> EarlierAttempt {
     match handle {
-        None | Some(0) => Prior::Nothing,
+        None | Some(0) => EarlierAttempt::None,
         Some(handle) => instance
             .ids
             .find(handle)
-            .map_or(Prior::Forgotten, Prior::Of),
+            .map_or(EarlierAttempt::Forgotten, EarlierAttempt::Known),
     }
 }
 
--- a/crates/coralstep-balancer/src/lib.rs
+++ b/crates/coralstep-balancer/src/lib.rs
@@ -1,6 +1,6 @@
 //! A pool of applications that do the same work: which of them gets the next attempt of an RPC ([`Pool::choose`]), and
 //! whether an RPC whose attempt failed gets another one ([`Pool::repeats`]). Each application has the breaker of the
-//! design (`coralstep::Breaker`). No I/O and no clock: the caller passes the time in; the same calls from the same seed
+//! design (`coralstep::CircuitBreaker`). No I/O and no clock: the caller passes the time in; the same calls from the same seed
 //! lead to the same choices.
 //!
 //! ```
@@ -16,7 +16,7 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-use coralstep::{Breaker, RpcId, Span, Step, Time, Turn};
+use coralstep::{CircuitBreaker, Flow, RpcId, Span, Time, Transition};
 use nanorand::{Rng, WyRand};
 
 mod budget;
@@ -117,7 +117,7 @@
     /// The usual time of an answer, in ticks, and when the last one came; 0 before the first.
     time: f64,
     last: Time,
-    breaker: Breaker,
+    breaker: CircuitBreaker,
     /// While it is led up to its share; those that were there from the start are not.
     ramp: Option<Ramp>,
     /// Nobody listened there at the last attempt.
@@ -163,7 +163,7 @@
     usual: f64,
     chance: WyRand,
     /// Changes of breakers since they were last taken.
-    turns: Vec<(K, Turn)>,
+    turns: Vec<(K, Transition)>,
 }
 
 impl<K: Clone + PartialEq> Pool<K> {
@@ -210,7 +210,7 @@
                 in_hand: 0,
                 time: 0.0,
                 last: now,
-                breaker: Breaker::new(now),
+                breaker: CircuitBreaker::new(now),
                 recent: VecDeque::new(),
                 ramp: (!first).then(|| Ramp::new(now)),
                 down: false,
@@ -293,7 +293,7 @@
             self.shut.pop();
             let (terms, chance) = (&self.terms.ramp, &mut self.chance);
             let app = self.apps[slot as usize].as_mut();
-            let Some(app) = app.filter(|app| !app.leaving && app.breaker.awaits_trial(now)) else {
+            let Some(app) = app.filter(|app| !app.leaving && app.breaker.awaits_probe(now)) else {
                 continue;
             };
             // Guards against the trials of many processes, each one alone and all at once.
@@ -320,8 +320,8 @@
         let Some(app) = self.apps[slot as usize].as_mut() else {
             return Err(GUESS);
         };
-        let (step, turn) = app.breaker.enter(now, attempt);
-        debug_assert!(matches!(step, Step::Pass));
+        let (step, turn) = app.breaker.admit_call(now, attempt);
+        debug_assert!(matches!(step, Flow::Continue));
         app.in_hand += 1;
         let key = app.key.clone();
         self.turns.extend(turn.map(|turn| (key, turn)));
@@ -460,7 +460,7 @@
         app.recent.push_back((now, failed));
         let Some(turn) = app
             .breaker
-            .result(now, attempt, began, failed, &mut self.chance)
+            .record_call(now, attempt, began, failed, &mut self.chance)
         else {
             return;
         };
@@ -468,7 +468,7 @@
             // What it did before it was shut is no measure of it now.
             (app.ramp, app.time) = (Some(Ramp::new(now)), 0.0);
         }
-        if let Some(until) = app.breaker.until() {
+        if let Some(until) = app.breaker.open_until() {
             app.ramp = None;
             self.shut.push(Reverse((until, slot)));
         }
@@ -513,7 +513,7 @@
             End::GivenUp => {
                 let app = self.apps[slot as usize].as_mut();
                 // The next one is its trial, at once.
-                if app.is_some_and(|app| app.breaker.trial_left(attempt)) {
+                if app.is_some_and(|app| app.breaker.abandon_probe(attempt)) {
                     self.shut.push(Reverse((now, slot)));
                 }
             }
@@ -560,7 +560,7 @@
     }
 
     /// Changes of breakers since the last look: each is to be logged.
-    pub fn turns(&mut self) -> Vec<(K, Turn)> {
+    pub fn turns(&mut self) -> Vec<(K, Transition)> {
         std::mem::take(&mut self.turns)
     }
 
@@ -574,8 +574,8 @@
         else {
             return;
         };
-        let sooner = by.filter(|by| app.breaker.until().is_some_and(|until| *by < until));
-        app.breaker.hear(need, sooner);
+        let sooner = by.filter(|by| app.breaker.open_until().is_some_and(|until| *by < until));
+        app.breaker.apply_peer_reports(need, sooner);
         if let Some(by) = sooner {
             self.shut.push(Reverse((by, slot as u32)));
         }
@@ -591,7 +591,7 @@
         let one = |app: &App<K>| View {
             key: app.key.clone(),
             in_hand: app.in_hand,
-            state: app.breaker.name(),
+            state: app.breaker.state_name(),
             time: (app.time > 0.0).then_some(Span(app.time as u64)),
             leaving: app.leaving,
             recent: recent(app).0,
--- a/crates/coralstep-config/src/check.rs
+++ b/crates/coralstep-config/src/check.rs
@@ -1,7 +1,7 @@
 //! What settings must hold before a server starts on them. Messages name the path that is at fault.
 use std::collections::HashSet;
 
-use coralstep::{Effect, Terms};
+use coralstep::{Idempotency, SchedulerConfig};
 
 use crate::{Conf, Names};
 
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-pub(crate) fn check(conf: &Conf, terms: &Terms, names: &Names) -> Result<(), String> {
+pub(crate) fn check(conf: &Conf, terms: &SchedulerConfig, names: &Names) -> Result<(), String> {
     for list in ["classes", "realms"] {
         if !conf.text(list).is_empty() {
             return Err(format!("{list}={} is no list of objects", conf.text(list)));
@@ -66,13 +66,13 @@
         }
         within(conf, &at("worth"), 0.0, f64::MAX)?;
         within_if_there(conf, &at("late_worth"), 0.0, 1.0)?;
-        if method.effect == Effect::Tokened {
+        if method.idempotency == Idempotency::Keyed {
             within(conf, &at("window"), 1.0, f64::MAX)?;
         }
-        if method.skip > 1.0 {
+        if method.skip_value > 1.0 {
             return Err(format!(
                 "domain.class_skip_worth={} is not from 0 to 1",
-                method.skip
+                method.skip_value
             ));
         }
     }
--- a/crates/coralstep-config/src/lib.rs
+++ b/crates/coralstep-config/src/lib.rs
@@ -5,7 +5,9 @@
 use std::borrow::Cow;
 use std::collections::{HashMap, HashSet};
 
-use coralstep::{Advert, Below, Effect, Method, Preemption, Span, Terms};
+use coralstep::{
+    Dependency, GoalWeights, Idempotency, LoadReportKind, Method, Preemption, SchedulerConfig, Span,
+};
 use serde_json::Value;
 
 mod check;
@@ -95,9 +97,9 @@
     fn method(&self, index: usize, calls_below: bool) -> Result<Method, String> {
         let at = |key: &str| format!("classes.{index}.{key}");
         let effect = match self.text(&at("idempotency")) {
-            "repeatable" | "" => Effect::Idempotent,
-            "by_key" => Effect::Tokened,
-            "once" => Effect::NonIdempotent,
+            "repeatable" | "" => Idempotency::Idempotent,
+            "by_key" => Idempotency::Keyed,
+            "once" => Idempotency::NonIdempotent,
             other => return Err(format!("{}={other} is unknown", at("idempotency"))),
         };
         let calls = match self.of_class("domain.calls_by_class", index) {
@@ -109,13 +111,13 @@
             None => 0.0,
         };
         Ok(Method {
-            effect,
-            target: self.down(&at("promise"))?,
+            idempotency: effect,
+            latency_objective: self.down(&at("promise"))?,
             deadline: self.down(&at("deadline"))?,
-            window: self.up(&at("window"))?,
-            criticality: self.amount(&at("worth"))?,
-            late: self.amount(&at("late_worth"))?,
-            skip,
+            retry_window: self.up(&at("window"))?,
+            priority_weight: self.amount(&at("worth"))?,
+            late_value: self.amount(&at("late_worth"))?,
+            skip_value: skip,
             calls: calls && calls_below,
         })
     }
@@ -124,7 +126,7 @@
 /// From the paths and values of a line.
 pub fn from_pairs<'a>(
     pairs: impl Iterator<Item = (&'a str, &'a str)>,
-) -> Result<(Terms, Names), String> {
+) -> Result<(SchedulerConfig, Names), String> {
     let values = pairs
         .map(|(path, value)| (path.into(), value.into()))
         .collect();
@@ -136,7 +138,7 @@
 
 /// From nested JSON of the same names and units. Guards against settings that are missing, of the wrong type or out of range, without
 /// which no decision is sound; on the simulator's wire all of them are there.
-pub fn from_json(settings: &Value) -> Result<(Terms, Names), String> {
+pub fn from_json(settings: &Value) -> Result<(SchedulerConfig, Names), String> {
     if !settings.is_object() {
         return Err("settings: not an object".to_owned());
     }
@@ -190,22 +192,22 @@
     }
 }
 
-fn read(conf: &Conf) -> Result<(Terms, Names), String> {
+fn read(conf: &Conf) -> Result<(SchedulerConfig, Names), String> {
     let below = match conf.text("domain.depends_on") {
-        "shared" => Below::Shared(conf.amount("domain.call_share")?),
-        "tier" => Below::Tier,
-        "off" | "" => Below::Nothing,
+        "shared" => Dependency::Shared(conf.amount("domain.call_share")?),
+        "tier" => Dependency::Tier,
+        "off" | "" => Dependency::None,
         other => return Err(format!("domain.depends_on={other} is unknown")),
     };
     let advert = match conf.text("domain.advert") {
-        "level" => Advert::Level,
-        "credit" => Advert::Credit,
-        "weight" => Advert::Weight,
-        "off" | "" => Advert::Off,
+        "level" => LoadReportKind::Threshold,
+        "credit" => LoadReportKind::Credit,
+        "weight" => LoadReportKind::Weight,
+        "off" | "" => LoadReportKind::Off,
         other => return Err(format!("domain.advert={other} is unknown")),
     };
     let preemption = match conf.text("domain.preemption") {
-        "drop" => Preemption::Drop,
+        "drop" => Preemption::Cancel,
         "pause" => Preemption::Pause,
         "off" | "" => Preemption::Off,
         other => return Err(format!("domain.preemption={other} is unknown")),
@@ -230,37 +232,37 @@
             .collect(),
         ..Names::default()
     };
-    let mut terms = Terms {
-        fleet: conf.amount("group_size")? as u32,
-        over_share: conf.amount("over_share_worth")?,
+    let mut terms = SchedulerConfig {
+        fleet_size: conf.amount("group_size")? as u32,
+        over_quota_weight: conf.amount("over_share_worth")?,
         cores: conf.amount("domain.cores")? as u32,
         memory_kb: conf.amount("domain.memory_kb")?,
-        run_factor: conf.amount("domain.run_factor")?,
+        run_memory_factor: conf.amount("domain.run_factor")?,
         key_kb: conf.amount("domain.key_kb")?,
-        cold: conf.flag("domain.fresh_start")?,
+        warming_up: conf.flag("domain.fresh_start")?,
         cold_speed: conf.amount("safety.cold_from")?,
-        warm_after: conf.up("safety.warm_after")?,
-        survivable_crowd: conf.amount("safety.fall_multiple")?,
+        warm_up_time: conf.up("safety.warm_after")?,
+        max_started_per_core: conf.amount("safety.fall_multiple")?,
         drain_grace: conf.down("safety.drain_grace")?,
-        below,
-        linger: conf.up("domain.linger")?,
+        dependency: below,
+        abandoned_call_time: conf.up("domain.linger")?,
         callers: conf.amount("domain.callers")? as u32,
-        advert,
+        load_report: advert,
         preemption,
-        caller_idle: conf.down("domain.caller_idle")?,
-        worth_by_work: conf.text("worth_by") == "work",
-        goal: [
-            conf.amount("goal.whole")?,
-            conf.amount("goal.worst_class")?,
-            conf.amount("goal.worst_tenant")?,
-        ],
-        ..Terms::default()
+        max_idle_time: conf.down("domain.caller_idle")?,
+        weight_per_work: conf.text("worth_by") == "work",
+        goal: GoalWeights {
+            overall: conf.amount("goal.whole")?,
+            worst_method: conf.amount("goal.worst_class")?,
+            worst_tenant: conf.amount("goal.worst_tenant")?,
+        },
+        ..SchedulerConfig::default()
     };
     for index in 0..conf.ns("classes.count")? as usize {
         names
             .methods
             .push(conf.text(&format!("classes.{index}.name")).to_owned());
-        let method = conf.method(index, below != Below::Nothing)?;
+        let method = conf.method(index, below != Dependency::None)?;
         names.calls.push(method.calls);
         names.deadlines_ms.push(method.deadline.0.div_ceil(10));
         terms.methods.push(method);
@@ -270,7 +272,7 @@
             .tenants
             .push(conf.text(&format!("realms.{index}.name")).to_owned());
         terms
-            .tenant_rates
+            .tenant_quotas
             .push(conf.amount(&format!("realms.{index}.quota_rps"))?);
     }
     Ok((terms, names))
--- a/crates/coralstep-config/src/starves.rs
+++ b/crates/coralstep-config/src/starves.rs
@@ -1,5 +1,5 @@
 //! Settings that can be read and would starve a method: for good, not as a level of reduced service does for a while.
-use coralstep::{Effect, Terms};
+use coralstep::{Idempotency, SchedulerConfig};
 
 use crate::Names;
 use crate::site::{SiteTerms, Target};
@@ -12,7 +12,7 @@
     site: &SiteTerms,
     before: Option<&SiteTerms>,
     names: &Names,
-    terms: &Terms,
+    terms: &SchedulerConfig,
 ) -> Result<(), String> {
     // The first level holds while no condition is met, so what it turns away is turned away always.
     if let Some(does) = site
@@ -24,8 +24,10 @@
         for (name, method) in names.methods.iter().zip(&terms.methods) {
             let why = match () {
                 () if does.closed => "closed",
-                () if does.effects_only && method.effect == Effect::Idempotent => "effects_only",
-                () if method.criticality < does.least_criticality => "least_criticality",
+                () if does.effects_only && method.idempotency == Idempotency::Idempotent => {
+                    "effects_only"
+                }
+                () if method.priority_weight < does.least_criticality => "least_criticality",
                 () if does.hold < HOLD_LEAST => "hold",
                 () => continue,
             };
--- a/crates/coralstep-config/src/starves/tests.rs
+++ b/crates/coralstep-config/src/starves/tests.rs
@@ -9,17 +9,17 @@
         ..Names::default()
     };
     let method = |effect, criticality| Method {
-        effect,
-        criticality,
+        idempotency: effect,
+        priority_weight: criticality,
         ..Method::default()
     };
     let methods = vec![
-        method(Effect::Idempotent, 1.0),
-        method(Effect::Tokened, 3.0),
+        method(Idempotency::Idempotent, 1.0),
+        method(Idempotency::Keyed, 3.0),
     ];
-    let terms = Terms {
+    let terms = SchedulerConfig {
         methods,
-        ..Terms::default()
+        ..SchedulerConfig::default()
     };
     let site = |does: serde_json::Value, routes: &[&str]| {
         let routes: Vec<_> = routes
--- a/crates/coralstep-config/src/tests.rs
+++ b/crates/coralstep-config/src/tests.rs
@@ -26,11 +26,14 @@
         format!("{wire:?} {wire_names:?}")
     );
     assert_eq!(
-        (terms.methods[0].target, terms.linger),
+        (
+            terms.methods[0].latency_objective,
+            terms.abandoned_call_time
+        ),
         (Span(23_000), Span(1))
     );
     assert_eq!(
-        (terms.methods[1].calls, terms.methods[0].skip),
+        (terms.methods[1].calls, terms.methods[0].skip_value),
         (false, 0.5)
     );
     assert_eq!(names.tenants, ["north"]);
@@ -82,13 +85,13 @@
         |path: &str, value: &str| from_pairs([(path, value)].into_iter()).map(|(terms, _)| terms);
     let without = read("unheard", "1").unwrap();
     assert_eq!(
-        (without.advert, without.preemption),
-        (Advert::Off, Preemption::Off)
+        (without.load_report, without.preemption),
+        (LoadReportKind::Off, Preemption::Off)
     );
-    assert!(without.tenant_rates.is_empty() && without.methods.is_empty());
+    assert!(without.tenant_quotas.is_empty() && without.methods.is_empty());
     assert_eq!(
-        read("domain.advert", "level").unwrap().advert,
-        Advert::Level
+        read("domain.advert", "level").unwrap().load_report,
+        LoadReportKind::Threshold
     );
     assert_eq!(
         read("domain.preemption", "pause").unwrap().preemption,
--- a/crates/coralstep-degradation/benches/observe.rs
+++ b/crates/coralstep-degradation/benches/observe.rs
@@ -7,8 +7,8 @@
 
 fn observe(criterion: &mut Criterion) {
     let signals = Signals {
-        hold: Some(0.5),
-        pushed_back: Some(0.1),
+        queue_wait: Some(0.5),
+        rejected: Some(0.1),
         memory: Some(0.4),
         ..Signals::default()
     };
--- a/crates/coralstep-degradation/src/machine.rs
+++ b/crates/coralstep-degradation/src/machine.rs
@@ -1,7 +1,7 @@
 //! The level that holds now, and what would change it.
 use std::fmt;
 
-use coralstep::{Level, Signals, Span, Time};
+use coralstep::{DegradationLevel, Signals, Span, Time};
 use serde::Serialize;
 
 use crate::smooth::{Smooth, Steps};
@@ -205,17 +205,17 @@
 
     /// What the decisions are to do at this level; `back` is when one that is pushed back for it may return: not before the
     /// level can change.
-    pub fn effect(&self) -> Level {
+    pub fn effect(&self) -> DegradationLevel {
         let does = self.does();
-        Level {
-            least_criticality: does.least_criticality,
-            effects_only: does.effects_only,
-            closed: does.closed,
-            out: false,
+        DegradationLevel {
+            min_priority_weight: does.least_criticality,
+            reject_idempotent: does.effects_only,
+            reject_all: does.closed,
+            fenced: false,
             skip_calls: does.skip_calls,
-            hold: does.hold,
-            value: does.value,
-            back: if self.at == 0 {
+            queue_limit_factor: does.hold,
+            load_report_factor: does.value,
+            retry_after: if self.at == 0 {
                 Span::ZERO
             } else {
                 self.stay() - self.stayed
--- a/crates/coralstep-degradation/src/replay.rs
+++ b/crates/coralstep-degradation/src/replay.rs
@@ -35,27 +35,27 @@
     pub fn new(at_ms: u64, of: &Signals) -> Sample {
         Sample {
             at_ms,
-            hold: of.hold,
-            pushed_back: of.pushed_back,
-            running: of.running,
-            breaker: of.breaker,
-            slowness: of.slowness,
+            hold: of.queue_wait,
+            pushed_back: of.rejected,
+            running: of.concurrency,
+            breaker: of.breaker_open,
+            slowness: of.call_slowness,
             memory: of.memory,
-            unread: of.unread,
-            cold: of.cold,
+            unread: of.read_delay,
+            cold: of.warming_up,
         }
     }
 
     pub fn signals(&self) -> Signals {
         Signals {
-            hold: self.hold,
-            pushed_back: self.pushed_back,
-            running: self.running,
-            breaker: self.breaker,
-            slowness: self.slowness,
+            queue_wait: self.hold,
+            rejected: self.pushed_back,
+            concurrency: self.running,
+            breaker_open: self.breaker,
+            call_slowness: self.slowness,
             memory: self.memory,
-            unread: self.unread,
-            cold: self.cold,
+            read_delay: self.unread,
+            warming_up: self.cold,
         }
     }
 }
--- a/crates/coralstep-degradation/src/terms.rs
+++ b/crates/coralstep-degradation/src/terms.rs
@@ -52,14 +52,14 @@
 
     pub fn of(self, signals: &Signals) -> Option<f64> {
         match self {
-            Signal::Hold => signals.hold,
-            Signal::PushedBack => signals.pushed_back,
-            Signal::Running => signals.running,
-            Signal::Breaker => signals.breaker,
-            Signal::Slowness => signals.slowness,
+            Signal::Hold => signals.queue_wait,
+            Signal::PushedBack => signals.rejected,
+            Signal::Running => signals.concurrency,
+            Signal::Breaker => signals.breaker_open,
+            Signal::Slowness => signals.call_slowness,
             Signal::Memory => signals.memory,
-            Signal::Unread => signals.unread,
-            Signal::Cold => signals.cold,
+            Signal::Unread => signals.read_delay,
+            Signal::Cold => signals.warming_up,
         }
     }
 
--- a/crates/coralstep-degradation/tests/fleet.rs
+++ b/crates/coralstep-degradation/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Levels on the real decisions, in virtual time: four servers at 120% through a rolling deploy whose successors start cold,
 //! each with its own levels and nobody's state but its own.
 use coralstep::{
-    Arrival, Below, Effect, Gauges, Level, Method, Outcome, Outlet, RpcId, Server, Span, Terms,
-    Time,
+    Actions, DegradationLevel, Dependency, Gauges, Idempotency, Method, Outcome, Request, RpcId,
+    Scheduler, SchedulerConfig, Span, Time,
 };
 use coralstep_degradation::{LevelTerms, Levels};
 use rand::rngs::SmallRng;
@@ -29,26 +29,26 @@
     pushed_back: u64,
 }
 
-impl Outlet for Answers {
+impl Actions for Answers {
     fn admit(&mut self, rpc: RpcId) {
         self.admitted.push(rpc);
     }
     fn call(&mut self, rpc: RpcId, patience: Span) {
         self.called.push((rpc, patience));
     }
-    fn skip(&mut self, rpc: RpcId) {
+    fn skip_call(&mut self, rpc: RpcId) {
         self.skipped.push(rpc);
     }
-    fn push_back(&mut self, _rpc: RpcId, _after: Span, _last: bool) {
+    fn reject(&mut self, _rpc: RpcId, _after: Span, _last: bool) {
         self.pushed_back += 1;
     }
-    fn release(&mut self, rpc: RpcId) {
+    fn release_id(&mut self, rpc: RpcId) {
         self.released.push(rpc);
     }
 }
 
 struct Node {
-    server: Server,
+    server: Scheduler,
     levels: Levels,
     out: Answers,
     /// Since when and how long each index's run still takes.
@@ -70,34 +70,34 @@
     Time(1 << 30) + Span::ms(ms)
 }
 
-fn terms(cold: bool) -> Terms {
+fn terms(cold: bool) -> SchedulerConfig {
     let method = |effect, criticality| Method {
-        effect,
-        criticality,
-        target: Span::ms(TARGET_MS),
+        idempotency: effect,
+        priority_weight: criticality,
+        latency_objective: Span::ms(TARGET_MS),
         deadline: Span::ms(4 * TARGET_MS),
-        late: 0.2,
+        late_value: 0.2,
         ..Method::default()
     };
-    Terms {
+    SchedulerConfig {
         methods: vec![
             Method {
                 calls: true,
-                skip: SKIP,
-                ..method(Effect::Idempotent, 0.5)
+                skip_value: SKIP,
+                ..method(Idempotency::Idempotent, 0.5)
             },
-            method(Effect::Idempotent, 1.0),
-            method(Effect::NonIdempotent, 3.0),
+            method(Idempotency::Idempotent, 1.0),
+            method(Idempotency::NonIdempotent, 3.0),
         ],
         cores: CORES as u32,
-        below: Below::Shared(20.0),
+        dependency: Dependency::Shared(20.0),
         memory_kb: 20_000.0,
-        run_factor: 4.0,
-        survivable_crowd: 6.0,
-        cold,
+        run_memory_factor: 4.0,
+        max_started_per_core: 6.0,
+        warming_up: cold,
         cold_speed: COLD_SPEED,
-        warm_after: Span::ms(WARMING_MS),
-        ..Terms::default()
+        warm_up_time: Span::ms(WARMING_MS),
+        ..SchedulerConfig::default()
     }
 }
 
@@ -105,7 +105,7 @@
     fn new(ms: u64, cold: bool) -> Node {
         let mut out = Answers::default();
         Node {
-            server: Server::start(&terms(cold), ms + 1, at(ms), &mut out),
+            server: Scheduler::start(&terms(cold), ms + 1, at(ms), &mut out),
             levels: Levels::new(&LevelTerms::default(), at(ms)).unwrap(),
             out,
             rpcs: Vec::new(),
@@ -126,13 +126,13 @@
             RpcId(self.rpcs.len() as u32 - 1)
         });
         self.rpcs[id.0 as usize] = (ms, method);
-        self.server.rpc(
+        self.server.handle_request(
             at(ms),
-            Arrival {
+            Request {
                 id,
                 method,
-                held_kb: 20.0,
-                ..Arrival::default()
+                queued_kb: 20.0,
+                ..Request::default()
             },
             &mut self.out,
         );
@@ -174,8 +174,13 @@
         self.calling.retain(|(_, _, end, _)| *end > ms);
         for (id, began, _, good) in ended {
             let outcome = if good { Outcome::Ok } else { Outcome::TimedOut };
-            self.server
-                .called(at(ms), id, outcome, Span::ms(ms - began), &mut self.out);
+            self.server.handle_call_result(
+                at(ms),
+                id,
+                outcome,
+                Span::ms(ms - began),
+                &mut self.out,
+            );
             if good {
                 self.running.push((id, WORK_MS / 2.0));
             }
@@ -194,7 +199,7 @@
         for id in need {
             self.halfway.push(id);
             self.running.retain(|(other, _)| *other != id);
-            self.server.needs_call(at(ms), id, &mut self.out);
+            self.server.handle_call_needed(at(ms), id, &mut self.out);
         }
         let over: Vec<RpcId> = self
             .running
@@ -212,14 +217,15 @@
             }
             self.halfway.retain(|other| *other != id);
             self.bare.retain(|other| *other != id);
-            self.server.settled(at(ms), id, Outcome::Ok, &mut self.out);
+            self.server
+                .handle_completion(at(ms), id, Outcome::Ok, &mut self.out);
         }
         let busy = Some((self.running.len() as f64 / CORES as f64).min(1.0));
-        self.server.timer(
+        self.server.handle_timeout(
             at(ms),
             Gauges {
-                busy,
-                connections: None,
+                cpu_busy: busy,
+                open_connections: None,
             },
             &mut self.out,
         );
@@ -227,8 +233,8 @@
             if let Some(change) = self.levels.observe(at(ms), &self.server.signals()) {
                 self.changes.push((ms, change.to));
             }
-            let level: Level = self.levels.effect();
-            self.server.level(at(ms), level, &mut self.out);
+            let level: DegradationLevel = self.levels.effect();
+            self.server.set_degradation(at(ms), level, &mut self.out);
         }
         self.settle(ms, call_ms);
         good
--- a/crates/coralstep-degradation/tests/levels.rs
+++ b/crates/coralstep-degradation/tests/levels.rs
@@ -20,14 +20,14 @@
 fn only(signal: Signal, figure: f64) -> Signals {
     let mut signals = calm();
     let place = match signal {
-        Signal::Hold => &mut signals.hold,
-        Signal::PushedBack => &mut signals.pushed_back,
-        Signal::Running => &mut signals.running,
-        Signal::Breaker => &mut signals.breaker,
-        Signal::Slowness => &mut signals.slowness,
+        Signal::Hold => &mut signals.queue_wait,
+        Signal::PushedBack => &mut signals.rejected,
+        Signal::Running => &mut signals.concurrency,
+        Signal::Breaker => &mut signals.breaker_open,
+        Signal::Slowness => &mut signals.call_slowness,
         Signal::Memory => &mut signals.memory,
-        Signal::Unread => &mut signals.unread,
-        Signal::Cold => &mut signals.cold,
+        Signal::Unread => &mut signals.read_delay,
+        Signal::Cold => &mut signals.warming_up,
     };
     *place = Some(figure);
     signals
@@ -35,14 +35,14 @@
 
 fn calm() -> Signals {
     Signals {
-        hold: Some(0.1),
-        pushed_back: Some(0.0),
-        running: Some(0.6),
-        breaker: Some(0.0),
-        slowness: Some(1.1),
+        queue_wait: Some(0.1),
+        rejected: Some(0.0),
+        concurrency: Some(0.6),
+        breaker_open: Some(0.0),
+        call_slowness: Some(1.1),
         memory: Some(0.3),
-        unread: Some(0.05),
-        cold: Some(0.0),
+        read_delay: Some(0.05),
+        warming_up: Some(0.0),
     }
 }
 
@@ -190,7 +190,7 @@
 fn of_two_causes_the_one_that_stays_keeps_its_level() {
     let mut levels = levels();
     let both = Signals {
-        slowness: Some(8.0),
+        call_slowness: Some(8.0),
         ..only(Signal::PushedBack, 0.7)
     };
     let entered = play(&mut levels, 0, 40_000, |_| both);
@@ -223,9 +223,9 @@
     let mut levels = levels();
     assert!(play(&mut levels, 0, 60_000, |_| Signals::default()).is_empty());
     let nonsense = Signals {
-        hold: Some(f64::NAN),
+        queue_wait: Some(f64::NAN),
         memory: Some(f64::INFINITY),
-        unread: Some(-3.0),
+        read_delay: Some(-3.0),
         ..Signals::default()
     };
     assert!(play(&mut levels, 60_000, 60_000, |_| nonsense).is_empty());
@@ -294,7 +294,7 @@
         .find(|standing| standing.signal == Signal::Slowness)
         .unwrap();
     assert!(slow.met_ms > 30_000 && slow.gone_ms == 0 && slow.figure.unwrap() > slow.enter);
-    assert!(levels.effect().back <= Span::ms(30_000));
+    assert!(levels.effect().retry_after <= Span::ms(30_000));
     serde_json::to_string(&view).unwrap();
 }
 
--- a/crates/coralstep-lab/src/acts.rs
+++ b/crates/coralstep-lab/src/acts.rs
@@ -1,5 +1,5 @@
 //! What a server decides, kept in order until it is carried out: the outlet of all that plays servers in virtual time.
-use coralstep::{Outlet, RpcId, Span, Turn};
+use coralstep::{Actions, RpcId, Span, Transition};
 
 pub enum Act {
     Admit(RpcId),
@@ -15,50 +15,50 @@
     Release(RpcId),
     Health(bool),
     Timer(Span),
-    Turn(Turn),
+    Turn(Transition),
 }
 
 #[derive(Default)]
 pub struct Acts(pub Vec<Act>);
 
-impl Outlet for Acts {
+impl Actions for Acts {
     fn admit(&mut self, rpc: RpcId) {
         self.0.push(Act::Admit(rpc));
     }
-    fn push_back(&mut self, rpc: RpcId, after: Span, last: bool) {
+    fn reject(&mut self, rpc: RpcId, after: Span, last: bool) {
         self.0.push(Act::PushBack(rpc, after, last));
     }
-    fn abort(&mut self, rpc: RpcId) {
+    fn fail(&mut self, rpc: RpcId) {
         self.0.push(Act::Abort(rpc));
     }
     fn call(&mut self, rpc: RpcId, patience: Span) {
         self.0.push(Act::Call(rpc, patience));
     }
-    fn skip(&mut self, rpc: RpcId) {
+    fn skip_call(&mut self, rpc: RpcId) {
         self.0.push(Act::Skip(rpc));
     }
     fn preempt(&mut self, rpc: RpcId) {
         self.0.push(Act::Preempt(rpc));
     }
-    fn keep_token(&mut self, rpc: RpcId, _span: Span) {
+    fn retain_key(&mut self, rpc: RpcId, _span: Span) {
         self.0.push(Act::Keep(rpc));
     }
-    fn drop_token(&mut self, rpc: RpcId) {
+    fn release_key(&mut self, rpc: RpcId) {
         self.0.push(Act::Drop(rpc));
     }
     fn replay(&mut self, rpc: RpcId) {
         self.0.push(Act::Replay(rpc));
     }
-    fn health(&mut self, good: bool) {
+    fn set_health(&mut self, good: bool) {
         self.0.push(Act::Health(good));
     }
-    fn timer(&mut self, span: Span) {
+    fn set_timer(&mut self, span: Span) {
         self.0.push(Act::Timer(span));
     }
-    fn breaker(&mut self, turn: Turn) {
+    fn breaker_transition(&mut self, turn: Transition) {
         self.0.push(Act::Turn(turn));
     }
-    fn release(&mut self, rpc: RpcId) {
+    fn release_id(&mut self, rpc: RpcId) {
         self.0.push(Act::Release(rpc));
     }
 }
--- a/crates/coralstep-lab/src/baseline.rs
+++ b/crates/coralstep-lab/src/baseline.rs
@@ -3,8 +3,8 @@
 use std::collections::{HashMap, VecDeque};
 
 use coralstep::{
-    Arrival, Effect, Gauges, Level, Method, Outcome, Outlet, Prior, RpcId, Server, Signals, Span,
-    Terms, Time,
+    Actions, DegradationLevel, EarlierAttempt, Gauges, Idempotency, Method, Outcome, Request,
+    RpcId, Scheduler, SchedulerConfig, Signals, Span, Time,
 };
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -44,47 +44,53 @@
 
 /// Decides for one server.
 pub enum Decider {
-    Module(Box<Server>),
-    NoBreaker(Box<Server>),
+    Module(Box<Scheduler>),
+    NoBreaker(Box<Scheduler>),
     Pool(Box<Pool>),
 }
 
 impl Decider {
     pub fn start(
         policy: Policy,
-        terms: &Terms,
+        terms: &SchedulerConfig,
         seed: u64,
         now: Time,
-        out: &mut dyn Outlet,
+        out: &mut dyn Actions,
     ) -> Decider {
         match policy {
             Policy::Module | Policy::Sharing => {
-                Decider::Module(Box::new(Server::start(terms, seed, now, out)))
+                Decider::Module(Box::new(Scheduler::start(terms, seed, now, out)))
+            }
+            Policy::NoBreaker => {
+                Decider::NoBreaker(Box::new(Scheduler::start(terms, seed, now, out)))
             }
-            Policy::NoBreaker => Decider::NoBreaker(Box::new(Server::start(terms, seed, now, out))),
             _ => Decider::Pool(Box::new(Pool::start(policy, terms, out))),
         }
     }
 
-    pub fn rpc(&mut self, now: Time, arrival: Arrival, out: &mut dyn Outlet) {
+    pub fn rpc(&mut self, now: Time, arrival: Request, out: &mut dyn Actions) {
         match self {
-            Decider::Module(server) | Decider::NoBreaker(server) => server.rpc(now, arrival, out),
+            Decider::Module(server) | Decider::NoBreaker(server) => {
+                server.handle_request(now, arrival, out)
+            }
             Decider::Pool(pool) => pool.rpc(now, arrival, out),
         }
     }
 
-    pub fn settled(&mut self, now: Time, id: RpcId, outcome: Outcome, out: &mut dyn Outlet) {
+    pub fn settled(&mut self, now: Time, id: RpcId, outcome: Outcome, out: &mut dyn Actions) {
         match self {
             Decider::Module(server) | Decider::NoBreaker(server) => {
-                server.settled(now, id, outcome, out)
+                server.handle_completion(now, id, outcome, out)
             }
             Decider::Pool(pool) => pool.settled(now, id, out),
         }
     }
 
-    pub fn needs_call(&mut self, now: Time, id: RpcId, out: &mut dyn Outlet) {
+    pub fn needs_call(&mut self, now: Time, id: RpcId, out: &mut dyn Actions) {
         match self {
-            Decider::Module(server) | Decider::NoBreaker(server) => server.needs_call(now, id, out),
+            Decider::Module(server) | Decider::NoBreaker(server) => {
+                server.handle_call_needed(now, id, out)
+            }
             Decider::Pool(pool) => pool.needs_call(now, id, out),
         }
     }
@@ -95,28 +101,32 @@
         id: RpcId,
         outcome: Outcome,
         took: Span,
-        out: &mut dyn Outlet,
+        out: &mut dyn Actions,
     ) {
         match self {
-            Decider::Module(server) => server.called(now, id, outcome, took, out),
+            Decider::Module(server) => server.handle_call_result(now, id, outcome, took, out),
             // Of the dependency only good is heard; the failure is the RPC's alone.
-            Decider::NoBreaker(server) => server.called(now, id, Outcome::Ok, took, out),
+            Decider::NoBreaker(server) => {
+                server.handle_call_result(now, id, Outcome::Ok, took, out)
+            }
             Decider::Pool(pool) => pool.called(now, id, outcome, out),
         }
     }
 
-    pub fn wind_down(&mut self, now: Time, stop: Time, out: &mut dyn Outlet) {
+    pub fn wind_down(&mut self, now: Time, stop: Time, out: &mut dyn Actions) {
         match self {
             Decider::Module(server) | Decider::NoBreaker(server) => {
-                server.wind_down(now, stop, out)
+                server.begin_drain(now, stop, out)
             }
             Decider::Pool(pool) => pool.wind_down(now, stop, out),
         }
     }
 
-    pub fn timer(&mut self, now: Time, gauges: Gauges, out: &mut dyn Outlet) {
+    pub fn timer(&mut self, now: Time, gauges: Gauges, out: &mut dyn Actions) {
         match self {
-            Decider::Module(server) | Decider::NoBreaker(server) => server.timer(now, gauges, out),
+            Decider::Module(server) | Decider::NoBreaker(server) => {
+                server.handle_timeout(now, gauges, out)
+            }
             Decider::Pool(pool) => pool.timer(now, out),
         }
     }
@@ -124,14 +134,14 @@
     /// The breaker's state; none for those that have none.
     pub fn breaker(&self) -> Option<&'static str> {
         match self {
-            Decider::Module(server) => Some(server.breaker().name()),
+            Decider::Module(server) => Some(server.breaker().state_name()),
             _ => None,
         }
     }
 
     pub fn hear(&mut self, now: Time, need: u32, left: Option<Span>) {
         if let Decider::Module(server) = self {
-            server.hear(now, need, left);
+            server.apply_peer_reports(now, need, left);
         }
     }
 
@@ -143,9 +153,9 @@
         }
     }
 
-    pub fn level(&mut self, now: Time, level: Level, out: &mut dyn Outlet) {
+    pub fn level(&mut self, now: Time, level: DegradationLevel, out: &mut dyn Actions) {
         if let Decider::Module(server) | Decider::NoBreaker(server) = self {
-            server.level(now, level, out);
+            server.set_degradation(now, level, out);
         }
     }
 }
@@ -196,10 +206,10 @@
 }
 
 impl Pool {
-    fn start(policy: Policy, terms: &Terms, out: &mut dyn Outlet) -> Pool {
+    fn start(policy: Policy, terms: &SchedulerConfig, out: &mut dyn Actions) -> Pool {
         let cores = terms.cores.max(1) as usize;
         let share = terms
-            .below
+            .dependency
             .share()
             .map_or(usize::MAX, |share| (share * SHARE).max(1.0) as usize);
         // A pool is sized by its operator, who knows how much memory there is: runs, and a line, that fit.
@@ -210,13 +220,13 @@
                 usize::MAX
             }
         };
-        let room = fits(terms.run_factor).max(cores);
+        let room = fits(terms.run_memory_factor).max(cores);
         let (limit, line_most, calls_most) = match policy {
             Policy::Static => (cores * 2, 100, share),
             Policy::Codel => (cores * 4, 200, usize::MAX),
             _ => (cores * 4, cores * 4, usize::MAX),
         };
-        out.timer(BEAT);
+        out.set_timer(BEAT);
         Pool {
             methods: terms.methods.clone(),
             limit: limit.min(room),
@@ -236,9 +246,9 @@
         }
     }
 
-    fn rpc(&mut self, now: Time, arrival: Arrival, out: &mut dyn Outlet) {
+    fn rpc(&mut self, now: Time, arrival: Request, out: &mut dyn Actions) {
         let of = self.methods[arrival.method];
-        let mut due = arrival.due.unwrap_or(now + of.deadline) - EARLY;
+        let mut due = arrival.deadline.unwrap_or(now + of.deadline) - EARLY;
         if let Some((_, stop)) = self.leaving {
             due = due.min(stop - LAST);
         }
@@ -252,10 +262,10 @@
             token_until: None,
         };
         self.all.insert(arrival.id, one);
-        match arrival.prior {
-            Prior::Of(_) => return out.replay(arrival.id),
-            Prior::Forgotten => return self.answer(arrival.id, false, out),
-            Prior::Nothing => {}
+        match arrival.earlier_attempt {
+            EarlierAttempt::Known(_) => return out.replay(arrival.id),
+            EarlierAttempt::Forgotten => return self.answer(arrival.id, false, out),
+            EarlierAttempt::None => {}
         }
         let late = self
             .leaving
@@ -268,35 +278,35 @@
     }
 
     /// The one final answer of what gets no good one.
-    fn answer(&mut self, id: RpcId, push: bool, out: &mut dyn Outlet) {
+    fn answer(&mut self, id: RpcId, push: bool, out: &mut dyn Actions) {
         let Some(one) = self.all.get_mut(&id).filter(|one| !one.answered) else {
             return;
         };
         one.answered = true;
         // Guards against an index that stands in line after it went to another RPC.
         self.line.retain(|held| *held != id);
-        let effect = self.methods[one.method].effect != Effect::Idempotent;
+        let effect = self.methods[one.method].idempotency != Idempotency::Idempotent;
         if push && !(one.ran && effect) {
-            out.push_back(id, Span::ms(250), false);
+            out.reject(id, Span::ms(250), false);
         } else {
-            out.abort(id);
+            out.fail(id);
         }
         self.forget(id, out);
     }
 
     /// What is answered and runs no more goes, unless its token counts.
-    fn forget(&mut self, id: RpcId, out: &mut dyn Outlet) {
+    fn forget(&mut self, id: RpcId, out: &mut dyn Actions) {
         if self
             .all
             .get(&id)
             .is_some_and(|one| one.answered && !one.running && one.token_until.is_none())
         {
             self.all.remove(&id);
-            out.release(id);
+            out.release_id(id);
         }
     }
 
-    fn pump(&mut self, now: Time, out: &mut dyn Outlet) {
+    fn pump(&mut self, now: Time, out: &mut dyn Actions) {
         while self.running < self.limit {
             let Some(id) = self.line.pop_front() else {
                 return;
@@ -314,9 +324,9 @@
             };
             (one.ran, one.running) = (true, true);
             let of = self.methods[one.method];
-            if of.effect == Effect::Tokened {
-                one.token_until = Some(now + of.window);
-                out.keep_token(id, of.window);
+            if of.idempotency == Idempotency::Keyed {
+                one.token_until = Some(now + of.retry_window);
+                out.retain_key(id, of.retry_window);
             }
             self.running += 1;
             out.admit(id);
@@ -337,7 +347,7 @@
         true
     }
 
-    fn settled(&mut self, now: Time, id: RpcId, out: &mut dyn Outlet) {
+    fn settled(&mut self, now: Time, id: RpcId, out: &mut dyn Actions) {
         let Some(one) = self.all.get_mut(&id) else {
             return;
         };
@@ -350,12 +360,12 @@
         self.pump(now, out);
     }
 
-    fn needs_call(&mut self, now: Time, id: RpcId, out: &mut dyn Outlet) {
+    fn needs_call(&mut self, now: Time, id: RpcId, out: &mut dyn Actions) {
         self.waiting.push_back(id);
         self.calls(now, out);
     }
 
-    fn calls(&mut self, now: Time, out: &mut dyn Outlet) {
+    fn calls(&mut self, now: Time, out: &mut dyn Actions) {
         while self.calling < self.calls_most {
             let Some(id) = self.waiting.pop_front() else {
                 return;
@@ -368,7 +378,7 @@
         }
     }
 
-    fn called(&mut self, now: Time, id: RpcId, outcome: Outcome, out: &mut dyn Outlet) {
+    fn called(&mut self, now: Time, id: RpcId, outcome: Outcome, out: &mut dyn Actions) {
         self.calling = self.calling.saturating_sub(1);
         if outcome != Outcome::Ok {
             self.answer(id, false, out);
@@ -376,15 +386,15 @@
         self.calls(now, out);
     }
 
-    fn wind_down(&mut self, now: Time, stop: Time, out: &mut dyn Outlet) {
+    fn wind_down(&mut self, now: Time, stop: Time, out: &mut dyn Actions) {
         self.leaving = Some((now, stop));
         self.all
             .values_mut()
             .for_each(|one| one.due = one.due.min(stop - LAST));
-        out.health(false);
+        out.set_health(false);
     }
 
-    fn timer(&mut self, now: Time, out: &mut dyn Outlet) {
+    fn timer(&mut self, now: Time, out: &mut dyn Actions) {
         let mut due: Vec<RpcId> = self
             .all
             .iter()
@@ -410,10 +420,10 @@
                 .get_mut(&id)
                 .into_iter()
                 .for_each(|one| one.token_until = None);
-            out.drop_token(id);
+            out.release_key(id);
             self.forget(id, out);
         }
         self.pump(now, out);
-        out.timer(BEAT);
+        out.set_timer(BEAT);
     }
 }
--- a/crates/coralstep-lab/src/explore/module.rs
+++ b/crates/coralstep-lab/src/explore/module.rs
@@ -4,7 +4,8 @@
 use std::collections::BTreeMap;
 
 use coralstep::{
-    Arrival, Below, Effect, Gauges, Method, Outcome, RpcId, Server, Span, Terms, Time, Turn,
+    Dependency, Gauges, Idempotency, Method, Outcome, Request, RpcId, Scheduler, SchedulerConfig,
+    Span, Time, Transition,
 };
 
 use super::Play;
@@ -94,7 +95,7 @@
 }
 
 pub struct Module {
-    server: Server,
+    server: Scheduler,
     cheat: Cheat,
     prompt: bool,
     /// Runs that a prompt engine is about to end.
@@ -120,41 +121,41 @@
     bad: u64,
 }
 
-fn terms(cold: bool) -> Terms {
+fn terms(cold: bool) -> SchedulerConfig {
     let method = |effect, calls, skip| Method {
-        effect,
-        target: Span::ms(400),
+        idempotency: effect,
+        latency_objective: Span::ms(400),
         deadline: Span::ms(1_200),
-        window: Span::ms(4_000),
-        criticality: 1.0,
-        late: 0.2,
-        skip,
+        retry_window: Span::ms(4_000),
+        priority_weight: 1.0,
+        late_value: 0.2,
+        skip_value: skip,
         calls,
     };
-    Terms {
+    SchedulerConfig {
         methods: vec![
-            method(Effect::Idempotent, true, 0.4),
-            method(Effect::NonIdempotent, true, 0.0),
-            method(Effect::Tokened, false, 0.0),
+            method(Idempotency::Idempotent, true, 0.4),
+            method(Idempotency::NonIdempotent, true, 0.0),
+            method(Idempotency::Keyed, false, 0.0),
         ],
-        fleet: 1,
+        fleet_size: 1,
         cores: 2,
         memory_kb: 10_000.0,
-        run_factor: 8.0,
+        run_memory_factor: 8.0,
         key_kb: 2.0,
-        cold,
+        warming_up: cold,
         cold_speed: 0.3,
-        warm_after: Span::ms(3_000),
-        survivable_crowd: 5.0,
+        warm_up_time: Span::ms(3_000),
+        max_started_per_core: 5.0,
         drain_grace: Span::ms(300),
-        below: Below::Shared(8.0),
+        dependency: Dependency::Shared(8.0),
         callers: 2,
-        ..Terms::default()
+        ..SchedulerConfig::default()
     }
 }
 
 impl Module {
-    fn tell(&mut self, what: impl FnOnce(&mut Server, Time, &mut Acts)) {
+    fn tell(&mut self, what: impl FnOnce(&mut Scheduler, Time, &mut Acts)) {
         let (now, mut acts) = (Time(self.now), Acts::default());
         what(&mut self.server, now, &mut acts);
         for act in acts.0 {
@@ -266,7 +267,7 @@
     }
 
     /// A change of state must be one that the design knows, and have its reason.
-    fn turned(&mut self, turn: Turn) {
+    fn turned(&mut self, turn: Transition) {
         match (turn.from, turn.to) {
             ("closed", "open") => {
                 let failed = self.window.iter().filter(|failed| **failed).count();
@@ -308,7 +309,7 @@
         if let Some(live) = self.live.get_mut(&id.0) {
             live.running = false;
         }
-        self.tell(|server, now, out| server.settled(now, id, outcome, out));
+        self.tell(|server, now, out| server.handle_completion(now, id, outcome, out));
     }
 
     fn arrives(&mut self, method: usize) {
@@ -327,13 +328,13 @@
         self.live.insert(id, live);
         self.rules
             .read(now, u64::from(id), 0, due, method != usize::from(READ));
-        let arrival = Arrival {
+        let arrival = Request {
             id: RpcId(id),
             method,
-            held_kb: 10.0,
-            ..Arrival::default()
+            queued_kb: 10.0,
+            ..Request::default()
         };
-        self.tell(|server, now, out| server.rpc(now, arrival, out));
+        self.tell(|server, now, out| server.handle_request(now, arrival, out));
     }
 
     /// The oldest run that is on the cores, and the oldest call.
@@ -352,7 +353,7 @@
             return;
         };
         if std::mem::take(&mut live.calls) {
-            return self.tell(|server, now, out| server.needs_call(now, id, out));
+            return self.tell(|server, now, out| server.handle_call_needed(now, id, out));
         }
         self.answered(id, Told::Ok);
         self.settle(id, Outcome::Ok);
@@ -389,7 +390,7 @@
         self.counts(began, outcome != Outcome::Ok);
         let trial = self.cut_short(id, began);
         let took = Span(self.now - began);
-        self.tell(|server, now, out| server.called(now, id, outcome, took, out));
+        self.tell(|server, now, out| server.handle_call_result(now, id, outcome, took, out));
         self.decided(trial);
         let answered = self
             .live
@@ -421,10 +422,10 @@
             .count() as f64
             / 2.0;
         let gauges = Gauges {
-            busy: Some(busy.min(1.0)),
-            connections: None,
+            cpu_busy: Some(busy.min(1.0)),
+            open_connections: None,
         };
-        self.tell(|server, now, out| server.timer(now, gauges, out));
+        self.tell(|server, now, out| server.handle_timeout(now, gauges, out));
         if self
             .trial()
             .is_some_and(|began| self.now > began + TRIAL_MOST)
@@ -497,7 +498,7 @@
     fn start(scope: &Scope) -> Module {
         let cold = scope.prelude == Prelude::Cold;
         let (terms, mut acts) = (terms(cold), Acts::default());
-        let server = Server::start(&terms, 7, Time(START), &mut acts);
+        let server = Scheduler::start(&terms, 7, Time(START), &mut acts);
         let mut module = Module {
             server,
             cheat: scope.cheat,
@@ -577,14 +578,14 @@
                         .into_iter()
                         .for_each(|live| live.answered = true);
                     self.rules.gone(u64::from(id.0));
-                    self.tell(|server, now, out| server.gone(now, id, out));
+                    self.tell(|server, now, out| server.handle_cancellation(now, id, out));
                 }
             }
             LEAVE if !self.leaving => {
                 self.leaving = true;
                 self.rules.notice(0, self.now + 3_000);
                 // It stops long after all that is of interest here.
-                self.tell(|server, now, out| server.wind_down(now, now + Span::ms(600_000), out));
+                self.tell(|server, now, out| server.begin_drain(now, now + Span::ms(600_000), out));
             }
             _ if what >= WAIT => {
                 let beats = BEATS.get(usize::from(what - WAIT)).copied().unwrap_or(0);
--- a/crates/coralstep-lab/src/lib.rs
+++ b/crates/coralstep-lab/src/lib.rs
@@ -1,5 +1,5 @@
 //! The laboratory. A [`World`] describes a fleet and its troubles; [`simulate()`] plays a day of it in virtual time, the real
-//! decisions (`coralstep::Server`) in every server, and checks the four rules on the way. The same world and seed lead to the
+//! decisions (`coralstep::Scheduler`) in every server, and checks the four rules on the way. The same world and seed lead to the
 //! same day on any machine.
 mod acts;
 pub mod baseline;
--- a/crates/coralstep-lab/src/simulate/engine.rs
+++ b/crates/coralstep-lab/src/simulate/engine.rs
@@ -21,7 +21,7 @@
         pool.first_try();
         let Ok(pick) = pool.choose(Time(now), None) else {
             // None may run it: it never ran, and says so.
-            return self.settle(at, id, Outcome::PushedBack);
+            return self.settle(at, id, Outcome::Rejected);
         };
         let app = *pool.key(&pick);
         node.apps[app].0 += 1;
--- a/crates/coralstep-lab/src/simulate/gateways.rs
+++ b/crates/coralstep-lab/src/simulate/gateways.rs
@@ -1,5 +1,5 @@
 //! The gateways: requests come, tries are sent, answers and failures lead to further ones.
-use coralstep::{Arrival, Prior, RpcId, Span};
+use coralstep::{EarlierAttempt, RpcId, Span};
 use rand::Rng;
 use rand_distr::Distribution;
 
@@ -172,15 +172,15 @@
         self.rules
             .read(self.now, attempt, at, due, of.effect != Effect::Idempotent);
         let held_kb = self.world.servers.held_kb;
-        let prior = prior.map_or(Prior::Nothing, Prior::Of);
-        let arrival = Arrival {
+        let prior = prior.map_or(EarlierAttempt::None, EarlierAttempt::Known);
+        let arrival = coralstep::Request {
             id,
             method,
-            held_kb,
-            retry,
-            prior,
+            queued_kb: held_kb,
+            is_retry: retry,
+            earlier_attempt: prior,
             tenant,
-            ..Arrival::default()
+            ..coralstep::Request::default()
         };
         self.tell(at, |server, now, out| server.rpc(now, arrival, out));
     }
--- a/crates/coralstep-lab/src/simulate/mod.rs
+++ b/crates/coralstep-lab/src/simulate/mod.rs
@@ -1,7 +1,9 @@
 //! A day of a world in virtual time: discrete events, the real decisions in each server. Times are ticks of a tenth of a ms.
 use std::collections::HashMap;
 
-use coralstep::{Below, Effect as Of, Method, Outcome, RpcId, Span, Terms};
+use coralstep::{
+    Dependency, GoalWeights, Idempotency, Method, Outcome, RpcId, SchedulerConfig, Span,
+};
 use coralstep_balancer::{Pick, Pool};
 use coralstep_degradation::Levels;
 use hdrhistogram::Histogram;
@@ -240,47 +242,50 @@
     shares: f64,
 }
 
-fn terms(world: &World, cold: bool) -> Terms {
+fn terms(world: &World, cold: bool) -> SchedulerConfig {
     let span = |ms: f64| Span(ticks(ms));
     let below = world
         .dependency
         .as_ref()
-        .map_or(Below::Nothing, |dependency| {
-            Below::Shared(dependency.capacity / world.servers.count as f64)
+        .map_or(Dependency::None, |dependency| {
+            Dependency::Shared(dependency.capacity / world.servers.count as f64)
         });
     let tenant_rates = world.tenants.iter().map(|tenant| tenant.rate).collect();
     let method = |method: &crate::world::OneMethod| Method {
-        effect: match method.effect {
-            Effect::Idempotent => Of::Idempotent,
-            Effect::Tokened => Of::Tokened,
-            Effect::NonIdempotent => Of::NonIdempotent,
+        idempotency: match method.effect {
+            Effect::Idempotent => Idempotency::Idempotent,
+            Effect::Tokened => Idempotency::Keyed,
+            Effect::NonIdempotent => Idempotency::NonIdempotent,
         },
-        target: span(method.target_ms),
+        latency_objective: span(method.target_ms),
         deadline: span(method.deadline_ms),
-        window: span(method.window_ms),
-        criticality: method.criticality,
-        late: method.late,
-        skip: method.skip,
+        retry_window: span(method.window_ms),
+        priority_weight: method.criticality,
+        late_value: method.late,
+        skip_value: method.skip,
         calls: method.calls,
     };
-    Terms {
+    SchedulerConfig {
         methods: world.methods.iter().map(method).collect(),
-        tenant_rates,
-        over_share: world.over_share,
-        goal: [1.0, 0.0, 0.0],
-        fleet: world.servers.count as u32,
+        tenant_quotas: tenant_rates,
+        over_quota_weight: world.over_share,
+        goal: GoalWeights {
+            overall: 1.0,
+            ..GoalWeights::default()
+        },
+        fleet_size: world.servers.count as u32,
         cores: world.servers.cores,
         memory_kb: world.servers.memory_kb,
-        run_factor: world.servers.run_factor,
+        run_memory_factor: world.servers.run_factor,
         key_kb: world.servers.key_kb,
-        cold,
+        warming_up: cold,
         cold_speed: world.servers.cold_speed,
-        warm_after: span(world.servers.warm_ms),
-        survivable_crowd: world.servers.crowd,
+        warm_up_time: span(world.servers.warm_ms),
+        max_started_per_core: world.servers.crowd,
         drain_grace: span(world.servers.grace_ms),
-        below,
+        dependency: below,
         callers: world.gateways.count as u32,
-        ..Terms::default()
+        ..SchedulerConfig::default()
     }
 }
 
--- a/crates/coralstep-lab/src/simulate/server.rs
+++ b/crates/coralstep-lab/src/simulate/server.rs
@@ -93,7 +93,7 @@
         };
         if levels.observe(now, &signals).is_some() {
             let effect = levels.effect();
-            let reduced = effect != coralstep::Level::default();
+            let reduced = effect != coralstep::DegradationLevel::default();
             self.reduced -= u32::from(node.reduced);
             self.reduced += u32::from(reduced);
             node.reduced = reduced;
@@ -257,8 +257,8 @@
         }
         let busy = self.world.applications.is_none().then_some(busy);
         let gauges = Gauges {
-            busy,
-            connections: None,
+            cpu_busy: busy,
+            open_connections: None,
         };
         self.tell(at, |server, now, out| server.timer(now, gauges, out));
         // Runs whose RPC was answered at a call end there.
--- a/crates/coralstep-server/benches/front.rs
+++ b/crates/coralstep-server/benches/front.rs
@@ -9,7 +9,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::{Async, block_on};
-use coralstep::{Method, Span, Terms};
+use coralstep::{Method, SchedulerConfig, Span};
 use coralstep_config::Names;
 use coralstep_config::site::{RouteTerms, ScgiTerms, SiteTerms};
 use coralstep_scgi::request;
@@ -111,16 +111,16 @@
 fn front(criterion: &mut Criterion) {
     let target = Span::ms(60_000);
     let method = Method {
-        target,
+        latency_objective: target,
         deadline: target,
-        criticality: 1.0,
+        priority_weight: 1.0,
         ..Method::default()
     };
-    let terms = Terms {
+    let terms = SchedulerConfig {
         methods: vec![method],
         cores: 8,
         memory_kb: 1e6,
-        ..Terms::default()
+        ..SchedulerConfig::default()
     };
     let names = Names {
         methods: vec!["read".to_owned()],
--- a/crates/coralstep-server/src/base/config.rs
+++ b/crates/coralstep-server/src/base/config.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use coralstep::{Preemption, Terms};
+use coralstep::{Preemption, SchedulerConfig};
 use coralstep_config::Names;
 use coralstep_config::site::SiteTerms;
 use coralstep_config::starves;
@@ -92,7 +92,7 @@
     pub limits: Limits,
     /// How many this process may have open.
     pub descriptors: usize,
-    pub terms: Terms,
+    pub terms: SchedulerConfig,
     pub names: Names,
     /// What a reload can't change, each under its key.
     pub fixed: Vec<(&'static str, Value)>,
@@ -172,7 +172,7 @@
         if terms.methods.is_empty() {
             return Err("settings.classes: names no class".to_owned());
         }
-        if terms.methods.iter().any(|method| method.skip > 0.0) {
+        if terms.methods.iter().any(|method| method.skip_value > 0.0) {
             return Err(
                 "settings.domain.class_skip_worth: the engine can't go on without a call"
                     .to_owned(),
@@ -240,10 +240,10 @@
 }
 
 /// Calls that the decisions may have in hand at once: not more than runs that the cores survive, nor than the share.
-fn calls_at_once(terms: &Terms) -> f64 {
-    let runs = f64::from(terms.cores) * terms.survivable_crowd.max(1.0);
+fn calls_at_once(terms: &SchedulerConfig) -> f64 {
+    let runs = f64::from(terms.cores) * terms.max_started_per_core.max(1.0);
     terms
-        .below
+        .dependency
         .share()
         .map_or(runs, |share| share.ceil().min(runs))
 }
--- a/crates/coralstep-server/src/base/config/tests.rs
+++ b/crates/coralstep-server/src/base/config/tests.rs
@@ -23,10 +23,10 @@
         ),
         (710, 23, 3072)
     );
-    assert_eq!(config.terms.methods[0].criticality, 1.5);
+    assert_eq!(config.terms.methods[0].priority_weight, 1.5);
     assert!(config.terms.methods[0].calls);
     assert_eq!(config.names.gauges, ["cpu_busy", "sockets"]);
-    assert_eq!(config.terms.below.share(), Some(5.5));
+    assert_eq!(config.terms.dependency.share(), Some(5.5));
 }
 
 #[test]
--- a/crates/coralstep-server/src/callers/connections/tests.rs
+++ b/crates/coralstep-server/src/callers/connections/tests.rs
@@ -1,4 +1,4 @@
-use coralstep::{Method, Terms};
+use coralstep::{Method, SchedulerConfig};
 use coralstep_config::Names;
 
 use super::*;
@@ -16,9 +16,9 @@
         results: 1,
         ids: 1,
     };
-    let terms = Terms {
+    let terms = SchedulerConfig {
         methods: vec![Method::default()],
-        ..Terms::default()
+        ..SchedulerConfig::default()
     };
     let facade = Rc::new(Facade::new(terms, Names::default(), 1, &limits));
     let nowhere = Some("127.0.0.1:9".parse().unwrap());
--- a/crates/coralstep-server/src/decisions/facade.rs
+++ b/crates/coralstep-server/src/decisions/facade.rs
@@ -9,7 +9,8 @@
 use std::time::{Duration, Instant};
 
 use coralstep::{
-    Arrival, Gauges, Learned, Level, Outcome, Outlet, Prior, RpcId, Server, Span, Terms, Time, Turn,
+    Actions, DegradationLevel, EarlierAttempt, Gauges, LearnedState, Outcome, Request, RpcId,
+    Scheduler, SchedulerConfig, Span, Time, Transition,
 };
 use coralstep_config::Names;
 use coralstep_degradation::LevelTerms;
@@ -241,7 +242,7 @@
     }
 }
 
-impl Outlet for Desk {
+impl Actions for Desk {
     fn admit(&mut self, rpc: RpcId) {
         if let Some(token) = self.entry(rpc).and_then(|entry| entry.token.clone()) {
             self.tokens.runs(&token, rpc, true);
@@ -249,7 +250,7 @@
         self.tell(rpc, Verdict::Run);
     }
 
-    fn push_back(&mut self, rpc: RpcId, after: Span, last: bool) {
+    fn reject(&mut self, rpc: RpcId, after: Span, last: bool) {
         // Guards against callers sent back to where nobody may try yet.
         let after = self.entry(rpc).map_or(after, |entry| after.max(entry.back));
         self.tell(
@@ -261,7 +262,7 @@
         );
     }
 
-    fn abort(&mut self, rpc: RpcId) {
+    fn fail(&mut self, rpc: RpcId) {
         self.tell(rpc, Verdict::Abort);
     }
 
@@ -278,11 +279,11 @@
         self.tell(rpc, Verdict::Halt);
     }
 
-    fn inquire(&mut self, rpc: RpcId) {
+    fn query_run(&mut self, rpc: RpcId) {
         self.tell(rpc, Verdict::Inquire);
     }
 
-    fn keep_token(&mut self, rpc: RpcId, span: Span) {
+    fn retain_key(&mut self, rpc: RpcId, span: Span) {
         let until = self.clock.now() + span;
         if let Some((token, mark)) = self
             .entry(rpc)
@@ -292,7 +293,7 @@
         }
     }
 
-    fn drop_token(&mut self, rpc: RpcId) {
+    fn release_key(&mut self, rpc: RpcId) {
         let now = self.clock.now();
         if let Some(token) = self.entry(rpc).and_then(|entry| entry.token.clone()) {
             self.tokens.release(now, &token, rpc, UNREAD);
@@ -314,19 +315,19 @@
         }
     }
 
-    fn health(&mut self, good: bool) {
+    fn set_health(&mut self, good: bool) {
         self.health = good;
     }
 
-    fn advertise(&mut self, value: f64) {
+    fn report_load(&mut self, value: f64) {
         self.value = Some(value);
     }
 
-    fn idle_limit(&mut self, span: Span) {
+    fn set_idle_timeout(&mut self, span: Span) {
         self.idle = Some(clock::duration(span));
     }
 
-    fn timer(&mut self, span: Span) {
+    fn set_timer(&mut self, span: Span) {
         self.next_tick = span;
     }
 
@@ -334,13 +335,17 @@
         note!("{text}");
     }
 
-    fn breaker(&mut self, turn: Turn) {
-        let Turn { from, to, rate } = turn;
+    fn breaker_transition(&mut self, turn: Transition) {
+        let Transition {
+            from,
+            to,
+            failure_rate: rate,
+        } = turn;
         let instance = self.instance.as_str();
         tracing::info!(target: "breaker", dependency = "store", instance, from, to, rate, "breaker {turn}");
     }
 
-    fn release(&mut self, rpc: RpcId) {
+    fn release_id(&mut self, rpc: RpcId) {
         self.tell(rpc, Verdict::Over);
         if self.entry(rpc).is_some_and(|entry| entry.orphan) {
             self.free(rpc);
@@ -349,17 +354,17 @@
 }
 
 struct Inner {
-    server: Option<Server>,
+    server: Option<Scheduler>,
     desk: Desk,
 }
 
 pub struct Facade {
     inner: RefCell<Inner>,
     names: Names,
-    terms: Terms,
+    terms: SchedulerConfig,
     levels: Option<Rc<Kept>>,
     /// Learned before a restart, and how far it is trusted.
-    before: RefCell<Option<(Learned, f64)>>,
+    before: RefCell<Option<(LearnedState, f64)>>,
     seed: u64,
     clock: Clock,
     most_rpcs: usize,
@@ -398,7 +403,7 @@
 }
 
 impl Facade {
-    pub fn new(terms: Terms, names: Names, seed: u64, limits: &Limits) -> Facade {
+    pub fn new(terms: SchedulerConfig, names: Names, seed: u64, limits: &Limits) -> Facade {
         let instance = names.instance.clone();
         let clock = Clock::start();
         let desk = Desk {
@@ -457,31 +462,35 @@
         let mut inner = self.inner.borrow_mut();
         let Inner { server, desk } = &mut *inner;
         if server.is_none() {
-            let terms = Terms {
-                cold: cold.unwrap_or(self.terms.cold),
+            let terms = SchedulerConfig {
+                warming_up: cold.unwrap_or(self.terms.warming_up),
                 ..self.terms.clone()
             };
             let since = self.clock.now() - clock::span(ago);
             // Guards against a start long ago that looks like cores which have stood still ever since: time has passed, and
             // nothing ran.
-            let mut new = Server::start(&terms, self.seed, since, desk);
+            let mut new = Scheduler::start(&terms, self.seed, since, desk);
             if let Some((learned, trust)) = self.before.take() {
-                new.relearn(&learned, trust);
+                new.restore(&learned, trust);
             }
-            new.timer(self.clock.now(), Gauges::default(), desk);
+            new.handle_timeout(self.clock.now(), Gauges::default(), desk);
             *server = Some(new);
             self.sooner.notify(usize::MAX);
         }
     }
 
     /// What was learned before a restart, and how far it is trusted: taken in at the start.
-    pub fn before(&self, learned: Learned, trust: f64) {
+    pub fn before(&self, learned: LearnedState, trust: f64) {
         *self.before.borrow_mut() = Some((learned, trust));
     }
 
     /// What is learned so far; none before the start.
-    pub fn learned(&self) -> Option<Learned> {
-        self.inner.borrow().server.as_ref().map(Server::learned)
+    pub fn learned(&self) -> Option<LearnedState> {
+        self.inner
+            .borrow()
+            .server
+            .as_ref()
+            .map(Scheduler::learned_state)
     }
 
     /// How much runs, as a part of the running limit.
@@ -490,12 +499,12 @@
         inner
             .server
             .as_ref()
-            .and_then(|server| server.signals().running)
+            .and_then(|server| server.signals().concurrency)
             .unwrap_or(0.0)
     }
 
     /// Lets something happen to the decisions, and all that follows from it.
-    fn happen(&self, event: impl FnOnce(&mut Server, Time, &mut Desk)) {
+    fn happen(&self, event: impl FnOnce(&mut Scheduler, Time, &mut Desk)) {
         let mut inner = self.inner.borrow_mut();
         let Inner {
             server: Some(server),
@@ -513,7 +522,7 @@
                 Outcome::Error
             };
             desk.tell(id, result.map_or(Verdict::Abort, Verdict::Replay));
-            server.settled(now, id, outcome, desk);
+            server.handle_completion(now, id, outcome, desk);
         }
         if desk.next_tick < tick {
             self.sooner.notify(usize::MAX);
@@ -541,8 +550,8 @@
         self.names.tenants.get(tenant).map(String::as_str)
     }
 
-    pub fn effect(&self, method: usize) -> coralstep::Effect {
-        self.terms.methods[method].effect
+    pub fn effect(&self, method: usize) -> coralstep::Idempotency {
+        self.terms.methods[method].idempotency
     }
 
     /// How long an RPC of `method` is waited for at the most.
@@ -596,21 +605,21 @@
             .patience
             .map(|patience| patience.min(self.terms.methods[offer.method].deadline));
         let due = patience.map(|patience| self.clock.now() - offer.age + patience);
-        let arrival = Arrival {
+        let arrival = Request {
             id,
             method: offer.method,
-            due,
+            deadline: due,
             tenant: offer.tenant,
-            held_kb: offer.room_kb,
-            retry: offer.retry,
+            queued_kb: offer.room_kb,
+            is_retry: offer.retry,
             age: offer.age,
-            claimed: offer.claimed,
-            prior: prior.map_or(Prior::Nothing, Prior::Of),
-            ..Arrival::default()
+            untrusted_age: offer.claimed,
+            earlier_attempt: prior.map_or(EarlierAttempt::None, EarlierAttempt::Known),
+            ..Request::default()
         };
         self.obey();
         self.picked.set(self.picked.get() + 1);
-        self.happen(|server, now, desk| server.rpc(now, arrival, desk));
+        self.happen(|server, now, desk| server.handle_request(now, arrival, desk));
         Ok(Ticket {
             facade: self.clone(),
             id,
@@ -622,16 +631,18 @@
         let id = ticket.id;
         match news {
             News::Underway => {}
-            News::NeedsCall => self.happen(|server, now, desk| server.needs_call(now, id, desk)),
+            News::NeedsCall => {
+                self.happen(|server, now, desk| server.handle_call_needed(now, id, desk))
+            }
             News::Called { end, took } => {
                 let outcome = match end {
                     CallEnd::Ok => Outcome::Ok,
                     CallEnd::Error => Outcome::Error,
-                    CallEnd::PushedBack => Outcome::PushedBack,
+                    CallEnd::PushedBack => Outcome::Rejected,
                     CallEnd::TimedOut => Outcome::TimedOut,
                     CallEnd::Unreachable => Outcome::Unreachable,
-                    CallEnd::Broken => Outcome::Broken,
-                    CallEnd::Moot => Outcome::Moot,
+                    CallEnd::Broken => Outcome::ConnectionLost,
+                    CallEnd::Moot => Outcome::NoLongerNeeded,
                 };
                 {
                     let mut called = self.called.borrow_mut();
@@ -641,10 +652,12 @@
                     called.push_back((Instant::now(), end != CallEnd::Ok));
                 }
                 self.happen(|server, now, desk| {
-                    server.called(now, id, outcome, clock::span(took), desk)
+                    server.handle_call_result(now, id, outcome, clock::span(took), desk)
                 });
             }
-            News::Gone => self.happen(|server, now, desk| server.gone(now, id, desk)),
+            News::Gone => {
+                self.happen(|server, now, desk| server.handle_cancellation(now, id, desk))
+            }
             News::Ran(end) => {
                 self.ran
                     .set(self.ran.get() + u64::from(matches!(end, RunEnd::Ok(_))));
@@ -652,7 +665,7 @@
                     RunEnd::Ok(_) => Outcome::Ok,
                     RunEnd::Error => Outcome::Error,
                     RunEnd::Cancelled => Outcome::Cancelled,
-                    RunEnd::Moot => Outcome::Moot,
+                    RunEnd::Moot => Outcome::NoLongerNeeded,
                     RunEnd::Unstarted(_) => Outcome::Unreachable,
                 };
                 self.happen(|server, now, desk| {
@@ -663,7 +676,7 @@
                         }
                     }
                     desk.ended(id, &end);
-                    server.settled(now, id, outcome, desk);
+                    server.handle_completion(now, id, outcome, desk);
                 });
             }
         }
@@ -690,12 +703,12 @@
         let mut gauges = Gauges::default();
         for (name, reading) in self.names.gauges.iter().zip(readings) {
             match name.as_str() {
-                "cpu_busy" => gauges.busy = *reading,
-                "sockets" => gauges.connections = *reading,
+                "cpu_busy" => gauges.cpu_busy = *reading,
+                "sockets" => gauges.open_connections = *reading,
                 _ => {}
             }
         }
-        self.happen(|server, now, desk| server.timer(now, gauges, desk));
+        self.happen(|server, now, desk| server.handle_timeout(now, gauges, desk));
         self.obey();
         let Some(levels) = self.levels.as_ref().filter(|_| !self.shut.get()) else {
             return;
@@ -704,7 +717,7 @@
         let beat = AssertUnwindSafe(|| {
             self.happen(|server, now, desk| {
                 let level = levels.beat(now, &server.signals());
-                server.level(now, level, desk);
+                server.set_degradation(now, level, desk);
             })
         });
         if catch_unwind(beat).is_err() {
@@ -726,7 +739,7 @@
     pub fn leave(&self, left: Duration) {
         self.start(None, Duration::ZERO);
         self.happen(|server, now, desk| {
-            server.wind_down(now, now + Span(left.as_micros() as u64 / 100), desk)
+            server.begin_drain(now, now + Span(left.as_micros() as u64 / 100), desk)
         });
     }
 
@@ -803,20 +816,20 @@
         let open = || {
             self.levels
                 .as_ref()
-                .map_or_else(Level::default, |levels| levels.effect())
+                .map_or_else(DegradationLevel::default, |levels| levels.effect())
         };
-        let level = back.map_or_else(open, |back| Level {
-            closed: true,
-            out: true,
-            back,
-            ..Level::default()
+        let level = back.map_or_else(open, |back| DegradationLevel {
+            reject_all: true,
+            fenced: true,
+            retry_after: back,
+            ..DegradationLevel::default()
         });
-        self.happen(|server, now, desk| server.level(now, level, desk));
+        self.happen(|server, now, desk| server.set_degradation(now, level, desk));
     }
 
     /// The breaker's state, and of the calls of the last seconds how many failed and how many there were; none before the start.
     pub fn breaker(&self) -> Option<(&'static str, u32, u32)> {
-        let state = self.inner.borrow().server.as_ref()?.breaker().name();
+        let state = self.inner.borrow().server.as_ref()?.breaker().state_name();
         let mut called = self.called.borrow_mut();
         while called.front().is_some_and(|(at, _)| at.elapsed() > RECENT) {
             called.pop_front();
@@ -827,12 +840,12 @@
 
     /// What other servers saw of the dependency, as far as a breaker may go by it; a cooldown that runs ends after `left`.
     pub fn hear(&self, need: u32, left: Option<Duration>) {
-        self.happen(|server, now, _| server.hear(now, need, left.map(clock::span)));
+        self.happen(|server, now, _| server.apply_peer_reports(now, need, left.map(clock::span)));
     }
 
     /// Another version of the settings holds for what is read from now on.
     pub fn versioned(&self) {
-        self.happen(|server, _, _| server.versioned());
+        self.happen(|server, _, _| server.begin_config_version());
     }
 
     /// RPCs picked since the start, and of these those whose runs ended well.
--- a/crates/coralstep-server/src/decisions/facade/tests.rs
+++ b/crates/coralstep-server/src/decisions/facade/tests.rs
@@ -1,5 +1,5 @@
 use async_io::block_on;
-use coralstep::{Effect, Method};
+use coralstep::{Idempotency, Method};
 use futures_lite::future::{or, ready};
 
 use super::*;
@@ -7,18 +7,18 @@
 fn facade(limits: Limits) -> Rc<Facade> {
     let target = Span::ms(60_000);
     let method = Method {
-        effect: Effect::Tokened,
-        target,
+        idempotency: Idempotency::Keyed,
+        latency_objective: target,
         deadline: target,
         ..Method::default()
     };
-    let terms = Terms {
+    let terms = SchedulerConfig {
         methods: vec![method],
         cores: 8,
         key_kb: 1.0,
-        ..Terms::default()
+        ..SchedulerConfig::default()
     };
-    let terms = Terms {
+    let terms = SchedulerConfig {
         memory_kb: 1e6,
         ..terms
     };
@@ -75,15 +75,15 @@
 fn an_engine_that_was_up_long_before_has_not_stood_still() {
     let target = Span::ms(60_000);
     let method = Method {
-        target,
+        latency_objective: target,
         deadline: target,
         ..Method::default()
     };
-    let terms = Terms {
+    let terms = SchedulerConfig {
         methods: vec![method],
         cores: 1,
         memory_kb: 1e6,
-        ..Terms::default()
+        ..SchedulerConfig::default()
     };
     let facade = Rc::new(Facade::new(terms, Names::default(), 1, &limits()));
     facade.start(Some(false), Duration::from_secs(3_600));
@@ -98,15 +98,15 @@
 fn a_panic_in_a_change_of_level_costs_neither_the_tick_nor_the_levels() {
     let target = Span::ms(60_000);
     let method = Method {
-        target,
+        latency_objective: target,
         deadline: target,
         ..Method::default()
     };
-    let terms = Terms {
+    let terms = SchedulerConfig {
         methods: vec![method],
         cores: 1,
         memory_kb: 1e6,
-        ..Terms::default()
+        ..SchedulerConfig::default()
     };
     let facade = Facade::new(terms, Names::default(), 1, &limits());
     let facade = Rc::new(facade.with_levels(&LevelTerms::default()).unwrap());
@@ -134,7 +134,7 @@
     let id = first.id;
     drop((first, second));
     assert!(block_on(facade.pick(offer(b"c"))).is_err_and(|why| why == Unpicked::Full));
-    facade.inner.borrow_mut().desk.release(id);
+    facade.inner.borrow_mut().desk.release_id(id);
     assert!(block_on(facade.pick(offer(b"c"))).is_ok());
 }
 
@@ -176,18 +176,18 @@
 fn a_repeat_that_came_within_the_window_and_is_read_after_it_does_not_run() {
     let target = Span::ms(60_000);
     let method = Method {
-        effect: Effect::Tokened,
-        target,
+        idempotency: Idempotency::Keyed,
+        latency_objective: target,
         deadline: target,
-        window: Span::ms(5),
+        retry_window: Span::ms(5),
         ..Method::default()
     };
-    let terms = Terms {
+    let terms = SchedulerConfig {
         methods: vec![method],
         cores: 8,
         key_kb: 1.0,
         memory_kb: 1e6,
-        ..Terms::default()
+        ..SchedulerConfig::default()
     };
     let facade = Rc::new(Facade::new(terms, Names::default(), 1, &limits()));
     facade.start(Some(false), Duration::ZERO);
--- a/crates/coralstep-server/src/decisions/levels.rs
+++ b/crates/coralstep-server/src/decisions/levels.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, SystemTime};
 
-use coralstep::{Level, Signals, Span, Time};
+use coralstep::{DegradationLevel, Signals, Span, Time};
 use coralstep_degradation::{Change, LevelTerms, Levels, Sample, View};
 use serde::Serialize;
 
@@ -51,7 +51,7 @@
     }
 
     /// One beat; what the decisions are to do from now on.
-    pub fn beat(&self, now: Time, signals: &Signals) -> Level {
+    pub fn beat(&self, now: Time, signals: &Signals) -> DegradationLevel {
         if self
             .record
             .get()
@@ -102,7 +102,7 @@
     }
 
     /// What the level that holds asks of the decisions.
-    pub fn effect(&self) -> Level {
+    pub fn effect(&self) -> DegradationLevel {
         self.levels.borrow().effect()
     }
 
--- a/crates/coralstep-server/src/life/keep.rs
+++ b/crates/coralstep-server/src/life/keep.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use async_io::Timer;
-use coralstep::Learned;
+use coralstep::LearnedState;
 use coralstep_config::site::StateTerms;
 use coralstep_state::Folder;
 use coralstep_state::schedule::{Budget, Cost, Scheduler};
@@ -39,13 +39,13 @@
         server: config.name.clone(),
         cores: config.terms.cores,
         methods: config.names.methods.clone(),
-        dependency: config.terms.below.share(),
+        dependency: config.terms.dependency.share(),
         tenants: config.names.tenants.clone(),
     }
 }
 
 /// To be written by the thread; it says how long each took.
-type Work = Box<Learned>;
+type Work = Box<LearnedState>;
 
 pub struct Keeper {
     works: RefCell<Option<SyncSender<Work>>>,
@@ -128,7 +128,7 @@
     }
 
     /// Hands a snapshot over; not where one is still on its way.
-    fn save(&self, learned: Learned) -> bool {
+    fn save(&self, learned: LearnedState) -> bool {
         let works = self.works.borrow();
         let sent = works
             .as_ref()
--- a/crates/coralstep-server/src/life/reload.rs
+++ b/crates/coralstep-server/src/life/reload.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use async_signal::{Signal, Signals};
-use coralstep::Terms;
+use coralstep::SchedulerConfig;
 use coralstep_config::Names;
 use coralstep_config::site::SiteTerms;
 use coralstep_config::starves;
@@ -95,7 +95,7 @@
     content: &str,
     site: &SiteTerms,
     names: &Names,
-    terms: &Terms,
+    terms: &SchedulerConfig,
     movable: &Movable,
 ) -> Result<(), String> {
     let new = site.with_version(content, names)?;
--- a/crates/coralstep-server/src/runs/applications.rs
+++ b/crates/coralstep-server/src/runs/applications.rs
@@ -19,7 +19,7 @@
 
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
-use coralstep::{Time, Turn};
+use coralstep::{Time, Transition};
 use coralstep_balancer::{End, Pick, Pool, PoolTerms, RampTerms};
 use coralstep_config::site::ApplicationTerms;
 use coralstep_scgi::{Bounds, answer, request};
@@ -160,7 +160,14 @@
     /// Each change of an application's breaker is one line.
     fn tell(&self) {
         for (address, turn) in self.pool.borrow_mut().turns() {
-            let (dependency, Turn { from, to, rate }) = (address.to_string(), turn);
+            let (
+                dependency,
+                Transition {
+                    from,
+                    to,
+                    failure_rate: rate,
+                },
+            ) = (address.to_string(), turn);
             tracing::info!(target: "breaker", dependency, from, to, rate, "application {address}: breaker {turn}");
         }
     }
--- a/crates/coralstep-server/src/runs/course.rs
+++ b/crates/coralstep-server/src/runs/course.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use coralstep::Effect;
+use coralstep::Idempotency;
 use futures_lite::FutureExt;
 
 use crate::base::clock;
@@ -71,7 +71,9 @@
         // Guards against a second run under one id, by whichever front it comes: what runs or may have run is not run again.
         let effect = self.facade.effect(offer.method);
         let mut claim = self.ledger.claim(Instant::now(), id);
-        if offer.renames && effect != Effect::NonIdempotent && matches!(claim, Err(Known::Already))
+        if offer.renames
+            && effect != Idempotency::NonIdempotent
+            && matches!(claim, Err(Known::Already))
         {
             // Its token, not its id, tells whether it has run; and what is idempotent may run beside itself.
             claim = self.ledger.claim(Instant::now(), self.ledger.fresh());
@@ -130,7 +132,7 @@
             tenant: tenant.and_then(|tenant| self.facade.tenant_name(tenant)),
             token: token.as_deref(),
             body: &body,
-            idempotent: effect == Effect::Idempotent,
+            idempotent: effect == Idempotency::Idempotent,
             due,
         };
         let mut reply = Some(reply);
@@ -153,7 +155,7 @@
             match event {
                 Event::Verdict(Verdict::Over) => break,
                 Event::Verdict(Verdict::Run) => {
-                    if effect == Effect::NonIdempotent {
+                    if effect == Idempotency::NonIdempotent {
                         claim.runs(Instant::now() + deadline);
                     }
                     run.start(&order);
--- a/crates/coralstep-state/src/snapshot.rs
+++ b/crates/coralstep-state/src/snapshot.rs
@@ -2,7 +2,7 @@
 //! folder synced: at any moment one whole file is there. Files of a later version are left alone.
 use std::io;
 
-use coralstep::Learned;
+use coralstep::LearnedState;
 use serde::{Deserialize, Serialize};
 
 use crate::files::{Files, Look};
@@ -85,7 +85,7 @@
 /// What was found, and what was refused, each with its file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Found {
-    pub learned: Option<(Learned, f64)>,
+    pub learned: Option<(LearnedState, f64)>,
     pub number: u64,
     pub refused: Vec<(String, Refused)>,
 }
@@ -118,7 +118,7 @@
 }
 
 impl Stored {
-    fn new(learned: &Learned, of: &Fingerprint, number: u64, now_s: u64) -> Stored {
+    fn new(learned: &LearnedState, of: &Fingerprint, number: u64, now_s: u64) -> Stored {
         let tenants = of
             .tenants
             .iter()
@@ -131,11 +131,11 @@
             cores: of.cores,
             methods: of.methods.clone(),
             dependency: of.dependency,
-            runs: learned.runs.clone(),
-            calls: learned.calls,
-            limit: learned.limit,
-            permits: learned.permits,
-            best: learned.best,
+            runs: learned.run_times.clone(),
+            calls: learned.call_times,
+            limit: learned.concurrency_limit,
+            permits: learned.call_permits,
+            best: learned.best_call_time,
             tenants: tenants.collect(),
         }
     }
@@ -150,13 +150,13 @@
         }
     }
 
-    fn learned(&self) -> Learned {
-        Learned {
-            runs: self.runs.clone(),
-            calls: self.calls,
-            limit: self.limit,
-            permits: self.permits,
-            best: self.best,
+    fn learned(&self) -> LearnedState {
+        LearnedState {
+            run_times: self.runs.clone(),
+            call_times: self.calls,
+            concurrency_limit: self.limit,
+            call_permits: self.permits,
+            best_call_time: self.best,
             tenants: self.tenants.iter().map(|(_, tally)| *tally).collect(),
         }
     }
@@ -197,7 +197,7 @@
 /// version or another server's, which somebody may still want.
 pub fn save(
     files: &mut impl Files,
-    learned: &Learned,
+    learned: &LearnedState,
     of: &Fingerprint,
     number: u64,
     now_s: u64,
--- a/crates/coralstep-state/src/snapshot/tests.rs
+++ b/crates/coralstep-state/src/snapshot/tests.rs
@@ -11,13 +11,13 @@
     }
 }
 
-fn learned(limit: u32) -> Learned {
-    Learned {
-        runs: vec![[7; 12]],
-        calls: [1; 12],
-        limit: Some(limit),
-        permits: Some(3.5),
-        best: Some(90),
+fn learned(limit: u32) -> LearnedState {
+    LearnedState {
+        run_times: vec![[7; 12]],
+        call_times: [1; 12],
+        concurrency_limit: Some(limit),
+        call_permits: Some(3.5),
+        best_call_time: Some(90),
         tenants: vec![[4.0, 2.0]],
     }
 }
@@ -35,7 +35,7 @@
     found
         .learned
         .as_ref()
-        .and_then(|(learned, _)| learned.limit)
+        .and_then(|(learned, _)| learned.concurrency_limit)
 }
 
 #[test]
@@ -190,7 +190,7 @@
     files.append("learned.0", &bytes).unwrap();
     let (read, _) = load(&files, &of(), 110).learned.unwrap();
     assert_eq!(
-        (read.limit, read.runs, read.tenants),
+        (read.concurrency_limit, read.run_times, read.tenants),
         (Some(5), vec![[7; 12]], vec![[0.0; 2]])
     );
     let mut later = frame::head(Kind::Learned, VERSION + 1);
--- a/crates/coralstep-state/src/trust.rs
+++ b/crates/coralstep-state/src/trust.rs
@@ -1,5 +1,5 @@
 //! How far what is read may still be believed.
-use coralstep::Learned;
+use coralstep::LearnedState;
 
 /// Believed in whole up to this age, and not at all from that one, in seconds: a deploy, and a week with its own traffic.
 pub const FRESH_S: f64 = 60.0;
@@ -32,27 +32,32 @@
 /// The part of a record that still applies under other terms: times on the cores scale with nothing and stay by their method's name, the
 /// running limit only for the same cores, permits and call times only for the same dependency, tenants by name. Nothing of another
 /// server.
-pub fn applies(learned: &Learned, then: &Fingerprint, now: &Fingerprint) -> Option<Learned> {
+pub fn applies(
+    learned: &LearnedState,
+    then: &Fingerprint,
+    now: &Fingerprint,
+) -> Option<LearnedState> {
     (then.server == now.server).then_some(())?;
     let by_name = |name: &String, names: &[String]| names.iter().position(|known| known == name);
     let runs = now
         .methods
         .iter()
-        .map(|name| by_name(name, &then.methods).and_then(|at| learned.runs.get(at).copied()));
+        .map(|name| by_name(name, &then.methods).and_then(|at| learned.run_times.get(at).copied()));
     let tenants = now
         .tenants
         .iter()
         .map(|name| by_name(name, &then.tenants).and_then(|at| learned.tenants.get(at).copied()));
-    let mut kept = Learned {
-        runs: runs.map(Option::unwrap_or_default).collect(),
+    let mut kept = LearnedState {
+        run_times: runs.map(Option::unwrap_or_default).collect(),
         tenants: tenants.map(Option::unwrap_or_default).collect(),
         ..learned.clone()
     };
     if then.cores != now.cores {
-        kept.limit = None;
+        kept.concurrency_limit = None;
     }
     if then.dependency != now.dependency {
-        (kept.permits, kept.best, kept.calls) = (None, None, Default::default());
+        (kept.call_permits, kept.best_call_time, kept.call_times) =
+            (None, None, Default::default());
     }
     Some(kept)
 }
--- a/crates/coralstep-state/src/trust/tests.rs
+++ b/crates/coralstep-state/src/trust/tests.rs
@@ -21,12 +21,12 @@
 
 #[test]
 fn what_other_terms_make_untrue_is_left_out() {
-    let learned = Learned {
-        runs: vec![[1; 12], [2; 12]],
-        calls: [3; 12],
-        limit: Some(5),
-        permits: Some(4.0),
-        best: Some(90),
+    let learned = LearnedState {
+        run_times: vec![[1; 12], [2; 12]],
+        call_times: [3; 12],
+        concurrency_limit: Some(5),
+        call_permits: Some(4.0),
+        best_call_time: Some(90),
         tenants: vec![[9.0, 8.0]],
     };
     let then = Fingerprint {
@@ -42,7 +42,7 @@
         ..then.clone()
     };
     assert_eq!(
-        applies(&learned, &then, &renamed).unwrap().runs,
+        applies(&learned, &then, &renamed).unwrap().run_times,
         [[2; 12], [0; 12]]
     );
     let half = applies(
@@ -54,7 +54,10 @@
         },
     )
     .unwrap();
-    assert_eq!((half.limit, half.permits), (None, Some(4.0)));
+    assert_eq!(
+        (half.concurrency_limit, half.call_permits),
+        (None, Some(4.0))
+    );
     let other = applies(
         &learned,
         &then,
@@ -65,7 +68,12 @@
     )
     .unwrap();
     assert_eq!(
-        (other.limit, other.permits, other.best, other.calls),
+        (
+            other.concurrency_limit,
+            other.call_permits,
+            other.best_call_time,
+            other.call_times
+        ),
         (Some(5), None, None, [0; 12])
     );
     assert_eq!(
--- a/crates/coralstep-state/tests/golden.rs
+++ b/crates/coralstep-state/tests/golden.rs
@@ -2,7 +2,7 @@
 //! anew, in one thread (`--test-threads=1`), since other tests read them.
 use std::path::{Path, PathBuf};
 
-use coralstep::Learned;
+use coralstep::LearnedState;
 use coralstep_fleet::{Fleet, FleetTerms, Id, Member};
 use coralstep_state::faulty::Faulty;
 use coralstep_state::files::Look;
@@ -72,24 +72,24 @@
     }
 }
 
-fn learned(limit: u32) -> Learned {
-    Learned {
-        runs: (0..3)
+fn learned(limit: u32) -> LearnedState {
+    LearnedState {
+        run_times: (0..3)
             .map(|method| std::array::from_fn(|bin| (method * 12 + bin as u32) * 131))
             .collect(),
-        calls: std::array::from_fn(|bin| 1 << (bin * 2)),
-        limit: Some(limit),
-        permits: Some(3.625),
-        best: Some((1 << 33) + 7),
+        call_times: std::array::from_fn(|bin| 1 << (bin * 2)),
+        concurrency_limit: Some(limit),
+        call_permits: Some(3.625),
+        best_call_time: Some((1 << 33) + 7),
         tenants: vec![[4096.5, 2048.25], [1.0e9, 0.0]],
     }
 }
 
-fn nothing_optional() -> (Learned, Fingerprint) {
-    let learned = Learned {
-        limit: None,
-        permits: None,
-        best: None,
+fn nothing_optional() -> (LearnedState, Fingerprint) {
+    let learned = LearnedState {
+        concurrency_limit: None,
+        call_permits: None,
+        best_call_time: None,
         ..learned(0)
     };
     (
@@ -196,7 +196,7 @@
     write_journal(files)
 }
 
-fn believed(learned: Learned, written_s: u64, number: u64) -> Found {
+fn believed(learned: LearnedState, written_s: u64, number: u64) -> Found {
     let trust = trust::by_age((NOW_S - written_s) as f64);
     Found {
         learned: Some((learned, trust)),
@@ -287,7 +287,7 @@
 #[test]
 fn a_snapshot_of_version_1_is_believed_without_tenants() {
     let (_copied, folder) = Copied::new("version_1", "version_1");
-    let expected = Learned {
+    let expected = LearnedState {
         tenants: vec![[0.0; 2]; 2],
         ..learned(300)
     };
--- a/crates/coralstep/src/choice.rs
+++ b/crates/coralstep/src/choice.rs
@@ -5,7 +5,7 @@
 //! An RPC passes Repeats, Guard, Hold, Cores, at a call Bulkhead and Breaker; each passes, keeps or ends it.
 #[path = "learned.rs"]
 mod learned;
-pub use learned::Learned;
+pub use learned::LearnedState;
 #[path = "observe.rs"]
 mod observe;
 #[path = "start.rs"]
@@ -13,11 +13,14 @@
 #[path = "state.rs"]
 mod state;
 
-use crate::breaker::Breaker;
+use crate::actions::*;
+use crate::circuit_breaker::{CircuitBreaker, Flow};
+use crate::config::*;
 use crate::constants::*;
-use crate::door::*;
 use crate::lost;
+use crate::request::*;
 use crate::site::{Hand, Place, Rpc, Site, Tally, greatest};
+use crate::time::*;
 
 /// How much more is to be had by serving one of `tallies`: most for the worst served, 0 beyond the band.
 fn lag(tallies: &[Tally], index: usize) -> f64 {
@@ -29,19 +32,19 @@
 
 impl Site {
     /// A final answer. What has run with an effect is never pushed back.
-    fn push_back(&mut self, id: RpcId, after: Span, out: &mut dyn Outlet) {
+    fn push_back(&mut self, id: RpcId, after: Span, out: &mut dyn Actions) {
         let Some(rpc) = self.get(id) else { return };
-        if rpc.ran && self.method(rpc).effect != Effect::Idempotent {
+        if rpc.ran && self.method(rpc).idempotency != Idempotency::Idempotent {
             self.abort(id, out);
         } else if !rpc.answered {
-            out.push_back(id, after, rpc.retry || !self.alone);
+            out.reject(id, after, rpc.retry || !self.alone);
             self.answered(id);
         }
     }
 
-    fn abort(&mut self, id: RpcId, out: &mut dyn Outlet) {
+    fn abort(&mut self, id: RpcId, out: &mut dyn Actions) {
         if self.get(id).is_some_and(|rpc| !rpc.answered) {
-            out.abort(id);
+            out.fail(id);
             self.answered(id);
         }
     }
@@ -66,15 +69,16 @@
     /// Criticality to be won for each unit of work, as the goal counts it: over-share traffic is discounted,
     /// the method that is served worst weighs more.
     fn value(&self, rpc: &Rpc) -> f64 {
-        let criticality = self.method(rpc).criticality;
+        let criticality = self.method(rpc).priority_weight;
         let weights = self
             .asked
             .iter()
             .zip(&self.methods)
-            .map(|(t, m)| (t.asked + 0.1) * m.criticality);
+            .map(|(t, m)| (t.asked + 0.1) * m.priority_weight);
         let asked: f64 = self.asked.iter().map(|tally| tally.asked + 0.1).sum();
         let each = criticality * asked / weights.sum::<f64>().max(1e-9);
-        let mut worth = self.goal[0] * each + self.goal[1] * lag(&self.asked, rpc.method);
+        let mut worth =
+            self.goal.overall * each + self.goal.worst_method * lag(&self.asked, rpc.method);
         if let Some(tenant) = rpc.tenant {
             worth *= self.within(tenant);
         }
@@ -106,22 +110,28 @@
 }
 
 impl Repeats {
-    fn enter(&mut self, site: &mut Site, id: RpcId, prior: Prior, out: &mut dyn Outlet) -> Step {
+    fn enter(
+        &mut self,
+        site: &mut Site,
+        id: RpcId,
+        prior: EarlierAttempt,
+        out: &mut dyn Actions,
+    ) -> Flow {
         let Some(rpc) = site.get(id) else {
-            return Step::End;
+            return Flow::Reject;
         };
-        if site.method(rpc).effect != Effect::Tokened {
-            return Step::Pass;
+        if site.method(rpc).idempotency != Idempotency::Keyed {
+            return Flow::Continue;
         }
-        let until = rpc.arrived + site.method(rpc).window + TOKEN_EXTRA;
+        let until = rpc.arrived + site.method(rpc).retry_window + TOKEN_EXTRA;
         let never_ran = match site.latest(prior) {
-            Prior::Nothing => None,
-            Prior::Of(old) if site.get(old).is_some_and(|old| !old.ran) => Some(old),
+            EarlierAttempt::None => None,
+            EarlierAttempt::Known(old) if site.get(old).is_some_and(|old| !old.ran) => Some(old),
             _ => {
                 // Guards against a second run: it ran, or nobody knows any more.
                 site.put(id, Place::Replaying);
                 out.replay(id);
-                return Step::Keep;
+                return Flow::Wait;
             }
         };
         if never_ran
@@ -133,28 +143,28 @@
             {
                 // Guards against two runs of an RPC that could not be told from its repeat.
                 site.push_back(id, ADVICE, out);
-                return Step::End;
+                return Flow::Reject;
             }
             self.kept += 1;
             site.used_kb += self.key_kb;
         }
-        out.keep_token(id, until - site.now);
+        out.retain_key(id, until - site.now);
         site.kept(id, until, never_ran);
         if let Some(old) = never_ran {
             // The newest try is the one whose caller still waits.
             site.push_back(old, Span::ZERO, out);
         }
-        Step::Pass
+        Flow::Continue
     }
 
     /// Forgets a token that is no longer needed: it never ran, or its window is over.
-    fn leave(&mut self, site: &mut Site, id: RpcId, out: &mut dyn Outlet) {
+    fn leave(&mut self, site: &mut Site, id: RpcId, out: &mut dyn Actions) {
         if site
             .get_mut(id)
             .and_then(|rpc| rpc.token_until.take())
             .is_some()
         {
-            out.drop_token(id);
+            out.release_key(id);
             self.kept -= 1;
             site.used_kb -= self.key_kb;
         }
@@ -169,7 +179,7 @@
 }
 
 impl Guard {
-    fn enter(&mut self, site: &mut Site, id: RpcId, stalled: bool, out: &mut dyn Outlet) {
+    fn enter(&mut self, site: &mut Site, id: RpcId, stalled: bool, out: &mut dyn Actions) {
         let Some(rpc) = site.get(id) else { return };
         // A beat of margin, for the notice itself was rounded.
         let late = self
@@ -179,7 +189,7 @@
         let shed = site
             .level
             .sheds(&site.method(rpc))
-            .then_some(site.level.back.max(ADVICE));
+            .then_some(site.level.retry_after.max(ADVICE));
         let vain = site.get(id).is_some_and(|rpc| site.vain(rpc));
         if leaving || vain || shed.is_some() || site.used_kb > site.memory_kb * MEMORY_HOLD {
             site.push_back(
@@ -207,15 +217,15 @@
     /// what took as long to read as most: the usual wait unread does not count, up to its limit.
     fn part(site: &Site, rpc: &Rpc) -> f64 {
         let usual = (rpc.since - rpc.arrived).min(site.reads.middle(Span::ZERO));
-        let most = site.method(rpc).target.share(HOLD_SHARE);
+        let most = site.method(rpc).latency_objective.scaled(HOLD_SHARE);
         Hold::of_limit(site, rpc, (site.now - rpc.arrived) - usual.min(most))
     }
 
     fn of_limit(site: &Site, rpc: &Rpc, span: Span) -> f64 {
         span.0 as f64
-            / (site.method(rpc).target.0.max(1) as f64
+            / (site.method(rpc).latency_objective.0.max(1) as f64
                 * HOLD_SHARE
-                * site.under(rpc).hold.max(0.01))
+                * site.under(rpc).queue_limit_factor.max(0.01))
     }
 
     /// The most valuable of those that `may` start.
@@ -299,7 +309,7 @@
     fn next(site: &Site) -> Option<RpcId> {
         greatest(
             site.at(Place::Waiting)
-                .map(|(id, rpc)| (site.method(rpc).criticality, id)),
+                .map(|(id, rpc)| (site.method(rpc).priority_weight, id)),
         )
     }
 
@@ -329,14 +339,14 @@
     }
 }
 
-pub struct Server {
+pub struct Scheduler {
     site: Site,
     repeats: Repeats,
     guard: Guard,
     cores: Cores,
     bulkhead: Bulkhead,
-    breaker: Breaker,
-    advert: Advert,
+    breaker: CircuitBreaker,
+    advert: LoadReportKind,
     callers: f64,
     shed: f64,
     /// How long a connection may be idle, and the most that callers let it be.
@@ -352,22 +362,25 @@
     reviewed: Time,
 }
 
-impl Server {
+impl Scheduler {
     /// An RPC was read.
-    pub fn rpc(&mut self, now: Time, arrival: Arrival, out: &mut dyn Outlet) {
+    pub fn handle_request(&mut self, now: Time, arrival: Request, out: &mut dyn Actions) {
         let (site, id) = (&mut self.site, arrival.id);
         site.now = now;
         if self.beat > now + BEAT {
             self.beat = now + BEAT;
-            out.timer(BEAT);
+            out.set_timer(BEAT);
         }
         site.arrive(&arrival);
         // Guards against strangers whose stamps would take the server off the list.
-        let known = site.get(id).filter(|_| !arrival.claimed);
+        let known = site.get(id).filter(|_| !arrival.untrusted_age);
         self.unread = known
             .map_or(0.0, |rpc| Hold::of_limit(site, rpc, arrival.age))
             .max(self.unread);
-        if matches!(self.repeats.enter(site, id, arrival.prior, out), Step::Pass) {
+        if matches!(
+            self.repeats.enter(site, id, arrival.earlier_attempt, out),
+            Flow::Continue
+        ) {
             self.guard.enter(site, id, self.cores.stalled, out);
         }
         self.close(id, out);
@@ -375,7 +388,13 @@
     }
 
     /// A run or a replay came to its end.
-    pub fn settled(&mut self, now: Time, id: RpcId, outcome: Outcome, out: &mut dyn Outlet) {
+    pub fn handle_completion(
+        &mut self,
+        now: Time,
+        id: RpcId,
+        outcome: Outcome,
+        out: &mut dyn Actions,
+    ) {
         self.site.now = now;
         let Some(rpc) = self.site.get(id) else { return };
         let (place, since, overran) = (rpc.place, rpc.since, rpc.overran);
@@ -383,11 +402,11 @@
             self.bulkhead
                 .hand
                 .left(&self.site, self.bulkhead.permits, true);
-            if overran && (self.breaker.is_trial(id) || now - since >= PATIENCE_LEAST) {
+            if overran && (self.breaker.is_probe(id) || now - since >= PATIENCE_LEAST) {
                 // Guards against a dependency that hangs until RPCs are due: such calls ran out of time too.
                 self.outcome(id, since, true, out);
             } else {
-                self.breaker.trial_left(id);
+                self.breaker.abandon_probe(id);
             }
         }
         self.site.put(id, Place::Over);
@@ -407,7 +426,7 @@
     }
 
     /// A run can't go on without a call.
-    pub fn needs_call(&mut self, now: Time, id: RpcId, out: &mut dyn Outlet) {
+    pub fn handle_call_needed(&mut self, now: Time, id: RpcId, out: &mut dyn Actions) {
         self.site.now = now;
         self.cores.moved = now;
         let Some(rpc) = self
@@ -419,11 +438,9 @@
         };
         rpc.calls = 0;
         self.site.put(id, Place::Waiting);
-        if self
-            .site
-            .get(id)
-            .is_some_and(|rpc| self.site.under(rpc).skip_calls && self.site.method(rpc).skip > 0.0)
-        {
+        if self.site.get(id).is_some_and(|rpc| {
+            self.site.under(rpc).skip_calls && self.site.method(rpc).skip_value > 0.0
+        }) {
             self.without_call(id, ADVICE, out);
         }
         self.check(id, out);
@@ -431,22 +448,22 @@
     }
 
     /// A call ended; unless it went well the RPC still stands at it.
-    pub fn called(
+    pub fn handle_call_result(
         &mut self,
         now: Time,
         id: RpcId,
         outcome: Outcome,
         took: Span,
-        out: &mut dyn Outlet,
+        out: &mut dyn Actions,
     ) {
         self.site.now = now;
         let Some(rpc) = self.site.get(id).filter(|rpc| rpc.place == Place::Calling) else {
             return;
         };
         let (calls, answered, ok) = (rpc.calls, rpc.answered, outcome == Outcome::Ok);
-        let again =
-            self.site.method(rpc).effect == Effect::Idempotent || outcome.proves_it_never_ran();
-        if !outcome.proves_it_never_ran() {
+        let again = self.site.method(rpc).idempotency == Idempotency::Idempotent
+            || outcome.proves_never_ran();
+        if !outcome.proves_never_ran() {
             self.site.call_took(took);
         }
         self.outcome(id, now - took, !ok, out);
@@ -458,26 +475,26 @@
         self.site
             .put(id, if ok { Place::Running } else { Place::Waiting });
         if !(ok || answered || again && calls < CALLS_EACH) {
-            self.without_call(id, self.breaker.shut(now).unwrap_or(ADVICE), out);
+            self.without_call(id, self.breaker.cooldown_left(now).unwrap_or(ADVICE), out);
         }
         self.check(id, out);
         self.pump(out);
     }
 
-    fn outcome(&mut self, id: RpcId, began: Time, failed: bool, out: &mut dyn Outlet) {
+    fn outcome(&mut self, id: RpcId, began: Time, failed: bool, out: &mut dyn Actions) {
         if let Some(turn) =
             self.breaker
-                .result(self.site.now, id, began, failed, &mut self.site.chance)
+                .record_call(self.site.now, id, began, failed, &mut self.site.chance)
         {
-            out.breaker(turn);
+            out.breaker_transition(turn);
         }
     }
 
     /// Nobody waits for it any more.
-    pub fn gone(&mut self, now: Time, id: RpcId, out: &mut dyn Outlet) {
+    pub fn handle_cancellation(&mut self, now: Time, id: RpcId, out: &mut dyn Actions) {
         self.site.now = now;
         let Some(rpc) = self.site.get(id) else { return };
-        let idempotent = self.site.method(rpc).effect == Effect::Idempotent;
+        let idempotent = self.site.method(rpc).idempotency == Idempotency::Idempotent;
         if rpc.place == Place::Running && idempotent && self.site.may_stop {
             out.preempt(id);
         }
@@ -487,14 +504,14 @@
     }
 
     /// The process will be stopped at `stop`.
-    pub fn wind_down(&mut self, now: Time, stop: Time, out: &mut dyn Outlet) {
+    pub fn begin_drain(&mut self, now: Time, stop: Time, out: &mut dyn Actions) {
         self.site.now = now;
         (self.guard.noticed, self.guard.stop) = (Some(now), stop);
-        out.health(false);
+        out.set_health(false);
     }
 
     /// The timer asked for last has run out.
-    pub fn timer(&mut self, now: Time, gauges: Gauges, out: &mut dyn Outlet) {
+    pub fn handle_timeout(&mut self, now: Time, gauges: Gauges, out: &mut dyn Actions) {
         if now < self.beat {
             return;
         }
@@ -510,10 +527,13 @@
         if now - self.reviewed >= REVIEW {
             self.reviewed = now;
             self.bulkhead.review(&mut self.site);
-            let (waits, busy) = (self.site.count(Place::Held) > 0, gauges.busy.unwrap_or(1.0));
+            let (waits, busy) = (
+                self.site.count(Place::Held) > 0,
+                gauges.cpu_busy.unwrap_or(1.0),
+            );
             self.cores.adjust(&self.site, waits, busy, self.unread);
             self.advertise(out);
-            self.make_room(gauges.connections.unwrap_or(0.0), out);
+            self.make_room(gauges.open_connections.unwrap_or(0.0), out);
         }
         // Nothing is swept while nothing is due.
         let next = if self.site.live.is_empty() {
@@ -522,12 +542,12 @@
             BEAT
         };
         self.beat = now + next;
-        out.timer(next);
+        out.set_timer(next);
         self.pump(out);
     }
 
     /// Guards against a server that reads and holds but gets nothing done, whatever stopped its cores.
-    fn watch(&mut self, out: &mut dyn Outlet) {
+    fn watch(&mut self, out: &mut dyn Actions) {
         let idle = self.site.count(Place::Running) < self.site.cores;
         self.cores.moved = if idle {
             self.site.now
@@ -557,21 +577,21 @@
         }
         if (stalled, drowned, worn) != (self.cores.stalled, self.drowned, self.worn) {
             (self.cores.stalled, self.drowned, self.worn) = (stalled, drowned, worn);
-            out.health(!stalled && !drowned && !worn && self.guard.noticed.is_none());
+            out.set_health(!stalled && !drowned && !worn && self.guard.noticed.is_none());
         }
     }
 
     /// Guards against calls and runs without an end, which would keep their places for good (`lost.rs`).
-    fn overdue(&mut self, id: RpcId, out: &mut dyn Outlet) {
+    fn overdue(&mut self, id: RpcId, out: &mut dyn Actions) {
         if let Some(took) = lost::call(&self.site, id) {
-            self.called(self.site.now, id, Outcome::TimedOut, took, out);
+            self.handle_call_result(self.site.now, id, Outcome::TimedOut, took, out);
         }
         let ceiling = self.cores.ceiling(&self.site);
         lost::run(&mut self.site, id, ceiling, out);
     }
 
     /// What time has done to one RPC.
-    fn check(&mut self, id: RpcId, out: &mut dyn Outlet) {
+    fn check(&mut self, id: RpcId, out: &mut dyn Actions) {
         let now = self.site.now;
         let Some(rpc) = self.site.get(id) else { return };
         if rpc.place == Place::Over || rpc.answered {
@@ -580,11 +600,11 @@
         let method = self.site.method(rpc);
         let (leaving, back) = (
             self.guard.stopping(now) || self.cores.stalled,
-            self.site.level.back.max(ADVICE),
+            self.site.level.retry_after.max(ADVICE),
         );
         let due = now + EARLY >= rpc.due || self.guard.stopping(now);
         let waited = now - rpc.since >= PERMIT_WAIT;
-        let shut = self.breaker.shut(now);
+        let shut = self.breaker.cooldown_left(now);
         match rpc.place {
             Place::Held if leaving => self.site.push_back(id, AWAY_ADVICE, out),
             Place::Held if self.site.under(rpc).sheds(&method) => {
@@ -592,8 +612,11 @@
             }
             Place::Held if self.site.vain(rpc) || Hold::part(&self.site, rpc) >= 1.0 => {
                 // What must call is told when the breaker may let it through.
-                let must = method.calls && method.skip == 0.0;
-                let shut = self.breaker.shut(now).filter(|left| must && *left > ADVICE);
+                let must = method.calls && method.skip_value == 0.0;
+                let shut = self
+                    .breaker
+                    .cooldown_left(now)
+                    .filter(|left| must && *left > ADVICE);
                 self.site.push_back(id, shut.unwrap_or(ADVICE), out);
             }
             Place::Calling if due => self.site.overrun(id, |site| site.abort(id, out)),
@@ -606,21 +629,21 @@
     }
 
     /// Ends what is over, back through the chain, and lets go of its index once its token is.
-    fn close(&mut self, id: RpcId, out: &mut dyn Outlet) {
+    fn close(&mut self, id: RpcId, out: &mut dyn Actions) {
         let Some(rpc) = self.site.get(id) else { return };
         let token = rpc.ran && rpc.token_until.is_some_and(|until| until > self.site.now);
         if rpc.place == Place::Over && !token {
             self.repeats.leave(&mut self.site, id, out);
             self.site.remove(id);
-            out.release(id);
+            out.release_id(id);
         }
     }
 
     /// The answer instead of a call: fallback, quick pushback, or an error for what may have had effect.
-    fn without_call(&mut self, id: RpcId, after: Span, out: &mut dyn Outlet) {
+    fn without_call(&mut self, id: RpcId, after: Span, out: &mut dyn Actions) {
         let Some(rpc) = self.site.get(id) else { return };
-        if self.site.method(rpc).skip > 0.0 {
-            out.skip(id);
+        if self.site.method(rpc).skip_value > 0.0 {
+            out.skip_call(id);
             self.site.put(id, Place::Running);
         } else {
             self.site.push_back(id, after, out);
@@ -631,9 +654,9 @@
     fn patience(&self, rpc: &Rpc) -> Span {
         let (site, method) = (&self.site, self.site.method(rpc));
         let left = (rpc.due - site.now) - EARLY;
-        let useful = (rpc.arrived + method.target - site.run_time(rpc)) - site.now;
+        let useful = (rpc.arrived + method.latency_objective - site.run_time(rpc)) - site.now;
         let usual = site.calls.middle(GUESS) * PATIENCE;
-        let most = if method.effect == Effect::Idempotent {
+        let most = if method.idempotency == Idempotency::Idempotent {
             usual.min(useful)
         } else {
             usual.max(useful)
@@ -660,14 +683,14 @@
     }
 
     /// Moves on whatever can move: calls first, for they hold memory, then new runs.
-    fn pump(&mut self, out: &mut dyn Outlet) {
+    fn pump(&mut self, out: &mut dyn Actions) {
         while let Some(id) = Bulkhead::next(&self.site) {
             if !self.bulkhead.room(&self.site) {
                 break;
             }
-            let (step, turn) = self.breaker.enter(self.site.now, id);
-            turn.inspect(|turn| out.breaker(*turn));
-            if step != Step::Pass {
+            let (step, turn) = self.breaker.admit_call(self.site.now, id);
+            turn.inspect(|turn| out.breaker_transition(*turn));
+            if step != Flow::Continue {
                 break;
             }
             self.site.put(id, Place::Calling);
@@ -680,13 +703,15 @@
         }
         while self.cores.room(&self.site) {
             // Nothing is begun that would only end at an open breaker.
-            let shut = self.breaker.shut(self.site.now).is_some() || self.breaker.trying();
+            let shut =
+                self.breaker.cooldown_left(self.site.now).is_some() || self.breaker.has_probe();
             let shut = shut || self.bulkhead.crowded(&self.site) || self.calls_fill();
             let room_kb = self.site.memory_kb * MEMORY_RUN - self.site.used_kb;
             let (site, factor) = (&self.site, self.site.run_factor - 1.0);
             let may = |rpc: &Rpc| {
                 let method = site.method(rpc);
-                rpc.held_kb * factor <= room_kb && !(shut && method.calls && method.skip == 0.0)
+                rpc.held_kb * factor <= room_kb
+                    && !(shut && method.calls && method.skip_value == 0.0)
             };
             let Some(id) = Hold::best(site, may) else {
                 break;
@@ -699,22 +724,22 @@
 
     /// Guards against a table full of idle connections: many callers with little traffic each keep one open.
     /// In a storm the table may fill: what it keeps out costs neither a new connection nor reading.
-    fn make_room(&mut self, open: f64, out: &mut dyn Outlet) {
+    fn make_room(&mut self, open: f64, out: &mut dyn Actions) {
         let tries = &mut self.site.tries;
         let storm = tries.ok < tries.asked * STORM;
         (tries.asked, tries.ok) = (tries.asked * 0.9, tries.ok * 0.9);
         let full = open > self.cores.ceiling(&self.site) as f64 * CONNECTIONS && !storm;
         let more = if storm { 1.5 } else { 1.05 };
         let step = if full { 0.8 } else { more };
-        let idle = self.idle.share(step).max(REVIEW).min(self.max_idle);
+        let idle = self.idle.scaled(step).max(REVIEW).min(self.max_idle);
         if idle != self.idle {
             self.idle = idle;
-            out.idle_limit(idle);
+            out.set_idle_timeout(idle);
         }
     }
 
     /// The free value: less is asked for while work waits long, nothing while leaving or standing still.
-    fn advertise(&mut self, out: &mut dyn Outlet) {
+    fn advertise(&mut self, out: &mut dyn Actions) {
         let waited = Hold::waited(&self.site);
         self.unread *= 0.8;
         let step = if waited > 0.5 { 0.1 } else { -0.1 };
@@ -724,13 +749,13 @@
         } else {
             1.0 - self.shed
         };
-        let open = open * self.site.level.value;
+        let open = open * self.site.level.load_report_factor;
         let value = match self.advert {
-            Advert::Off => return,
-            Advert::Level => 1.0 - open,
-            Advert::Weight => open,
-            Advert::Credit => open * self.site.cores as f64 * CREDIT / self.callers,
+            LoadReportKind::Off => return,
+            LoadReportKind::Threshold => 1.0 - open,
+            LoadReportKind::Weight => open,
+            LoadReportKind::Credit => open * self.site.cores as f64 * CREDIT / self.callers,
         };
-        out.advertise(value);
+        out.report_load(value);
     }
 }
--- a/crates/coralstep/src/constants.rs
+++ b/crates/coralstep/src/constants.rs
@@ -1,5 +1,5 @@
 //! Every figure that the decisions are tuned by, with its unit and reason.
-use crate::door::Span;
+use crate::time::Span;
 
 /// Between two timers. The finest delay of a limit; 50 a second cost next to no CPU.
 pub const BEAT: Span = Span::ms(20);
--- a/crates/coralstep/src/learned.rs
+++ b/crates/coralstep/src/learned.rs
@@ -1,20 +1,20 @@
 //! What a server has learned of itself, as a plain record that may outlive it. Where it is kept and how far it may be believed is
 //! decided elsewhere; here it is given out and taken in.
-use super::Server;
+use super::Scheduler;
 use crate::constants::{SHARE_FIRST, TIER_LEAST};
 use crate::site::{Histogram, Tally};
 
 /// Figures of one server. An absent one says nothing.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Learned {
+pub struct LearnedState {
     /// Time on the cores of each method's runs, and of calls, in the module's bins.
-    pub runs: Vec<[u32; 12]>,
-    pub calls: [u32; 12],
+    pub run_times: Vec<[u32; 12]>,
+    pub call_times: [u32; 12],
     /// How much ran at once.
-    pub limit: Option<u32>,
-    pub permits: Option<f64>,
+    pub concurrency_limit: Option<u32>,
+    pub call_permits: Option<f64>,
     /// The best usual time of a call, in ticks.
-    pub best: Option<u64>,
+    pub best_call_time: Option<u64>,
     /// Asked for and answered in time of late, by tenant.
     pub tenants: Vec<[f64; 2]>,
 }
@@ -30,15 +30,15 @@
     Histogram::of(bins.map(|bin| (f64::from(bin.min(BIN_MOST)) * part) as u32))
 }
 
-impl Server {
-    pub fn learned(&self) -> Learned {
+impl Scheduler {
+    pub fn learned_state(&self) -> LearnedState {
         let site = &self.site;
-        Learned {
-            runs: site.runs.iter().map(Histogram::bins).collect(),
-            calls: site.calls.bins(),
-            limit: Some(self.cores.limit as u32),
-            permits: Some(self.bulkhead.permits),
-            best: (self.bulkhead.best > 0).then_some(self.bulkhead.best),
+        LearnedState {
+            run_times: site.runs.iter().map(Histogram::bins).collect(),
+            call_times: site.calls.bins(),
+            concurrency_limit: Some(self.cores.limit as u32),
+            call_permits: Some(self.bulkhead.permits),
+            best_call_time: (self.bulkhead.best > 0).then_some(self.bulkhead.best),
             tenants: site
                 .tenants
                 .iter()
@@ -49,7 +49,7 @@
 
     /// Takes in what was learned before, as far as it is trusted: 0 leaves a cold start, 1 goes on as before. To be called before the
     /// first RPC. Breakers start closed, whatever they were: an open one's cooldown is over long before anybody could know.
-    pub fn relearn(&mut self, learned: &Learned, trust: f64) {
+    pub fn restore(&mut self, learned: &LearnedState, trust: f64) {
         let trust = if trust.is_finite() {
             trust.clamp(0.0, 1.0)
         } else {
@@ -57,18 +57,18 @@
         };
         let sound = |figure: f64| figure.is_finite() && (0.0..1e9).contains(&figure);
         let site = &mut self.site;
-        for (runs, bins) in site.runs.iter_mut().zip(&learned.runs) {
+        for (runs, bins) in site.runs.iter_mut().zip(&learned.run_times) {
             *runs = histogram(bins, trust);
         }
-        site.calls = histogram(&learned.calls, trust);
+        site.calls = histogram(&learned.call_times, trust);
         let blend = |cold: f64, warm: f64| cold + (warm - cold) * trust;
-        if let Some(limit) = learned.limit {
+        if let Some(limit) = learned.concurrency_limit {
             let most = site.cores * 2 - 1;
             let limit = (limit as usize).clamp(1, most);
             self.cores.limit =
                 (blend(site.cores as f64, limit as f64).round() as usize).clamp(1, most);
         }
-        if let Some(permits) = learned.permits.filter(|permits| sound(*permits)) {
+        if let Some(permits) = learned.call_permits.filter(|permits| sound(*permits)) {
             let (least, most) = self.bulkhead.range;
             let first = self
                 .bulkhead
@@ -78,7 +78,7 @@
         }
         // A best that is too good would look like a crowd for ever; half-believed it is none.
         self.bulkhead.best = learned
-            .best
+            .best_call_time
             .filter(|best| trust > 0.5 && *best < 1 << 32)
             .unwrap_or(0);
         for (tally, [asked, ok]) in site.tenants.iter_mut().zip(&learned.tenants) {
--- a/crates/coralstep/src/learned/tests.rs
+++ b/crates/coralstep/src/learned/tests.rs
@@ -1,82 +1,91 @@
 use crate::*;
 
 struct Nobody;
-impl Outlet for Nobody {}
+impl Actions for Nobody {}
 
-fn server() -> Server {
+fn server() -> Scheduler {
     let method = Method {
-        target: Span::ms(500),
+        latency_objective: Span::ms(500),
         deadline: Span::ms(2_000),
         calls: true,
         ..Method::default()
     };
-    let terms = Terms {
+    let terms = SchedulerConfig {
         methods: vec![method],
         cores: 4,
         memory_kb: 10_000.0,
-        below: Below::Shared(20.0),
-        tenant_rates: vec![5.0],
-        ..Terms::default()
+        dependency: Dependency::Shared(20.0),
+        tenant_quotas: vec![5.0],
+        ..SchedulerConfig::default()
     };
-    Server::start(&terms, 7, Time(0), &mut Nobody)
+    Scheduler::start(&terms, 7, Time(0), &mut Nobody)
 }
 
 #[test]
 fn what_is_given_out_is_taken_in_as_far_as_it_is_trusted() {
     let mut bins = [0; 12];
     bins[4] = 80;
-    let learned = Learned {
-        runs: vec![bins],
-        calls: bins,
-        limit: Some(7),
-        permits: Some(14.0),
-        best: Some(700),
+    let learned = LearnedState {
+        run_times: vec![bins],
+        call_times: bins,
+        concurrency_limit: Some(7),
+        call_permits: Some(14.0),
+        best_call_time: Some(700),
         tenants: vec![[10.0, 5.0]],
     };
     let mut warm = server();
-    warm.relearn(&learned, 1.0);
-    assert_eq!(warm.learned(), learned);
-    let cold = server().learned();
+    warm.restore(&learned, 1.0);
+    assert_eq!(warm.learned_state(), learned);
+    let cold = server().learned_state();
     let mut untrusted = server();
-    untrusted.relearn(&learned, 0.0);
-    assert_eq!(untrusted.learned(), cold);
+    untrusted.restore(&learned, 0.0);
+    assert_eq!(untrusted.learned_state(), cold);
     let mut half = server();
-    half.relearn(&learned, 0.5);
-    let half = half.learned();
+    half.restore(&learned, 0.5);
+    let half = half.learned_state();
     assert_eq!(
-        (half.limit, half.permits, half.best, half.runs[0][4]),
+        (
+            half.concurrency_limit,
+            half.call_permits,
+            half.best_call_time,
+            half.run_times[0][4]
+        ),
         (Some(6), Some(12.0), None, 40)
     );
     // A NaN trusts nothing.
     let mut nan = server();
-    nan.relearn(&learned, f64::NAN);
-    assert_eq!(nan.learned(), cold);
+    nan.restore(&learned, f64::NAN);
+    assert_eq!(nan.learned_state(), cold);
 }
 
 #[test]
 fn a_record_that_nobody_could_have_written_does_no_harm() {
-    let wild = Learned {
-        runs: vec![[u32::MAX; 12]; 9],
-        calls: [u32::MAX; 12],
-        limit: Some(u32::MAX),
-        permits: Some(f64::INFINITY),
-        best: Some(u64::MAX),
+    let wild = LearnedState {
+        run_times: vec![[u32::MAX; 12]; 9],
+        call_times: [u32::MAX; 12],
+        concurrency_limit: Some(u32::MAX),
+        call_permits: Some(f64::INFINITY),
+        best_call_time: Some(u64::MAX),
         tenants: vec![[f64::NAN, 1e300]; 3],
     };
     let mut server = server();
-    server.relearn(&wild, 1.0);
-    let learned = server.learned();
+    server.restore(&wild, 1.0);
+    let learned = server.learned_state();
     assert_eq!(
-        (learned.limit, learned.permits, learned.best),
+        (
+            learned.concurrency_limit,
+            learned.call_permits,
+            learned.best_call_time
+        ),
         (Some(7), Some(10.0), None)
     );
     assert_eq!(
-        (learned.runs.len(), learned.tenants.clone()),
+        (learned.run_times.len(), learned.tenants.clone()),
         (1, vec![[0.0, 0.0]])
     );
     assert!(
-        learned.calls.iter().all(|bin| *bin <= 160),
+        learned.call_times.iter().all(|bin| *bin <= 160),
         "{:?}",
-        learned.calls
+        learned.call_times
     );
 }
--- a/crates/coralstep/src/lost.rs
+++ b/crates/coralstep/src/lost.rs
@@ -2,9 +2,11 @@
 //! What can't be proven ended is asked after, then counted as lost, under a bound: it keeps its memory, its
 //! token and its part of the crowd, and its late end only takes it off the books. One that stands at a call
 //! which is over is stranded: nobody feeds it any more, so it can't come back to the cores and has no part.
+use crate::actions::*;
 use crate::constants::*;
-use crate::door::*;
+use crate::request::*;
 use crate::site::{Place, Site};
+use crate::time::*;
 
 /// How many runs may be counted as lost.
 pub(crate) fn most(ceiling: usize) -> usize {
@@ -18,7 +20,7 @@
 }
 
 /// Asks after the run of `id` where that is due, and counts it as lost or stranded where it is time.
-pub(crate) fn run(site: &mut Site, id: RpcId, ceiling: usize, out: &mut dyn Outlet) {
+pub(crate) fn run(site: &mut Site, id: RpcId, ceiling: usize, out: &mut dyn Actions) {
     let (now, lost) = (site.now, site.count(Place::Lost));
     let Some(rpc) = site.get_mut(id).filter(|rpc| rpc.answered) else {
         return;
@@ -32,7 +34,7 @@
     }
     if now - rpc.asked_at >= ASK_AFTER {
         rpc.asked_at = now;
-        out.inquire(id);
+        out.query_run(id);
     }
     let most = most(ceiling);
     if place == Place::Waiting && late >= STRANDED_AFTER {
--- a/crates/coralstep/src/observe.rs
+++ b/crates/coralstep/src/observe.rs
@@ -1,20 +1,22 @@
 //! What the decisions tell of themselves, and another level taken up.
-use super::{Bulkhead, Hold, Server};
-use crate::breaker::Breaker;
-use crate::door::*;
-use crate::level::{Level, Signals};
+use super::{Bulkhead, Hold, Scheduler};
+use crate::actions::*;
+use crate::circuit_breaker::{BreakerState, CircuitBreaker};
+use crate::degradation::{DegradationLevel, Signals};
+use crate::request::*;
 use crate::site::{Place, Site};
+use crate::time::*;
 
 /// So long after the last call ended nothing is known of its dependency's present slowness.
 const CALLS_TOLD: Span = Span::ms(5_000);
 
-impl Breaker {
-    pub fn name(&self) -> &'static str {
+impl CircuitBreaker {
+    pub fn state_name(&self) -> &'static str {
         self.state.name()
     }
 
     pub fn is_closed(&self) -> bool {
-        self.state == State::Closed
+        self.state == BreakerState::Closed
     }
 }
 
@@ -35,9 +37,9 @@
     }
 }
 
-impl Server {
+impl Scheduler {
     /// Another level holds from now on. What is held and is not let in any more is answered at once; what has run is untouched.
-    pub fn level(&mut self, now: Time, level: Level, out: &mut dyn Outlet) {
+    pub fn set_degradation(&mut self, now: Time, level: DegradationLevel, out: &mut dyn Actions) {
         self.site.now = now;
         let sheds = level != self.site.level;
         self.site.level = level;
@@ -48,18 +50,19 @@
     }
 
     /// Another version of the settings holds for what is read from now on; what was read before is decided under the one it was read under.
-    pub fn versioned(&mut self) {
+    pub fn begin_config_version(&mut self) {
         self.site.versioned();
     }
 
     /// The breaker, to be told to others.
-    pub fn breaker(&self) -> &Breaker {
+    pub fn breaker(&self) -> &CircuitBreaker {
         &self.breaker
     }
 
     /// What others saw of the dependency: so much evidence of its own does, and a cooldown that runs ends after `left`, where it says so.
-    pub fn hear(&mut self, now: Time, need: u32, left: Option<Span>) {
-        self.breaker.hear(need, left.map(|left| now + left));
+    pub fn apply_peer_reports(&mut self, now: Time, need: u32, left: Option<Span>) {
+        self.breaker
+            .apply_peer_reports(need, left.map(|left| now + left));
     }
 
     pub fn signals(&self) -> Signals {
@@ -73,14 +76,14 @@
             (site.tries.ok / site.tries.asked).min(1.0)
         };
         Signals {
-            hold: Some(Hold::waited(site)),
-            pushed_back: Some(1.0 - begun),
-            running: Some(site.count(Place::Running) as f64 / self.cores.limit.max(1) as f64),
-            breaker: flag(!self.breaker.is_closed()),
-            slowness: told.then(|| self.bulkhead.slowness(site)).flatten(),
+            queue_wait: Some(Hold::waited(site)),
+            rejected: Some(1.0 - begun),
+            concurrency: Some(site.count(Place::Running) as f64 / self.cores.limit.max(1) as f64),
+            breaker_open: flag(!self.breaker.is_closed()),
+            call_slowness: told.then(|| self.bulkhead.slowness(site)).flatten(),
             memory: Some(site.used_kb / site.memory_kb),
-            unread: Some(self.unread),
-            cold: flag(site.now < self.cores.cold_until),
+            read_delay: Some(self.unread),
+            warming_up: flag(site.now < self.cores.cold_until),
         }
     }
 }
--- a/crates/coralstep/src/site.rs
+++ b/crates/coralstep/src/site.rs
@@ -2,9 +2,11 @@
 //! Bookkeeping only; nothing is decided here.
 use nanorand::WyRand;
 
+use crate::config::*;
 use crate::constants::PERMIT_LINE;
-use crate::door::*;
-use crate::level::Level;
+use crate::degradation::DegradationLevel;
+use crate::request::*;
+use crate::time::*;
 
 /// Versions of the settings that RPCs here may have been read under: more come only if several change within one deadline.
 const VERSIONS: usize = 8;
@@ -187,10 +189,10 @@
     /// When a call last ended.
     pub called: Time,
     /// The level of reduced service that holds.
-    pub level: Level,
+    pub level: DegradationLevel,
     /// The version of the settings, and the last level under each of those before it.
     version: u32,
-    before: [Level; VERSIONS],
+    before: [DegradationLevel; VERSIONS],
     /// How long RPCs waited unread.
     pub reads: Histogram,
     pub asked: Vec<Tally>,
@@ -202,7 +204,7 @@
     /// Since when the tallies count.
     pub tallied: Time,
     pub over_share: f64,
-    pub goal: [f64; 3],
+    pub goal: GoalWeights,
     pub by_work: bool,
     pub run_factor: f64,
     pub may_stop: bool,
@@ -219,32 +221,28 @@
 }
 
 impl Site {
-    pub fn new(terms: &Terms, seed: u64, now: Time) -> Site {
+    pub fn new(terms: &SchedulerConfig, seed: u64, now: Time) -> Site {
         Site {
             now,
             methods: terms.methods.clone(),
             runs: vec![Histogram::default(); terms.methods.len()],
             calls: Histogram::default(),
             called: now,
-            level: Level::default(),
+            level: DegradationLevel::default(),
             version: 0,
-            before: [Level::default(); VERSIONS],
+            before: [DegradationLevel::default(); VERSIONS],
             reads: Histogram::default(),
             asked: vec![Tally::default(); terms.methods.len()],
-            tenants: vec![Tally::default(); terms.tenant_rates.len()],
+            tenants: vec![Tally::default(); terms.tenant_quotas.len()],
             tries: Tally::default(),
-            tenant_rates: terms.tenant_rates.clone(),
-            fleet: f64::from(terms.fleet.max(1)),
+            tenant_rates: terms.tenant_quotas.clone(),
+            fleet: f64::from(terms.fleet_size.max(1)),
             tallied: now,
-            over_share: terms.over_share,
-            goal: if terms.goal.iter().sum::<f64>() > 0.0 {
-                terms.goal
-            } else {
-                [1.0, 0.0, 0.0]
-            },
-            by_work: terms.worth_by_work,
-            run_factor: terms.run_factor.max(1.0),
-            alone: terms.cold,
+            over_share: terms.over_quota_weight,
+            goal: terms.goal.or_overall(),
+            by_work: terms.weight_per_work,
+            run_factor: terms.run_memory_factor.max(1.0),
+            alone: terms.warming_up,
             cores: terms.cores.max(1) as usize,
             may_stop: terms.preemption != Preemption::Off,
             rpcs: Vec::new(),
@@ -278,8 +276,8 @@
 
     /// The level that an RPC is decided under, from read to answer: that of the version it was read under. One that is out for every
     /// RPC holds for all.
-    pub fn under(&self, rpc: &Rpc) -> &Level {
-        if rpc.version == self.version || self.level.out {
+    pub fn under(&self, rpc: &Rpc) -> &DegradationLevel {
+        if rpc.version == self.version || self.level.fenced {
             return &self.level;
         }
         &self.before[rpc.version as usize % VERSIONS]
@@ -287,8 +285,8 @@
 
     /// Another version of the settings holds from now on.
     pub fn versioned(&mut self) {
-        self.before[self.version as usize % VERSIONS] = if self.level.out {
-            Level::default()
+        self.before[self.version as usize % VERSIONS] = if self.level.fenced {
+            DegradationLevel::default()
         } else {
             self.level
         };
@@ -296,12 +294,12 @@
     }
 
     /// The try that `prior` stands for now.
-    pub fn latest(&self, mut prior: Prior) -> Prior {
-        while let Prior::Of(old) = prior {
+    pub fn latest(&self, mut prior: EarlierAttempt) -> EarlierAttempt {
+        while let EarlierAttempt::Known(old) = prior {
             match self.get(old).map(|old| (old.ran, old.heir)) {
-                Some((false, Some(heir))) => prior = Prior::Of(heir),
+                Some((false, Some(heir))) => prior = EarlierAttempt::Known(heir),
                 Some(_) => break,
-                None => prior = Prior::Forgotten,
+                None => prior = EarlierAttempt::Forgotten,
             }
         }
         prior
@@ -321,7 +319,7 @@
     pub fn before_calls(&self) -> usize {
         let before =
             |rpc: &Rpc| rpc.calls == 0 && matches!(rpc.place, Place::Running | Place::Waiting);
-        let must = |rpc: &Rpc| self.method(rpc).calls && self.method(rpc).skip == 0.0;
+        let must = |rpc: &Rpc| self.method(rpc).calls && self.method(rpc).skip_value == 0.0;
         self.live
             .iter()
             .filter_map(|id| self.get(*id))
@@ -331,7 +329,7 @@
 
     /// Begun RPCs that must call and stand before or at their call.
     pub fn at_calls(&self) -> usize {
-        let must = |rpc: &&Rpc| self.method(rpc).calls && self.method(rpc).skip == 0.0;
+        let must = |rpc: &&Rpc| self.method(rpc).calls && self.method(rpc).skip_value == 0.0;
         let at = |rpc: &&Rpc| match rpc.place {
             Place::Running => rpc.calls == 0,
             place => matches!(place, Place::Waiting | Place::Calling),
@@ -352,7 +350,7 @@
             .sum()
     }
 
-    pub fn arrive(&mut self, arrival: &Arrival) {
+    pub fn arrive(&mut self, arrival: &Request) {
         let method = &self.methods[arrival.method];
         let arrived = self.now - arrival.age;
         let rpc = Rpc {
@@ -360,11 +358,11 @@
             tenant: arrival.tenant.filter(|tenant| *tenant < self.tenants.len()),
             arrived,
             due: arrival
-                .due
+                .deadline
                 .unwrap_or(arrived + method.deadline)
                 .max(self.now),
-            held_kb: arrival.held_kb,
-            retry: arrival.retry,
+            held_kb: arrival.queued_kb,
+            retry: arrival.is_retry,
             place: Place::Held,
             since: self.now,
             on_cores: Span::ZERO,
@@ -379,13 +377,13 @@
             version: self.version,
             heir: None,
         };
-        if !arrival.retry {
+        if !arrival.is_retry {
             self.asked[rpc.method].asked += 1.0;
             rpc.tenant
                 .inspect(|tenant| self.tenants[*tenant].asked += 1.0);
         }
         self.tries.asked += 1.0;
-        if !arrival.claimed {
+        if !arrival.untrusted_age {
             self.reads.add(arrival.age);
         }
         self.used_kb += rpc.held_kb;
@@ -478,7 +476,7 @@
             return;
         };
         let (method, tenant, took) = (rpc.method, rpc.tenant, rpc.on_cores);
-        let in_time = !rpc.answered && self.now - rpc.arrived <= self.method(rpc).target;
+        let in_time = !rpc.answered && self.now - rpc.arrived <= self.method(rpc).latency_objective;
         if place == Place::Running {
             self.runs[method].add(took);
         }
@@ -489,7 +487,7 @@
     }
 
     pub fn halve(&mut self) {
-        self.tallied = self.now - (self.now - self.tallied).share(0.5);
+        self.tallied = self.now - (self.now - self.tallied).scaled(0.5);
         self.reads.halve();
         self.runs.iter_mut().for_each(Histogram::halve);
         self.asked
--- a/crates/coralstep/src/state.rs
+++ b/crates/coralstep/src/state.rs
@@ -3,9 +3,9 @@
 use std::fmt::Write;
 use std::hash::{DefaultHasher, Hasher};
 
-use super::Server;
+use super::Scheduler;
 
-impl Server {
+impl Scheduler {
     /// The same for servers that will act alike from now on; almost never the same for others.
     pub fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
--- a/crates/coralstep/src/state/tests.rs
+++ b/crates/coralstep/src/state/tests.rs
@@ -2,29 +2,29 @@
 
 #[derive(Default)]
 struct Nobody;
-impl Outlet for Nobody {}
+impl Actions for Nobody {}
 
 #[test]
 fn the_same_history_is_the_same_state_and_another_another() {
-    let mut terms = Terms {
+    let mut terms = SchedulerConfig {
         cores: 2,
         memory_kb: 10_000.0,
-        ..Terms::default()
+        ..SchedulerConfig::default()
     };
     terms.methods.push(Method {
-        target: Span::ms(500),
+        latency_objective: Span::ms(500),
         deadline: Span::ms(2_000),
         ..Method::default()
     });
     let play = |rpcs: u32| {
-        let mut server = Server::start(&terms, 7, Time(0), &mut Nobody);
+        let mut server = Scheduler::start(&terms, 7, Time(0), &mut Nobody);
         for id in 0..rpcs {
-            let arrival = Arrival {
+            let arrival = Request {
                 id: RpcId(id),
-                held_kb: 1.0,
-                ..Arrival::default()
+                queued_kb: 1.0,
+                ..Request::default()
             };
-            server.rpc(Time(10), arrival, &mut Nobody);
+            server.handle_request(Time(10), arrival, &mut Nobody);
         }
         server.digest()
     };
--- a/crates/coralstep/tests/pinned.rs
+++ b/crates/coralstep/tests/pinned.rs
@@ -73,122 +73,136 @@
     }
 }
 
-impl Outlet for Recorder {
+impl Actions for Recorder {
     fn admit(&mut self, rpc: RpcId) {
         self.record(1, rpc, 0);
         self.phases.insert(rpc.0, Phase::Running);
     }
-    fn push_back(&mut self, rpc: RpcId, after: Span, last: bool) {
+    fn reject(&mut self, rpc: RpcId, after: Span, last: bool) {
         self.record(2, rpc, after.0 << 1 | u64::from(last));
     }
-    fn abort(&mut self, rpc: RpcId) {
+    fn fail(&mut self, rpc: RpcId) {
         self.record(3, rpc, 0);
     }
     fn call(&mut self, rpc: RpcId, patience: Span) {
         self.record(4, rpc, patience.0);
         self.phases.insert(rpc.0, Phase::Calling(self.now));
     }
-    fn skip(&mut self, rpc: RpcId) {
+    fn skip_call(&mut self, rpc: RpcId) {
         self.record(5, rpc, 0);
         self.phases.insert(rpc.0, Phase::Running);
     }
     fn preempt(&mut self, rpc: RpcId) {
         self.record(6, rpc, 0);
     }
-    fn inquire(&mut self, rpc: RpcId) {
+    fn query_run(&mut self, rpc: RpcId) {
         self.record(7, rpc, 0);
     }
-    fn keep_token(&mut self, rpc: RpcId, span: Span) {
+    fn retain_key(&mut self, rpc: RpcId, span: Span) {
         self.record(8, rpc, span.0);
     }
-    fn drop_token(&mut self, rpc: RpcId) {
+    fn release_key(&mut self, rpc: RpcId) {
         self.record(9, rpc, 0);
     }
     fn replay(&mut self, rpc: RpcId) {
         self.record(10, rpc, 0);
         self.phases.insert(rpc.0, Phase::Replaying);
     }
-    fn health(&mut self, good: bool) {
+    fn set_health(&mut self, good: bool) {
         self.record(11, RpcId(0), u64::from(good));
     }
-    fn advertise(&mut self, value: f64) {
+    fn report_load(&mut self, value: f64) {
         self.record(12, RpcId(0), value.to_bits());
     }
-    fn idle_limit(&mut self, span: Span) {
+    fn set_idle_timeout(&mut self, span: Span) {
         self.record(13, RpcId(0), span.0);
     }
-    fn timer(&mut self, span: Span) {
+    fn set_timer(&mut self, span: Span) {
         self.record(14, RpcId(0), span.0);
         self.timer = self.now + span;
     }
-    fn breaker(&mut self, turn: Turn) {
-        self.record(15, RpcId(turn.to.len() as u32), turn.rate.to_bits());
+    fn breaker_transition(&mut self, turn: Transition) {
+        self.record(15, RpcId(turn.to.len() as u32), turn.failure_rate.to_bits());
     }
-    fn release(&mut self, rpc: RpcId) {
+    fn release_id(&mut self, rpc: RpcId) {
         self.record(16, rpc, 0);
         self.phases.remove(&rpc.0);
         self.free.push(rpc.0);
     }
 }
 
-fn terms(variant: u64) -> Terms {
+fn terms(variant: u64) -> SchedulerConfig {
     let method = |effect, calls, skip, criticality| Method {
-        effect,
-        target: Span::ms(400),
+        idempotency: effect,
+        latency_objective: Span::ms(400),
         deadline: Span::ms(1_200),
-        window: Span::ms(4_000),
-        criticality,
-        late: 0.2,
-        skip,
+        retry_window: Span::ms(4_000),
+        priority_weight: criticality,
+        late_value: 0.2,
+        skip_value: skip,
         calls,
     };
-    Terms {
+    SchedulerConfig {
         methods: vec![
-            method(Effect::Idempotent, true, 0.4, 1.0),
-            method(Effect::NonIdempotent, true, 0.0, 4.0),
-            method(Effect::Tokened, false, 0.0, 2.0),
-            method(Effect::Idempotent, false, 0.0, 0.5),
+            method(Idempotency::Idempotent, true, 0.4, 1.0),
+            method(Idempotency::NonIdempotent, true, 0.0, 4.0),
+            method(Idempotency::Keyed, false, 0.0, 2.0),
+            method(Idempotency::Idempotent, false, 0.0, 0.5),
         ],
-        tenant_rates: vec![40.0, 10.0],
-        fleet: 3,
-        over_share: 0.2,
+        tenant_quotas: vec![40.0, 10.0],
+        fleet_size: 3,
+        over_quota_weight: 0.2,
         cores: 2 + 2 * variant as u32,
         memory_kb: if variant == 2 { 1_200.0 } else { 20_000.0 },
-        run_factor: 6.0,
+        run_memory_factor: 6.0,
         key_kb: 2.0,
-        cold: variant == 1,
+        warming_up: variant == 1,
         cold_speed: 0.3,
-        warm_after: Span::ms(3_000),
-        survivable_crowd: 4.0,
+        warm_up_time: Span::ms(3_000),
+        max_started_per_core: 4.0,
         drain_grace: Span::ms(300),
-        below: [Below::Shared(6.0), Below::Tier, Below::Shared(0.8)][variant as usize],
-        linger: Span::ms(500),
+        dependency: [
+            Dependency::Shared(6.0),
+            Dependency::Tier,
+            Dependency::Shared(0.8),
+        ][variant as usize],
+        abandoned_call_time: Span::ms(500),
         callers: 3,
-        advert: [Advert::Level, Advert::Credit, Advert::Weight][variant as usize],
-        preemption: Preemption::Drop,
-        caller_idle: Span::ms(60_000),
-        worth_by_work: variant == 1,
-        goal: [1.0, 0.3, 0.2],
+        load_report: [
+            LoadReportKind::Threshold,
+            LoadReportKind::Credit,
+            LoadReportKind::Weight,
+        ][variant as usize],
+        preemption: Preemption::Cancel,
+        max_idle_time: Span::ms(60_000),
+        weight_per_work: variant == 1,
+        goal: GoalWeights {
+            overall: 1.0,
+            worst_method: 0.3,
+            worst_tenant: 0.2,
+        },
     }
 }
 
-fn arrival(rng: &mut Rng, out: &mut Recorder) -> Arrival {
+fn arrival(rng: &mut Rng, out: &mut Recorder) -> Request {
     let prior = match rng.below(8) {
-        0 => out.pick(rng, |_| true).map_or(Prior::Forgotten, Prior::Of),
-        1 => Prior::Forgotten,
-        _ => Prior::Nothing,
+        0 => out
+            .pick(rng, |_| true)
+            .map_or(EarlierAttempt::Forgotten, EarlierAttempt::Known),
+        1 => EarlierAttempt::Forgotten,
+        _ => EarlierAttempt::None,
     };
-    Arrival {
+    Request {
         id: out.id(),
         method: rng.below(4) as usize,
         tenant: rng.below(3).checked_sub(1).map(|tenant| tenant as usize),
-        due: (rng.below(3) == 0).then_some(out.now + Span(rng.below(20_000))),
+        deadline: (rng.below(3) == 0).then_some(out.now + Span(rng.below(20_000))),
         work: None,
-        held_kb: 1.0 + rng.below(40) as f64,
-        retry: prior != Prior::Nothing || rng.below(6) == 0,
+        queued_kb: 1.0 + rng.below(40) as f64,
+        is_retry: prior != EarlierAttempt::None || rng.below(6) == 0,
         age: Span(rng.below(400)),
-        claimed: rng.below(20) == 0,
-        prior,
+        untrusted_age: rng.below(20) == 0,
+        earlier_attempt: prior,
     }
 }
 
@@ -196,9 +210,9 @@
     const FAILED: [Outcome; 5] = [
         Outcome::Error,
         Outcome::TimedOut,
-        Outcome::PushedBack,
+        Outcome::Rejected,
         Outcome::Unreachable,
-        Outcome::Broken,
+        Outcome::ConnectionLost,
     ];
     if failing || rng.below(12) == 0 {
         FAILED[rng.below(5) as usize]
@@ -217,25 +231,25 @@
 }
 
 /// One event of the history; the dependency fails in every third stretch of 5,000 events.
-fn step(server: &mut Server, rng: &mut Rng, out: &mut Recorder, event: u32) {
+fn step(server: &mut Scheduler, rng: &mut Rng, out: &mut Recorder, event: u32) {
     let now = out.now;
     match rng.below(20) {
         0..6 => {
             let arrival = arrival(rng, out);
-            server.rpc(now, arrival, out);
+            server.handle_request(now, arrival, out);
         }
         6..10 => {
             let id = out.pick(rng, |phase| {
                 matches!(phase, Phase::Running | Phase::Replaying)
             });
             if let Some(id) = id {
-                server.settled(now, id, run_result(rng), out);
+                server.handle_completion(now, id, run_result(rng), out);
             }
         }
         10..13 => {
             if let Some(id) = out.pick(rng, |phase| phase == Phase::Running) {
                 out.phases.insert(id.0, Phase::Waiting);
-                server.needs_call(now, id, out);
+                server.handle_call_needed(now, id, out);
             }
         }
         13..17 => {
@@ -247,33 +261,33 @@
                 if outcome == Outcome::Ok {
                     out.phases.insert(id.0, Phase::Running);
                 }
-                server.called(now, id, outcome, now - began, out);
+                server.handle_call_result(now, id, outcome, now - began, out);
             }
         }
         17 if rng.below(4) == 0 => {
             if let Some(id) = out.pick(rng, |_| true) {
-                server.gone(now, id, out);
+                server.handle_cancellation(now, id, out);
             }
         }
         18 if rng.below(200) == 0 => {
-            let level = Level {
-                hold: 0.5,
+            let level = DegradationLevel {
+                queue_limit_factor: 0.5,
                 skip_calls: rng.below(2) == 0,
-                value: 0.7,
-                ..Level::default()
+                load_report_factor: 0.7,
+                ..DegradationLevel::default()
             };
-            server.level(
+            server.set_degradation(
                 now,
                 if rng.below(2) == 0 {
                     level
                 } else {
-                    Level::default()
+                    DegradationLevel::default()
                 },
                 out,
             );
-            server.versioned();
+            server.begin_config_version();
         }
-        19 if rng.below(50) == 0 => server.hear(
+        19 if rng.below(50) == 0 => server.apply_peer_reports(
             now,
             2 + rng.below(19) as u32,
             Some(Span::ms(rng.below(900))),
@@ -283,7 +297,7 @@
 }
 
 /// The numbers and truth values of the whole state, sorted: the same whatever the fields are called and wherever they stand.
-fn state_digest(server: &Server) -> u64 {
+fn state_digest(server: &Scheduler) -> u64 {
     let text = server.state_text();
     let words = text.split(|at: char| !at.is_ascii_alphanumeric() && !matches!(at, '.' | '-'));
     let is_value = |word: &&str| {
@@ -311,18 +325,18 @@
         timer: Time(0),
     };
     let mut rng = Rng(seed);
-    let mut server = Server::start(&terms(variant), seed, out.now, &mut out);
+    let mut server = Scheduler::start(&terms(variant), seed, out.now, &mut out);
     for event in 0..EVENTS {
         out.now = out.now + Span(rng.below(60));
         if out.now >= out.timer {
             let gauges = Gauges {
-                busy: Some(rng.below(101) as f64 / 100.0),
-                connections: Some(rng.below(60) as f64),
+                cpu_busy: Some(rng.below(101) as f64 / 100.0),
+                open_connections: Some(rng.below(60) as f64),
             };
-            server.timer(out.now, gauges, &mut out);
+            server.handle_timeout(out.now, gauges, &mut out);
         }
         if event == EVENTS - 2_000 {
-            server.wind_down(out.now, out.now + Span::ms(4_000), &mut out);
+            server.begin_drain(out.now, out.now + Span::ms(4_000), &mut out);
         }
         step(&mut server, &mut rng, &mut out, event);
         if event % 1_000 == 0 {
--- a/crates/coralstep/tests/scenarios.rs
+++ b/crates/coralstep/tests/scenarios.rs
@@ -15,11 +15,11 @@
     }
 }
 
-impl Outlet for Answers {
+impl Actions for Answers {
     fn admit(&mut self, rpc: RpcId) {
         self.put("admit", rpc);
     }
-    fn push_back(&mut self, rpc: RpcId, after: Span, last: bool) {
+    fn reject(&mut self, rpc: RpcId, after: Span, last: bool) {
         // The usual advice goes without saying.
         let usual = [0, 250, 5_000].map(Span::ms).contains(&after);
         let after = if usual {
@@ -33,38 +33,38 @@
             if last { "" } else { " elsewhere" }
         ));
     }
-    fn abort(&mut self, rpc: RpcId) {
+    fn fail(&mut self, rpc: RpcId) {
         self.put("abort", rpc);
     }
     fn call(&mut self, rpc: RpcId, _patience: Span) {
         self.put("call", rpc);
     }
-    fn skip(&mut self, rpc: RpcId) {
+    fn skip_call(&mut self, rpc: RpcId) {
         self.put("skip", rpc);
     }
     fn preempt(&mut self, rpc: RpcId) {
         self.put("preempt", rpc);
     }
-    fn inquire(&mut self, rpc: RpcId) {
+    fn query_run(&mut self, rpc: RpcId) {
         self.put("inquire", rpc);
     }
-    fn keep_token(&mut self, rpc: RpcId, _span: Span) {
+    fn retain_key(&mut self, rpc: RpcId, _span: Span) {
         self.put("keep", rpc);
     }
-    fn drop_token(&mut self, rpc: RpcId) {
+    fn release_key(&mut self, rpc: RpcId) {
         self.put("forget", rpc);
     }
     fn replay(&mut self, rpc: RpcId) {
         self.put("replay", rpc);
     }
-    fn health(&mut self, good: bool) {
+    fn set_health(&mut self, good: bool) {
         self.0
             .push(format!("health {}", if good { "good" } else { "bad" }));
     }
-    fn advertise(&mut self, value: f64) {
+    fn report_load(&mut self, value: f64) {
         self.0.push(format!("value {value:.2}"));
     }
-    fn idle_limit(&mut self, span: Span) {
+    fn set_idle_timeout(&mut self, span: Span) {
         self.0.push(format!("idle {}", span.0 / 10));
     }
     fn log(&mut self, text: Arguments<'_>) {
@@ -94,58 +94,58 @@
     let get = |name: &str| pairs.get(name).map_or(0.0, |value| number(value));
     let span = |name: &str| Span::ms(get(name) as u64);
     Method {
-        effect: match words[0] {
-            "idempotent" => Effect::Idempotent,
-            "tokened" => Effect::Tokened,
-            "non-idempotent" => Effect::NonIdempotent,
+        idempotency: match words[0] {
+            "idempotent" => Idempotency::Idempotent,
+            "tokened" => Idempotency::Keyed,
+            "non-idempotent" => Idempotency::NonIdempotent,
             other => panic!("no effect {other}"),
         },
-        target: span("target"),
+        latency_objective: span("target"),
         deadline: span("deadline"),
-        window: span("window"),
-        criticality: pairs.get("worth").map_or(1.0, |worth| number(worth)),
-        late: get("late"),
-        skip: get("skip"),
+        retry_window: span("window"),
+        priority_weight: pairs.get("worth").map_or(1.0, |worth| number(worth)),
+        late_value: get("late"),
+        skip_value: get("skip"),
         calls: words.contains(&"calls"),
     }
 }
 
-fn set(terms: &mut Terms, words: &[&str]) {
+fn set(terms: &mut SchedulerConfig, words: &[&str]) {
     for (name, value) in pairs(words) {
         match name {
             "cores" => terms.cores = number(value) as u32,
             "memory" => terms.memory_kb = number(value),
-            "factor" => terms.run_factor = number(value),
+            "factor" => terms.run_memory_factor = number(value),
             "key" => terms.key_kb = number(value),
-            "crowd" => terms.survivable_crowd = number(value),
+            "crowd" => terms.max_started_per_core = number(value),
             "grace" => terms.drain_grace = ms(value),
             "advert" => {
-                terms.advert = match value {
-                    "weight" => Advert::Weight,
-                    "level" => Advert::Level,
-                    "credit" => Advert::Credit,
-                    _ => Advert::Off,
+                terms.load_report = match value {
+                    "weight" => LoadReportKind::Weight,
+                    "level" => LoadReportKind::Threshold,
+                    "credit" => LoadReportKind::Credit,
+                    _ => LoadReportKind::Off,
                 }
             }
             "preemption" => {
                 terms.preemption = match value {
-                    "drop" => Preemption::Drop,
+                    "drop" => Preemption::Cancel,
                     "pause" => Preemption::Pause,
                     _ => Preemption::Off,
                 }
             }
-            "idle" => terms.caller_idle = ms(value),
-            "linger" => terms.linger = ms(value),
+            "idle" => terms.max_idle_time = ms(value),
+            "linger" => terms.abandoned_call_time = ms(value),
             "cold" => {
-                (terms.cold, terms.cold_speed, terms.warm_after) =
+                (terms.warming_up, terms.cold_speed, terms.warm_up_time) =
                     (true, number(value), Span::ms(10_000))
             }
-            "share" => terms.below = Below::Shared(number(value)),
+            "share" => terms.dependency = Dependency::Shared(number(value)),
             "below" => {
-                terms.below = if value == "tier" {
-                    Below::Tier
+                terms.dependency = if value == "tier" {
+                    Dependency::Tier
                 } else {
-                    Below::Nothing
+                    Dependency::None
                 }
             }
             other => panic!("no term {other}"),
@@ -153,18 +153,18 @@
     }
 }
 
-fn level(words: &[&str]) -> Level {
+fn level(words: &[&str]) -> DegradationLevel {
     let pairs = pairs(words);
     let get = |name: &str, otherwise: f64| pairs.get(name).map_or(otherwise, |value| number(value));
-    Level {
-        least_criticality: get("least", 0.0),
-        effects_only: words.contains(&"effects_only"),
-        closed: words.contains(&"closed"),
-        out: false,
+    DegradationLevel {
+        min_priority_weight: get("least", 0.0),
+        reject_idempotent: words.contains(&"effects_only"),
+        reject_all: words.contains(&"closed"),
+        fenced: false,
         skip_calls: words.contains(&"skip_calls"),
-        hold: get("hold", 1.0),
-        value: get("value", 1.0),
-        back: Span::ms(get("back", 0.0) as u64),
+        queue_limit_factor: get("hold", 1.0),
+        load_report_factor: get("value", 1.0),
+        retry_after: Span::ms(get("back", 0.0) as u64),
     }
 }
 
@@ -172,18 +172,18 @@
     match word {
         "ok" => Outcome::Ok,
         "error" => Outcome::Error,
-        "pushed_back" => Outcome::PushedBack,
+        "pushed_back" => Outcome::Rejected,
         "timed_out" => Outcome::TimedOut,
         "unreachable" => Outcome::Unreachable,
-        "broken" => Outcome::Broken,
+        "broken" => Outcome::ConnectionLost,
         "cancelled" => Outcome::Cancelled,
         other => panic!("no outcome {other}"),
     }
 }
 
 struct Play {
-    terms: Terms,
-    server: Option<Server>,
+    terms: SchedulerConfig,
+    server: Option<Scheduler>,
     now: Time,
     gauges: Gauges,
     answers: Answers,
@@ -194,8 +194,8 @@
     fn line(&mut self, words: &[&str]) {
         match words[0] {
             "terms" => return set(&mut self.terms, &words[1..]),
-            "busy" => return self.gauges.busy = Some(number(words[1])),
-            "open" => return self.gauges.connections = Some(number(words[1])),
+            "busy" => return self.gauges.cpu_busy = Some(number(words[1])),
+            "open" => return self.gauges.open_connections = Some(number(words[1])),
             "method" => return self.terms.methods.push(method(&words[1..])),
             "=>" => {
                 let wanted = words[1..].join(" ");
@@ -211,15 +211,15 @@
         out.0.clear();
         let server = self
             .server
-            .get_or_insert_with(|| Server::start(&self.terms, 1, now, out));
+            .get_or_insert_with(|| Scheduler::start(&self.terms, 1, now, out));
         let id = || RpcId(number(words[1]) as u32);
         match words[0] {
             "rpc" => {
                 let pairs = pairs(words);
                 let age = pairs.get("age").map_or(Span::ZERO, |age| ms(age));
-                let prior = pairs
-                    .get("prior")
-                    .map_or(Prior::Nothing, |old| Prior::Of(RpcId(number(old) as u32)));
+                let prior = pairs.get("prior").map_or(EarlierAttempt::None, |old| {
+                    EarlierAttempt::Known(RpcId(number(old) as u32))
+                });
                 let method = pairs
                     .get("method")
                     .map_or(0, |method| number(method) as usize);
@@ -232,46 +232,46 @@
                     None => now - age + ms(due),
                 });
                 let id = id();
-                let arrival = Arrival {
+                let arrival = Request {
                     id,
                     method,
-                    due,
+                    deadline: due,
                     age,
-                    claimed,
-                    prior,
-                    held_kb,
-                    retry,
-                    ..Arrival::default()
+                    untrusted_age: claimed,
+                    earlier_attempt: prior,
+                    queued_kb: held_kb,
+                    is_retry: retry,
+                    ..Request::default()
                 };
-                server.rpc(now, arrival, out);
+                server.handle_request(now, arrival, out);
             }
-            "settled" => server.settled(now, id(), outcome(words[2]), out),
-            "needs_call" => server.needs_call(now, id(), out),
+            "settled" => server.handle_completion(now, id(), outcome(words[2]), out),
+            "needs_call" => server.handle_call_needed(now, id(), out),
             "called" => {
                 let took = pairs(words)
                     .get("took")
                     .map_or(Span::ms(1), |took| ms(took));
-                server.called(now, id(), outcome(words[2]), took, out);
+                server.handle_call_result(now, id(), outcome(words[2]), took, out);
             }
             // So many calls of one RPC, as it asks for them and as they end.
             "calls" => {
                 for call in 0..number(words[2]) as u32 {
                     if call % 2 == 0 || words[3] == "ok" {
-                        server.needs_call(now, id(), out);
+                        server.handle_call_needed(now, id(), out);
                     }
-                    server.called(now, id(), outcome(words[3]), Span::ms(1), out);
+                    server.handle_call_result(now, id(), outcome(words[3]), Span::ms(1), out);
                 }
                 out.0.retain(|answer| answer.starts_with("log"));
             }
-            "gone" => server.gone(now, id(), out),
-            "level" => server.level(now, level(&words[1..]), out),
-            "wind_down" => server.wind_down(now, now + ms(words[1]), out),
+            "gone" => server.handle_cancellation(now, id(), out),
+            "level" => server.set_degradation(now, level(&words[1..]), out),
+            "wind_down" => server.begin_drain(now, now + ms(words[1]), out),
             // Time passes, in beats.
             "wait" => {
                 let until = now + ms(words[1]);
                 while self.now < until {
                     self.now = (self.now + Span::ms(20)).min(until);
-                    server.timer(self.now, self.gauges, out);
+                    server.handle_timeout(self.now, self.gauges, out);
                 }
             }
             other => panic!("no step {other}"),
@@ -282,7 +282,7 @@
 fn play(path: &Path) -> usize {
     let text = std::fs::read_to_string(path).unwrap();
     let start = || Play {
-        terms: Terms::default(),
+        terms: SchedulerConfig::default(),
         server: None,
         now: Time(1_000_000),
         gauges: Gauges::default(),
