--- a/crates/coralstep-adapter/tests/texts.rs
+++ b/crates/coralstep-adapter/tests/texts.rs
@@ -16,9 +16,27 @@
 /// Batches: the time in milliseconds, then the events, each of server 3 where no other is named.
 const BATCHES: &[(u64, &[&str])] = &[
     (1_000, &[]),
-    (1_002, &["INBOUND handle=1 type=read user_group=north footprint=9.5 prior=0", "WANTS_CALL handle=1"]),
-    (1_020, &["REMINDER name=beat load=3,0.5", "CALLED handle=1 state_code=200 latency=15000000"]),
-    (1_030, &["SETTLED handle=1 state_code=200 latency=28000000", "INBOUND handle=2 type=save footprint=9"]),
+    (
+        1_002,
+        &[
+            "INBOUND handle=1 type=read user_group=north footprint=9.5 prior=0",
+            "WANTS_CALL handle=1",
+        ],
+    ),
+    (
+        1_020,
+        &[
+            "REMINDER name=beat load=3,0.5",
+            "CALLED handle=1 state_code=200 latency=15000000",
+        ],
+    ),
+    (
+        1_030,
+        &[
+            "SETTLED handle=1 state_code=200 latency=28000000",
+            "INBOUND handle=2 type=save footprint=9",
+        ],
+    ),
     (
         1_040,
         &[
@@ -26,15 +44,63 @@
             "INBOUND handle=4 type=save footprint=9 prior=99",
         ],
     ),
-    (1_050, &["SETTLED handle=2 state_code=200", "INBOUND handle=5 type=save footprint=9 prior=2"]),
-    (1_060, &["INBOUND handle=6 type=book footprint=50 due=1500000000", "ABORTED handle=6"]),
-    (1_070, &["INBOUND handle=7 type=read footprint=9", "SETTLED handle=7 state_code=502"]),
-    (1_080, &["INBOUND handle=8 type=read footprint=9", "WANTS_CALL handle=8"]),
-    (1_090, &["CALLED handle=8 state_code=429 latency=5000000", "SETTLED handle=8 state_code=408"]),
-    (1_100, &["INBOUND handle=9 type=read footprint=9000", "INBOUND handle=10 type=read footprint=9000"]),
-    (1_110, &["INBOUND handle=11 type=book footprint=9 user_group=nobody", "REMINDER name=beat load=,"]),
+    (
+        1_050,
+        &[
+            "SETTLED handle=2 state_code=200",
+            "INBOUND handle=5 type=save footprint=9 prior=2",
+        ],
+    ),
+    (
+        1_060,
+        &[
+            "INBOUND handle=6 type=book footprint=50 due=1500000000",
+            "ABORTED handle=6",
+        ],
+    ),
+    (
+        1_070,
+        &[
+            "INBOUND handle=7 type=read footprint=9",
+            "SETTLED handle=7 state_code=502",
+        ],
+    ),
+    (
+        1_080,
+        &[
+            "INBOUND handle=8 type=read footprint=9",
+            "WANTS_CALL handle=8",
+        ],
+    ),
+    (
+        1_090,
+        &[
+            "CALLED handle=8 state_code=429 latency=5000000",
+            "SETTLED handle=8 state_code=408",
+        ],
+    ),
+    (
+        1_100,
+        &[
+            "INBOUND handle=9 type=read footprint=9000",
+            "INBOUND handle=10 type=read footprint=9000",
+        ],
+    ),
+    (
+        1_110,
+        &[
+            "INBOUND handle=11 type=book footprint=9 user_group=nobody",
+            "REMINDER name=beat load=,",
+        ],
+    ),
     (1_300, &["REMINDER name=beat load=200,2.0"]),
-    (1_400, &["WIND_DOWN due=3000000000", "INBOUND handle=12 type=read footprint=9"]),
+    (
+        1_400,
+        &[
+            "WIND_DOWN due=3000000000",
+            "INBOUND handle=12 type=read footprint=9",
+        ],
+    ),
     (2_990, &["REMINDER name=beat load=200,2.0"]),
     (3_100, &["REMINDER name=beat load=1,0.1", "HALT"]),
 ];
@@ -60,10 +126,20 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    child.stdin.take().unwrap().write_all(input.as_bytes()).unwrap();
+    child
+        .stdin
+        .take()
+        .unwrap()
+        .write_all(input.as_bytes())
+        .unwrap();
     let output = child.wait_with_output().unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-    format!("exit {}\n{}{}", output.status.code().unwrap(), text(output.stdout), text(output.stderr))
+    format!(
+        "exit {}\n{}{}",
+        output.status.code().unwrap(),
+        text(output.stdout),
+        text(output.stderr)
+    )
 }
 
 fn day() -> String {
@@ -83,12 +159,20 @@
 #[test]
 fn replies_to_fixed_input_stay() {
     let mut text = format!("> a day of server 3\n{}", replies(&day()));
-    FAULTS.iter().for_each(|input| text += &format!("\n> {input:?}\n{}", replies(input)));
+    FAULTS
+        .iter()
+        .for_each(|input| text += &format!("\n> {input:?}\n{}", replies(input)));
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/replies.txt");
     if std::env::var_os("GOLDEN_WRITE").is_some() {
         std::fs::write(&path, &text).unwrap();
     }
     let golden = std::fs::read_to_string(&path).unwrap();
-    let differs = golden.lines().zip(text.lines()).find(|(golden, now)| golden != now);
-    assert!(golden == text, "first difference (golden, now): {differs:?}\n--- now:\n{text}");
+    let differs = golden
+        .lines()
+        .zip(text.lines())
+        .find(|(golden, now)| golden != now);
+    assert!(
+        golden == text,
+        "first difference (golden, now): {differs:?}\n--- now:\n{text}"
+    );
 }
--- a/crates/coralstep-lab/tests/texts.rs
+++ b/crates/coralstep-lab/tests/texts.rs
@@ -62,21 +62,36 @@
 ";
 
 fn said(words: &[&str]) -> String {
-    let output = Command::new(env!("CARGO_BIN_EXE_coralstep-lab")).args(words).output().unwrap();
+    let output = Command::new(env!("CARGO_BIN_EXE_coralstep-lab"))
+        .args(words)
+        .output()
+        .unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-    let (code, out, errors) = (output.status.code().unwrap(), text(output.stdout), text(output.stderr));
+    let (code, out, errors) = (
+        output.status.code().unwrap(),
+        text(output.stdout),
+        text(output.stderr),
+    );
     let call = [&["$ coralstep-lab"], words].concat().join(" ");
     format!("{call}\nexit {code}\n{out}{errors}\n")
 }
 
 fn same(name: &str, text: &str) {
-    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name);
     if std::env::var_os("GOLDEN_WRITE").is_some() {
         std::fs::write(&path, text).unwrap();
     }
     let golden = std::fs::read_to_string(&path).unwrap();
-    let differs = golden.lines().zip(text.lines()).find(|(golden, now)| golden != now);
-    assert!(golden == text, "{name}: first difference (golden, now): {differs:?}\n--- now:\n{text}");
+    let differs = golden
+        .lines()
+        .zip(text.lines())
+        .find(|(golden, now)| golden != now);
+    assert!(
+        golden == text,
+        "{name}: first difference (golden, now): {differs:?}\n--- now:\n{text}"
+    );
 }
 
 /// Guards against help that differs between commands, or names other words or options.
@@ -97,16 +112,20 @@
     let calls = WRONG_CALLS.lines().skip(1);
     same(
         "usage-errors.txt",
-        &calls.map(|line| said(&line.split_whitespace().collect::<Vec<_>>())).collect::<String>(),
+        &calls
+            .map(|line| said(&line.split_whitespace().collect::<Vec<_>>()))
+            .collect::<String>(),
     );
 }
 
 /// Guards against schemas or lists of worlds that editors and scripts read differently.
 #[test]
 fn schemas_and_worlds_stay() {
-    for (word, name) in
-        [("schema", "schema.txt"), ("fleet-schema", "fleet-schema.txt"), ("worlds", "worlds.txt")]
-    {
+    for (word, name) in [
+        ("schema", "schema.txt"),
+        ("fleet-schema", "fleet-schema.txt"),
+        ("worlds", "worlds.txt"),
+    ] {
         same(name, &said(&[word]));
     }
 }
--- a/crates/coralstep-server/tests/texts/faults.rs
+++ b/crates/coralstep-server/tests/texts/faults.rs
@@ -80,7 +80,10 @@
     ("/settings/realms", "[\"north\"]"),
     ("/settings/realms/0/name", ""),
     ("/settings/realms/0/name", "4"),
-    ("/settings/realms/1", "{\"name\": \"north\", \"quota_rps\": 5}"),
+    (
+        "/settings/realms/1",
+        "{\"name\": \"north\", \"quota_rps\": 5}",
+    ),
     ("/settings/realms/0/quota_rps", ""),
     ("/settings/realms/0/quota_rps", "-5"),
     ("/settings/realms/0/quota_rps", "\"50\""),
@@ -163,12 +166,21 @@
     ("/scgi/routes/0/path", "\"/a//b\""),
     ("/scgi/routes/0/path", "\"/*/b\""),
     ("/scgi/routes/0/path", "\"/a{b}\""),
-    ("/scgi/routes/0/path", "\"/1/2/3/4/5/6/7/8/9/10/11/12/13/14/15/16/17\""),
+    (
+        "/scgi/routes/0/path",
+        "\"/1/2/3/4/5/6/7/8/9/10/11/12/13/14/15/16/17\"",
+    ),
     ("/scgi/routes/0/method", "\"fly\""),
-    ("/scgi/routes/1", "{\"verb\": \"POST\", \"path\": \"/pay\", \"method\": \"pay\"}"),
+    (
+        "/scgi/routes/1",
+        "{\"verb\": \"POST\", \"path\": \"/pay\", \"method\": \"pay\"}",
+    ),
     ("/scgi/health", "\"health\""),
     ("/scgi/health", "3"),
-    ("/scgi/routes/1", "{\"verb\": \"GET\", \"path\": \"/health\", \"method\": \"pay\"}"),
+    (
+        "/scgi/routes/1",
+        "{\"verb\": \"GET\", \"path\": \"/health\", \"method\": \"pay\"}",
+    ),
     ("/scgi/headers/fly", "\"X\""),
     ("/scgi/headers/tenant", "\"\""),
     ("/scgi/headers/id", "\"A B\""),
@@ -190,7 +202,10 @@
     ("/applications/addresses", ""),
     ("/applications/addresses", "[]"),
     ("/applications/addresses", "[\"here\"]"),
-    ("/applications/addresses", "[\"127.0.0.1:9\", \"127.0.0.1:9\"]"),
+    (
+        "/applications/addresses",
+        "[\"127.0.0.1:9\", \"127.0.0.1:9\"]",
+    ),
     ("/applications/paths", "{\"fly\": \"/fly\"}"),
     ("/applications/paths", "{\"pay\": \"pay\"}"),
     ("/applications/paths", "{\"pay\": \"/a\\u0000b\"}"),
@@ -229,7 +244,10 @@
     ("/fleet", ""),
     ("/fleet/fly", "1"),
     ("/fleet/name", "\"\""),
-    ("/fleet/name", "\"12345678901234567890123456789012345678901234567890123456789012345\""),
+    (
+        "/fleet/name",
+        "\"12345678901234567890123456789012345678901234567890123456789012345\"",
+    ),
     ("/fleet/listen", "\"here\""),
     ("/fleet/listen", "\"0.0.0.0:7000\""),
     ("/fleet/advertise", "\"[::]:7000\""),
@@ -246,7 +264,10 @@
     ("/fleet/keepers", "[]"),
     ("/fleet/keepers", "[\"\"]"),
     ("/fleet/keepers", "[\"a\", \"a\"]"),
-    ("/fleet/keepers", "[\"a\",\"b\",\"c\",\"d\",\"e\",\"f\",\"g\",\"h\",\"i\",\"j\"]"),
+    (
+        "/fleet/keepers",
+        "[\"a\",\"b\",\"c\",\"d\",\"e\",\"f\",\"g\",\"h\",\"i\",\"j\"]",
+    ),
     ("/fleet/lease_ms", "1999"),
     ("/fleet/lease_ms", "600001"),
     ("/fleet/lease_ms", "10000"),
@@ -258,12 +279,18 @@
     ("/limits/0/fly", "1"),
     ("/limits/0/name", ""),
     ("/limits/0/name", "\"\""),
-    ("/limits/0/name", "\"12345678901234567890123456789012345678901234567890123456789012345\""),
+    (
+        "/limits/0/name",
+        "\"12345678901234567890123456789012345678901234567890123456789012345\"",
+    ),
     ("/limits/0/tenant", "\"west\""),
     ("/limits/0/method", "\"fly\""),
     ("/limits/0/dependency", "\"disk\""),
     ("/limits/0/tenant", ""),
-    ("/limits/0", "{\"name\": \"x\", \"method\": \"pay\", \"dependency\": \"store\", \"rps\": 5}"),
+    (
+        "/limits/0",
+        "{\"name\": \"x\", \"method\": \"pay\", \"dependency\": \"store\", \"rps\": 5}",
+    ),
     ("/limits/0/rps", ""),
     ("/limits/0/rps", "0"),
     ("/limits/0/rps", "1000001"),
@@ -277,8 +304,14 @@
     ("/limits/1/burst", "5"),
     ("/limits/1/name", "\"north\""),
     ("/limits/0/cut_off", "\"open\""),
-    ("/limits/0/cut_off", "{\"open\": {\"each\": -1, \"most\": 5}}"),
-    ("/limits/0/cut_off", "{\"open\": {\"each\": 1, \"most\": 1000001}}"),
+    (
+        "/limits/0/cut_off",
+        "{\"open\": {\"each\": -1, \"most\": 5}}",
+    ),
+    (
+        "/limits/0/cut_off",
+        "{\"open\": {\"each\": 1, \"most\": 1000001}}",
+    ),
     ("/limits/0/cut_off", "{\"open\": {\"each\": 1}}"),
     (
         "/limits/2",
@@ -305,20 +338,47 @@
     ("/levels/list/1/name", "\"a b\""),
     ("/levels/list/1/name", "\"full\""),
     ("/levels/list/1/fly", "1"),
-    ("/levels/list/0/when", "[{\"signal\": \"cold\", \"enter\": 0.5, \"leave\": 0.1}]"),
+    (
+        "/levels/list/0/when",
+        "[{\"signal\": \"cold\", \"enter\": 0.5, \"leave\": 0.1}]",
+    ),
     ("/levels/list/1/when", "[]"),
     ("/levels/list/1/when/0/signal", "\"mood\""),
     ("/levels/list/1/when/0/enter", ""),
-    ("/levels/list/1/when/1", "{\"signal\": \"memory\", \"enter\": 0.9, \"leave\": 0.1}"),
+    (
+        "/levels/list/1/when/1",
+        "{\"signal\": \"memory\", \"enter\": 0.9, \"leave\": 0.1}",
+    ),
     ("/levels/list/1/when/0/enter", "0"),
     ("/levels/list/1/when/0/enter", "1"),
-    ("/levels/list/1/when/0", "{\"signal\": \"hold\", \"enter\": 4, \"leave\": 0.1}"),
-    ("/levels/list/1/when/0", "{\"signal\": \"running\", \"enter\": 4, \"leave\": 0.1}"),
-    ("/levels/list/1/when/0", "{\"signal\": \"unread\", \"enter\": 20, \"leave\": 0.1}"),
-    ("/levels/list/1/when/0", "{\"signal\": \"slowness\", \"enter\": 1000, \"leave\": 0.1}"),
-    ("/levels/list/1/when/0", "{\"signal\": \"pushed_back\", \"enter\": 1, \"leave\": 0.1}"),
-    ("/levels/list/1/when/0", "{\"signal\": \"breaker\", \"enter\": 1, \"leave\": 0.1}"),
-    ("/levels/list/1/when/0", "{\"signal\": \"cold\", \"enter\": 1, \"leave\": 0.1}"),
+    (
+        "/levels/list/1/when/0",
+        "{\"signal\": \"hold\", \"enter\": 4, \"leave\": 0.1}",
+    ),
+    (
+        "/levels/list/1/when/0",
+        "{\"signal\": \"running\", \"enter\": 4, \"leave\": 0.1}",
+    ),
+    (
+        "/levels/list/1/when/0",
+        "{\"signal\": \"unread\", \"enter\": 20, \"leave\": 0.1}",
+    ),
+    (
+        "/levels/list/1/when/0",
+        "{\"signal\": \"slowness\", \"enter\": 1000, \"leave\": 0.1}",
+    ),
+    (
+        "/levels/list/1/when/0",
+        "{\"signal\": \"pushed_back\", \"enter\": 1, \"leave\": 0.1}",
+    ),
+    (
+        "/levels/list/1/when/0",
+        "{\"signal\": \"breaker\", \"enter\": 1, \"leave\": 0.1}",
+    ),
+    (
+        "/levels/list/1/when/0",
+        "{\"signal\": \"cold\", \"enter\": 1, \"leave\": 0.1}",
+    ),
     ("/levels/list/1/when/0/leave", "-0.1"),
     ("/levels/list/1/when/0/leave", "0.85"),
     ("/levels/list/1/when/0/enter_ms", "99"),
@@ -339,7 +399,14 @@
 ];
 
 /// Files that are no objects of their kind at all.
-const TEXTS: [&str; 6] = ["", "nothing", "[]", "{", "{} {}", "{\"name\": 1, \"name\": 2}"];
+const TEXTS: [&str; 6] = [
+    "",
+    "nothing",
+    "[]",
+    "{",
+    "{} {}",
+    "{\"name\": 1, \"name\": 2}",
+];
 
 fn config() -> Value {
     let address = "127.0.0.1:9";
@@ -368,9 +435,15 @@
     let mut file = file.clone();
     let (parent, key) = pointer.rsplit_once('/').unwrap();
     let value: Option<Value> = (!value.is_empty()).then(|| serde_json::from_str(value).unwrap());
-    match (file.pointer_mut(parent).unwrap_or_else(|| panic!("{pointer}")), value) {
+    match (
+        file.pointer_mut(parent)
+            .unwrap_or_else(|| panic!("{pointer}")),
+        value,
+    ) {
         (Value::Object(members), Some(value)) => drop(members.insert(key.to_owned(), value)),
-        (Value::Object(members), None) => drop(members.remove(key).unwrap_or_else(|| panic!("{pointer}"))),
+        (Value::Object(members), None) => {
+            drop(members.remove(key).unwrap_or_else(|| panic!("{pointer}")))
+        }
         (Value::Array(items), Some(value)) => {
             let at = key.parse().unwrap();
             items.truncate(at);
@@ -384,17 +457,31 @@
 /// Lists that are too long to be written out: pointer, and how many of which element, `#` its number.
 const LONG: [(&str, usize, &str); 8] = [
     ("/scgi/listen", 17, "\"127.0.0.1:#\""),
-    ("/scgi/routes", 4_097, "{\"verb\": \"POST\", \"path\": \"/#\", \"method\": \"pay\"}"),
+    (
+        "/scgi/routes",
+        4_097,
+        "{\"verb\": \"POST\", \"path\": \"/#\", \"method\": \"pay\"}",
+    ),
     ("/applications/addresses", 4_097, "\"127.0.0.1:#\""),
     ("/fleet/peers", 257, "\"127.0.0.1:#\""),
     ("/fleet/networks", 257, "\"127.0.0.0/8\""),
-    ("/limits", 10_001, "{\"name\": \"l#\", \"method\": \"pay\", \"rps\": 5}"),
+    (
+        "/limits",
+        10_001,
+        "{\"name\": \"l#\", \"method\": \"pay\", \"rps\": 5}",
+    ),
     ("/levels/list", 17, "{\"name\": \"l#\"}"),
-    ("/levels/list/1/when", 17, "{\"signal\": \"memory\", \"enter\": 0.9, \"leave\": 0.#}"),
+    (
+        "/levels/list/1/when",
+        17,
+        "{\"signal\": \"memory\", \"enter\": 0.9, \"leave\": 0.#}",
+    ),
 ];
 
 fn long(count: usize, element: &str) -> String {
-    let items: Vec<String> = (1..=count).map(|at| element.replace('#', &at.to_string())).collect();
+    let items: Vec<String> = (1..=count)
+        .map(|at| element.replace('#', &at.to_string()))
+        .collect();
     format!("[{}]", items.join(","))
 }
 
@@ -412,7 +499,11 @@
     folder.write(file, text);
     let files = ["--config", "config.json", "--site", "site.json"];
     // What may be left out beside a site file is missing without one.
-    let words = if file == "config.json" { &files[..2] } else { &files[..] };
+    let words = if file == "config.json" {
+        &files[..2]
+    } else {
+        &files[..]
+    };
     let (code, out, errors) = run(&folder.0, &[&["check"], words].concat());
     format!("    {code} {out}{errors}")
 }
@@ -422,19 +513,30 @@
 fn what_is_said_of_faulty_files_stays() {
     let folder = Folder::new("faults");
     let mut text = String::new();
-    for (name, file, rows) in [("config.json", config(), CONFIG), ("site.json", site(), SITE)] {
+    for (name, file, rows) in [
+        ("config.json", config(), CONFIG),
+        ("site.json", site(), SITE),
+    ] {
         text += &format!("{name}\n{}", checked(&folder, name, &file.to_string()));
         for content in TEXTS {
             text += &format!("{name} {content:?}\n{}", checked(&folder, name, content));
         }
         for (pointer, value) in rows {
             let said = checked(&folder, name, &edited(&file, pointer, value));
-            let value = if value.is_empty() { "left out".to_owned() } else { shown(value) };
+            let value = if value.is_empty() {
+                "left out".to_owned()
+            } else {
+                shown(value)
+            };
             text += &format!("{name} {pointer} {value}\n{said}");
         }
     }
     for (pointer, count, element) in LONG {
-        let said = checked(&folder, "site.json", &edited(&site(), pointer, &long(count, element)));
+        let said = checked(
+            &folder,
+            "site.json",
+            &edited(&site(), pointer, &long(count, element)),
+        );
         text += &format!("site.json {pointer} {count} times {element}\n{said}");
     }
     golden::same("faulty-files.txt", &text);
@@ -472,9 +574,14 @@
     let mut text = String::new();
     for variables in calls {
         let (code, out, errors) = run_with(&folder.0, &["check"], variables);
-        let variables: Vec<String> =
-            variables.iter().map(|(name, value)| format!("{name}={value}")).collect();
-        text += &format!("{} coralstep check\n    {code} {out}{errors}", variables.join(" "));
+        let variables: Vec<String> = variables
+            .iter()
+            .map(|(name, value)| format!("{name}={value}"))
+            .collect();
+        text += &format!(
+            "{} coralstep check\n    {code} {out}{errors}",
+            variables.join(" ")
+        );
     }
     golden::same("variables.txt", &text);
 }
--- a/crates/coralstep-server/tests/texts/golden.rs
+++ b/crates/coralstep-server/tests/texts/golden.rs
@@ -8,7 +8,9 @@
 const SETTLE: Duration = Duration::from_secs(8);
 
 fn path(name: &str) -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/texts").join(name)
+    PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden/texts")
+        .join(name)
 }
 
 fn writes() -> bool {
@@ -21,8 +23,14 @@
         std::fs::write(path(name), text).unwrap();
     }
     let golden = std::fs::read_to_string(path(name)).unwrap_or_else(|why| panic!("{name}: {why}"));
-    let differs = golden.lines().zip(text.lines()).find(|(golden, now)| golden != now);
-    assert!(golden == text, "{name}: first difference (golden, now): {differs:?}\n--- now:\n{text}");
+    let differs = golden
+        .lines()
+        .zip(text.lines())
+        .find(|(golden, now)| golden != now);
+    assert!(
+        golden == text,
+        "{name}: first difference (golden, now): {differs:?}\n--- now:\n{text}"
+    );
 }
 
 /// What `text` says of a live server becomes that of the golden file, and is so at one moment.
--- a/crates/coralstep-server/tests/texts/live.rs
+++ b/crates/coralstep-server/tests/texts/live.rs
@@ -18,14 +18,19 @@
 /// Two servers with levels, limits, verdicts and a store, that know each other.
 fn fleet() -> (Fleet, Store) {
     let store: Dependency =
-        serde_json::from_value(json!({"capacity": 200, "call_ms": {"fixed": 20.0}, "fails": 0.0})).unwrap();
+        serde_json::from_value(json!({"capacity": 200, "call_ms": {"fixed": 20.0}, "fails": 0.0}))
+            .unwrap();
     let store = Store::start(&store, 5).unwrap();
     let limits = json!([
         {"name": "north", "tenant": "north", "rps": 40.0, "burst": 40},
         {"name": "reads", "method": "read", "in_hand": 50}
     ]);
     let more = json!({"keepers": ["n0"], "verdicts": {}});
-    let setup = Setup { store: Some(store.address), limits, ..Setup::new(more) };
+    let setup = Setup {
+        store: Some(store.address),
+        limits,
+        ..Setup::new(more)
+    };
     let fleet = Fleet::set_up(Path::new(env!("CARGO_BIN_EXE_coralstep")), 2, 11, setup).unwrap();
     let met = |fleet: &Fleet| (0..2).all(|at| fleet.alive(at).is_ok_and(|alive| alive == 2));
     assert!(fleet.until(LIMIT, met).is_some(), "they don't meet");
@@ -75,13 +80,23 @@
 /// Publishes `content` at the server: why it is turned down, in the end, or that it is acted on.
 fn turned_down(folder: &Folder, at: &str, content: &str) -> String {
     folder.write("version.json", content);
-    let ask = |call: &str| run(&folder.0, &[&words(call)[..], &["--at", at, "--json"]].concat()).1;
+    let ask = |call: &str| {
+        run(
+            &folder.0,
+            &[&words(call)[..], &["--at", at, "--json"]].concat(),
+        )
+        .1
+    };
     let published: Value = serde_json::from_str(&ask("fleet publish version.json")).unwrap();
     let start = Instant::now();
     loop {
         let rows = ask("fleet versions");
-        let mut rows = rows.lines().map(|row| serde_json::from_str::<Value>(row).unwrap());
-        let row = rows.find(|row| row["version"] == published["published"]).unwrap();
+        let mut rows = rows
+            .lines()
+            .map(|row| serde_json::from_str::<Value>(row).unwrap());
+        let row = rows
+            .find(|row| row["version"] == published["published"])
+            .unwrap();
         match row["turned_down"].as_str() {
             Some(why) => return why.to_owned(),
             None if row["acts_on"] == true => return "acted on".to_owned(),
@@ -106,26 +121,44 @@
     assert!(fleet.until(LIMIT, read).is_some(), "no RPC ends well");
     folder.write("version.json", r#"{"levels": {"record_ms": 1000}}"#);
     let published = ask("fleet publish version.json --json");
-    assert_eq!((published.0, kinds(&published.1)), (0, " object\n.published string\n".to_owned()));
+    assert_eq!(
+        (published.0, kinds(&published.1)),
+        (0, " object\n.published string\n".to_owned())
+    );
     let version: Value = serde_json::from_str(&published.1).unwrap();
     let version = version["published"].as_str().unwrap();
-    assert!(fleet.until(LIMIT, |fleet| fleet.all_on(version)).is_some(), "{version}");
+    assert!(
+        fleet.until(LIMIT, |fleet| fleet.all_on(version)).is_some(),
+        "{version}"
+    );
 
-    let by_hand = ["fleet shut-out n1 --json", "fleet let-in n1 --json", HELD, "levels release"];
+    let by_hand = [
+        "fleet shut-out n1 --json",
+        "fleet let-in n1 --json",
+        HELD,
+        "levels release",
+    ];
     let mut answers = by_hand.map(told).concat();
     answers += &told(&format!("{HELD} --json"));
     // One change of level at the least is in the history, and the hold goes on.
     golden::becomes("live-keys.txt", || {
-        let shown =
-            ["members", "versions", "audit", "limits", "verdicts"].map(|what| format!("fleet {what}"));
+        let shown = ["members", "versions", "audit", "limits", "verdicts"]
+            .map(|what| format!("fleet {what}"));
         let levels = ["levels show", "levels history"].map(str::to_owned);
         let mut text = String::new();
         for call in shown.iter().chain(&levels) {
             let (code, out, errors) = ask(&format!("{call} --json"));
-            text += &format!("$ coralstep {call} --json\nexit {code}\n{}{errors}", kinds(&out));
+            text += &format!(
+                "$ coralstep {call} --json\nexit {code}\n{}{errors}",
+                kinds(&out)
+            );
             let table = ask(call).1;
             let head = table.lines().next().unwrap_or_default();
-            text += &if call.starts_with("fleet") { format!("head: {head}\n\n") } else { "\n".to_owned() };
+            text += &if call.starts_with("fleet") {
+                format!("head: {head}\n\n")
+            } else {
+                "\n".to_owned()
+            };
         }
         text
     });
@@ -133,8 +166,9 @@
     answers += &["levels release --json"; 2].map(told).concat();
     golden::same("by-hand.txt", &answers);
 
-    let mut text =
-        VERSIONS.map(|content| format!("{content}\n    {}\n", turned_down(&folder, &at, content))).concat();
+    let mut text = VERSIONS
+        .map(|content| format!("{content}\n    {}\n", turned_down(&folder, &at, content)))
+        .concat();
     let wrong = [
         "fleet shut-out nobody",
         "fleet let-in nobody",
@@ -165,11 +199,18 @@
         "levels hold full --for 5",
         "levels release",
     ];
-    let call = |call: &str| said(&folder.0, &words(&format!("{call} --json --at unix:operator.sock")));
+    let call = |call: &str| {
+        said(
+            &folder.0,
+            &words(&format!("{call} --json --at unix:operator.sock")),
+        )
+    };
     let mut text = calls.map(call).join("\n");
     for question in QUESTIONS {
         let mut stream = UnixStream::connect(&socket).unwrap();
-        stream.write_all(format!("{question}\n").as_bytes()).unwrap();
+        stream
+            .write_all(format!("{question}\n").as_bytes())
+            .unwrap();
         let mut answer = String::new();
         stream.read_to_string(&mut answer).unwrap();
         text += &format!("\n{question}\n{answer}");
--- a/crates/coralstep-server/tests/texts/main.rs
+++ b/crates/coralstep-server/tests/texts/main.rs
@@ -33,7 +33,11 @@
     command.envs(variables.iter().copied());
     let output = command.output().unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-    (output.status.code().unwrap(), text(output.stdout), text(output.stderr))
+    (
+        output.status.code().unwrap(),
+        text(output.stdout),
+        text(output.stderr),
+    )
 }
 
 /// An empty folder of this process, removed at the end.
@@ -41,7 +45,8 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("coralstep-texts-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("coralstep-texts-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
         std::fs::create_dir_all(&path).unwrap();
         Folder(path)
@@ -71,19 +76,32 @@
         };
         all.entry(path.clone()).or_default().insert(kind);
         match value {
-            Value::Array(items) => items.iter().for_each(|item| walk(format!("{path}[]"), item, all)),
+            Value::Array(items) => items
+                .iter()
+                .for_each(|item| walk(format!("{path}[]"), item, all)),
             Value::Object(members) => {
-                members.iter().for_each(|(key, value)| walk(format!("{path}.{key}"), value, all));
+                members
+                    .iter()
+                    .for_each(|(key, value)| walk(format!("{path}.{key}"), value, all));
             }
             _ => {}
         }
     }
     let mut all = BTreeMap::new();
     for value in serde_json::Deserializer::from_str(documents).into_iter() {
-        walk(String::new(), &value.unwrap_or_else(|why| panic!("{why}: {documents}")), &mut all);
+        walk(
+            String::new(),
+            &value.unwrap_or_else(|why| panic!("{why}: {documents}")),
+            &mut all,
+        );
     }
     all.into_iter()
-        .map(|(path, kinds)| format!("{path} {}\n", kinds.into_iter().collect::<Vec<_>>().join("|")))
+        .map(|(path, kinds)| {
+            format!(
+                "{path} {}\n",
+                kinds.into_iter().collect::<Vec<_>>().join("|")
+            )
+        })
         .collect()
 }
 
@@ -110,10 +128,17 @@
         &["state", "--help"],
         &["state", "verify", "-h"],
     ];
-    golden::same("help.txt", &calls.map(|words| said(&folder.0, words)).join("\n"));
+    golden::same(
+        "help.txt",
+        &calls.map(|words| said(&folder.0, words)).join("\n"),
+    );
     let version = format!("coralstep {}\n", env!("CARGO_PKG_VERSION"));
     for words in ["version", "--version", "-V"] {
-        assert_eq!(run(&folder.0, &[words]), (0, version.clone(), String::new()), "{words}");
+        assert_eq!(
+            run(&folder.0, &[words]),
+            (0, version.clone(), String::new()),
+            "{words}"
+        );
     }
 }
 
@@ -191,7 +216,10 @@
 fn usage_errors_stay() {
     let folder = Folder::new("usage");
     folder.write("nothing.json", "nothing\n");
-    let calls = WRONG_CALLS.lines().skip(1).map(|line| said(&folder.0, &words(line)));
+    let calls = WRONG_CALLS
+        .lines()
+        .skip(1)
+        .map(|line| said(&folder.0, &words(line)));
     golden::same("usage-errors.txt", &calls.collect::<Vec<_>>().join("\n"));
 }
 
@@ -218,14 +246,18 @@
         "levels replay record.json --json",
         "levels replay record.json --site site.json --json",
     ];
-    golden::same("levels-replay.txt", &calls.map(|call| said(&folder.0, &words(call))).join("\n"));
+    golden::same(
+        "levels-replay.txt",
+        &calls.map(|call| said(&folder.0, &words(call))).join("\n"),
+    );
 }
 
 /// Guards against keys of `state` that change, and against other verdicts on files that are spoilt.
 #[test]
 fn what_state_says_of_a_folder_stays() {
     let folder = Folder::new("state");
-    let site = serde_json::json!({"state": {"folder": folder.0.join("kept"), "every_s": 1}}).to_string();
+    let site =
+        serde_json::json!({"state": {"folder": folder.0.join("kept"), "every_s": 1}}).to_string();
     let mut rig = Rig::site(&site);
     let runs = rig.engine(0, "old 1000").go_on("0.5 1 0.1 3", true);
     let mut gate = rig.gate();
@@ -235,7 +267,11 @@
     assert_eq!(rig.ended().code(), Some(0));
     drop((rig, runs));
     let mut text = String::new();
-    for call in ["state show kept --json", "state verify kept --json", "state export kept"] {
+    for call in [
+        "state show kept --json",
+        "state verify kept --json",
+        "state export kept",
+    ] {
         let (code, out, errors) = run(&folder.0, &words(call));
         text += &format!("$ coralstep {call}\nexit {code}\n{}{errors}\n", kinds(&out));
     }
@@ -250,5 +286,8 @@
         "state verify spoilt --json",
         "state export spoilt",
     ];
-    golden::same("state-spoilt.txt", &calls.map(|call| said(&folder.0, &words(call))).join("\n"));
+    golden::same(
+        "state-spoilt.txt",
+        &calls.map(|call| said(&folder.0, &words(call))).join("\n"),
+    );
 }
