--- a/crates/coralstep-lab/src/fleet/mod.rs
+++ b/crates/coralstep-lab/src/fleet/mod.rs
@@ -4,11 +4,14 @@
 pub mod guest;
 pub mod judge;
 pub mod links;
+pub mod mixed_builds;
 pub mod play;
 pub mod processes;
+pub mod programs;
 
 pub use crate::emulate::wire::Faults;
 pub use drive::{Answer, Drive};
 pub use guest::Guest;
 pub use links::{Fault, Links};
 pub use processes::{Fleet, Setup, Told};
+pub use programs::Programs;
--- a/crates/coralstep-lab/src/fleet/play.rs
+++ b/crates/coralstep-lab/src/fleet/play.rs
@@ -1,5 +1,4 @@
 //! A play of processes: a file says how many, what load, and what happens when. What failed can be played again from the same file.
-use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
@@ -8,7 +7,7 @@
 use serde_json::{Value, json};
 
 use super::judge::{Breach, Judge, Seen};
-use super::{Fault, Fleet, Told};
+use super::{Fault, Fleet, Programs, Told};
 
 /// Processes and steps at the most.
 const PROCESSES_MOST: usize = 400;
@@ -129,9 +128,14 @@
         text
     }
 
-    /// Plays it with `program`; `told` hears what happens, and `stop` ends it early.
-    pub fn run(&self, program: &Path, stop: &AtomicBool, told: impl Fn(&str)) -> std::io::Result<Report> {
-        let mut fleet = Fleet::start(program, self.processes, self.seed, self.fleet.clone())?;
+    /// Plays it with `programs`; `told` hears what happens, and `stop` ends it early.
+    pub fn run(
+        &self,
+        programs: impl Into<Programs>,
+        stop: &AtomicBool,
+        told: impl Fn(&str),
+    ) -> std::io::Result<Report> {
+        let mut fleet = Fleet::start(programs, self.processes, self.seed, self.fleet.clone())?;
         let all = self.processes;
         let met = |fleet: &Fleet| {
             stop.load(Ordering::SeqCst) || (0..all).all(|at| fleet.alive(at).is_ok_and(|alive| alive == all))
--- a/crates/coralstep-lab/src/fleet/processes.rs
+++ b/crates/coralstep-lab/src/fleet/processes.rs
@@ -10,13 +10,15 @@
 
 use serde_json::{Value, json};
 
-use super::Links;
+use super::{Links, Programs};
 use crate::emulate::engine::{Engine, EngineTerms, Plight, Work};
 use crate::emulate::lock;
 use crate::emulate::wire::{Faults, Wire};
 
 /// The longest that a process may take to come up or to answer.
 const LIMIT: Duration = Duration::from_secs(15);
+/// Seconds between two snapshots of a process that keeps its state from its first start on: the least that a site file may say.
+const SNAPSHOT_INTERVAL_S: u32 = 1;
 /// Methods of every process: tokened, calls nothing; and idempotent, calls the store where there is one.
 pub const METHODS: [&str; 2] = ["save", "read"];
 /// Tenants, by the header that the site file names.
@@ -51,11 +53,21 @@
     pub limits: Value,
     /// Levels of reduced service, the built-in ones. They turn calls away by themselves when a store hangs.
     pub levels: bool,
+    /// Each process keeps a state directory from its first start on, with a snapshot every second.
+    pub keeps_state: bool,
 }
 
 impl Setup {
     pub fn new(fleet: Value) -> Setup {
-        Setup { fleet, work_ms: 2.0, store: None, call_share: 20.0, limits: Value::Null, levels: true }
+        Setup {
+            fleet,
+            work_ms: 2.0,
+            store: None,
+            call_share: 20.0,
+            limits: Value::Null,
+            levels: true,
+            keeps_state: false,
+        }
     }
 }
 
@@ -108,7 +120,8 @@
 }
 
 pub struct Fleet {
-    program: PathBuf,
+    /// The program that each process is started from.
+    programs: Vec<PathBuf>,
     folder: PathBuf,
     pub links: Links,
     processes: Vec<Option<Process>>,
@@ -137,11 +150,22 @@
 
 impl Fleet {
     /// `more`: further keys of the site file's `fleet`; null for processes that have none.
-    pub fn start(program: &Path, count: usize, seed: u64, more: Value) -> std::io::Result<Fleet> {
-        Fleet::set_up(program, count, seed, Setup::new(more))
+    pub fn start(
+        programs: impl Into<Programs>,
+        count: usize,
+        seed: u64,
+        more: Value,
+    ) -> std::io::Result<Fleet> {
+        Fleet::set_up(programs, count, seed, Setup::new(more))
     }
 
-    pub fn set_up(program: &Path, count: usize, seed: u64, setup: Setup) -> std::io::Result<Fleet> {
+    pub fn set_up(
+        programs: impl Into<Programs>,
+        count: usize,
+        seed: u64,
+        setup: Setup,
+    ) -> std::io::Result<Fleet> {
+        let programs = programs.into();
         let ways =
             setup.store.iter().flat_map(|store| (0..count).map(move |at| Wire::to(*store, seed ^ at as u64)));
         let ways = ways.collect::<std::io::Result<Vec<Wire>>>()?;
@@ -152,16 +176,16 @@
         let control = UdpSocket::bind("127.0.0.1:0")?;
         let processes = (0..count).map(|_| None).collect();
         let mut fleet = Fleet {
-            program: program.to_owned(),
+            programs: (0..count).map(|at| programs.of(at).to_owned()).collect(),
             folder,
             links,
             processes,
+            keeps: setup.keeps_state,
             setup,
             ways,
             crowd: Arc::new(Mutex::new(Crowd { running: vec![0; count], most: 0 })),
             control,
             sent: AtomicU64::new(0),
-            keeps: false,
         };
         (0..count).try_for_each(|at| fleet.boot(at))?;
         Ok(fleet)
@@ -236,13 +260,16 @@
             site["limits"] = self.setup.limits.clone();
         }
         if self.keeps {
-            site["state"] = json!({"folder": self.folder.join(format!("state-{at}"))});
+            site["state"] = json!({"folder": self.state_directory(at)});
+            if self.setup.keeps_state {
+                site["state"]["every_s"] = json!(SNAPSHOT_INTERVAL_S);
+            }
         }
         let (config_file, site_file) =
             (self.folder.join(format!("config-{at}.json")), self.folder.join(format!("site-{at}.json")));
         std::fs::write(&config_file, config.to_string())?;
         std::fs::write(&site_file, site.to_string())?;
-        let mut child = Command::new(&self.program)
+        let mut child = Command::new(&self.programs[at])
             .args(["serve", "--config"])
             .arg(config_file)
             .arg("--site")
@@ -302,6 +329,17 @@
         Ok(())
     }
 
+    /// Starts process `at` from `program`, now and at each later boot.
+    pub fn boot_from(&mut self, at: usize, program: &Path) -> std::io::Result<()> {
+        program.clone_into(&mut self.programs[at]);
+        self.boot(at)
+    }
+
+    /// Where process `at` keeps its state, if it does.
+    pub fn state_directory(&self, at: usize) -> PathBuf {
+        self.folder.join(format!("state-{at}"))
+    }
+
     pub fn count(&self) -> usize {
         self.processes.len()
     }
--- a/crates/coralstep-lab/src/main.rs
+++ b/crates/coralstep-lab/src/main.rs
@@ -38,8 +38,11 @@
         the changed world in which the module is furthest from the best
   explore [--depth N] [--states N] [--histories N] [--length N] [--seed N] [--threads N] [--json]
         every short history of small scopes, then long ones by chance
-  fleet PLAY [--server PROGRAM] [--json]
-        processes of coralstep with a relay on every link, and what PLAY does to them; judged at every moment
+  fleet PLAY [--server PROGRAM] [--other-server PROGRAM] [--json]
+        processes of coralstep with a relay on every link, and what PLAY does to them; judged at every moment;
+        --other-server: a second build, from which every other process is started
+  fleet mixed-builds --other-server PROGRAM [--server PROGRAM] [--seed N] [--json]
+        two builds as one fleet, and a process of the first on a state directory of the second
   report WORLD [--policy P] [--seed N] --out PAGE
         a page about a day
   worlds, schema, fleet-schema
@@ -70,6 +73,7 @@
     body: usize,
     replay: Option<PathBuf>,
     server: Option<PathBuf>,
+    other_server: Option<PathBuf>,
     out: Option<PathBuf>,
     wire: Faults,
     json: bool,
@@ -118,6 +122,7 @@
         body: 100,
         replay: None,
         server: None,
+        other_server: None,
         out: None,
         wire: Faults::default(),
         json: false,
@@ -148,6 +153,7 @@
             Long("body") => call.body = within(&mut parser, "body", 0, 8_192)?,
             Long("replay") => call.replay = Some(parser.value()?.into()),
             Long("server") => call.server = Some(parser.value()?.into()),
+            Long("other-server") => call.other_server = Some(parser.value()?.into()),
             Long("out") => call.out = Some(parser.value()?.into()),
             Long("wire") => {
                 call.wire =
@@ -236,6 +242,15 @@
         Ok(cli::sockets::emulated(world, &terms, self.out.as_deref(), self.beside, self.json)?)
     }
 
+    fn fleet(&self, play: &str) -> Result<bool, Fault> {
+        let (server, other) = (self.server.clone(), self.other_server.clone());
+        if play != cli::fleet::MIXED_BUILDS {
+            return Ok(cli::fleet::play(play, server, other, self.json)?);
+        }
+        let other = other.ok_or_else(|| Fault::Call(format!("fleet {play}: --other-server is missing")))?;
+        Ok(cli::fleet::mixed_builds(server, other, self.seed, self.json)?)
+    }
+
     fn run(&self) -> Result<bool, Fault> {
         let words: Vec<&str> = self.words.iter().map(String::as_str).collect();
         let policy = self.policies.first().copied().unwrap_or_default();
@@ -244,7 +259,7 @@
             _ if self.help => print!("{USAGE}"),
             ["schema"] => print!("{}", World::schema()),
             ["fleet-schema"] => print!("{}", coralstep_lab::fleet::play::Play::schema()),
-            ["fleet", play] => return Ok(cli::fleet::play(play, self.server.clone(), json)?),
+            ["fleet", play] => return self.fleet(play),
             ["worlds"] => {
                 for (name, text) in WORLDS {
                     let world = World::parse(text)?;
