--- a/crates/coralstep-adapter/src/fields.rs
+++ b/crates/coralstep-adapter/src/fields.rs
@@ -14,7 +14,9 @@
     }
 
     pub fn text(&self, name: &str) -> Option<&'a str> {
-        self.pairs().find(|(key, _)| *key == name).map(|(_, value)| value)
+        self.pairs()
+            .find(|(key, _)| *key == name)
+            .map(|(_, value)| value)
     }
 
     pub fn get<T: FromStr>(&self, name: &str) -> Result<Option<T>, String> {
@@ -27,6 +29,8 @@
 
     /// Rounded up to whole ticks.
     pub fn span_up(&self, name: &str) -> Result<Option<Span>, String> {
-        Ok(self.get::<u64>(name)?.map(|ns| Span(ns.div_ceil(NS_PER_TICK))))
+        Ok(self
+            .get::<u64>(name)?
+            .map(|ns| Span(ns.div_ceil(NS_PER_TICK))))
     }
 }
--- a/crates/coralstep-adapter/src/instance.rs
+++ b/crates/coralstep-adapter/src/instance.rs
@@ -28,7 +28,9 @@
         if self.index.contains_key(&handle) {
             return Err(format!("RPC {handle} was delivered twice"));
         }
-        let free = self.released.pop_front_if(|(at, _)| *at + LATE_EVENTS_NS <= now_ns);
+        let free = self
+            .released
+            .pop_front_if(|(at, _)| *at + LATE_EVENTS_NS <= now_ns);
         let index = match free {
             Some((_, index)) => {
                 self.index.remove(&self.handle[index as usize]);
@@ -61,9 +63,24 @@
         reply: &mut String,
     ) -> Result<Instance, String> {
         let (terms, names) = coralstep_terms::from_pairs(fields.pairs())?;
-        let mut instance = Instance { number, server: None, names, ids: Ids::default() };
-        let mut out = Writer { number, now_ns, ids: &mut instance.ids, reply };
-        instance.server = Some(Server::start(&terms, seed, Time(now_ns / NS_PER_TICK), &mut out));
+        let mut instance = Instance {
+            number,
+            server: None,
+            names,
+            ids: Ids::default(),
+        };
+        let mut out = Writer {
+            number,
+            now_ns,
+            ids: &mut instance.ids,
+            reply,
+        };
+        instance.server = Some(Server::start(
+            &terms,
+            seed,
+            Time(now_ns / NS_PER_TICK),
+            &mut out,
+        ));
         Ok(instance)
     }
 
@@ -74,7 +91,12 @@
         reply: &mut String,
         event: impl FnOnce(&mut Server, &mut dyn Outlet),
     ) {
-        let mut out = Writer { number: self.number, now_ns, ids: &mut self.ids, reply };
+        let mut out = Writer {
+            number: self.number,
+            now_ns,
+            ids: &mut self.ids,
+            reply,
+        };
         if let Some(server) = self.server.as_mut() {
             event(server, &mut out);
         }
@@ -103,7 +125,9 @@
                 }
                 "footprint" => arrival.held_kb = amount(name, value)?,
                 "again_by_client" => arrival.retry = flag(name, value)?,
-                "queued_for" => arrival.age = Span(parse::<u64>(name, value)?.div_ceil(NS_PER_TICK)),
+                "queued_for" => {
+                    arrival.age = Span(parse::<u64>(name, value)?.div_ceil(NS_PER_TICK))
+                }
                 "prior" => earlier = Some(parse(name, value)?),
                 _ => {}
             }
@@ -166,7 +190,10 @@
         let (handle, last) = (self.handle(rpc), if last { " give_up=1" } else { "" });
         match ns(after) {
             0 => self.put("DENY", format_args!(" handle={handle}{last}")),
-            after => self.put("DENY", format_args!(" handle={handle} not_before_for={after}{last}")),
+            after => self.put(
+                "DENY",
+                format_args!(" handle={handle} not_before_for={after}{last}"),
+            ),
         }
     }
 
@@ -176,7 +203,10 @@
 
     fn call(&mut self, rpc: RpcId, patience: Span) {
         let handle = self.handle(rpc);
-        self.put("INVOKE", format_args!(" handle={handle} patience={}", ns(patience).max(1)));
+        self.put(
+            "INVOKE",
+            format_args!(" handle={handle} patience={}", ns(patience).max(1)),
+        );
     }
 
     fn skip(&mut self, rpc: RpcId) {
@@ -201,7 +231,10 @@
     }
 
     fn health(&mut self, good: bool) {
-        self.put("SET_HEALTH", format_args!(" enable={} stored=1", u8::from(good)));
+        self.put(
+            "SET_HEALTH",
+            format_args!(" enable={} stored=1", u8::from(good)),
+        );
     }
 
     fn advertise(&mut self, value: f64) {
--- a/crates/coralstep-adapter/src/main.rs
+++ b/crates/coralstep-adapter/src/main.rs
@@ -53,7 +53,9 @@
 
     fn event(&mut self, word: &str, fields: &Fields) -> Result<(), String> {
         let server = fields.text("server").ok_or("no server")?;
-        let number = server.strip_prefix("server/").and_then(|number| number.parse().ok());
+        let number = server
+            .strip_prefix("server/")
+            .and_then(|number| number.parse().ok());
         let number: u64 = number.ok_or_else(|| format!("no server of the name {server}"))?;
         let now = Time(self.now_ns / NS_PER_TICK);
         if word == "BOOT" {
@@ -64,17 +66,27 @@
         }
         if word == "HALT" {
             let known = self.instances.remove(&number);
-            return known.map(|_| ()).ok_or_else(|| format!("{server} was never booted"));
+            return known
+                .map(|_| ())
+                .ok_or_else(|| format!("{server} was never booted"));
         }
-        let instance = self.instances.get_mut(&number).ok_or_else(|| format!("{server} was never booted"))?;
+        let instance = self
+            .instances
+            .get_mut(&number)
+            .ok_or_else(|| format!("{server} was never booted"))?;
         let id = |instance: &Instance| -> Result<RpcId, String> {
             let handle = fields.need("handle")?;
-            instance.ids.find(handle).ok_or_else(|| format!("RPC {handle} was never delivered"))
+            instance
+                .ids
+                .find(handle)
+                .ok_or_else(|| format!("RPC {handle} was never delivered"))
         };
         match word {
             "INBOUND" => {
                 let arrival = instance.arrival(fields, self.now_ns)?;
-                instance.tell(self.now_ns, &mut self.reply, |server, out| server.rpc(now, arrival, out));
+                instance.tell(self.now_ns, &mut self.reply, |server, out| {
+                    server.rpc(now, arrival, out)
+                });
             }
             "SETTLED" | "CALLED" => {
                 let (rpc, outcome) = (id(instance)?, outcome(fields.need("state_code")?)?);
@@ -86,19 +98,27 @@
             }
             "WANTS_CALL" => {
                 let rpc = id(instance)?;
-                instance.tell(self.now_ns, &mut self.reply, |server, out| server.needs_call(now, rpc, out));
+                instance.tell(self.now_ns, &mut self.reply, |server, out| {
+                    server.needs_call(now, rpc, out)
+                });
             }
             "ABORTED" => {
                 let rpc = id(instance)?;
-                instance.tell(self.now_ns, &mut self.reply, |server, out| server.gone(now, rpc, out));
+                instance.tell(self.now_ns, &mut self.reply, |server, out| {
+                    server.gone(now, rpc, out)
+                });
             }
             "WIND_DOWN" => {
                 let stop = Time(fields.need("due")? / NS_PER_TICK);
-                instance.tell(self.now_ns, &mut self.reply, |server, out| server.wind_down(now, stop, out));
+                instance.tell(self.now_ns, &mut self.reply, |server, out| {
+                    server.wind_down(now, stop, out)
+                });
             }
             "REMINDER" => {
                 let gauges = instance.gauges(fields.text("load").unwrap_or(""))?;
-                instance.tell(self.now_ns, &mut self.reply, |server, out| server.timer(now, gauges, out));
+                instance.tell(self.now_ns, &mut self.reply, |server, out| {
+                    server.timer(now, gauges, out)
+                });
             }
             _ => return Err(format!("unknown message {word}")),
         }
@@ -124,7 +144,10 @@
 fn prior(instance: &Instance, handle: Option<u64>) -> Prior {
     match handle {
         None | Some(0) => Prior::Nothing,
-        Some(handle) => instance.ids.find(handle).map_or(Prior::Forgotten, Prior::Of),
+        Some(handle) => instance
+            .ids
+            .find(handle)
+            .map_or(Prior::Forgotten, Prior::Of),
     }
 }
 
@@ -140,11 +163,17 @@
         let text = std::str::from_utf8(&line).map_err(|error| format!("line {number}: {error}"))?;
         let complete = host.line(text.trim_end_matches(['\n', '\r']));
         if complete.map_err(|why| format!("line {number}: {why}"))? {
-            let written = output.write_all(host.reply.as_bytes()).and_then(|()| output.flush());
+            let written = output
+                .write_all(host.reply.as_bytes())
+                .and_then(|()| output.flush());
             written.map_err(|error| format!("writing the reply: {error}"))?;
         }
     }
-    if host.in_batch { Err("the input ended inside a batch, before EOF_BATCH".to_owned()) } else { Ok(()) }
+    if host.in_batch {
+        Err("the input ended inside a batch, before EOF_BATCH".to_owned())
+    } else {
+        Ok(())
+    }
 }
 
 fn main() -> ExitCode {
--- a/crates/coralstep-fleet/benches/fleet.rs
+++ b/crates/coralstep-fleet/benches/fleet.rs
@@ -7,7 +7,10 @@
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 
 fn at(server: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, (server / 250) as u8, (server % 250) as u8 + 1], 7946))
+    SocketAddr::from((
+        [127, 0, (server / 250) as u8, (server % 250) as u8 + 1],
+        7946,
+    ))
 }
 
 fn one(server: usize) -> Fleet {
@@ -49,7 +52,9 @@
     for count in [0, 30, 300, 3_000] {
         let (mut hub, last, start) = known(count);
         let mut group = criterion.benchmark_group(format!("{count} others"));
-        group.bench_function("look before an RPC", |bencher| bencher.iter(|| black_box(hub.back(start))));
+        group.bench_function("look before an RPC", |bencher| {
+            bencher.iter(|| black_box(hub.back(start)))
+        });
         if count > 0 {
             group.bench_function("a datagram", |bencher| {
                 bencher.iter_batched(
--- a/crates/coralstep-fleet/src/audit.rs
+++ b/crates/coralstep-fleet/src/audit.rs
@@ -54,7 +54,14 @@
 
 impl Chain {
     pub fn add(&mut self, version: Id, from_ms: u64, to_ms: u64, rpcs: u64) {
-        let entry = Entry { number: self.count, version, from_ms, to_ms, rpcs, before: self.last };
+        let entry = Entry {
+            number: self.count,
+            version,
+            from_ms,
+            to_ms,
+            rpcs,
+            before: self.last,
+        };
         self.last = entry.sum();
         self.count += 1;
         if self.entries.len() == OWN_KEPT {
@@ -67,8 +74,14 @@
     pub fn resume(entries: Vec<Entry>) -> Result<Chain, Broken> {
         verify(entries.iter())?;
         let last = entries.last().map_or([0; 12], Entry::sum);
-        let count = entries.last().map_or(0, |entry| entry.number.wrapping_add(1));
-        Ok(Chain { entries: entries.into(), last, count })
+        let count = entries
+            .last()
+            .map_or(0, |entry| entry.number.wrapping_add(1));
+        Ok(Chain {
+            entries: entries.into(),
+            last,
+            count,
+        })
     }
 
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
@@ -151,8 +164,11 @@
         let key = (word.of.name.clone(), word.of.at, word.of.started);
         if !self.servers.contains_key(&key) && self.servers.len() >= SERVERS_MOST {
             // Whoever was heard of last the longest ago makes room.
-            let oldest =
-                self.servers.iter().min_by_key(|(_, server)| server.heard).map(|(key, _)| key.clone());
+            let oldest = self
+                .servers
+                .iter()
+                .min_by_key(|(_, server)| server.heard)
+                .map(|(key, _)| key.clone());
             oldest.map(|oldest| self.servers.remove(&oldest));
         }
         let server = self.servers.entry(key).or_default();
@@ -173,8 +189,10 @@
             rpcs: past.rpcs,
         });
         if let Some(past) = past {
-            let of_it =
-                server.rows.iter_mut().find(|row| row.version == past.version && row.from_ms == past.from_ms);
+            let of_it = server
+                .rows
+                .iter_mut()
+                .find(|row| row.version == past.version && row.from_ms == past.from_ms);
             match of_it {
                 Some(row) => *row = past,
                 None => server.rows.push_back(past),
@@ -224,10 +242,16 @@
 impl Filter {
     pub fn takes(&self, row: &Row) -> bool {
         // A version may be named by its number alone.
-        let version = |id: Id| row.version == id || (id.hash == [0; 12] && id.number == row.version.number);
+        let version =
+            |id: Id| row.version == id || (id.hash == [0; 12] && id.number == row.version.number);
         self.version.is_none_or(version)
-            && self.server.as_ref().is_none_or(|server| *server == row.server)
-            && self.at_ms.is_none_or(|at| row.from_ms <= at && row.to_ms.is_none_or(|to| at < to))
+            && self
+                .server
+                .as_ref()
+                .is_none_or(|server| *server == row.server)
+            && self
+                .at_ms
+                .is_none_or(|at| row.from_ms <= at && row.to_ms.is_none_or(|to| at < to))
     }
 }
 
--- a/crates/coralstep-fleet/src/audit/tests.rs
+++ b/crates/coralstep-fleet/src/audit/tests.rs
@@ -5,7 +5,15 @@
 fn a_gap_and_a_changed_entry_are_told() {
     let mut chain = Chain::default();
     for number in 0..4 {
-        chain.add(Id { number, ..Id::default() }, number * 10, number * 10 + 10, number);
+        chain.add(
+            Id {
+                number,
+                ..Id::default()
+            },
+            number * 10,
+            number * 10 + 10,
+            number,
+        );
     }
     let entries: Vec<Entry> = chain.entries().cloned().collect();
     assert_eq!(verify(entries.iter()), Ok(()));
@@ -30,11 +38,20 @@
     (next.entries, next.chain) = (1, [1; 8]);
     assert!(others.heard(500, &next));
     let rows: Vec<Row> = others.rows(600).collect();
-    assert_eq!((rows[0].to_ms, rows[0].rpcs, rows[0].known), (Some(3_000), 5, true));
-    assert_eq!((rows[1].to_ms, rows[1].age_ms, rows[1].known), (None, 100, true));
+    assert_eq!(
+        (rows[0].to_ms, rows[0].rpcs, rows[0].known),
+        (Some(3_000), 5, true)
+    );
+    assert_eq!(
+        (rows[1].to_ms, rows[1].age_ms, rows[1].known),
+        (None, 100, true)
+    );
     let late: Vec<Row> = others.rows(500 + KNOWN + 1).collect();
     assert!(late[0].known && !late[1].known);
-    let at = |at_ms| Filter { at_ms: Some(at_ms), ..Filter::default() };
+    let at = |at_ms| Filter {
+        at_ms: Some(at_ms),
+        ..Filter::default()
+    };
     assert!(at(2_999).takes(&rows[0]) && !at(3_000).takes(&rows[0]) && at(3_000).takes(&rows[1]));
     // Its record is another one of the same length.
     let mut forged = next.clone();
--- a/crates/coralstep-fleet/src/clock.rs
+++ b/crates/coralstep-fleet/src/clock.rs
@@ -17,9 +17,14 @@
 impl Clock {
     /// `seed`: any figure that no other server has.
     pub fn new(seed: u64) -> Clock {
-        let id = ID::try_from(seed.max(1).to_le_bytes()).expect("eight bytes that are not all nought");
+        let id =
+            ID::try_from(seed.max(1).to_le_bytes()).expect("eight bytes that are not all nought");
         let builder = HLCBuilder::new().with_id(id).with_max_delta(AHEAD_MOST);
-        Clock(builder.with_clock(|| NTP64::from(Duration::from_millis(WALL.get()))).build())
+        Clock(
+            builder
+                .with_clock(|| NTP64::from(Duration::from_millis(WALL.get())))
+                .build(),
+        )
     }
 
     /// The next stamp, in Unix milliseconds: never less than one given or heard before.
@@ -31,7 +36,10 @@
     /// Another server's stamp was heard; false where it is too far ahead to be believed.
     pub fn heard(&self, wall_ms: u64, stamp_ms: u64) -> bool {
         WALL.set(wall_ms);
-        let stamp = Timestamp::new(NTP64::from(Duration::from_millis(stamp_ms)), *self.0.get_id());
+        let stamp = Timestamp::new(
+            NTP64::from(Duration::from_millis(stamp_ms)),
+            *self.0.get_id(),
+        );
         self.0.update_with_timestamp(&stamp).is_ok()
     }
 }
--- a/crates/coralstep-fleet/src/clock/tests.rs
+++ b/crates/coralstep-fleet/src/clock/tests.rs
@@ -7,7 +7,10 @@
     assert!(first.abs_diff(1_000_000) <= 1, "{first}");
     assert!(clock.stamp(400_000) >= first, "wall time was set back");
     assert!(clock.heard(1_000_000, 1_001_500));
-    assert!(clock.stamp(1_000_000) >= 1_001_500 - 1, "what was heard came before");
+    assert!(
+        clock.stamp(1_000_000) >= 1_001_500 - 1,
+        "what was heard came before"
+    );
     assert!(!clock.heard(1_000_000, 4_600_000));
     assert!(clock.stamp(1_000_100) < 1_003_000);
 }
--- a/crates/coralstep-fleet/src/envelope.rs
+++ b/crates/coralstep-fleet/src/envelope.rs
@@ -53,7 +53,15 @@
 
 impl Datagram {
     pub fn new(fleet: u32, from: Member, stamp_ms: u64) -> Datagram {
-        Datagram { format: FORMAT, fleet, from, stamp_ms, number: 0, echo: 0, parts: Vec::new() }
+        Datagram {
+            format: FORMAT,
+            fleet,
+            from,
+            stamp_ms,
+            number: 0,
+            echo: 0,
+            parts: Vec::new(),
+        }
     }
 
     /// Bytes with their checksum behind them.
@@ -79,7 +87,9 @@
         let datagram: Datagram = postcard::from_bytes(rest).map_err(|_| Fault::Garbled)?;
         match () {
             () if datagram.fleet != fleet => Err(Fault::OtherFleet),
-            () if datagram.parts.len() > PARTS_MOST || !datagram.from.is_sound() => Err(Fault::Garbled),
+            () if datagram.parts.len() > PARTS_MOST || !datagram.from.is_sound() => {
+                Err(Fault::Garbled)
+            }
             () => Ok(datagram),
         }
     }
--- a/crates/coralstep-fleet/src/fleet.rs
+++ b/crates/coralstep-fleet/src/fleet.rs
@@ -113,10 +113,17 @@
     /// `wall_ms`: the Unix clock, for people and for the order across servers; nothing else rests on it.
     pub fn new(terms: FleetTerms, now: Ms, wall_ms: u64) -> Fleet {
         let clock = Clock::new(terms.seed ^ terms.own.started);
-        let acting = Acting { since_ms: clock.stamp(wall_ms), ..Acting::default() };
+        let acting = Acting {
+            since_ms: clock.stamp(wall_ms),
+            ..Acting::default()
+        };
         // Who has nobody to hear is not cut off.
         let silent_shuts = terms.silent_shuts && !terms.peers.is_empty();
-        let bounds = Bounds { behind: terms.behind, silent: terms.silent, silent_shuts };
+        let bounds = Bounds {
+            behind: terms.behind,
+            silent: terms.silent,
+            silent_shuts,
+        };
         Fleet {
             fleet: envelope::fleet(&terms.name),
             members: Members::new(terms.own.clone(), &terms.peers, terms.seed),
@@ -156,7 +163,9 @@
     pub fn heard(&mut self, now: Ms, wall_ms: u64, bytes: &[u8]) -> Result<(), Fault> {
         self.paused(now);
         let datagram = Datagram::read(bytes, self.fleet)?;
-        if !self.clock.heard(wall_ms, datagram.stamp_ms) && !self.clock_off.contains(&datagram.from.name) {
+        if !self.clock.heard(wall_ms, datagram.stamp_ms)
+            && !self.clock_off.contains(&datagram.from.name)
+        {
             if self.clock_off.len() >= QUEUE_MOST {
                 self.clock_off.clear();
             }
@@ -184,12 +193,18 @@
                     if let Some((a, b)) = self.versions.forks().get(forks).copied() {
                         self.event(Event::Fork(a, b));
                     }
-                    answers.into_iter().for_each(|answer| self.letter(wall_ms, datagram.from.at, &answer));
+                    answers
+                        .into_iter()
+                        .for_each(|answer| self.letter(wall_ms, datagram.from.at, &answer));
                 }
                 other => {
-                    let seat =
-                        self.riders.iter().find(|(seat, _)| [seat.spread(), seat.letter()].contains(other));
-                    let Some((seat, rider)) = seat.cloned() else { continue };
+                    let seat = self
+                        .riders
+                        .iter()
+                        .find(|(seat, _)| [seat.spread(), seat.letter()].contains(other));
+                    let Some((seat, rider)) = seat.cloned() else {
+                        continue;
+                    };
                     if *other == seat.spread() {
                         rider.borrow_mut().heard(now, self.members.own(), bytes);
                     } else {
@@ -221,9 +236,14 @@
 
     /// A datagram to `to`, without parts yet.
     fn datagram(&mut self, wall_ms: u64, to: SocketAddr) -> Datagram {
-        let mut datagram = Datagram::new(self.fleet, self.members.own().clone(), self.clock.stamp(wall_ms));
+        let mut datagram = Datagram::new(
+            self.fleet,
+            self.members.own().clone(),
+            self.clock.stamp(wall_ms),
+        );
         self.spoken += 1;
-        (datagram.number, datagram.echo) = (self.spoken, self.echoes.get(&to).copied().unwrap_or(0));
+        (datagram.number, datagram.echo) =
+            (self.spoken, self.echoes.get(&to).copied().unwrap_or(0));
         datagram
     }
 
@@ -254,12 +274,21 @@
                 own: self.members.own(),
                 present: self.members.present().collect(),
                 current: self.current().collect(),
-                shut: self.members.present().filter(|member| self.is_out(member)).collect(),
+                shut: self
+                    .members
+                    .present()
+                    .filter(|member| self.is_out(member))
+                    .collect(),
                 leaving: self.leaving || self.straggler.shut().is_some(),
             };
-            riders.iter().map(|(seat, rider)| (seat.letter(), rider.borrow_mut().tick(now, &view))).collect()
+            riders
+                .iter()
+                .map(|(seat, rider)| (seat.letter(), rider.borrow_mut().tick(now, &view)))
+                .collect()
         };
-        letters.into_iter().for_each(|(seat, letters)| self.post(wall_ms, seat, letters));
+        letters
+            .into_iter()
+            .for_each(|(seat, letters)| self.post(wall_ms, seat, letters));
     }
 
     /// What datagrams have room for beside the members' part: words and what riders spread, in turn, so that none starves.
@@ -275,7 +304,10 @@
                 0 => self.words.said(now, may).map(|bytes| (Rider::Words, bytes)),
                 rider => {
                     let (seat, rider) = &self.riders[rider - 1];
-                    rider.borrow_mut().said(now, may).map(|bytes| (seat.spread(), bytes))
+                    rider
+                        .borrow_mut()
+                        .said(now, may)
+                        .map(|bytes| (seat.spread(), bytes))
                 }
             };
             if let Some(part) = part {
@@ -288,7 +320,10 @@
 
     fn letter(&mut self, wall_ms: u64, to: SocketAddr, letter: &Letter) {
         let mut datagram = self.datagram(wall_ms, to);
-        datagram.parts.push((Rider::Versions, postcard::to_allocvec(letter).unwrap_or_default()));
+        datagram.parts.push((
+            Rider::Versions,
+            postcard::to_allocvec(letter).unwrap_or_default(),
+        ));
         if self.send.len() < QUEUE_MOST {
             self.send.push((to, datagram.bytes()));
         }
@@ -313,14 +348,22 @@
                         .present()
                         .find(|other| other.name == member.name && other.at != member.at);
                     let own = self.members.own();
-                    let twin =
-                        twin.or((own.name == member.name && own.at != member.at).then_some(own)).cloned();
-                    twin.into_iter().for_each(|twin| self.event(Event::NameHeld(twin, member.clone())));
+                    let twin = twin
+                        .or((own.name == member.name && own.at != member.at).then_some(own))
+                        .cloned();
+                    twin.into_iter()
+                        .for_each(|twin| self.event(Event::NameHeld(twin, member.clone())));
                     self.event(Event::Member(member, State::Alive));
                 }
                 Change::Down(member) => {
-                    let left = self.words.of(&member).is_some_and(|heard| heard.word.leaving);
-                    self.event(Event::Member(member, if left { State::Leaving } else { State::Gone }));
+                    let left = self
+                        .words
+                        .of(&member)
+                        .is_some_and(|heard| heard.word.leaving);
+                    self.event(Event::Member(
+                        member,
+                        if left { State::Leaving } else { State::Gone },
+                    ));
                 }
                 Change::Back(_) => self.event(Event::Back),
             }
@@ -329,7 +372,10 @@
 
     fn paused(&mut self, now: Ms) {
         let gap = self.ticked.map_or(0, |ticked| now.saturating_sub(ticked));
-        if self.straggler.paused(now, gap, self.spoken + 1, self.members.count()) {
+        if self
+            .straggler
+            .paused(now, gap, self.spoken + 1, self.members.count())
+        {
             self.ticked = Some(now);
             self.event(Event::Paused(gap));
             self.judge(now);
@@ -338,7 +384,10 @@
 
     /// An operator's order came, from here or by way of another server.
     fn order(&mut self, order: &Order) {
-        let known = self.ordered.get(&order.server).map_or(0, |known| known.number);
+        let known = self
+            .ordered
+            .get(&order.server)
+            .map_or(0, |known| known.number);
         if order.number <= known || (known == 0 && self.ordered.len() >= SOURCES_MOST) {
             return;
         }
@@ -363,12 +412,15 @@
         let (words, members) = (&self.words, &self.members);
         let holders = |id: Id| {
             let holds = |member: &&Member| {
-                words.of(member).is_some_and(|heard| heard.word.knows == id || heard.word.acts_on == id)
+                words
+                    .of(member)
+                    .is_some_and(|heard| heard.word.knows == id || heard.word.acts_on == id)
             };
             members.present().filter(holds).cloned().collect()
         };
         let asks = self.versions.ask(now, holders, chance);
-        asks.into_iter().for_each(|(of, letter)| self.letter(wall_ms, of.at, &letter));
+        asks.into_iter()
+            .for_each(|(of, letter)| self.letter(wall_ms, of.at, &letter));
         self.judge(now);
         self.ride_on(now, wall_ms);
         self.collect(wall_ms, now);
@@ -380,7 +432,10 @@
         let (rpcs, ok) = self.acting.counts();
         let (chain, entries) = self.chain.head();
         let knows = self.versions.newest_held();
-        let turned_down = self.versions.why_not(knows).map(|why| (knows, why.to_owned()));
+        let turned_down = self
+            .versions
+            .why_not(knows)
+            .map(|why| (knows, why.to_owned()));
         self.words.own(Word {
             of: self.members.own().clone(),
             number: self.number,
@@ -406,28 +461,42 @@
             acts_on: self.acting.id,
             newest,
             wanted: self.versions.wanted().map(|(id, _)| id).unwrap_or_default(),
-            must: self.versions.held(newest).is_some_and(|version| version.must),
+            must: self
+                .versions
+                .held(newest)
+                .is_some_and(|version| version.must),
             turned_down: self.versions.why_not(newest).is_some(),
             ..Facts::default()
         };
         let target = facts.target();
         let held = self.versions.held(target);
         facts.held = held.is_some();
-        facts.due = held.and_then(|version| version.due_ms(&self.terms.own.name)).unwrap_or(0);
+        facts.due = held
+            .and_then(|version| version.due_ms(&self.terms.own.name))
+            .unwrap_or(0);
         facts.stopped = self.stopped == Some(target);
         facts.others = self.members.count();
         if target > self.acting.id {
             facts.is_due = self.is_due(now, target);
         }
         if self.straggler.wants_out() {
-            let own = (self.straggler.shut().is_none(), self.terms.own.name.as_str());
-            let words =
-                self.members.present().filter_map(|member| self.words.of(member)).map(|heard| &heard.word);
+            let own = (
+                self.straggler.shut().is_none(),
+                self.terms.own.name.as_str(),
+            );
+            let words = self
+                .members
+                .present()
+                .filter_map(|member| self.words.of(member))
+                .map(|heard| &heard.word);
             let goes = |word: &&Word| word.wants_out && (!word.shut, word.of.name.as_str()) < own;
             facts.before = words.filter(goes).count();
         }
         let judged = self.straggler.judge(now, &facts);
-        judged.too_many.into_iter().for_each(|id| self.event(Event::TooMany(id)));
+        judged
+            .too_many
+            .into_iter()
+            .for_each(|id| self.event(Event::TooMany(id)));
         if let Some(cause) = judged.changed {
             self.event(cause.map_or(Event::LetIn, Event::Shut));
         }
@@ -443,12 +512,19 @@
         let (Some(version), Some(since)) = (self.versions.held(id), self.versions.since(id)) else {
             return false;
         };
-        let Some(wave) = version.wave(&self.terms.own.name) else { return false };
+        let Some(wave) = version.wave(&self.terms.own.name) else {
+            return false;
+        };
         let due = version.due_ms(&self.terms.own.name).unwrap_or(0);
         let reached = |word: &Word| {
-            word.acts_on == id && version.wave(&word.of.name).is_some_and(|other| other >= wave)
+            word.acts_on == id
+                && version
+                    .wave(&word.of.name)
+                    .is_some_and(|other| other >= wave)
         };
-        since == 0 || now >= since.saturating_add(due) || self.words.all().any(|heard| reached(&heard.word))
+        since == 0
+            || now >= since.saturating_add(due)
+            || self.words.all().any(|heard| reached(&heard.word))
     }
 
     /// The version to be checked and taken now, where there is one: its wave is due and was not stopped.
@@ -468,17 +544,25 @@
             let of_it = heard.acts_on == id;
             let sum = if of_it { &mut here } else { &mut there };
             (sum.0, sum.1) = (sum.0 + heard.ok, sum.1 + heard.rpcs);
-            refused += u32::from(heard.turned_down.as_ref().is_some_and(|(what, _)| *what == id));
+            refused += u32::from(
+                heard
+                    .turned_down
+                    .as_ref()
+                    .is_some_and(|(what, _)| *what == id),
+            );
         }
         let why = match () {
             () if wave == 0 => None,
             () if refused > 0 => Some(format!("{refused} turned it down")),
-            () if worse(here, there) => {
-                Some(format!("{} of {} ok, elsewhere {} of {}", here.0, here.1, there.0, there.1))
-            }
+            () if worse(here, there) => Some(format!(
+                "{} of {} ok, elsewhere {} of {}",
+                here.0, here.1, there.0, there.1
+            )),
             () => None,
         };
-        let Some(why) = why else { return Some((id, version)) };
+        let Some(why) = why else {
+            return Some((id, version));
+        };
         if self.stopped != Some(id) {
             self.stopped = Some(id);
             self.event(Event::Stopped(id, why));
@@ -490,8 +574,14 @@
     pub fn took(&mut self, now: Ms, wall_ms: u64, id: Id) {
         let stamp = self.clock.stamp(wall_ms);
         let (rpcs, _) = self.acting.counts();
-        self.chain.add(self.acting.id, self.acting.since_ms, stamp, rpcs);
-        self.acting = Acting { id, since_ms: stamp, base: self.acting.now, now: self.acting.now };
+        self.chain
+            .add(self.acting.id, self.acting.since_ms, stamp, rpcs);
+        self.acting = Acting {
+            id,
+            since_ms: stamp,
+            base: self.acting.now,
+            now: self.acting.now,
+        };
         self.event(Event::ActsOn(id));
         self.judge(now);
         self.say();
@@ -506,17 +596,26 @@
 
     /// What is to be kept over a restart: the version that it acts on, and its record.
     pub fn record(&self) -> (Vec<u8>, Vec<Vec<u8>>) {
-        let acts_on = self.versions.blob(self.acting.id).unwrap_or_default().to_vec();
+        let acts_on = self
+            .versions
+            .blob(self.acting.id)
+            .unwrap_or_default()
+            .to_vec();
         (
             acts_on,
-            self.chain.entries().map(|entry| postcard::to_allocvec(entry).unwrap_or_default()).collect(),
+            self.chain
+                .entries()
+                .map(|entry| postcard::to_allocvec(entry).unwrap_or_default())
+                .collect(),
         )
     }
 
     /// Takes in what was kept; the version is to be checked again, and its record is believed only where it hangs together.
     pub fn restore(&mut self, acts_on: &[u8], entries: &[Vec<u8>]) -> Option<Id> {
-        let entries: Option<Vec<Entry>> =
-            entries.iter().map(|entry| postcard::from_bytes(entry).ok()).collect();
+        let entries: Option<Vec<Entry>> = entries
+            .iter()
+            .map(|entry| postcard::from_bytes(entry).ok())
+            .collect();
         match entries.and_then(|entries| Chain::resume(entries).ok()) {
             Some(chain) => self.chain = chain,
             None => self.event(Event::RecordChanged(self.terms.own.name.clone())),
@@ -559,7 +658,11 @@
             return Err(format!("{server:?} is not known here"));
         }
         let number = self.ordered.get(server).map_or(0, |known| known.number) + 1;
-        let order = Order { server: server.to_owned(), number, shut };
+        let order = Order {
+            server: server.to_owned(),
+            number,
+            shut,
+        };
         self.orders.retain(|old| old.server != server);
         if self.orders.len() >= ORDERS_MOST {
             self.orders.remove(0);
@@ -619,16 +722,35 @@
             () if self.members.count() == 0 => State::Joining,
             () => State::Alive,
         };
-        let mut all = vec![(self.members.own().clone(), own_state, Some(self.acting.id), 0)];
+        let mut all = vec![(
+            self.members.own().clone(),
+            own_state,
+            Some(self.acting.id),
+            0,
+        )];
         let own = self.members.own();
         // Guards against the process that was here before a restart, of which others still speak: it stood beside this one.
-        let others =
-            self.members.all().filter(|(member, _)| (&member.name, member.at) != (&own.name, own.at));
+        let others = self
+            .members
+            .all()
+            .filter(|(member, _)| (&member.name, member.at) != (&own.name, own.at));
         for (member, state) in others {
-            let heard = self.words.of(member).filter(|heard| heard.word.of == *member);
-            let state = if heard.is_some_and(|heard| heard.word.leaving) { State::Leaving } else { state };
+            let heard = self
+                .words
+                .of(member)
+                .filter(|heard| heard.word.of == *member);
+            let state = if heard.is_some_and(|heard| heard.word.leaving) {
+                State::Leaving
+            } else {
+                state
+            };
             let age = heard.map_or(u64::MAX, |heard| now.saturating_sub(heard.at));
-            all.push((member.clone(), state, heard.map(|heard| heard.word.acts_on), age));
+            all.push((
+                member.clone(),
+                state,
+                heard.map(|heard| heard.word.acts_on),
+                age,
+            ));
         }
         all.sort_by(|a, b| a.0.cmp(&b.0));
         all
@@ -636,7 +758,10 @@
 
     /// Whether a member is known to be shut out, by itself or by an operator.
     fn is_out(&self, member: &Member) -> bool {
-        let ordered = self.ordered.get(&member.name).is_some_and(|order| order.shut);
+        let ordered = self
+            .ordered
+            .get(&member.name)
+            .is_some_and(|order| order.shut);
         ordered || self.words.of(member).is_some_and(|heard| heard.word.shut)
     }
 
@@ -646,7 +771,9 @@
         self.members.present().filter(move |member| {
             let heard = self.words.of(member).map(|heard| &heard.word);
             heard.is_some_and(|word| {
-                !self.is_out(member) && !word.leaving && (word.acts_on == newest || word.knows == newest)
+                !self.is_out(member)
+                    && !word.leaving
+                    && (word.acts_on == newest || word.knows == newest)
             })
         })
     }
@@ -666,9 +793,17 @@
             .chain
             .entries()
             .map(|entry| row(entry.version, entry.from_ms, Some(entry.to_ms), entry.rpcs));
-        let present = row(self.acting.id, self.acting.since_ms, None, self.acting.counts().0);
-        let mut rows: Vec<Row> =
-            past.chain([present]).chain(self.others.rows(now)).filter(|row| filter.takes(row)).collect();
+        let present = row(
+            self.acting.id,
+            self.acting.since_ms,
+            None,
+            self.acting.counts().0,
+        );
+        let mut rows: Vec<Row> = past
+            .chain([present])
+            .chain(self.others.rows(now))
+            .filter(|row| filter.takes(row))
+            .collect();
         rows.sort_by(|a, b| (&a.server, a.from_ms).cmp(&(&b.server, b.from_ms)));
         rows
     }
--- a/crates/coralstep-fleet/src/members.rs
+++ b/crates/coralstep-fleet/src/members.rs
@@ -44,7 +44,11 @@
 
 impl Member {
     pub fn new(name: &str, at: SocketAddr, started: u64) -> Member {
-        Member { name: name.to_owned(), at, started }
+        Member {
+            name: name.to_owned(),
+            at,
+            started,
+        }
     }
 
     /// Whether a peer may have said so.
@@ -58,7 +62,10 @@
 
     /// Who was taken for gone and is not comes back as if started anew.
     fn renew(&self) -> Option<Member> {
-        Some(Member { started: self.started + 1, ..self.clone() })
+        Some(Member {
+            started: self.started + 1,
+            ..self.clone()
+        })
     }
 
     fn addr(&self) -> SocketAddr {
@@ -154,7 +161,11 @@
     fn submit_after(&mut self, event: Timer<Member>, after: Duration) {
         if self.timers.len() < TIMERS_MOST {
             self.number += 1;
-            self.timers.push(Reverse(Waits(self.now + after.as_millis() as u64, self.number, event)));
+            self.timers.push(Reverse(Waits(
+                self.now + after.as_millis() as u64,
+                self.number,
+                event,
+            )));
         }
     }
 }
@@ -172,8 +183,12 @@
 }
 
 fn config() -> Config {
-    let every =
-        |ms, count| Some(PeriodicParams { frequency: Duration::from_millis(ms), num_members: some(count) });
+    let every = |ms, count| {
+        Some(PeriodicParams {
+            frequency: Duration::from_millis(ms),
+            num_members: some(count),
+        })
+    };
     Config {
         probe_period: PROBE,
         probe_rtt: PROBE_RTT,
@@ -191,9 +206,19 @@
 
 impl Members {
     pub fn new(own: Member, seeds: &[SocketAddr], seed: u64) -> Members {
-        let seeds = seeds.iter().copied().filter(|seed| *seed != own.at).collect();
+        let seeds = seeds
+            .iter()
+            .copied()
+            .filter(|seed| *seed != own.at)
+            .collect();
         let foca = Foca::new(own, config(), SmallRng::seed_from_u64(seed), PostcardCodec);
-        Members { foca, outside: Outside::default(), seeds, next_seed: 0, sought: None }
+        Members {
+            foca,
+            outside: Outside::default(),
+            seeds,
+            next_seed: 0,
+            sought: None,
+        }
     }
 
     pub fn own(&self) -> &Member {
@@ -213,8 +238,15 @@
     /// Lets time pass.
     pub fn tick(&mut self, now: Ms) {
         self.outside.now = now;
-        while self.outside.timers.peek().is_some_and(|Reverse(waits)| waits.0 <= now) {
-            let Some(Reverse(Waits(_, _, event))) = self.outside.timers.pop() else { break };
+        while self
+            .outside
+            .timers
+            .peek()
+            .is_some_and(|Reverse(waits)| waits.0 <= now)
+        {
+            let Some(Reverse(Waits(_, _, event))) = self.outside.timers.pop() else {
+                break;
+            };
             let _ = self.foca.handle_timer(event, &mut self.outside);
         }
         let first = self.foca.num_members() == 0 || self.next_seed < FIRST;
@@ -224,7 +256,14 @@
             let at = self.seeds[self.next_seed % self.seeds.len()];
             self.next_seed += 1;
             // Nobody knows its name yet: it is asked by its place alone.
-            let _ = self.foca.announce(Member { name: "?".to_owned(), at, started: 0 }, &mut self.outside);
+            let _ = self.foca.announce(
+                Member {
+                    name: "?".to_owned(),
+                    at,
+                    started: 0,
+                },
+                &mut self.outside,
+            );
         }
     }
 
--- a/crates/coralstep-fleet/src/spread.rs
+++ b/crates/coralstep-fleet/src/spread.rs
@@ -44,7 +44,11 @@
 
 impl<T> Default for Spread<T> {
     fn default() -> Spread<T> {
-        Spread { heard: HashMap::new(), order: BTreeSet::new(), own: None }
+        Spread {
+            heard: HashMap::new(),
+            order: BTreeSet::new(),
+            own: None,
+        }
     }
 }
 
@@ -68,7 +72,9 @@
         let next: Vec<(u32, Key)> = self.order.iter().take(PASSED_MOST).cloned().collect();
         let mut size = length(&out) + 2;
         for entry in next {
-            let Some(heard) = self.heard.get_mut(&entry.1) else { continue };
+            let Some(heard) = self.heard.get_mut(&entry.1) else {
+                continue;
+            };
             let age = now.saturating_sub(heard.at).min(u64::from(u32::MAX)) as u32;
             let passed = (heard.word.clone(), age);
             let more = length(&passed);
@@ -82,12 +88,16 @@
             self.order.insert((told, entry.1));
             out.push(passed);
         }
-        postcard::to_allocvec(&out).ok().filter(|bytes| !out.is_empty() && bytes.len() <= room)
+        postcard::to_allocvec(&out)
+            .ok()
+            .filter(|bytes| !out.is_empty() && bytes.len() <= room)
     }
 
     /// The sayings that were news.
     pub fn heard(&mut self, now: Ms, own: &Member, bytes: &[u8]) -> Vec<T> {
-        let Ok(words) = postcard::from_bytes::<Vec<(T, u32)>>(bytes) else { return Vec::new() };
+        let Ok(words) = postcard::from_bytes::<Vec<(T, u32)>>(bytes) else {
+            return Vec::new();
+        };
         let mut news = Vec::new();
         for (word, age) in words {
             // Nobody else speaks for this server.
@@ -98,7 +108,8 @@
             let key = key(word.of());
             let newest = (word.of().started, word.number());
             let known = self.heard.get(&key);
-            let old = known.is_some_and(|known| (known.word.of().started, known.word.number()) >= newest);
+            let old =
+                known.is_some_and(|known| (known.word.of().started, known.word.number()) >= newest);
             if old || (known.is_none() && self.heard.len() >= SOURCES_MOST) {
                 continue;
             }
@@ -107,7 +118,14 @@
             });
             self.order.insert((0, key.clone()));
             let at = now.saturating_sub(Ms::from(age));
-            self.heard.insert(key, Heard { word: word.clone(), at, told: 0 });
+            self.heard.insert(
+                key,
+                Heard {
+                    word: word.clone(),
+                    at,
+                    told: 0,
+                },
+            );
             news.push(word);
         }
         news
--- a/crates/coralstep-fleet/src/straggler.rs
+++ b/crates/coralstep-fleet/src/straggler.rs
@@ -64,7 +64,11 @@
 impl Facts {
     /// What this server should act on by now.
     pub fn target(&self) -> Id {
-        if self.turned_down { self.wanted } else { self.newest }
+        if self.turned_down {
+            self.wanted
+        } else {
+            self.newest
+        }
     }
 }
 
@@ -156,9 +160,13 @@
             self.behind = Some((target, now + facts.due + self.bounds.behind));
         }
         // What it hears of after a pause comes first; a wave that is still to come is nothing to wait for.
-        let fetches = self.caught_up.is_some_and(|since| now < since + RESUME) && target > facts.acts_on;
+        let fetches =
+            self.caught_up.is_some_and(|since| now < since + RESUME) && target > facts.acts_on;
         let waits = facts.held && (facts.stopped || !facts.is_due);
-        let behind = self.behind.filter(|(_, until)| now >= *until).map(|(id, _)| Shut::Behind(id));
+        let behind = self
+            .behind
+            .filter(|(_, until)| now >= *until)
+            .map(|(id, _)| Shut::Behind(id));
         let refused = facts.must && facts.turned_down;
         let out = refused.then_some(Shut::TurnedDown(facts.newest)).or(behind);
         if out.is_some() != self.wants_out.is_some() {
@@ -167,10 +175,16 @@
         }
         let out = out.filter(|_| self.may(now, facts, &mut judged));
         // Who has nobody to hear is not cut off.
-        let silent = self.bounds.silent_shuts && now.saturating_sub(self.alone) > self.bounds.silent;
+        let silent =
+            self.bounds.silent_shuts && now.saturating_sub(self.alone) > self.bounds.silent;
         let cause = match () {
             () if self.by_hand => Some(Shut::ByHand),
-            () if self.resumed.is_some_and(|(resumed, _)| now < resumed + RESUME) => Some(Shut::Paused),
+            () if self
+                .resumed
+                .is_some_and(|(resumed, _)| now < resumed + RESUME) =>
+            {
+                Some(Shut::Paused)
+            }
             () if fetches && !waits => Some(Shut::Paused),
             () if out.is_some() => out,
             () if silent => Some(Shut::Silent),
@@ -204,7 +218,9 @@
     pub fn relative(&self, now: Ms) -> Straggler {
         let since = |at: Ms, most: Ms| now.saturating_sub(at).min(most + 1);
         Straggler {
-            behind: self.behind.map(|(id, until)| (id, until.saturating_sub(now))),
+            behind: self
+                .behind
+                .map(|(id, until)| (id, until.saturating_sub(now))),
             wants_out: self.wants_out.map(|at| since(at, SAID)),
             alone: since(self.alone, self.bounds.silent),
             resumed: self.resumed.map(|(at, first)| (since(at, RESUME), first)),
@@ -215,7 +231,9 @@
 
     /// How long those that are turned away should stay away; none while this server admits.
     pub fn back(&self, now: Ms) -> Option<Ms> {
-        let left = self.resumed.map_or(0, |(resumed, _)| (resumed + RESUME).saturating_sub(now));
+        let left = self
+            .resumed
+            .map_or(0, |(resumed, _)| (resumed + RESUME).saturating_sub(now));
         match self.shut.as_ref()? {
             Shut::Paused => Some(left.max(1)),
             // Nobody knows when: another look is worth while after a few rounds of words.
--- a/crates/coralstep-fleet/src/versions.rs
+++ b/crates/coralstep-fleet/src/versions.rs
@@ -32,7 +32,9 @@
 const WORSE: f64 = 0.001;
 
 /// A version: its number, and the hash of all that it is.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
+)]
 pub struct Id {
     pub number: u64,
     pub hash: [u8; 12],
@@ -43,7 +45,9 @@
         write!(f, "{}", self.number)?;
         if self.number > 0 {
             write!(f, "-")?;
-            self.hash.iter().try_for_each(|byte| write!(f, "{byte:02x}"))?;
+            self.hash
+                .iter()
+                .try_for_each(|byte| write!(f, "{byte:02x}"))?;
         }
         Ok(())
     }
@@ -55,12 +59,19 @@
     fn from_str(text: &str) -> Result<Id, String> {
         let wrong = || format!("{text:?} is no version");
         let (number, hash) = text.split_once('-').unwrap_or((text, ""));
-        let mut id = Id { number: number.parse().map_err(|_| wrong())?, ..Id::default() };
+        let mut id = Id {
+            number: number.parse().map_err(|_| wrong())?,
+            ..Id::default()
+        };
         for (at, byte) in id.hash.iter_mut().enumerate().filter(|_| !hash.is_empty()) {
             let digits = hash.get(at * 2..at * 2 + 2).ok_or_else(wrong)?;
             *byte = u8::from_str_radix(digits, 16).map_err(|_| wrong())?;
         }
-        if hash.is_empty() || hash.len() == 24 { Ok(id) } else { Err(wrong()) }
+        if hash.is_empty() || hash.len() == 24 {
+            Ok(id)
+        } else {
+            Err(wrong())
+        }
     }
 }
 
@@ -88,14 +99,23 @@
     /// A version from its bytes alone, with the id that they are bound to.
     pub fn of(blob: &[u8]) -> Option<(Id, Version)> {
         let number = postcard::from_bytes::<Version>(blob).ok()?.number;
-        let id = Id { number, hash: hash(blob) };
+        let id = Id {
+            number,
+            hash: hash(blob),
+        };
         Some((id, Version::read(id, blob)?))
     }
 
     fn read(id: Id, blob: &[u8]) -> Option<Version> {
-        let version: Version = postcard::from_bytes(blob).ok().filter(|_| hash(blob) == id.hash)?;
-        let waves = version.waves.len() <= 16 && version.waves.iter().all(|part| (0.0..=1.0).contains(part));
-        (version.number == id.number && waves && version.by.len() <= NAME_MOST && version.replaces < id)
+        let version: Version = postcard::from_bytes(blob)
+            .ok()
+            .filter(|_| hash(blob) == id.hash)?;
+        let waves = version.waves.len() <= 16
+            && version.waves.iter().all(|part| (0.0..=1.0).contains(part));
+        (version.number == id.number
+            && waves
+            && version.by.len() <= NAME_MOST
+            && version.replaces < id)
             .then_some(version)
     }
 
@@ -111,8 +131,11 @@
             return Some(0);
         }
         let sum = hash(format!("{server} {}", self.at_ms).as_bytes());
-        let part = f64::from(u32::from_le_bytes([sum[0], sum[1], sum[2], sum[3]])) / f64::from(u32::MAX);
-        self.waves.iter().position(|until| part <= f64::from(*until))
+        let part =
+            f64::from(u32::from_le_bytes([sum[0], sum[1], sum[2], sum[3]])) / f64::from(u32::MAX);
+        self.waves
+            .iter()
+            .position(|until| part <= f64::from(*until))
     }
 }
 
@@ -137,8 +160,16 @@
 /// What two servers say to each other about versions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Letter {
-    Want { id: Id, pieces: Vec<u16> },
-    Piece { id: Id, bytes: u32, at: u16, piece: Vec<u8> },
+    Want {
+        id: Id,
+        pieces: Vec<u16>,
+    },
+    Piece {
+        id: Id,
+        bytes: u32,
+        at: u16,
+        piece: Vec<u8>,
+    },
 }
 
 /// A version on its way.
@@ -215,7 +246,10 @@
     }
 
     pub fn turn_down(&mut self, id: Id, why: &str) {
-        let end = (0..=why.len().min(REASON_MOST)).rev().find(|end| why.is_char_boundary(*end)).unwrap_or(0);
+        let end = (0..=why.len().min(REASON_MOST))
+            .rev()
+            .find(|end| why.is_char_boundary(*end))
+            .unwrap_or(0);
         self.turned_down.insert(id, why[..end].to_owned());
         while self.turned_down.len() > KEPT {
             self.turned_down.pop_first();
@@ -227,21 +261,33 @@
         if blob.len() > BYTES_MOST {
             return Err(format!("{} bytes, {BYTES_MOST} at most", blob.len()));
         }
-        let id = Id { number: version.number, hash: hash(&blob) };
+        let id = Id {
+            number: version.number,
+            hash: hash(&blob),
+        };
         self.keep(now, id, version, blob);
         Ok(id)
     }
 
     fn keep(&mut self, since: Ms, id: Id, version: Version, blob: Vec<u8>) {
-        let twin =
-            self.held.iter().find(|(other, held)| **other != id && held.version.replaces == version.replaces);
+        let twin = self
+            .held
+            .iter()
+            .find(|(other, held)| **other != id && held.version.replaces == version.replaces);
         if let Some((other, _)) = twin {
             let fork = (id.min(*other), id.max(*other));
             if !self.forks.contains(&fork) && self.forks.len() < KEPT {
                 self.forks.push(fork);
             }
         }
-        self.held.insert(id, Held { version, blob, since });
+        self.held.insert(
+            id,
+            Held {
+                version,
+                blob,
+                since,
+            },
+        );
         while self.held.len() > KEPT {
             self.held.pop_first();
         }
@@ -290,7 +336,9 @@
                 lost: None,
             });
         }
-        let Some(fetch) = self.fetch.as_mut().filter(|fetch| now >= fetch.next) else { return Vec::new() };
+        let Some(fetch) = self.fetch.as_mut().filter(|fetch| now >= fetch.next) else {
+            return Vec::new();
+        };
         let mut from = holders(fetch.id);
         if from.is_empty() {
             fetch.next = now + AGAIN;
@@ -304,8 +352,10 @@
         fetch.lost = None;
         from.sort();
         let count = fetch.bytes.map_or(1, |bytes| bytes.div_ceil(PIECE));
-        let missing: Vec<u16> =
-            (0..count as u16).filter(|at| !fetch.pieces.contains_key(at)).take(WINDOW).collect();
+        let missing: Vec<u16> = (0..count as u16)
+            .filter(|at| !fetch.pieces.contains_key(at))
+            .take(WINDOW)
+            .collect();
         let start = (chance * from.len() as f64) as usize + fetch.asked;
         fetch.asked += 1;
         fetch.next = now + (fetch.pause as f64 * (1.0 - 0.5 * chance)) as Ms;
@@ -315,7 +365,13 @@
         parts
             .map(|(at, pieces)| {
                 let of = from[(start + at) % from.len()].clone();
-                (of, Letter::Want { id: fetch.id, pieces: pieces.to_vec() })
+                (
+                    of,
+                    Letter::Want {
+                        id: fetch.id,
+                        pieces: pieces.to_vec(),
+                    },
+                )
             })
             .collect()
     }
@@ -324,15 +380,30 @@
     pub fn heard(&mut self, now: Ms, letter: Letter) -> (Vec<Letter>, Option<Id>) {
         match letter {
             Letter::Want { id, pieces } => {
-                let Some(Held { blob, .. }) = self.held.get(&id) else { return (Vec::new(), None) };
+                let Some(Held { blob, .. }) = self.held.get(&id) else {
+                    return (Vec::new(), None);
+                };
                 let piece = |at: u16| {
                     let start = usize::from(at) * PIECE;
                     let piece = blob.get(start..(start + PIECE).min(blob.len()))?.to_vec();
-                    Some(Letter::Piece { id, bytes: blob.len() as u32, at, piece })
+                    Some(Letter::Piece {
+                        id,
+                        bytes: blob.len() as u32,
+                        at,
+                        piece,
+                    })
                 };
-                (pieces.into_iter().take(WINDOW).filter_map(piece).collect(), None)
+                (
+                    pieces.into_iter().take(WINDOW).filter_map(piece).collect(),
+                    None,
+                )
             }
-            Letter::Piece { id, bytes, at, piece } => {
+            Letter::Piece {
+                id,
+                bytes,
+                at,
+                piece,
+            } => {
                 let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.id == id) else {
                     return (Vec::new(), None);
                 };
@@ -342,18 +413,23 @@
                 if bytes > BYTES_MOST || usize::from(at) >= count || piece.len() != length {
                     return (Vec::new(), None);
                 }
-                if fetch.bytes.replace(bytes).is_some_and(|known| known != bytes) {
+                if fetch
+                    .bytes
+                    .replace(bytes)
+                    .is_some_and(|known| known != bytes)
+                {
                     // Two holders don't agree: one of them is wrong, and which one only the hash tells.
                     fetch.pieces.clear();
                 }
                 fetch.pieces.insert(at, piece);
                 if fetch.pieces.len() < count {
                     // It comes: the rest is asked for at once.
-                    (fetch.next, fetch.pause) = if fetch.pieces.len() % 4 == 0 || fetch.pieces.len() == 1 {
-                        (now, AGAIN)
-                    } else {
-                        (fetch.next, AGAIN)
-                    };
+                    (fetch.next, fetch.pause) =
+                        if fetch.pieces.len() % 4 == 0 || fetch.pieces.len() == 1 {
+                            (now, AGAIN)
+                        } else {
+                            (fetch.next, AGAIN)
+                        };
                     return (Vec::new(), None);
                 }
                 let blob: Vec<u8> = fetch.pieces.values().flatten().copied().collect();
--- a/crates/coralstep-fleet/src/versions/tests.rs
+++ b/crates/coralstep-fleet/src/versions/tests.rs
@@ -40,17 +40,31 @@
 
 #[test]
 fn a_version_comes_whole_or_not_at_all() {
-    let content: String = (0..9_000).map(|at| char::from(b'a' + (at % 23) as u8)).collect();
+    let content: String = (0..9_000)
+        .map(|at| char::from(b'a' + (at % 23) as u8))
+        .collect();
     let mut publisher = Versions::default();
-    let id = publisher.publish(0, version(1, Id::default(), &content)).unwrap();
+    let id = publisher
+        .publish(0, version(1, Id::default(), &content))
+        .unwrap();
     // Every third letter is lost; at first one in seven is changed, as by a holder that is at fault.
     let mut other = Versions::default();
     other.heard_of(id);
     let spoilt = |count: usize, letter| match letter {
         _ if count.is_multiple_of(3) => None,
-        Letter::Piece { id, bytes, at, mut piece } if count.is_multiple_of(7) && count < 40 => {
+        Letter::Piece {
+            id,
+            bytes,
+            at,
+            mut piece,
+        } if count.is_multiple_of(7) && count < 40 => {
             piece[0] ^= 1;
-            Some(Letter::Piece { id, bytes, at, piece })
+            Some(Letter::Piece {
+                id,
+                bytes,
+                at,
+                piece,
+            })
         }
         letter => Some(letter),
     };
@@ -60,9 +74,19 @@
     let mut third = Versions::default();
     third.heard_of(id);
     let always = |_, letter| match letter {
-        Letter::Piece { id, bytes, at, mut piece } => {
+        Letter::Piece {
+            id,
+            bytes,
+            at,
+            mut piece,
+        } => {
             piece[0] ^= 1;
-            Some(Letter::Piece { id, bytes, at, piece })
+            Some(Letter::Piece {
+                id,
+                bytes,
+                at,
+                piece,
+            })
         }
         letter => Some(letter),
     };
@@ -96,7 +120,9 @@
 #[test]
 fn what_was_turned_down_is_not_wanted_again_and_the_one_before_stays() {
     let mut versions = Versions::default();
-    let first = versions.publish(0, version(1, Id::default(), "{}")).unwrap();
+    let first = versions
+        .publish(0, version(1, Id::default(), "{}"))
+        .unwrap();
     let second = versions.publish(0, version(2, first, "{\"x\":1}")).unwrap();
     versions.turn_down(second, &"é".repeat(REASON_MOST));
     assert_eq!(versions.wanted().unwrap().0, first);
@@ -109,7 +135,10 @@
     (waved.waves, waved.pause_ms) = (vec![0.05, 0.3, 1.0], 10_000);
     let mut counts = [0; 3];
     (0..1_000).for_each(|at| counts[waved.wave(&format!("n{at}")).unwrap()] += 1);
-    assert!((20..90).contains(&counts[0]) && (200..300).contains(&counts[1]), "{counts:?}");
+    assert!(
+        (20..90).contains(&counts[0]) && (200..300).contains(&counts[1]),
+        "{counts:?}"
+    );
     assert!((0..1_000).all(|at| waved.due_ms(&format!("n{at}")).unwrap() <= 20_000));
 }
 
@@ -123,7 +152,10 @@
 
 #[test]
 fn ids_are_written_and_read() {
-    let id = Id { number: 7, hash: hash(b"x") };
+    let id = Id {
+        number: 7,
+        hash: hash(b"x"),
+    };
     assert_eq!(id.to_string().parse(), Ok(id));
     assert_eq!("0".parse(), Ok(Id::default()));
     assert!("7-12".parse::<Id>().is_err() && "x".parse::<Id>().is_err());
--- a/crates/coralstep-fleet/src/words.rs
+++ b/crates/coralstep-fleet/src/words.rs
@@ -81,7 +81,10 @@
     }
 
     fn is_sound(&self) -> bool {
-        let reason = self.turned_down.as_ref().is_none_or(|(_, why)| why.len() <= REASON_MOST);
+        let reason = self
+            .turned_down
+            .as_ref()
+            .is_none_or(|(_, why)| why.len() <= REASON_MOST);
         let orders = self.orders.len() <= ORDERS_MOST && self.orders.iter().all(Order::is_sound);
         self.of.is_sound() && reason && orders && self.ok <= self.rpcs
     }
--- a/crates/coralstep-fleet/src/words/tests.rs
+++ b/crates/coralstep-fleet/src/words/tests.rs
@@ -26,18 +26,35 @@
 
 #[test]
 fn the_newest_word_of_a_source_wins_whatever_way_it_came() {
-    let (mut words, own) = (Words::default(), Member::new("me", "127.0.0.1:9".parse().unwrap(), 1));
-    assert_eq!(words.heard(1_000, &own, &pass(&[(word("a", 5, 2), 300)])).len(), 1);
+    let (mut words, own) = (
+        Words::default(),
+        Member::new("me", "127.0.0.1:9".parse().unwrap(), 1),
+    );
+    assert_eq!(
+        words
+            .heard(1_000, &own, &pass(&[(word("a", 5, 2), 300)]))
+            .len(),
+        1
+    );
     assert_eq!(words.of(&word("a", 5, 2).of).unwrap().at, 700);
     // Older, the same again, of the process before, and of this server itself.
-    for (old, age) in [(word("a", 5, 1), 0), (word("a", 5, 2), 0), (word("a", 4, 9), 0)] {
+    for (old, age) in [
+        (word("a", 5, 1), 0),
+        (word("a", 5, 2), 0),
+        (word("a", 4, 9), 0),
+    ] {
         assert!(words.heard(1_000, &own, &pass(&[(old, age)])).is_empty());
     }
     let mut mine = word("me", 7, 7);
     mine.of.at = own.at;
     assert!(words.heard(1_000, &own, &pass(&[(mine, 0)])).is_empty());
     // A restart.
-    assert_eq!(words.heard(1_000, &own, &pass(&[(word("a", 6, 1), 0)])).len(), 1);
+    assert_eq!(
+        words
+            .heard(1_000, &own, &pass(&[(word("a", 6, 1), 0)]))
+            .len(),
+        1
+    );
     // Figures that nobody could have are not taken, nor is what can't be read.
     let mut wild = word("b", 1, 1);
     wild.ok = 5;
@@ -49,7 +66,10 @@
 
 #[test]
 fn what_was_told_least_goes_first_and_the_room_is_kept() {
-    let (mut words, own) = (Words::default(), Member::new("me", "127.0.0.1:9".parse().unwrap(), 1));
+    let (mut words, own) = (
+        Words::default(),
+        Member::new("me", "127.0.0.1:9".parse().unwrap(), 1),
+    );
     for number in 0..40 {
         words.heard(0, &own, &pass(&[(word(&format!("n{number}"), 1, 1), 0)]));
     }
--- a/crates/coralstep-fleet/tests/virtual_time.rs
+++ b/crates/coralstep-fleet/tests/virtual_time.rs
@@ -25,8 +25,18 @@
     garbled: f64,
 }
 
-const CALM: Faults = Faults { loss: 0.0, delay: (0, 2), doubled: 0.0, garbled: 0.0 };
-const ROUGH: Faults = Faults { loss: 0.3, delay: (100, 500), doubled: 0.1, garbled: 0.05 };
+const CALM: Faults = Faults {
+    loss: 0.0,
+    delay: (0, 2),
+    doubled: 0.0,
+    garbled: 0.0,
+};
+const ROUGH: Faults = Faults {
+    loss: 0.3,
+    delay: (100, 500),
+    doubled: 0.1,
+    garbled: 0.05,
+};
 
 struct Server {
     fleet: Fleet,
@@ -56,7 +66,10 @@
 }
 
 fn at(server: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, (server / 250) as u8, (server % 250) as u8 + 1], 7946))
+    SocketAddr::from((
+        [127, 0, (server / 250) as u8, (server % 250) as u8 + 1],
+        7946,
+    ))
 }
 
 impl World {
@@ -82,10 +95,24 @@
         let (behind, silent, silent_shuts) = self.terms;
         let seed = self.chance.random();
         let peers = self.seeds.clone();
-        let terms = FleetTerms { name: "alps".to_owned(), own, peers, behind, silent, silent_shuts, seed };
+        let terms = FleetTerms {
+            name: "alps".to_owned(),
+            own,
+            peers,
+            behind,
+            silent,
+            silent_shuts,
+            seed,
+        };
         let fleet = Fleet::new(terms, self.now, WALL + self.now);
-        let server_ =
-            Server { fleet, off: 0, paused: false, counts: (0, 0), events: Vec::new(), rejects: false };
+        let server_ = Server {
+            fleet,
+            off: 0,
+            paused: false,
+            counts: (0, 0),
+            events: Vec::new(),
+            rejects: false,
+        };
         self.servers.insert(server, server_);
     }
 
@@ -108,7 +135,11 @@
         let until = self.now + ms;
         while self.now < until {
             self.now += TICK;
-            while let Some(entry) = self.way.first_entry().filter(|entry| entry.key().0 <= self.now) {
+            while let Some(entry) = self
+                .way
+                .first_entry()
+                .filter(|entry| entry.key().0 <= self.now)
+            {
                 let (to, bytes) = entry.remove();
                 if let Some(server) = self.servers.get_mut(&to).filter(|server| !server.paused) {
                     let wall = World::wall(self.now, server);
@@ -121,12 +152,26 @@
                 server.fleet.tick(self.now, wall, server.counts);
                 if let Some((id, version)) = server.fleet.pending(self.now) {
                     match server.rejects || version.content.contains("bad") {
-                        true => server.fleet.turned_down(self.now, id, "it would starve a method"),
+                        true => server
+                            .fleet
+                            .turned_down(self.now, id, "it would starve a method"),
                         false => server.fleet.took(self.now, wall, id),
                     }
                 }
-                server.events.extend(server.fleet.events().into_iter().map(|event| (self.now, event)));
-                out.extend(server.fleet.send().into_iter().map(|(to, bytes)| (*number, to, bytes)));
+                server.events.extend(
+                    server
+                        .fleet
+                        .events()
+                        .into_iter()
+                        .map(|event| (self.now, event)),
+                );
+                out.extend(
+                    server
+                        .fleet
+                        .send()
+                        .into_iter()
+                        .map(|(to, bytes)| (*number, to, bytes)),
+                );
             }
             for (from, to, bytes) in out {
                 self.send(from, to, bytes);
@@ -143,7 +188,11 @@
         if self.cut.contains(&(from, to)) || self.chance.random_bool(self.faults.loss) {
             return;
         }
-        let copies = if self.chance.random_bool(self.faults.doubled) { 2 } else { 1 };
+        let copies = if self.chance.random_bool(self.faults.doubled) {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
             let mut bytes = bytes.clone();
             if self.chance.random_bool(self.faults.garbled) {
@@ -157,23 +206,43 @@
         }
     }
 
-    fn publish(&mut self, server: usize, content: &str, must: bool, waves: Vec<f32>, pause_ms: u64) -> Id {
+    fn publish(
+        &mut self,
+        server: usize,
+        content: &str,
+        must: bool,
+        waves: Vec<f32>,
+        pause_ms: u64,
+    ) -> Id {
         let (now, wall) = (self.now, World::wall(self.now, &self.servers[&server]));
         let fleet = &mut self.servers.get_mut(&server).unwrap().fleet;
-        fleet.publish(now, wall, content.to_owned(), must, waves, pause_ms).unwrap()
+        fleet
+            .publish(now, wall, content.to_owned(), must, waves, pause_ms)
+            .unwrap()
     }
 
     fn on(&self, id: Id) -> usize {
-        self.servers.values().filter(|server| server.fleet.acts_on() == id).count()
+        self.servers
+            .values()
+            .filter(|server| server.fleet.acts_on() == id)
+            .count()
     }
 
     /// Time until all act on `id`, at most so long.
     fn until_all_on(&mut self, id: Id, most: u64) -> u64 {
         let start = self.now;
         while self.on(id) < self.servers.len() {
-            let on: Vec<_> =
-                self.servers.iter().map(|(at, server)| (at, server.fleet.acts_on().number)).collect();
-            assert!(self.now - start < most, "{} of {} on {id}: {on:?}", self.on(id), self.servers.len());
+            let on: Vec<_> = self
+                .servers
+                .iter()
+                .map(|(at, server)| (at, server.fleet.acts_on().number))
+                .collect();
+            assert!(
+                self.now - start < most,
+                "{} of {} on {id}: {on:?}",
+                self.on(id),
+                self.servers.len()
+            );
             self.pass(TICK);
         }
         self.now - start
@@ -181,11 +250,17 @@
 
     fn alive(&self, server: usize) -> usize {
         let members = self.servers[&server].fleet.members(self.now);
-        members.iter().filter(|(_, state, ..)| matches!(state, State::Alive)).count()
+        members
+            .iter()
+            .filter(|(_, state, ..)| matches!(state, State::Alive))
+            .count()
     }
 
     fn has(&self, server: usize, what: impl Fn(&Event) -> bool) -> bool {
-        self.servers[&server].events.iter().any(|(_, event)| what(event))
+        self.servers[&server]
+            .events
+            .iter()
+            .any(|(_, event)| what(event))
     }
 }
 
@@ -200,11 +275,30 @@
     world.pass(3_000);
     // Any server answers for all.
     for server in world.servers.values() {
-        let rows = server.fleet.audit(world.now, &Filter { version: Some(id), ..Filter::default() });
-        assert_eq!(rows.iter().filter(|row| row.known && row.to_ms.is_none()).count(), 7);
-        let before =
-            server.fleet.audit(world.now, &Filter { at_ms: Some(WALL + 1_500), ..Filter::default() });
-        assert!(before.iter().all(|row| row.version == Id::default()), "{before:?}");
+        let rows = server.fleet.audit(
+            world.now,
+            &Filter {
+                version: Some(id),
+                ..Filter::default()
+            },
+        );
+        assert_eq!(
+            rows.iter()
+                .filter(|row| row.known && row.to_ms.is_none())
+                .count(),
+            7
+        );
+        let before = server.fleet.audit(
+            world.now,
+            &Filter {
+                at_ms: Some(WALL + 1_500),
+                ..Filter::default()
+            },
+        );
+        assert!(
+            before.iter().all(|row| row.version == Id::default()),
+            "{before:?}"
+        );
     }
 }
 
@@ -237,9 +331,13 @@
     let forked = |event: &Event| *event == Event::Fork(left.min(right), left.max(right));
     assert!((0..6).any(|server| world.has(server, forked)));
     // The audit shows for good who acted on which.
-    let rows = world.servers[&0]
-        .fleet
-        .audit(world.now, &Filter { version: Some(left.min(right)), ..Filter::default() });
+    let rows = world.servers[&0].fleet.audit(
+        world.now,
+        &Filter {
+            version: Some(left.min(right)),
+            ..Filter::default()
+        },
+    );
     assert!(rows.len() >= 3, "{rows:?}");
 }
 
@@ -256,7 +354,13 @@
         world.pass(40_000);
         let on = world.on(id);
         assert!(on == 0 || on == 4, "{on} of 4 after {} ms", 50 * (1 + seed));
-        assert!(world.servers.values().all(|server| server.fleet.shut().is_none()), "nobody is behind");
+        assert!(
+            world
+                .servers
+                .values()
+                .all(|server| server.fleet.shut().is_none()),
+            "nobody is behind"
+        );
         // And it goes on.
         let next = world.publish(2, "{\"next\":1}", false, Vec::new(), 0);
         world.until_all_on(next, 10_000);
@@ -299,7 +403,10 @@
     assert_eq!(world.on(id), 4);
     assert_eq!(world.servers[&2].fleet.shut(), Some(&Shut::TurnedDown(id)));
     assert!(
-        world.servers[&0].fleet.current().all(|member| member.name != "n2"),
+        world.servers[&0]
+            .fleet
+            .current()
+            .all(|member| member.name != "n2"),
         "others take nothing from it"
     );
     // Going back is a new version, and lets it in.
@@ -312,11 +419,16 @@
     let bad = world.publish(0, "bad", true, vec![0.4, 1.0], 3_000);
     world.pass(20_000);
     assert_eq!((world.on(bad), world.on(back)), (0, 5));
-    let shut = world.servers.values().filter(|server| server.fleet.shut().is_some()).count();
+    let shut = world
+        .servers
+        .values()
+        .filter(|server| server.fleet.shut().is_some())
+        .count();
     assert!(shut <= 1, "{shut} of 5 are shut out");
-    assert!(
-        (0..5).any(|server| world.has(server, |event| matches!(event, Event::Stopped(id, _) if *id == bad)))
-    );
+    assert!((0..5).any(|server| world.has(
+        server,
+        |event| matches!(event, Event::Stopped(id, _) if *id == bad)
+    )));
 }
 
 #[test]
@@ -325,31 +437,42 @@
     world.pass(5_000);
     let first = world.publish(0, "{}", false, Vec::new(), 0);
     world.until_all_on(first, 5_000);
-    world.servers.values_mut().for_each(|server| server.counts = (1_000, 990));
+    world
+        .servers
+        .values_mut()
+        .for_each(|server| server.counts = (1_000, 990));
     world.pass(2_000);
     let waved = world.publish(0, "{\"slow\":1}", false, vec![0.4, 1.0], 8_000);
     let mut early = 0;
     for _ in 0..60 {
         world.pass(100);
-        let on: Vec<usize> = (0..8).filter(|at| world.servers[at].fleet.acts_on() == waved).collect();
+        let on: Vec<usize> = (0..8)
+            .filter(|at| world.servers[at].fleet.acts_on() == waved)
+            .collect();
         early = on.len();
         for at in on {
             let server = world.servers.get_mut(&at).unwrap();
             // Half of its RPCs fail.
             server.counts = (server.counts.0 + 20, server.counts.1 + 10);
         }
-        for server in world.servers.values_mut().filter(|server| server.fleet.acts_on() != waved) {
+        for server in world
+            .servers
+            .values_mut()
+            .filter(|server| server.fleet.acts_on() != waved)
+        {
             server.counts = (server.counts.0 + 20, server.counts.1 + 20);
         }
     }
     assert!((1..8).contains(&early), "{early} in the first wave");
     world.pass(20_000);
     assert_eq!(world.on(waved), early);
-    let stopped =
-        |event: &Event| matches!(event, Event::Stopped(id, why) if *id == waved && why.contains("ok"));
+    let stopped = |event: &Event| matches!(event, Event::Stopped(id, why) if *id == waved && why.contains("ok"));
     assert!((0..8).any(|server| world.has(server, stopped)));
     assert!(
-        world.servers.values().all(|server| server.fleet.shut().is_none()),
+        world
+            .servers
+            .values()
+            .all(|server| server.fleet.shut().is_none()),
         "who waits for its wave is not behind"
     );
 }
@@ -396,19 +519,33 @@
         seed: 77,
     };
     let fleet = Fleet::new(terms, world.now, WALL + world.now);
-    let twin = Server { fleet, off: 0, paused: false, counts: (0, 0), events: Vec::new(), rejects: false };
+    let twin = Server {
+        fleet,
+        off: 0,
+        paused: false,
+        counts: (0, 0),
+        events: Vec::new(),
+        rejects: false,
+    };
     world.servers.insert(7, twin);
     world.pass(6_000);
     assert!((0..5).any(|server| world.has(server, |event| matches!(event, Event::NameHeld(..)))));
     // One that leaves says so.
     let now = world.now;
-    world.servers.get_mut(&3).unwrap().fleet.leave(now, WALL + now);
+    world
+        .servers
+        .get_mut(&3)
+        .unwrap()
+        .fleet
+        .leave(now, WALL + now);
     world.pass(2_000);
     world.servers.remove(&3);
     world.pass(500);
     let members = world.servers[&0].fleet.members(world.now);
     assert!(
-        members.iter().any(|(member, state, ..)| member.name == "n3" && *state == State::Leaving),
+        members
+            .iter()
+            .any(|(member, state, ..)| member.name == "n3" && *state == State::Leaving),
         "{members:?}"
     );
 }
@@ -423,12 +560,22 @@
         world.cut([3], 0..3);
         world.cut(0..3, [3]);
         world.pass(40_000);
-        assert_eq!(world.servers[&3].fleet.shut(), shuts.then_some(&Shut::Silent));
+        assert_eq!(
+            world.servers[&3].fleet.shut(),
+            shuts.then_some(&Shut::Silent)
+        );
         assert_eq!(world.servers[&0].fleet.shut(), None);
-        let rows = world.servers[&0]
-            .fleet
-            .audit(world.now, &Filter { server: Some("n3".to_owned()), ..Filter::default() });
-        assert!(rows.iter().any(|row| !row.known), "nobody knows what it acts on: {rows:?}");
+        let rows = world.servers[&0].fleet.audit(
+            world.now,
+            &Filter {
+                server: Some("n3".to_owned()),
+                ..Filter::default()
+            },
+        );
+        assert!(
+            rows.iter().any(|row| !row.known),
+            "nobody knows what it acts on: {rows:?}"
+        );
         world.cut.clear();
         world.pass(20_000);
         assert_eq!(world.servers[&3].fleet.shut(), None);
@@ -441,11 +588,18 @@
     let mut world = World::new(count, faults, seed);
     world.pass(30_000);
     // Where a third of all is lost somebody is always suspected by somebody.
-    while faults.loss == 0.0 && !(0..count).step_by(97).all(|server| world.alive(server) == count) {
+    while faults.loss == 0.0
+        && !(0..count)
+            .step_by(97)
+            .all(|server| world.alive(server) == count)
+    {
         world.pass(5_000);
         assert!(world.now < 300_000, "they don't meet");
     }
-    println!("{count}: all have met after {} s at the most", world.now / 1_000);
+    println!(
+        "{count}: all have met after {} s at the most",
+        world.now / 1_000
+    );
     let (start, bytes) = (world.now, world.bytes);
     let id = world.publish(count / 2, &"z".repeat(4_000), false, Vec::new(), 0);
     let mut half = 0;
@@ -458,7 +612,11 @@
     }
     let all = world.now - start;
     world.pass(10_000);
-    (half, all, (world.bytes - bytes) * 1_000 / (world.now - start) / count as u64)
+    (
+        half,
+        all,
+        (world.bytes - bytes) * 1_000 / (world.now - start) / count as u64,
+    )
 }
 
 #[test]
@@ -532,16 +690,26 @@
         world.pass(*pause);
     }
     world.cut.clear();
-    world.servers.values_mut().for_each(|server| server.paused = false);
+    world
+        .servers
+        .values_mut()
+        .for_each(|server| server.paused = false);
     world.pass(5_000);
     let id = world.publish(0, "{\"last\":1}", false, Vec::new(), 0);
     // What was heard of and died with its only holder is nobody's.
-    let held = world.servers.values().map(|server| server.fleet.versions().newest_held());
+    let held = world
+        .servers
+        .values()
+        .map(|server| server.fleet.versions().newest_held());
     let newest = held.max().unwrap().max(id);
     let start = world.now;
     while world.on(newest) < 7 {
         world.pass(500);
-        prop_assert!(world.now - start < 180_000, "{} of 7 on {newest}", world.on(newest));
+        prop_assert!(
+            world.now - start < 180_000,
+            "{} of 7 on {newest}",
+            world.on(newest)
+        );
     }
     world.pass(10_000);
     for server in world.servers.values() {
@@ -554,9 +722,17 @@
 fn play(cases: u32) {
     // The same cases every time.
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
-    let mut runner =
-        TestRunner::new_with_rng(Config { cases, failure_persistence: None, ..Config::default() }, rng);
-    let told = runner.run(&(any::<u64>(), acts()), |(seed, acts)| comes_free(seed, &acts));
+    let mut runner = TestRunner::new_with_rng(
+        Config {
+            cases,
+            failure_persistence: None,
+            ..Config::default()
+        },
+        rng,
+    );
+    let told = runner.run(&(any::<u64>(), acts()), |(seed, acts)| {
+        comes_free(seed, &acts)
+    });
     assert!(told.is_ok(), "{}", told.unwrap_err());
 }
 
@@ -592,7 +768,11 @@
     for _ in 0..40 {
         world.pass(TICK);
         let fleet = &world.servers[&second].fleet;
-        assert!(fleet.acts_on() == waved || fleet.shut().is_some(), "let in under {}", fleet.acts_on());
+        assert!(
+            fleet.acts_on() == waved || fleet.shut().is_some(),
+            "let in under {}",
+            fleet.acts_on()
+        );
     }
     assert_eq!(world.servers[&second].fleet.acts_on(), waved);
 }
--- a/crates/coralstep-lab/benches/queue.rs
+++ b/crates/coralstep-lab/benches/queue.rs
@@ -22,12 +22,20 @@
         });
         let mut heap = BinaryHeap::new();
         (0..count).for_each(|_| {
-            heap.push(Reverse((chance.random_range(0..20_000u64), chance.random::<u64>(), 0u32)))
+            heap.push(Reverse((
+                chance.random_range(0..20_000u64),
+                chance.random::<u64>(),
+                0u32,
+            )))
         });
         group.bench_function(BenchmarkId::new("baseline: binary heap", count), |b| {
             b.iter(|| {
                 let Reverse((now, _, item)) = heap.pop().expect("an event");
-                heap.push(Reverse((now + chance.random_range(1..20_000), chance.random(), item)));
+                heap.push(Reverse((
+                    now + chance.random_range(1..20_000),
+                    chance.random(),
+                    item,
+                )));
                 now
             })
         });
--- a/crates/coralstep-lab/src/baseline.rs
+++ b/crates/coralstep-lab/src/baseline.rs
@@ -3,7 +3,8 @@
 use std::collections::{HashMap, VecDeque};
 
 use coralstep::{
-    Arrival, Effect, Gauges, Level, Method, Outcome, Outlet, Prior, RpcId, Server, Signals, Span, Terms, Time,
+    Arrival, Effect, Gauges, Level, Method, Outcome, Outlet, Prior, RpcId, Server, Signals, Span,
+    Terms, Time,
 };
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -34,7 +35,10 @@
 
 impl Policy {
     pub fn named(name: &str) -> Option<Policy> {
-        POLICIES.iter().find(|(known, _)| *known == name).map(|(_, policy)| *policy)
+        POLICIES
+            .iter()
+            .find(|(known, _)| *known == name)
+            .map(|(_, policy)| *policy)
     }
 }
 
@@ -46,7 +50,13 @@
 }
 
 impl Decider {
-    pub fn start(policy: Policy, terms: &Terms, seed: u64, now: Time, out: &mut dyn Outlet) -> Decider {
+    pub fn start(
+        policy: Policy,
+        terms: &Terms,
+        seed: u64,
+        now: Time,
+        out: &mut dyn Outlet,
+    ) -> Decider {
         match policy {
             Policy::Module | Policy::Sharing => {
                 Decider::Module(Box::new(Server::start(terms, seed, now, out)))
@@ -65,7 +75,9 @@
 
     pub fn settled(&mut self, now: Time, id: RpcId, outcome: Outcome, out: &mut dyn Outlet) {
         match self {
-            Decider::Module(server) | Decider::NoBreaker(server) => server.settled(now, id, outcome, out),
+            Decider::Module(server) | Decider::NoBreaker(server) => {
+                server.settled(now, id, outcome, out)
+            }
             Decider::Pool(pool) => pool.settled(now, id, out),
         }
     }
@@ -77,7 +89,14 @@
         }
     }
 
-    pub fn called(&mut self, now: Time, id: RpcId, outcome: Outcome, took: Span, out: &mut dyn Outlet) {
+    pub fn called(
+        &mut self,
+        now: Time,
+        id: RpcId,
+        outcome: Outcome,
+        took: Span,
+        out: &mut dyn Outlet,
+    ) {
         match self {
             Decider::Module(server) => server.called(now, id, outcome, took, out),
             // Of the dependency only good is heard; the failure is the RPC's alone.
@@ -88,7 +107,9 @@
 
     pub fn wind_down(&mut self, now: Time, stop: Time, out: &mut dyn Outlet) {
         match self {
-            Decider::Module(server) | Decider::NoBreaker(server) => server.wind_down(now, stop, out),
+            Decider::Module(server) | Decider::NoBreaker(server) => {
+                server.wind_down(now, stop, out)
+            }
             Decider::Pool(pool) => pool.wind_down(now, stop, out),
         }
     }
@@ -177,9 +198,18 @@
 impl Pool {
     fn start(policy: Policy, terms: &Terms, out: &mut dyn Outlet) -> Pool {
         let cores = terms.cores.max(1) as usize;
-        let share = terms.below.share().map_or(usize::MAX, |share| (share * SHARE).max(1.0) as usize);
+        let share = terms
+            .below
+            .share()
+            .map_or(usize::MAX, |share| (share * SHARE).max(1.0) as usize);
         // A pool is sized by its operator, who knows how much memory there is: runs, and a line, that fit.
-        let fits = |kb: f64| if kb > 0.0 { (terms.memory_kb / kb / 40.0) as usize } else { usize::MAX };
+        let fits = |kb: f64| {
+            if kb > 0.0 {
+                (terms.memory_kb / kb / 40.0) as usize
+            } else {
+                usize::MAX
+            }
+        };
         let room = fits(terms.run_factor).max(cores);
         let (limit, line_most, calls_most) = match policy {
             Policy::Static => (cores * 2, 100, share),
@@ -227,7 +257,9 @@
             Prior::Forgotten => return self.answer(arrival.id, false, out),
             Prior::Nothing => {}
         }
-        let late = self.leaving.is_some_and(|(notice, _)| now > notice + self.grace);
+        let late = self
+            .leaving
+            .is_some_and(|(notice, _)| now > notice + self.grace);
         if late || self.line.len() >= self.line_most {
             return self.answer(arrival.id, true, out);
         }
@@ -237,7 +269,9 @@
 
     /// The one final answer of what gets no good one.
     fn answer(&mut self, id: RpcId, push: bool, out: &mut dyn Outlet) {
-        let Some(one) = self.all.get_mut(&id).filter(|one| !one.answered) else { return };
+        let Some(one) = self.all.get_mut(&id).filter(|one| !one.answered) else {
+            return;
+        };
         one.answered = true;
         // Guards against an index that stands in line after it went to another RPC.
         self.line.retain(|held| *held != id);
@@ -252,7 +286,11 @@
 
     /// What is answered and runs no more goes, unless its token counts.
     fn forget(&mut self, id: RpcId, out: &mut dyn Outlet) {
-        if self.all.get(&id).is_some_and(|one| one.answered && !one.running && one.token_until.is_none()) {
+        if self
+            .all
+            .get(&id)
+            .is_some_and(|one| one.answered && !one.running && one.token_until.is_none())
+        {
             self.all.remove(&id);
             out.release(id);
         }
@@ -260,14 +298,20 @@
 
     fn pump(&mut self, now: Time, out: &mut dyn Outlet) {
         while self.running < self.limit {
-            let Some(id) = self.line.pop_front() else { return };
-            let Some(one) = self.all.get_mut(&id).filter(|one| !one.answered) else { continue };
+            let Some(id) = self.line.pop_front() else {
+                return;
+            };
+            let Some(one) = self.all.get_mut(&id).filter(|one| !one.answered) else {
+                continue;
+            };
             let waited = now - one.arrived;
             if self.codel && self.drops_now(now, waited) {
                 self.answer(id, true, out);
                 continue;
             }
-            let Some(one) = self.all.get_mut(&id) else { continue };
+            let Some(one) = self.all.get_mut(&id) else {
+                continue;
+            };
             (one.ran, one.running) = (true, true);
             let of = self.methods[one.method];
             if of.effect == Effect::Tokened {
@@ -294,7 +338,9 @@
     }
 
     fn settled(&mut self, now: Time, id: RpcId, out: &mut dyn Outlet) {
-        let Some(one) = self.all.get_mut(&id) else { return };
+        let Some(one) = self.all.get_mut(&id) else {
+            return;
+        };
         one.answered = true;
         if std::mem::take(&mut one.running) {
             self.running -= 1;
@@ -311,8 +357,12 @@
 
     fn calls(&mut self, now: Time, out: &mut dyn Outlet) {
         while self.calling < self.calls_most {
-            let Some(id) = self.waiting.pop_front() else { return };
-            let Some(one) = self.all.get(&id).filter(|one| one.running) else { continue };
+            let Some(id) = self.waiting.pop_front() else {
+                return;
+            };
+            let Some(one) = self.all.get(&id).filter(|one| one.running) else {
+                continue;
+            };
             self.calling += 1;
             out.call(id, PATIENCE.min(one.due - now).max(Span::ms(1)));
         }
@@ -328,13 +378,19 @@
 
     fn wind_down(&mut self, now: Time, stop: Time, out: &mut dyn Outlet) {
         self.leaving = Some((now, stop));
-        self.all.values_mut().for_each(|one| one.due = one.due.min(stop - LAST));
+        self.all
+            .values_mut()
+            .for_each(|one| one.due = one.due.min(stop - LAST));
         out.health(false);
     }
 
     fn timer(&mut self, now: Time, out: &mut dyn Outlet) {
-        let mut due: Vec<RpcId> =
-            self.all.iter().filter(|(_, one)| !one.answered && one.due <= now).map(|(id, _)| *id).collect();
+        let mut due: Vec<RpcId> = self
+            .all
+            .iter()
+            .filter(|(_, one)| !one.answered && one.due <= now)
+            .map(|(id, _)| *id)
+            .collect();
         // Guards against the order of a table, which differs from run to run.
         due.sort_unstable_by_key(|id| id.0);
         for id in due {
@@ -342,10 +398,18 @@
             self.answer(id, push, out);
         }
         let over = |one: &One| one.token_until.is_some_and(|until| until <= now);
-        let mut over: Vec<RpcId> = self.all.iter().filter(|(_, one)| over(one)).map(|(id, _)| *id).collect();
+        let mut over: Vec<RpcId> = self
+            .all
+            .iter()
+            .filter(|(_, one)| over(one))
+            .map(|(id, _)| *id)
+            .collect();
         over.sort_unstable_by_key(|id| id.0);
         for id in over {
-            self.all.get_mut(&id).into_iter().for_each(|one| one.token_until = None);
+            self.all
+                .get_mut(&id)
+                .into_iter()
+                .for_each(|one| one.token_until = None);
             out.drop_token(id);
             self.forget(id, out);
         }
--- a/crates/coralstep-lab/src/bound.rs
+++ b/crates/coralstep-lab/src/bound.rs
@@ -52,16 +52,25 @@
                 .collect()
         };
         let slice_ms = record.slice_ms * each as f64;
-        let mut plan =
-            Plan { slice_ms, work: joined(|slice| slice.capacity), calls: joined(|slice| slice.calls) };
+        let mut plan = Plan {
+            slice_ms,
+            work: joined(|slice| slice.capacity),
+            calls: joined(|slice| slice.calls),
+        };
         // What is open at the end is served behind it: as much again as in the slice before, for the longest deadline.
-        let most = world.methods.iter().map(|method| method.deadline_ms).fold(0.0, f64::max);
+        let most = world
+            .methods
+            .iter()
+            .map(|method| method.deadline_ms)
+            .fold(0.0, f64::max);
         let behind = (most / slice_ms).ceil() as usize + 1;
         let usual = plan.work.iter().copied().fold(0.0, f64::max);
         let calls = plan.calls.iter().copied().fold(0.0, f64::max);
         plan.work.extend(std::iter::repeat_n(usual, behind));
         plan.calls.extend(std::iter::repeat_n(calls, behind));
-        plan.calls.iter_mut().for_each(|calls| *calls += LUCK * calls.sqrt());
+        plan.calls
+            .iter_mut()
+            .for_each(|calls| *calls += LUCK * calls.sqrt());
         plan
     }
 
@@ -154,7 +163,11 @@
     let (mut work, mut calls) = (plan.work.clone(), plan.calls.clone());
     let mut order: Vec<&Asked> = requests.iter().collect();
     let dense = |asked: &Asked| world.methods[asked.method].criticality / asked.work_ms.max(0.01);
-    order.sort_by(|one, other| dense(other).total_cmp(&dense(one)).then(one.at_ms.total_cmp(&other.at_ms)));
+    order.sort_by(|one, other| {
+        dense(other)
+            .total_cmp(&dense(one))
+            .then(one.at_ms.total_cmp(&other.at_ms))
+    });
     let mut kept = 0.0;
     for asked in order {
         let slice = plan.slice(asked.at_ms);
@@ -176,13 +189,24 @@
 /// How far a day was from the best. The record must hold its requests.
 pub fn split(world: &World, record: &Record, kept: f64) -> Option<Split> {
     let requests = record.requests.as_ref()?;
-    let asked: f64 = requests.iter().map(|asked| world.methods[asked.method].criticality).sum();
+    let asked: f64 = requests
+        .iter()
+        .map(|asked| world.methods[asked.method].criticality)
+        .sum();
     if asked <= 0.0 {
-        return Some(Split { kept: 1.0, greedy: 1.0, bound: 1.0 });
+        return Some(Split {
+            kept: 1.0,
+            greedy: 1.0,
+            bound: 1.0,
+        });
     }
     let plan = Plan::new(world, record);
     let bound = most(world, &plan, &plan.groups(requests))?;
-    Some(Split { kept, greedy: greedy(world, &plan, requests) / asked, bound: (bound / asked).min(1.0) })
+    Some(Split {
+        kept,
+        greedy: greedy(world, &plan, requests) / asked,
+        bound: (bound / asked).min(1.0),
+    })
 }
 
 #[cfg(test)]
--- a/crates/coralstep-lab/src/bound/tests.rs
+++ b/crates/coralstep-lab/src/bound/tests.rs
@@ -13,7 +13,10 @@
         let world = world(name);
         let (day, record) = play(&world, 1, Default::default(), true);
         let split = split(&world, &record, day.kept).unwrap();
-        assert!(split.bound >= split.greedy - 1e-9 && split.bound >= split.kept - 1e-9, "{name} {split:?}");
+        assert!(
+            split.bound >= split.greedy - 1e-9 && split.bound >= split.kept - 1e-9,
+            "{name} {split:?}"
+        );
         assert!(split.greedy > split.kept - 0.02, "{name} {split:?}");
     }
 }
@@ -21,9 +24,23 @@
 #[test]
 fn with_room_for_all_it_is_all_and_with_none_nothing() {
     let world = world("calm-3");
-    let asked =
-        [Asked { at_ms: 5.0, method: 0, work_ms: 50.0 }, Asked { at_ms: 900.0, method: 0, work_ms: 50.0 }];
-    let plan = |work: f64| Plan { slice_ms: 1_000.0, work: vec![work; 8], calls: vec![0.0; 8] };
+    let asked = [
+        Asked {
+            at_ms: 5.0,
+            method: 0,
+            work_ms: 50.0,
+        },
+        Asked {
+            at_ms: 900.0,
+            method: 0,
+            work_ms: 50.0,
+        },
+    ];
+    let plan = |work: f64| Plan {
+        slice_ms: 1_000.0,
+        work: vec![work; 8],
+        calls: vec![0.0; 8],
+    };
     let worth = world.methods[0].criticality;
     let all = plan(100.0);
     assert!((most(&world, &all, &all.groups(&asked)).unwrap() - 2.0 * worth).abs() < 1e-6);
--- a/crates/coralstep-lab/src/caller/mod.rs
+++ b/crates/coralstep-lab/src/caller/mod.rs
@@ -57,7 +57,11 @@
 }
 
 impl Way {
-    pub fn new(protocol: Protocol, address: SocketAddr, executor: &Rc<LocalExecutor<'static>>) -> Way {
+    pub fn new(
+        protocol: Protocol,
+        address: SocketAddr,
+        executor: &Rc<LocalExecutor<'static>>,
+    ) -> Way {
         match protocol {
             Protocol::Thrift => Way::Thrift(Rc::new(thrift::Link::new(address, executor.clone()))),
             Protocol::Scgi => Way::Scgi(address),
--- a/crates/coralstep-lab/src/caller/scgi.rs
+++ b/crates/coralstep-lab/src/caller/scgi.rs
@@ -13,19 +13,34 @@
 
 /// What an answer with these bytes, the whole of it, says.
 pub fn said(bytes: &[u8]) -> Said {
-    let bounds = Bounds { body: ANSWER, ..Bounds::default() };
-    let Ok(Some((status, body))) = answer::read(bytes, true, &bounds) else { return Said::Broken };
+    let bounds = Bounds {
+        body: ANSWER,
+        ..Bounds::default()
+    };
+    let Ok(Some((status, body))) = answer::read(bytes, true, &bounds) else {
+        return Said::Broken;
+    };
     let field = |name: &str| {
-        let head = bytes.split(|byte| *byte == b'\n').take_while(|line| line.len() > 1);
-        let mut values = head.filter_map(|line| std::str::from_utf8(line).ok()?.trim_end().split_once(": "));
-        values.find(|(known, _)| known.eq_ignore_ascii_case(name)).map(|(_, value)| value)
+        let head = bytes
+            .split(|byte| *byte == b'\n')
+            .take_while(|line| line.len() > 1);
+        let mut values =
+            head.filter_map(|line| std::str::from_utf8(line).ok()?.trim_end().split_once(": "));
+        values
+            .find(|(known, _)| known.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value)
     };
     match status {
         200..=299 => Said::Ok(body.to_vec()),
         503 => {
-            let after = field("X-Coralstep-Retry-After-Ms").and_then(|ms| ms.parse().ok()).unwrap_or(0);
+            let after = field("X-Coralstep-Retry-After-Ms")
+                .and_then(|ms| ms.parse().ok())
+                .unwrap_or(0);
             let nowhere = field("X-Coralstep-Nowhere") == Some("1");
-            Said::PushedBack { after: Duration::from_millis(after), nowhere }
+            Said::PushedBack {
+                after: Duration::from_millis(after),
+                nowhere,
+            }
         }
         500..=599 => Said::Aborted,
         _ => Said::Refused,
@@ -55,17 +70,24 @@
         headers.push(("HTTP_X_TENANT", ask.tenant.as_bytes()));
     }
     let mut out = Vec::new();
-    request::put(&mut out, &headers, &ask.body).ok().map(|()| out)
+    request::put(&mut out, &headers, &ask.body)
+        .ok()
+        .map(|()| out)
 }
 
 pub async fn ask(address: SocketAddr, ask: &Ask) -> Said {
-    let Some(bytes) = bytes(ask) else { return Said::Refused };
+    let Some(bytes) = bytes(ask) else {
+        return Said::Refused;
+    };
     let talk = async {
         let stream = Async::<TcpStream>::connect(address).await?;
         stream.get_ref().set_nodelay(true)?;
         (&stream).write_all(&bytes).await?;
         let mut answer = Vec::new();
-        (&stream).take(ANSWER as u64).read_to_end(&mut answer).await?;
+        (&stream)
+            .take(ANSWER as u64)
+            .read_to_end(&mut answer)
+            .await?;
         std::io::Result::Ok(answer)
     };
     talk.await.map_or(Said::Broken, |answer| said(&answer))
--- a/crates/coralstep-lab/src/caller/thrift.rs
+++ b/crates/coralstep-lab/src/caller/thrift.rs
@@ -115,7 +115,10 @@
                 1 => Said::Ok(body),
                 _ => Said::Aborted,
             },
-            1 => Said::PushedBack { after: Duration::from_millis(after), nowhere },
+            1 => Said::PushedBack {
+                after: Duration::from_millis(after),
+                nowhere,
+            },
             2 => Said::Aborted,
             _ => return None,
         },
@@ -134,7 +137,12 @@
 
 impl Link {
     pub fn new(address: SocketAddr, executor: Rc<LocalExecutor<'static>>) -> Link {
-        Link { address, executor, open: RefCell::default(), seq: Cell::new(0) }
+        Link {
+            address,
+            executor,
+            open: RefCell::default(),
+            seq: Cell::new(0),
+        }
     }
 
     /// Frames put in here are written, whole and in order.
@@ -202,12 +210,17 @@
         }
         bytes.extend_from_slice(&buffer[..count]);
         let mut used = 0;
-        while let Some(prefix) = bytes.get(used..used + 4).and_then(|four| four.try_into().ok()) {
+        while let Some(prefix) = bytes
+            .get(used..used + 4)
+            .and_then(|four| four.try_into().ok())
+        {
             let length = u32::from_be_bytes(prefix) as usize;
             if length > FRAME {
                 return Err(std::io::ErrorKind::InvalidData.into());
             }
-            let Some(frame) = bytes.get(used + 4..used + 4 + length) else { break };
+            let Some(frame) = bytes.get(used + 4..used + 4 + length) else {
+                break;
+            };
             if let Some((seq, said)) = said(frame)
                 && let Some(sender) = waiting.borrow_mut().remove(&seq)
             {
--- a/crates/coralstep-lab/src/caller/thrift/tests.rs
+++ b/crates/coralstep-lab/src/caller/thrift/tests.rs
@@ -13,7 +13,10 @@
         body: b"x".to_vec(),
     };
     let mut frame = frame(7, &ask);
-    assert_eq!(frame.len(), 4 + u32::from_be_bytes(frame[..4].try_into().unwrap()) as usize);
+    assert_eq!(
+        frame.len(),
+        4 + u32::from_be_bytes(frame[..4].try_into().unwrap()) as usize
+    );
     // A call is no answer, in whole and cut anywhere.
     assert!((0..frame.len()).all(|end| said(&frame[4.min(end)..end]).is_none()));
     frame[7] = 2;
--- a/crates/coralstep-lab/src/cli/explore.rs
+++ b/crates/coralstep-lab/src/cli/explore.rs
@@ -39,32 +39,77 @@
 
 pub fn explore(call: &Call) -> Result<bool, String> {
     let module = |(name, prelude): (&str, Prelude)| -> Walk {
-        (format!("module, {name}"), walk::<Module>(Scope { prelude, prompt: false, cheat: Cheat::None }))
+        (
+            format!("module, {name}"),
+            walk::<Module>(Scope {
+                prelude,
+                prompt: false,
+                cheat: Cheat::None,
+            }),
+        )
     };
     let mut walks: Vec<Walk> = PRELUDES.into_iter().map(module).collect();
-    let prompt = Scope { prelude: Prelude::Hung, prompt: true, cheat: Cheat::None };
-    walks.push(("module, hung, prompt engine".to_owned(), walk::<Module>(prompt)));
+    let prompt = Scope {
+        prelude: Prelude::Hung,
+        prompt: true,
+        cheat: Cheat::None,
+    };
+    walks.push((
+        "module, hung, prompt engine".to_owned(),
+        walk::<Module>(prompt),
+    ));
     walks.push(("pool, fresh".to_owned(), walk::<Pool>(PoolScope::Fresh)));
-    walks.push(("fleet's versions".to_owned(), walk::<Fleet>(FleetScope::default())));
-    for (name, silent_shuts) in [("straggler, silent serves", false), ("straggler, silent shuts", true)] {
-        walks.push((name.to_owned(), walk::<Lag>(LagScope { silent_shuts, ..LagScope::default() })));
+    walks.push((
+        "fleet's versions".to_owned(),
+        walk::<Fleet>(FleetScope::default()),
+    ));
+    for (name, silent_shuts) in [
+        ("straggler, silent serves", false),
+        ("straggler, silent shuts", true),
+    ] {
+        walks.push((
+            name.to_owned(),
+            walk::<Lag>(LagScope {
+                silent_shuts,
+                ..LagScope::default()
+            }),
+        ));
     }
-    for (name, prelude) in
-        [("limits, fresh", SharesPrelude::Fresh), ("limits, settled", SharesPrelude::Settled)]
-    {
-        walks.push((name.to_owned(), walk::<Shares>(SharesScope { prelude, ..SharesScope::default() })));
+    for (name, prelude) in [
+        ("limits, fresh", SharesPrelude::Fresh),
+        ("limits, settled", SharesPrelude::Settled),
+    ] {
+        walks.push((
+            name.to_owned(),
+            walk::<Shares>(SharesScope {
+                prelude,
+                ..SharesScope::default()
+            }),
+        ));
     }
     walks.push(("pool, shut".to_owned(), walk::<Pool>(PoolScope::Shut)));
-    let results = side_by_side(0..walks.len() as u64, call.threads, |at| walks[at as usize].1(call));
+    let results = side_by_side(0..walks.len() as u64, call.threads, |at| {
+        walks[at as usize].1(call)
+    });
     let mut sound = true;
     for ((name, _), (walked, told)) in walks.iter().zip(&results) {
         sound &= told.is_none();
         if call.json {
-            println!("{}", serde_json::json!({"scope": name, "walked": walked, "told": told}));
+            println!(
+                "{}",
+                serde_json::json!({"scope": name, "walked": walked, "told": told})
+            );
             continue;
         }
-        let cut = if walked.cut { ", not all: the bound on states was met" } else { "" };
-        println!("{name}: {} states to depth {}, {} met again{cut}", walked.states, call.depth, walked.again);
+        let cut = if walked.cut {
+            ", not all: the bound on states was met"
+        } else {
+            ""
+        };
+        println!(
+            "{name}: {} states to depth {}, {} met again{cut}",
+            walked.states, call.depth, walked.again
+        );
         match told {
             Some(told) => println!("  broken: {told}"),
             None => println!(
--- a/crates/coralstep-lab/src/cli/fleet.rs
+++ b/crates/coralstep-lab/src/cli/fleet.rs
@@ -11,40 +11,70 @@
 
 fn programs(server: Option<PathBuf>, other: Option<PathBuf>) -> Result<Programs, String> {
     if let Some(missing) = other.as_ref().filter(|other| !other.is_file()) {
-        return Err(format!("--other-server: {}: no such file", missing.display()));
+        return Err(format!(
+            "--other-server: {}: no such file",
+            missing.display()
+        ));
     }
-    Ok(Programs::alternating(super::sockets::program(server)?, other))
+    Ok(Programs::alternating(
+        super::sockets::program(server)?,
+        other,
+    ))
 }
 
 /// Interrupted, a run ends as at its end: all that was started is ended on the way out.
 fn stop_on_interrupt() -> Result<Arc<AtomicBool>, String> {
     let stop = Arc::new(AtomicBool::new(false));
     let stopped = stop.clone();
-    ctrlc::set_handler(move || stopped.store(true, Ordering::SeqCst)).map_err(|why| why.to_string())?;
+    ctrlc::set_handler(move || stopped.store(true, Ordering::SeqCst))
+        .map_err(|why| why.to_string())?;
     Ok(stop)
 }
 
 /// Whether nothing was broken.
-pub fn play(file: &str, server: Option<PathBuf>, other: Option<PathBuf>, json: bool) -> Result<bool, String> {
+pub fn play(
+    file: &str,
+    server: Option<PathBuf>,
+    other: Option<PathBuf>,
+    json: bool,
+) -> Result<bool, String> {
     let text = std::fs::read_to_string(file).map_err(|why| format!("{file}: {why}"))?;
     let play = Play::parse(&text).map_err(|why| format!("{file}: {why}"))?;
     let programs = programs(server, other)?;
     let stop = stop_on_interrupt()?;
-    let report = play.run(programs, &stop, |line| eprintln!("{line}")).map_err(|why| why.to_string())?;
+    let report = play
+        .run(programs, &stop, |line| eprintln!("{line}"))
+        .map_err(|why| why.to_string())?;
     if json {
         println!("{}", serde_json::json!(report));
     } else {
-        println!("ok {}, pushed back {}, aborted {}", report.ok, report.pushed_back, report.aborted);
-        let together = report.together_ms.map_or("never".to_owned(), |ms| format!("after {ms} ms"));
-        println!("all on one version {together}; {:.0} bytes a second and process", report.bytes_a_second);
-        report.breaches.iter().for_each(|breach| println!("broken: {}", serde_json::json!(breach)));
+        println!(
+            "ok {}, pushed back {}, aborted {}",
+            report.ok, report.pushed_back, report.aborted
+        );
+        let together = report
+            .together_ms
+            .map_or("never".to_owned(), |ms| format!("after {ms} ms"));
+        println!(
+            "all on one version {together}; {:.0} bytes a second and process",
+            report.bytes_a_second
+        );
+        report
+            .breaches
+            .iter()
+            .for_each(|breach| println!("broken: {}", serde_json::json!(breach)));
         println!("{} breaches", report.breaches.len());
     }
     Ok(report.breaches.is_empty())
 }
 
 /// Runs the scenario of two builds; what failed is the error.
-pub fn mixed_builds(server: Option<PathBuf>, other: PathBuf, seed: u64, json: bool) -> Result<bool, String> {
+pub fn mixed_builds(
+    server: Option<PathBuf>,
+    other: PathBuf,
+    seed: u64,
+    json: bool,
+) -> Result<bool, String> {
     let programs = programs(server, Some(other))?;
     let stop = stop_on_interrupt()?;
     let report = mixed_builds::run(&programs, seed, &stop, |line| eprintln!("{line}"))
@@ -54,9 +84,18 @@
         return Ok(true);
     }
     let (admitted, rejected) = (report.admitted, report.rejected);
-    println!("admitted: primary build {}, other build {}", admitted.primary, admitted.other);
-    println!("rejected: primary build {}, other build {}", rejected.primary, rejected.other);
-    println!("most over the limit in any window: {:.1} RPCs", report.limit_excess);
+    println!(
+        "admitted: primary build {}, other build {}",
+        admitted.primary, admitted.other
+    );
+    println!(
+        "rejected: primary build {}, other build {}",
+        rejected.primary, rejected.other
+    );
+    println!(
+        "most over the limit in any window: {:.1} RPCs",
+        report.limit_excess
+    );
     println!("refused datagrams: {}", report.refused_datagrams);
     println!("all steps of {MIXED_BUILDS} passed");
     Ok(true)
--- a/crates/coralstep-lab/src/cli/load.rs
+++ b/crates/coralstep-lab/src/cli/load.rs
@@ -23,7 +23,8 @@
 pub fn load(call: &Call) -> Result<bool, String> {
     let plan = match &call.replay {
         Some(path) => {
-            let text = std::fs::read_to_string(path).map_err(|why| format!("{}: {why}", path.display()))?;
+            let text = std::fs::read_to_string(path)
+                .map_err(|why| format!("{}: {why}", path.display()))?;
             load::recorded(&text).map_err(|why| format!("{}: {why}", path.display()))?
         }
         None => load::at_rate(call.rate, call.seconds, &call.methods, call.seed),
@@ -38,13 +39,23 @@
     };
     let figures = load::drive(&terms, &plan, std::io::stderr()).map_err(|why| why.to_string())?;
     if call.json {
-        println!("{}", serde_json::to_string(&figures).map_err(|why| why.to_string())?);
+        println!(
+            "{}",
+            serde_json::to_string(&figures).map_err(|why| why.to_string())?
+        );
     } else {
         eprintln!();
-        println!("due {}, answered well {} ({:.1} a second)", figures.due, figures.ok, figures.ok_rate);
+        println!(
+            "due {}, answered well {} ({:.1} a second)",
+            figures.due, figures.ok, figures.ok_rate
+        );
         println!(
             "pushed back {}, aborted {}, refused {}, broken {}, timed out {}",
-            figures.pushed_back, figures.aborted, figures.refused, figures.broken, figures.timed_out
+            figures.pushed_back,
+            figures.aborted,
+            figures.refused,
+            figures.broken,
+            figures.timed_out
         );
         println!(
             "ms from when each was due: p50 {:.2}, p90 {:.2}, p99 {:.2}, p99.9 {:.2}, most {:.2}",
--- a/crates/coralstep-lab/src/cli/mod.rs
+++ b/crates/coralstep-lab/src/cli/mod.rs
@@ -55,7 +55,9 @@
     if shows {
         eprintln!();
     }
-    let mut done = done.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner());
+    let mut done = done
+        .into_inner()
+        .unwrap_or_else(|poisoned| poisoned.into_inner());
     done.sort_by_key(|(number, _)| *number);
     done.into_iter().map(|(_, result)| result).collect()
 }
--- a/crates/coralstep-lab/src/cli/simulate.rs
+++ b/crates/coralstep-lab/src/cli/simulate.rs
@@ -14,8 +14,14 @@
 fn mean(figures: &[f64]) -> (f64, f64) {
     let count = figures.len() as f64;
     let mean = figures.iter().sum::<f64>() / count;
-    let Ok(student) = StudentsT::new(0.0, 1.0, (count - 1.0).max(1.0)) else { return (mean, f64::NAN) };
-    let spread = figures.iter().map(|figure| (figure - mean).powi(2)).sum::<f64>() / (count - 1.0).max(1.0);
+    let Ok(student) = StudentsT::new(0.0, 1.0, (count - 1.0).max(1.0)) else {
+        return (mean, f64::NAN);
+    };
+    let spread = figures
+        .iter()
+        .map(|figure| (figure - mean).powi(2))
+        .sum::<f64>()
+        / (count - 1.0).max(1.0);
     (mean, student.inverse_cdf(0.975) * (spread / count).sqrt())
 }
 
@@ -39,7 +45,9 @@
         day.breaker_turns,
         day.breaches
     )?;
-    day.told.iter().try_for_each(|breach| writeln!(out, "  {breach}"))
+    day.told
+        .iter()
+        .try_for_each(|breach| writeln!(out, "  {breach}"))
 }
 
 fn show(days: &[Day], json: bool) -> std::io::Result<()> {
@@ -50,12 +58,20 @@
         for day in days {
             writeln!(out, "{}", serde_json::to_string(day)?)?;
         }
-        return writeln!(out, "{}", serde_json::json!({"days": days.len(), "kept": mean, "off": off}));
+        return writeln!(
+            out,
+            "{}",
+            serde_json::json!({"days": days.len(), "kept": mean, "off": off})
+        );
     }
     writeln!(out, "{HEAD}")?;
     days.iter().try_for_each(|day| line(&mut out, day))?;
     if days.len() > 1 {
-        writeln!(out, "kept {mean:.4} +- {off:.4} (95%, {} days; virtual time)", days.len())?;
+        writeln!(
+            out,
+            "kept {mean:.4} +- {off:.4} (95%, {} days; virtual time)",
+            days.len()
+        )?;
     }
     Ok(())
 }
@@ -69,7 +85,9 @@
     threads: usize,
     json: bool,
 ) -> Result<bool, String> {
-    let days = side_by_side(seed..seed + days, threads, |seed| play(world, seed, policy, false).0);
+    let days = side_by_side(seed..seed + days, threads, |seed| {
+        play(world, seed, policy, false).0
+    });
     show(&days, json).map_err(|why| why.to_string())?;
     Ok(days.iter().all(|day| day.breaches == 0))
 }
@@ -78,20 +96,42 @@
 pub fn bound(world: &World, policy: Policy, seed: u64, json: bool) -> Result<bool, String> {
     let (day, record) = play(world, seed, policy, true);
     let split = bound::split(world, &record, day.kept).ok_or("the solver found no end")?;
-    let asked: f64 = record.slices.iter().map(|slice| slice.worth).sum::<f64>().max(1e-9);
-    let losses: Vec<(&str, f64)> =
-        LOSSES.iter().map(|(loss, name)| (*name, record.losses[*loss as usize] / asked)).collect();
+    let asked: f64 = record
+        .slices
+        .iter()
+        .map(|slice| slice.worth)
+        .sum::<f64>()
+        .max(1e-9);
+    let losses: Vec<(&str, f64)> = LOSSES
+        .iter()
+        .map(|(loss, name)| (*name, record.losses[*loss as usize] / asked))
+        .collect();
     if json {
-        let losses: serde_json::Map<_, _> =
-            losses.iter().map(|(name, part)| ((*name).to_owned(), (*part).into())).collect();
+        let losses: serde_json::Map<_, _> = losses
+            .iter()
+            .map(|(name, part)| ((*name).to_owned(), (*part).into()))
+            .collect();
         let said = serde_json::json!({"world": world.name, "seed": seed, "kept": split.kept, "greedy": split.greedy,
             "bound": split.bound, "losses": losses, "breaches": day.breaches});
         println!("{said}");
     } else {
-        println!("{} seed {seed}, virtual time; parts of the criticality asked for", world.name);
-        println!("kept {:.4}\tgreedy plan {:.4}\tupper bound {:.4}", split.kept, split.greedy, split.bound);
-        println!("lost to the bound {:.4}, out of reach {:.4}", split.bound - split.kept, 1.0 - split.bound);
-        losses.iter().filter(|loss| loss.1 > 0.0).for_each(|(name, part)| println!("  {name}\t{part:.4}"));
+        println!(
+            "{} seed {seed}, virtual time; parts of the criticality asked for",
+            world.name
+        );
+        println!(
+            "kept {:.4}\tgreedy plan {:.4}\tupper bound {:.4}",
+            split.kept, split.greedy, split.bound
+        );
+        println!(
+            "lost to the bound {:.4}, out of reach {:.4}",
+            split.bound - split.kept,
+            1.0 - split.bound
+        );
+        losses
+            .iter()
+            .filter(|loss| loss.1 > 0.0)
+            .for_each(|(name, part)| println!("  {name}\t{part:.4}"));
     }
     Ok(day.breaches == 0)
 }
@@ -103,7 +143,13 @@
     let small = world.rate() * world.seconds < 2e6;
     let (day, record) = play(world, seed, policy, small);
     let split = bound::split(world, &record, day.kept);
-    let page = report::page("virtual time, by coralstep-lab simulate", &day, &record, split.as_ref(), &[]);
+    let page = report::page(
+        "virtual time, by coralstep-lab simulate",
+        &day,
+        &record,
+        split.as_ref(),
+        &[],
+    );
     report::write(out, &page.map_err(|why| why.to_string())?)?;
     println!("{}", out.display());
     Ok(day.breaches == 0)
--- a/crates/coralstep-lab/src/cli/sockets.rs
+++ b/crates/coralstep-lab/src/cli/sockets.rs
@@ -22,13 +22,22 @@
             Err(format!("--server: {}: no such file", named.display()))
         };
     }
-    let beside = std::env::current_exe().map_err(|why| why.to_string())?.with_file_name("coralstep");
+    let beside = std::env::current_exe()
+        .map_err(|why| why.to_string())?
+        .with_file_name("coralstep");
     if let Some(cargo) = std::env::var_os("CARGO") {
         // Guards against an older program than the code that it stands for; takes a moment where nothing has changed.
         let release = !cfg!(debug_assertions);
         eprintln!("building the program coralstep");
         let mut build = Command::new(cargo);
-        build.args(["build", "--quiet", "--package", "coralstep-server", "--bin", "coralstep"]);
+        build.args([
+            "build",
+            "--quiet",
+            "--package",
+            "coralstep-server",
+            "--bin",
+            "coralstep",
+        ]);
         if release {
             build.arg("--release");
         }
@@ -39,7 +48,10 @@
     }
     match beside.is_file() {
         true => Ok(beside),
-        false => Err(format!("{}: no such program; cargo build --release makes it", beside.display())),
+        false => Err(format!(
+            "{}: no such program; cargo build --release makes it",
+            beside.display()
+        )),
     }
 }
 
@@ -59,7 +71,10 @@
             day.requests
         );
     } else if second.is_multiple_of(10) {
-        eprintln!("{second} s: requests {}, ok {ok}, pushed back {pushed}, aborted {aborted}", day.requests);
+        eprintln!(
+            "{second} s: requests {}, ok {ok}, pushed back {pushed}, aborted {aborted}",
+            day.requests
+        );
     }
     let _ = std::io::stderr().flush();
 }
@@ -80,7 +95,12 @@
     let told = |why: std::io::Error| why.to_string();
     let simulated = beside.then(|| play(&playable(world), terms.seed, Default::default(), false).0);
     if json {
-        writeln!(stdout, "{}", serde_json::json!({"emulated": day, "simulated": simulated})).map_err(told)?;
+        writeln!(
+            stdout,
+            "{}",
+            serde_json::json!({"emulated": day, "simulated": simulated})
+        )
+        .map_err(told)?;
     } else {
         writeln!(stdout, "{HEAD}").map_err(told)?;
         line(&mut stdout, &day).map_err(told)?;
@@ -96,7 +116,13 @@
 }
 
 fn write(day: &Day, record: &coralstep_lab::record::Record, out: &Path) -> Result<(), String> {
-    let page = report::page("on loopback sockets, by the program coralstep", day, record, None, &[]);
+    let page = report::page(
+        "on loopback sockets, by the program coralstep",
+        day,
+        record,
+        None,
+        &[],
+    );
     report::write(out, &page.map_err(|why| why.to_string())?)
 }
 
@@ -109,7 +135,10 @@
         demo::SECONDS
     );
     for trouble in &world.troubles {
-        println!("  {:>2} s: {:?} for {} s", trouble.at_s, trouble.kind, trouble.for_s);
+        println!(
+            "  {:>2} s: {:?} for {} s",
+            trouble.at_s, trouble.kind, trouble.for_s
+        );
     }
     let terms = Terms {
         program,
@@ -122,20 +151,38 @@
     eprintln!();
     record.finish();
     let target = Path::new("target");
-    let out =
-        out.unwrap_or_else(|| if target.is_dir() { target.join("demo.html") } else { "demo.html".into() });
+    let out = out.unwrap_or_else(|| {
+        if target.is_dir() {
+            target.join("demo.html")
+        } else {
+            "demo.html".into()
+        }
+    });
     let parts = [
         ("ok", day.ok),
         ("pushed back", day.pushed_back),
         ("aborted", day.aborted),
         ("unreached", day.unreached),
     ];
-    println!("{} requests in {:.0} s:", day.requests, start.elapsed().as_secs_f64());
+    println!(
+        "{} requests in {:.0} s:",
+        day.requests,
+        start.elapsed().as_secs_f64()
+    );
     for (name, count) in parts {
-        println!("  {name:<12}{count:>6}  {:>5.1}%", 100.0 * count as f64 / day.requests.max(1) as f64);
+        println!(
+            "  {name:<12}{count:>6}  {:>5.1}%",
+            100.0 * count as f64 / day.requests.max(1) as f64
+        );
     }
-    println!("good answers after {:.0} ms at the middle, 99 of 100 within {:.0} ms", day.p50_ms, day.p99_ms);
-    println!("criticality kept {:.3}; breakers changed their state {} times", day.kept, day.breaker_turns);
+    println!(
+        "good answers after {:.0} ms at the middle, 99 of 100 within {:.0} ms",
+        day.p50_ms, day.p99_ms
+    );
+    println!(
+        "criticality kept {:.3}; breakers changed their state {} times",
+        day.kept, day.breaker_turns
+    );
     println!(
         "checked: one answer each, no effect twice, drain, crowd on the cores: {} breaches",
         day.breaches
--- a/crates/coralstep-lab/src/emulate/application.rs
+++ b/crates/coralstep-lab/src/emulate/application.rs
@@ -32,7 +32,10 @@
     pub fn start(world: &World, seed: u64, began: Arc<Began>) -> std::io::Result<Application> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let (stop, hangs) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+        let (stop, hangs) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(AtomicBool::new(false)),
+        );
         let (world, ends, hung) = (Arc::new(world.clone()), stop.clone(), hangs.clone());
         let in_hand = Arc::new(AtomicU64::new(0));
         std::thread::spawn(move || {
@@ -44,12 +47,23 @@
                 let in_hand = in_hand.clone();
                 std::thread::spawn(move || {
                     in_hand.fetch_add(1, Ordering::SeqCst);
-                    let _ = serve(stream, &world, seed + number as u64, &*began, &hung, &in_hand);
+                    let _ = serve(
+                        stream,
+                        &world,
+                        seed + number as u64,
+                        &*began,
+                        &hung,
+                        &in_hand,
+                    );
                     in_hand.fetch_sub(1, Ordering::SeqCst);
                 });
             }
         });
-        Ok(Application { address, stop, hangs })
+        Ok(Application {
+            address,
+            stop,
+            hangs,
+        })
     }
 }
 
@@ -77,9 +91,15 @@
     if hangs.load(Ordering::SeqCst) {
         return stream.read(&mut [0]).map(|_| ());
     }
-    let method = world.methods.iter().find(|method| path == format!("/{}", method.name));
+    let method = world
+        .methods
+        .iter()
+        .find(|method| path == format!("/{}", method.name));
     let mut chance = SmallRng::seed_from_u64(seed);
-    let cores = world.applications.as_ref().map_or(1.0, |of| f64::from(of.cores));
+    let cores = world
+        .applications
+        .as_ref()
+        .map_or(1.0, |of| f64::from(of.cores));
     let crowd = (in_hand.load(Ordering::SeqCst) as f64 / cores).max(1.0);
     let ms = method.map_or(0.0, |method| method.work_ms.draw(&mut chance)) * crowd;
     std::thread::sleep(Duration::from_secs_f64(ms / 1000.0));
@@ -97,7 +117,10 @@
     let head = bytes.get(colon + 1..(colon + 1).checked_add(length)?)?;
     let words: Vec<&[u8]> = head.split(|byte| *byte == 0).collect();
     let field = |name: &str| {
-        let at = words.iter().step_by(2).position(|word| *word == name.as_bytes())?;
+        let at = words
+            .iter()
+            .step_by(2)
+            .position(|word| *word == name.as_bytes())?;
         std::str::from_utf8(words.get(2 * at + 1)?).ok()
     };
     let body: usize = field("CONTENT_LENGTH")?.parse().ok()?;
--- a/crates/coralstep-lab/src/emulate/engine.rs
+++ b/crates/coralstep-lab/src/emulate/engine.rs
@@ -35,7 +35,11 @@
 
 impl Default for Plight {
     fn default() -> Plight {
-        Plight { slow: 1.0, paused: false, tail: None }
+        Plight {
+            slow: 1.0,
+            paused: false,
+            tail: None,
+        }
     }
 }
 
@@ -82,7 +86,11 @@
         {
             work *= size;
         }
-        Some(if of.calls { (work / 2.0, Some(work / 2.0)) } else { (work, None) })
+        Some(if of.calls {
+            (work / 2.0, Some(work / 2.0))
+        } else {
+            (work, None)
+        })
     }
 
     fn crowd(&mut self, running: usize) {
@@ -124,7 +132,13 @@
             breaks: None,
             never_ends: false,
         };
-        let work = OfWorld { world: world.clone(), server, chance, plight: plight.clone(), witness };
+        let work = OfWorld {
+            world: world.clone(),
+            server,
+            chance,
+            plight: plight.clone(),
+            witness,
+        };
         Engine::serve(TcpListener::bind("127.0.0.1:0")?, terms, work, plight)
     }
 
@@ -162,7 +176,12 @@
                 }
             }
         });
-        Ok(Engine { address, plight, stop, thread: Some(thread) })
+        Ok(Engine {
+            address,
+            plight,
+            stop,
+            thread: Some(thread),
+        })
     }
 }
 
@@ -197,7 +216,8 @@
     fn notice(&mut self, head: &str, rest: &str, body: &[u8]) {
         let number = self.dropped + self.notices.len() + 1;
         let line = format!("{head} {number} {rest} {}\r\n", body.len());
-        self.notices.push_back([line.as_bytes(), body, b"\r\n"].concat());
+        self.notices
+            .push_back([line.as_bytes(), body, b"\r\n"].concat());
         if self.notices.len() > KEPT {
             self.notices.pop_front();
             self.dropped += 1;
@@ -216,7 +236,12 @@
             let part = self.began.elapsed().as_secs_f64() / after.as_secs_f64().max(0.001);
             (speed + (1.0 - speed) * part).min(1.0)
         });
-        let running = self.jobs.iter().filter(|job| job.waits.is_none()).count().max(1) as f64;
+        let running = self
+            .jobs
+            .iter()
+            .filter(|job| job.waits.is_none())
+            .count()
+            .max(1) as f64;
         let cores = f64::from(terms.cores);
         let crowd = (terms.crowd * cores / running).min(1.0);
         let each = ms * terms.speed * warm / plight.slow * (cores / running).min(1.0) * crowd;
@@ -242,8 +267,11 @@
                 }
             }
         }
-        calls.into_iter().for_each(|id| self.notice("NEED", &id, b"q"));
-        over.into_iter().for_each(|(id, end, result)| self.over(&id, end, &result));
+        calls
+            .into_iter()
+            .for_each(|id| self.notice("NEED", &id, b"q"));
+        over.into_iter()
+            .for_each(|(id, end, result)| self.over(&id, end, &result));
     }
 
     fn over(&mut self, id: &str, end: &str, result: &[u8]) {
@@ -282,7 +310,9 @@
                     ["ATTACH", number] => {
                         sent = number.parse::<usize>().ok();
                         let hello = match self.terms.cold {
-                            Some(_) => format!("HELLO new {}\r\n", self.began.elapsed().as_millis()),
+                            Some(_) => {
+                                format!("HELLO new {}\r\n", self.began.elapsed().as_millis())
+                            }
                             None => "HELLO old 3600000\r\n".to_owned(),
                         };
                         stream.write_all(hello.as_bytes())?;
@@ -292,7 +322,9 @@
                         self.send(&mut stream, &mut sent)?;
                         let running = self.jobs.iter().filter(|job| job.waits.is_none()).count();
                         let busy = (running as f64 / f64::from(self.terms.cores)).min(1.0);
-                        stream.write_all(format!("STATS {tag} {busy} {running} 0.1 3\r\n").as_bytes())?;
+                        stream.write_all(
+                            format!("STATS {tag} {busy} {running} 0.1 3\r\n").as_bytes(),
+                        )?;
                     }
                     ["RUN", id, method, _] => self.run(id, method, body),
                     ["FEED", id, _] => {
@@ -332,7 +364,14 @@
         let Some((left, behind)) = self.work.begins(id, method, &body) else {
             return self.notice("DONE", &format!("{id} bad 0"), b"");
         };
-        self.jobs.push(Job { id: id.to_owned(), body, left, behind, waits: None, bare: false });
+        self.jobs.push(Job {
+            id: id.to_owned(),
+            body,
+            left,
+            behind,
+            waits: None,
+            bare: false,
+        });
     }
 
     fn send(&self, stream: &mut TcpStream, sent: &mut Option<usize>) -> std::io::Result<()> {
@@ -340,6 +379,10 @@
         let from = sent.saturating_sub(self.dropped).min(self.notices.len());
         let rest: Vec<u8> = self.notices.range(from..).flatten().copied().collect();
         *sent = self.dropped + self.notices.len();
-        if rest.is_empty() { Ok(()) } else { stream.write_all(&rest) }
+        if rest.is_empty() {
+            Ok(())
+        } else {
+            stream.write_all(&rest)
+        }
     }
 }
--- a/crates/coralstep-lab/src/emulate/fleet.rs
+++ b/crates/coralstep-lab/src/emulate/fleet.rs
@@ -112,7 +112,10 @@
         })
         .collect();
     let servers = &world.servers;
-    let share = world.dependency.as_ref().map(|of| of.capacity / servers.count as f64);
+    let share = world
+        .dependency
+        .as_ref()
+        .map(|of| of.capacity / servers.count as f64);
     json!({
         "classes": classes,
         "domain": {"cores": servers.cores, "depends_on": if share.is_some() { "shared" } else { "off" },
@@ -136,7 +139,8 @@
             .iter()
             .map(|method| json!({"verb": "POST", "path": format!("/{}", method.name), "method": method.name}))
             .collect();
-        site["scgi"] = json!({"listen": ["127.0.0.1:0"], "trusted": ["127.0.0.0/8"], "routes": routes});
+        site["scgi"] =
+            json!({"listen": ["127.0.0.1:0"], "trusted": ["127.0.0.0/8"], "routes": routes});
     }
     if !applications.is_empty() {
         site["applications"] = json!({"addresses": applications, "each_most": 64});
@@ -158,15 +162,29 @@
         witness: &Arc<Witness>,
         chance: &mut SmallRng,
     ) -> Result<Fleet, String> {
-        let folder =
-            std::env::temp_dir().join(format!("coralstep-lab-{}-{:x}", std::process::id(), terms.seed));
+        let folder = std::env::temp_dir().join(format!(
+            "coralstep-lab-{}-{:x}",
+            std::process::id(),
+            terms.seed
+        ));
         std::fs::create_dir_all(&folder).map_err(|why| format!("{}: {why}", folder.display()))?;
         let folder = Folder(folder);
-        let store = world.dependency.as_ref().map(|of| Store::start(of, terms.seed)).transpose();
+        let store = world
+            .dependency
+            .as_ref()
+            .map(|of| Store::start(of, terms.seed))
+            .transpose();
         let count = world.servers.count;
         let [least, most] = world.servers.speed;
-        let speeds =
-            (0..count).map(|_| if least < most { chance.random_range(least..most) } else { least }).collect();
+        let speeds = (0..count)
+            .map(|_| {
+                if least < most {
+                    chance.random_range(least..most)
+                } else {
+                    least
+                }
+            })
+            .collect();
         let mut fleet = Fleet {
             world: world.clone(),
             terms: terms.clone(),
@@ -213,16 +231,22 @@
         let server = self.servers[at].as_ref().filter(|_| !self.cut_off[at])?;
         let mut ways = lock(&server.ways);
         let way = ways.entry(gateway);
-        let way = way.or_insert_with(|| Way::new(self.terms.protocol, server.address, &self.executor));
+        let way =
+            way.or_insert_with(|| Way::new(self.terms.protocol, server.address, &self.executor));
         Some((way.clone(), server.place))
     }
 
-    fn relay(&self, to: SocketAddr, faults: Faults, wires: &mut Vec<Wire>) -> Result<SocketAddr, String> {
+    fn relay(
+        &self,
+        to: SocketAddr,
+        faults: Faults,
+        wires: &mut Vec<Wire>,
+    ) -> Result<SocketAddr, String> {
         if faults == Faults::default() {
             return Ok(to);
         }
-        let wire =
-            Wire::to(to, self.terms.seed + wires.len() as u64).map_err(|why| format!("relay: {why}"))?;
+        let wire = Wire::to(to, self.terms.seed + wires.len() as u64)
+            .map_err(|why| format!("relay: {why}"))?;
         *lock(&wire.faults) = faults;
         let address = wire.address;
         wires.push(wire);
@@ -232,7 +256,11 @@
     fn boot(&mut self, at: usize, cold: bool) -> Result<(), String> {
         self.generation[at] += 1;
         let generation = self.generation[at];
-        let seed = self.terms.seed.wrapping_mul(31).wrapping_add((at as u64) << 16 | u64::from(generation));
+        let seed = self
+            .terms
+            .seed
+            .wrapping_mul(31)
+            .wrapping_add((at as u64) << 16 | u64::from(generation));
         let name = format!("s{at}g{generation}");
         let faults = self.terms.faults;
         let place = lock(&self.witness.rules).another();
@@ -252,12 +280,16 @@
             Runs::Engine(engine.map_err(|why| fault("engine", why))?)
         };
         let engine = match &runs {
-            Runs::Engine(engine) => Some(self.relay(engine.address, faults.honest(), &mut wires)?),
+            Runs::Engine(engine) => {
+                Some(self.relay(engine.address, faults.honest(), &mut wires)?)
+            }
             Runs::Applications(_) => None,
         };
         // What changes bytes is played where no checker could blame the server for it: between server and store.
         let store = self.store.as_ref().map(|store| store.address);
-        let store = store.map(|store| self.relay(store, faults, &mut wires)).transpose()?;
+        let store = store
+            .map(|store| self.relay(store, faults, &mut wires))
+            .transpose()?;
         let config = json!({
             "name": name, "listen": "127.0.0.1:0", "engine": engine, "control": self.control, "store": store,
             "seed": format!("{seed:016x}"), "stop_ms": self.world.servers.stop_ms as u64,
@@ -268,8 +300,10 @@
             Runs::Engine(_) => Vec::new(),
         };
         let scgi = self.terms.protocol == Protocol::Scgi;
-        let (config_file, site_file) =
-            (self.folder.0.join(format!("{name}.json")), self.folder.0.join(format!("{name}.site.json")));
+        let (config_file, site_file) = (
+            self.folder.0.join(format!("{name}.json")),
+            self.folder.0.join(format!("{name}.site.json")),
+        );
         write(&config_file, &config)?;
         write(&site_file, &site(&self.world, scgi, &applications))?;
         let mut child = Command::new(&self.terms.program)
@@ -286,7 +320,10 @@
             .map_err(|why| format!("{}: {why}", self.terms.program.display()))?;
         let stderr = child.stderr.take().ok_or("no log of the program")?;
         let (sender, listens) = channel();
-        let (turns, log) = (self.turns.clone(), self.folder.0.join(format!("{name}.log")));
+        let (turns, log) = (
+            self.turns.clone(),
+            self.folder.0.join(format!("{name}.log")),
+        );
         std::thread::spawn(move || follow(BufReader::new(stderr), &sender, &turns, &log));
         let ended = |mut child: Child, what: &str| {
             let _ = (child.kill(), child.wait());
@@ -298,8 +335,15 @@
         };
         let address = self.relay(address, faults.honest(), &mut wires)?;
         self.names[at] = name;
-        self.servers[at] =
-            Some(Server { child, place, runs, address, _wires: wires, stops: None, ways: Mutex::default() });
+        self.servers[at] = Some(Server {
+            child,
+            place,
+            runs,
+            address,
+            _wires: wires,
+            stops: None,
+            ways: Mutex::default(),
+        });
         Ok(())
     }
 
@@ -308,7 +352,8 @@
         let count = self.servers.len();
         if begins {
             let mut all: Vec<usize> = (0..count).collect();
-            let struck = ((count as f64 * part).round() as usize).clamp(usize::from(part > 0.0), count);
+            let struck =
+                ((count as f64 * part).round() as usize).clamp(usize::from(part > 0.0), count);
             for place in 0..struck {
                 let other = self.chance.random_range(place..count);
                 all.swap(place, other);
@@ -342,7 +387,9 @@
             for server in self.servers.iter().flatten() {
                 if let Runs::Applications(all) = &server.runs {
                     let most = (all.len() as f64 * part).round() as usize;
-                    all.iter().take(most).for_each(|one| one.hangs.store(begins, Ordering::SeqCst));
+                    all.iter()
+                        .take(most)
+                        .for_each(|one| one.hangs.store(begins, Ordering::SeqCst));
                 }
             }
         }
@@ -354,7 +401,9 @@
         let mut paused = Vec::new();
         for (place, at) in struck.iter().copied().enumerate() {
             match trouble.kind {
-                Kind::Slow => self.plight(at, |plight| plight.slow = if begins { size } else { 1.0 }),
+                Kind::Slow => {
+                    self.plight(at, |plight| plight.slow = if begins { size } else { 1.0 })
+                }
                 Kind::Pause => {
                     self.plight(at, |plight| plight.paused = begins);
                     if let Some(server) = &self.servers[at] {
@@ -396,7 +445,9 @@
             due.into_iter().map(|(_, at)| at).collect::<Vec<_>>()
         };
         for at in due(&mut self.leaves) {
-            let Some(mut server) = self.servers[at].take() else { continue };
+            let Some(mut server) = self.servers[at].take() else {
+                continue;
+            };
             signal(&server.child, "TERM")?;
             let grace = (self.world.servers.grace_ms * 10.0) as u64;
             lock(&witness.rules).notice(server.place, witness.now() + grace);
@@ -408,7 +459,9 @@
             self.boot(at, true)?;
         }
         for at in 0..self.servers.len() {
-            let Some(server) = self.servers[at].as_mut() else { continue };
+            let Some(server) = self.servers[at].as_mut() else {
+                continue;
+            };
             if matches!(server.child.try_wait(), Ok(Some(_))) {
                 // Guards against a server that dies under the emulator: the day goes on without it, as with a crash, and says so.
                 let place = server.place;
@@ -453,7 +506,12 @@
 }
 
 /// Reads a server's log to its end: where it listens, turns of its breaker. Kept in a file of a bounded length.
-fn follow(log: impl BufRead, listens: &std::sync::mpsc::Sender<String>, turns: &AtomicU64, file: &Path) {
+fn follow(
+    log: impl BufRead,
+    listens: &std::sync::mpsc::Sender<String>,
+    turns: &AtomicU64,
+    file: &Path,
+) {
     use std::io::Write;
     const KEPT: usize = 4 << 20;
     let (mut file, mut kept) = (std::fs::File::create(file).ok(), 0);
@@ -474,7 +532,8 @@
     let mut last = "nothing".to_owned();
     loop {
         let line = lines.recv_timeout(LISTENS);
-        let line = line.map_err(|_| format!("never said where it listens; its last word: {last}"))?;
+        let line =
+            line.map_err(|_| format!("never said where it listens; its last word: {last}"))?;
         last.clone_from(&line);
         if !line.contains(" listens on ") {
             continue;
@@ -485,7 +544,10 @@
             None => (rest, false),
         };
         if of_scgi == scgi {
-            return address.trim().parse().map_err(|_| format!("listens nowhere: {line}"));
+            return address
+                .trim()
+                .parse()
+                .map_err(|_| format!("listens nowhere: {line}"));
         }
     }
 }
--- a/crates/coralstep-lab/src/emulate/mod.rs
+++ b/crates/coralstep-lab/src/emulate/mod.rs
@@ -55,7 +55,11 @@
 
 impl Witness {
     fn new(rules: Rules) -> Witness {
-        Witness { start: Instant::now(), rules: Mutex::new(rules), tokens: Mutex::default() }
+        Witness {
+            start: Instant::now(),
+            rules: Mutex::new(rules),
+            tokens: Mutex::default(),
+        }
     }
 
     /// In ticks since the start.
@@ -65,13 +69,19 @@
 
     /// A run began, under the reference that the server gave.
     pub fn began(&self, reference: &str) {
-        let Ok(attempt) = u64::from_str_radix(reference, 16) else { return };
+        let Ok(attempt) = u64::from_str_radix(reference, 16) else {
+            return;
+        };
         let token = lock(&self.tokens).get(&attempt).copied();
         let mut rules = lock(&self.rules);
         let now = self.now();
         // One whose caller has let go of it is nobody's.
         if rules.is_open(attempt) {
-            rules.began(now, attempt, token.map(|(token, window)| (token, now + window)));
+            rules.began(
+                now,
+                attempt,
+                token.map(|(token, window)| (token, now + window)),
+            );
         }
     }
 
@@ -115,14 +125,26 @@
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         socket.set_read_timeout(Some(Duration::from_millis(100)))?;
         let address = socket.local_addr()?;
-        let (seen, deaf, stop) = (Arc::default(), Arc::default(), Arc::new(AtomicBool::new(false)));
-        let control =
-            Control { address, seen: Arc::clone(&seen), deaf: Arc::clone(&deaf), stop: stop.clone() };
+        let (seen, deaf, stop) = (
+            Arc::default(),
+            Arc::default(),
+            Arc::new(AtomicBool::new(false)),
+        );
+        let control = Control {
+            address,
+            seen: Arc::clone(&seen),
+            deaf: Arc::clone(&deaf),
+            stop: stop.clone(),
+        };
         std::thread::spawn(move || {
             let mut bytes = [0; 512];
             while !stop.load(Ordering::SeqCst) {
-                let Ok(count) = socket.recv(&mut bytes) else { continue };
-                let Ok(text) = std::str::from_utf8(&bytes[..count]) else { continue };
+                let Ok(count) = socket.recv(&mut bytes) else {
+                    continue;
+                };
+                let Ok(text) = std::str::from_utf8(&bytes[..count]) else {
+                    continue;
+                };
                 if let ["lease", name, state] = text.split(' ').collect::<Vec<_>>()[..]
                     && !lock(&deaf).iter().any(|deaf| deaf == name)
                 {
@@ -134,7 +156,9 @@
     }
 
     fn lists(&self, name: &str) -> bool {
-        lock(&self.seen).get(name).is_some_and(|(at, ready)| *ready && at.elapsed() < LEASE)
+        lock(&self.seen)
+            .get(name)
+            .is_some_and(|(at, ready)| *ready && at.elapsed() < LEASE)
     }
 }
 
@@ -171,7 +195,10 @@
 /// The world as sockets can play it: engines can't go on without a call that a run asks for, so none is left out.
 pub fn playable(world: &World) -> World {
     let mut world = world.clone();
-    world.methods.iter_mut().for_each(|method| method.skip = 0.0);
+    world
+        .methods
+        .iter_mut()
+        .for_each(|method| method.skip = 0.0);
     world
 }
 
@@ -185,8 +212,9 @@
     let told = |why: std::io::Error| why.to_string();
     let world = &playable(world);
     let mut chance = SmallRng::seed_from_u64(terms.seed);
-    let heeds =
-        (0..world.gateways.count).map(|_| chance.random_range(0.0..1.0) < world.gateways.heed).collect();
+    let heeds = (0..world.gateways.count)
+        .map(|_| chance.random_range(0.0..1.0) < world.gateways.heed)
+        .collect();
     let crowd = world.servers.crowd * f64::from(world.servers.cores);
     // The program's own memory is not its booked memory: only the crowd is looked at.
     let rules = Rules::new(world.servers.count, world.servers.memory_kb, crowd);
@@ -220,7 +248,9 @@
     });
     let listed = |callers: &Callers| {
         let fleet = callers.fleet.borrow();
-        (0..world.servers.count).filter(|at| callers.control.lists(&fleet.names()[*at])).count()
+        (0..world.servers.count)
+            .filter(|at| callers.control.lists(&fleet.names()[*at]))
+            .count()
     };
     let ready = Instant::now() + Duration::from_secs(15);
     while listed(&callers) < world.servers.count {
@@ -244,7 +274,11 @@
         (day.p50_ms, day.p99_ms) = (ms(0.5), ms(0.99));
     }
     day.open = played.open;
-    day.kept = if played.asked > 0.0 { played.good / played.asked } else { 1.0 };
+    day.kept = if played.asked > 0.0 {
+        played.good / played.asked
+    } else {
+        1.0
+    };
     day.breaker_turns = turns;
     day.breaches = rules.count;
     day.told = rules.breaches.iter().map(ToString::to_string).collect();
@@ -310,12 +344,22 @@
         });
         let method = method.unwrap_or(world.methods.len() - 1);
         let at = start + Duration::from_secs_f64(due);
-        executor.spawn(request(callers.clone(), method, at)).detach();
+        executor
+            .spawn(request(callers.clone(), method, at))
+            .detach();
     }
     // What is open has until its deadline.
-    let most = world.methods.iter().map(|method| method.deadline_ms).fold(0.0, f64::max) + WAY_MS as f64;
+    let most = world
+        .methods
+        .iter()
+        .map(|method| method.deadline_ms)
+        .fold(0.0, f64::max)
+        + WAY_MS as f64;
     let ends = Instant::now() + Duration::from_secs_f64(most / 1000.0);
-    while callers.played.borrow().open > 0 && Instant::now() < ends && !interrupted.load(Ordering::SeqCst) {
+    while callers.played.borrow().open > 0
+        && Instant::now() < ends
+        && !interrupted.load(Ordering::SeqCst)
+    {
         callers.fleet.borrow_mut().tend(&callers.witness)?;
         Timer::after(Duration::from_millis(10)).await;
     }
@@ -328,19 +372,27 @@
     match trouble.kind {
         Kind::Jump => *jump = if begins { trouble.size } else { 1.0 },
         Kind::HotCaller => {
-            let server = callers.chance.borrow_mut().random_range(0..callers.world.servers.count);
+            let server = callers
+                .chance
+                .borrow_mut()
+                .random_range(0..callers.world.servers.count);
             callers.hot.set(begins.then_some((trouble.part, server)));
         }
         Kind::LostReports => {
             let struck = fleet.struck(at, trouble.part, begins);
             let names = fleet.names();
-            *lock(&callers.control.deaf) =
-                if begins { struck.iter().map(|at| names[*at].clone()).collect() } else { Vec::new() };
+            *lock(&callers.control.deaf) = if begins {
+                struck.iter().map(|at| names[*at].clone()).collect()
+            } else {
+                Vec::new()
+            };
         }
         _ => {
             let paused = fleet.trouble(at, trouble, begins, &callers.witness)?;
             let mut rules = lock(&callers.witness.rules);
-            paused.into_iter().for_each(|at| rules.paused(at, (trouble.for_s * 10_000.0) as u64));
+            paused
+                .into_iter()
+                .for_each(|at| rules.paused(at, (trouble.for_s * 10_000.0) as u64));
         }
     }
     Ok(())
@@ -350,13 +402,18 @@
 async fn request(callers: Rc<Callers>, method: usize, due: Instant) {
     let world = &callers.world;
     let of = &world.methods[method];
-    let gateway = callers.chance.borrow_mut().random_range(0..world.gateways.count);
+    let gateway = callers
+        .chance
+        .borrow_mut()
+        .random_range(0..world.gateways.count);
     let first = {
         let played = &mut *callers.played.borrow_mut();
         played.day.requests += 1;
         played.open += 1;
         played.asked += of.criticality;
-        played.record.asked(callers.witness.now(), method, of.criticality);
+        played
+            .record
+            .asked(callers.witness.now(), method, of.criticality);
         // Tokens of two emulations must not meet.
         callers.first + played.day.requests
     };
@@ -365,7 +422,17 @@
     let mut tries = 0;
     let last = loop {
         tries += 1;
-        let (server, said) = attempt(&callers, gateway, method, due, until, first, tries > 1, subject).await;
+        let (server, said) = attempt(
+            &callers,
+            gateway,
+            method,
+            due,
+            until,
+            first,
+            tries > 1,
+            subject,
+        )
+        .await;
         let again = match &said {
             Some(Said::Ok(_)) => {
                 let bare = matches!(&said, Some(Said::Ok(body)) if body.starts_with(b"bare"));
@@ -373,16 +440,27 @@
                 let played = &mut *callers.played.borrow_mut();
                 let part = if bare { of.skip } else { 1.0 };
                 let in_time = if took <= of.target_ms { 1.0 } else { of.late };
-                let worth = of.criticality * part * if took <= of.deadline_ms { in_time } else { 0.0 };
+                let worth =
+                    of.criticality * part * if took <= of.deadline_ms { in_time } else { 0.0 };
                 played.good += worth;
                 played.took.saturating_record(((took * 10.0) as u64).max(1));
-                played.record.ok(callers.witness.now(), server, method, took, worth, of.criticality);
+                played.record.ok(
+                    callers.witness.now(),
+                    server,
+                    method,
+                    took,
+                    worth,
+                    of.criticality,
+                );
                 played.day.ok += 1;
                 break None;
             }
             Some(Said::PushedBack { after, nowhere }) => {
                 if callers.heeds[gateway] && !after.is_zero() {
-                    callers.away.borrow_mut().insert((gateway, server), Instant::now() + *after);
+                    callers
+                        .away
+                        .borrow_mut()
+                        .insert((gateway, server), Instant::now() + *after);
                 }
                 !nowhere
             }
@@ -406,7 +484,9 @@
             _ => (&mut played.day.unreached, Loss::Unreached),
         };
         *count += 1;
-        played.record.lost(callers.witness.now(), server, method, loss, of.criticality);
+        played
+            .record
+            .lost(callers.witness.now(), server, method, loss, of.criticality);
     }
 }
 
@@ -436,7 +516,9 @@
 ) -> (usize, Option<Said>) {
     let of = &callers.world.methods[method];
     let (server, way) = choose(callers, gateway, if retry { None } else { subject });
-    let Some((way, place)) = way else { return (server, None) };
+    let Some((way, place)) = way else {
+        return (server, None);
+    };
     let attempt = {
         let mut attempts = callers.attempts.borrow_mut();
         *attempts += 1;
@@ -496,7 +578,11 @@
     (server, Some(said))
 }
 
-fn choose(callers: &Callers, gateway: usize, subject: Option<usize>) -> (usize, Option<(Way, usize)>) {
+fn choose(
+    callers: &Callers,
+    gateway: usize,
+    subject: Option<usize>,
+) -> (usize, Option<(Way, usize)>) {
     let fleet = callers.fleet.borrow();
     if let Some(subject) = subject {
         return (subject, fleet.way(subject, gateway));
@@ -504,7 +590,11 @@
     let (names, mut chosen) = (fleet.names(), 0);
     for _ in 0..8 {
         chosen = callers.chance.borrow_mut().random_range(0..names.len());
-        let away = callers.away.borrow().get(&(gateway, chosen)).is_some_and(|until| *until > Instant::now());
+        let away = callers
+            .away
+            .borrow()
+            .get(&(gateway, chosen))
+            .is_some_and(|until| *until > Instant::now());
         if callers.control.lists(&names[chosen]) && !away {
             break;
         }
--- a/crates/coralstep-lab/src/emulate/store.rs
+++ b/crates/coralstep-lab/src/emulate/store.rs
@@ -23,7 +23,11 @@
 
 impl Default for Plight {
     fn default() -> Plight {
-        Plight { slow: 1.0, hangs: false, dead: false }
+        Plight {
+            slow: 1.0,
+            hangs: false,
+            dead: false,
+        }
     }
 }
 
@@ -95,7 +99,13 @@
     }
 
     pub fn now(&self, change: impl FnOnce(&mut Plight)) {
-        change(&mut self.shared.plight.lock().unwrap_or_else(|poisoned| poisoned.into_inner()));
+        change(
+            &mut self
+                .shared
+                .plight
+                .lock()
+                .unwrap_or_else(|poisoned| poisoned.into_inner()),
+        );
     }
 }
 
@@ -127,7 +137,10 @@
 }
 
 fn says(line: &str, shared: &Shared) -> String {
-    let plight = *shared.plight.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+    let plight = *shared
+        .plight
+        .lock()
+        .unwrap_or_else(|poisoned| poisoned.into_inner());
     let id = line.split(' ').nth(1).unwrap_or("");
     if plight.dead {
         return format!("{id} VOID\r\n");
@@ -145,9 +158,21 @@
     }
     let crowd = (shared.in_hand.load(Ordering::SeqCst) as f64 / of.capacity).max(1.0);
     let (ms, fails) = {
-        let mut chance = shared.chance.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        (of.call_ms.draw(&mut *chance), chance.random_range(0.0..1.0) < of.fails)
+        let mut chance = shared
+            .chance
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
+        (
+            of.call_ms.draw(&mut *chance),
+            chance.random_range(0.0..1.0) < of.fails,
+        )
     };
-    std::thread::sleep(Duration::from_secs_f64((ms * plight.slow * crowd / 1000.0).min(HANGS.as_secs_f64())));
-    if fails { format!("{id} ERR\r\n") } else { format!("{id} OK 2\r\nok\r\n") }
+    std::thread::sleep(Duration::from_secs_f64(
+        (ms * plight.slow * crowd / 1000.0).min(HANGS.as_secs_f64()),
+    ));
+    if fails {
+        format!("{id} ERR\r\n")
+    } else {
+        format!("{id} OK 2\r\nok\r\n")
+    }
 }
--- a/crates/coralstep-lab/src/emulate/wire.rs
+++ b/crates/coralstep-lab/src/emulate/wire.rs
@@ -27,7 +27,9 @@
     pub fn parse(text: &str) -> Result<Faults, String> {
         let mut faults = Faults::default();
         for word in text.split(',').filter(|word| !word.is_empty()) {
-            let (kind, part) = word.split_once('=').ok_or_else(|| format!("{word}: not KIND=PART"))?;
+            let (kind, part) = word
+                .split_once('=')
+                .ok_or_else(|| format!("{word}: not KIND=PART"))?;
             let part: f64 = part
                 .parse()
                 .ok()
@@ -52,7 +54,11 @@
 
     /// Without those that change bytes.
     pub fn honest(self) -> Faults {
-        Faults { garble: 0.0, duplicate: 0.0, ..self }
+        Faults {
+            garble: 0.0,
+            duplicate: 0.0,
+            ..self
+        }
     }
 
     fn draw(&self, chance: &mut SmallRng) -> Fault {
@@ -104,7 +110,10 @@
     pub fn to(to: SocketAddr, seed: u64) -> std::io::Result<Wire> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let (faults, made) = (Arc::new(Mutex::new(Faults::default())), Arc::new(AtomicU64::new(0)));
+        let (faults, made) = (
+            Arc::new(Mutex::new(Faults::default())),
+            Arc::new(AtomicU64::new(0)),
+        );
         let stop = Arc::new(AtomicBool::new(false));
         let (all, count, end) = (faults.clone(), made.clone(), stop.clone());
         std::thread::spawn(move || {
@@ -112,10 +121,16 @@
                 if end.load(Ordering::SeqCst) {
                     return;
                 }
-                let Ok(far) = TcpStream::connect(to) else { continue };
+                let Ok(far) = TcpStream::connect(to) else {
+                    continue;
+                };
                 let seed = seed.wrapping_add(2 * number as u64);
-                let both = near.try_clone().and_then(|near| Ok((near, far.try_clone()?)));
-                let Ok((near_out, far_out)) = both else { continue };
+                let both = near
+                    .try_clone()
+                    .and_then(|near| Ok((near, far.try_clone()?)));
+                let Ok((near_out, far_out)) = both else {
+                    continue;
+                };
                 let reset = Arc::new(AtomicBool::new(false));
                 for (from, out, seed) in [(near, far_out, seed), (far, near_out, seed + 1)] {
                     let relay = Relay {
@@ -129,7 +144,12 @@
                 }
             }
         });
-        Ok(Wire { address, faults, made, stop })
+        Ok(Wire {
+            address,
+            faults,
+            made,
+            stop,
+        })
     }
 }
 
@@ -170,9 +190,13 @@
             if dumb {
                 continue;
             }
-            let faults = *self.faults.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+            let faults = *self
+                .faults
+                .lock()
+                .unwrap_or_else(|poisoned| poisoned.into_inner());
             let fault = faults.draw(&mut self.chance);
-            self.made.fetch_add(u64::from(fault != Fault::None), Ordering::SeqCst);
+            self.made
+                .fetch_add(u64::from(fault != Fault::None), Ordering::SeqCst);
             let chunk = &mut bytes[..count];
             let wrote = match fault {
                 Fault::None => out.write_all(chunk),
--- a/crates/coralstep-lab/src/emulate/wire/tests.rs
+++ b/crates/coralstep-lab/src/emulate/wire/tests.rs
@@ -21,18 +21,30 @@
     assert_eq!(through("cut=1"), (b"01234".to_vec(), 1));
     assert_eq!(through("reset=1").0, b"");
     assert_eq!(through("half-open=1"), (Vec::new(), 1));
-    assert_eq!(through("duplicate=1"), (b"01234567890123456789".to_vec(), 1));
+    assert_eq!(
+        through("duplicate=1"),
+        (b"01234567890123456789".to_vec(), 1)
+    );
     let (garbled, made) = through("garble=1");
-    let differ = garbled.iter().zip(b"0123456789").filter(|(one, other)| one != other).count();
+    let differ = garbled
+        .iter()
+        .zip(b"0123456789")
+        .filter(|(one, other)| one != other)
+        .count();
     assert_eq!((garbled.len(), differ, made), (10, 1, 1));
 }
 
 #[test]
 fn faults_that_are_none_are_named() {
-    for (text, why) in
-        [("fire=1", "fire: no fault"), ("cut", "cut: not KIND=PART"), ("cut=2", "cut=2: no part")]
-    {
+    for (text, why) in [
+        ("fire=1", "fire: no fault"),
+        ("cut", "cut: not KIND=PART"),
+        ("cut=2", "cut=2: no part"),
+    ] {
         assert!(Faults::parse(text).unwrap_err().starts_with(why));
     }
-    assert_eq!(Faults::parse("garble=0.1,delay=0.2").unwrap().honest(), Faults::parse("delay=0.2").unwrap());
+    assert_eq!(
+        Faults::parse("garble=0.1,delay=0.2").unwrap().honest(),
+        Faults::parse("delay=0.2").unwrap()
+    );
 }
--- a/crates/coralstep-lab/src/experiment.rs
+++ b/crates/coralstep-lab/src/experiment.rs
@@ -34,7 +34,10 @@
         let (name, days) = (&self.variant, self.days);
         let what = match () {
             () if self.breaches > 0 => {
-                format!("breaks rules ({} times) and is out, whatever it keeps", self.breaches)
+                format!(
+                    "breaks rules ({} times) and is out, whatever it keeps",
+                    self.breaches
+                )
             }
             () if !off.is_finite() => "was played on too few days to tell".to_owned(),
             () if mean.abs() + off < TRIFLE => "makes no difference worth a change".to_owned(),
@@ -61,14 +64,26 @@
 }
 
 /// What paired differences say at one of `planned` looks.
-pub fn compare(variant: &str, differences: &[f64], breaches: u64, look: u32, planned: u32) -> Compared {
+pub fn compare(
+    variant: &str,
+    differences: &[f64],
+    breaches: u64,
+    look: u32,
+    planned: u32,
+) -> Compared {
     let count = differences.len() as f64;
     let mean = differences.iter().sum::<f64>() / count.max(1.0);
-    let spread = differences.iter().map(|one| (one - mean).powi(2)).sum::<f64>() / (count - 1.0).max(1.0);
+    let spread = differences
+        .iter()
+        .map(|one| (one - mean).powi(2))
+        .sum::<f64>()
+        / (count - 1.0).max(1.0);
     // Guards against a verdict found by looking often enough: the error is shared among the looks.
     let error = ERROR / f64::from(planned.max(1));
     let off = match StudentsT::new(0.0, 1.0, (count - 1.0).max(1.0)) {
-        Ok(student) if count > 1.0 => student.inverse_cdf(1.0 - error / 2.0) * (spread / count).sqrt(),
+        Ok(student) if count > 1.0 => {
+            student.inverse_cdf(1.0 - error / 2.0) * (spread / count).sqrt()
+        }
         _ => f64::INFINITY,
     };
     Compared {
--- a/crates/coralstep-lab/src/explore/fleet.rs
+++ b/crates/coralstep-lab/src/explore/fleet.rs
@@ -69,7 +69,11 @@
 const RPC: u8 = (KINDS.len() * SERVERS) as u8;
 
 fn member(at: usize) -> Member {
-    Member::new(&format!("n{at}"), std::net::SocketAddr::from(([127, 0, 0, 1], 1 + at as u16)), 1)
+    Member::new(
+        &format!("n{at}"),
+        std::net::SocketAddr::from(([127, 0, 0, 1], 1 + at as u16)),
+        1,
+    )
 }
 
 impl Fleet {
@@ -80,22 +84,35 @@
     /// Who holds a version must hold what all others hold under its id.
     fn holds(&mut self, id: Id, content: String) {
         match self.contents.get(&id) {
-            Some(known) if *known != content => self.breaks(format!("two contents under version {id}")),
+            Some(known) if *known != content => {
+                self.breaks(format!("two contents under version {id}"))
+            }
             Some(_) => {}
             None => drop(self.contents.insert(id, content)),
         }
     }
 
     fn hears_of(&mut self, at: usize) {
-        let known = self.servers.iter().map(|server| server.versions.newest_held()).max().unwrap_or_default();
+        let known = self
+            .servers
+            .iter()
+            .map(|server| server.versions.newest_held())
+            .max()
+            .unwrap_or_default();
         self.servers[at].versions.heard_of(known);
     }
 
     fn asks(&mut self, at: usize) {
-        let holds: Vec<Vec<Id>> =
-            self.servers.iter().map(|server| server.versions.all().map(|(id, _)| id).collect()).collect();
+        let holds: Vec<Vec<Id>> = self
+            .servers
+            .iter()
+            .map(|server| server.versions.all().map(|(id, _)| id).collect())
+            .collect();
         let holders = |id: Id| {
-            (0..SERVERS).filter(|other| *other != at && holds[*other].contains(&id)).map(member).collect()
+            (0..SERVERS)
+                .filter(|other| *other != at && holds[*other].contains(&id))
+                .map(member)
+                .collect()
         };
         let now = self.now;
         for (of, letter) in self.servers[at].versions.ask(now, holders, 0.0) {
@@ -128,8 +145,13 @@
         if let Some(id) = whole
             && self.cheat != Cheat::Unchecked
         {
-            let content = self.servers[at].versions.held(id).map(|version| version.content.clone());
-            content.into_iter().for_each(|content| self.holds(id, content));
+            let content = self.servers[at]
+                .versions
+                .held(id)
+                .map(|version| version.content.clone());
+            content
+                .into_iter()
+                .for_each(|content| self.holds(id, content));
         }
     }
 
@@ -145,10 +167,18 @@
     /// An RPC is read, or the open one is answered.
     fn rpc(&mut self, at: usize) {
         let server = &mut self.servers[at];
-        let Some(read) = server.open.take() else { return server.open = Some(server.acts_on) };
-        let counted = if self.cheat == Cheat::CountsLate { server.acts_on } else { read };
+        let Some(read) = server.open.take() else {
+            return server.open = Some(server.acts_on);
+        };
+        let counted = if self.cheat == Cheat::CountsLate {
+            server.acts_on
+        } else {
+            read
+        };
         if counted != read {
-            self.breaks(format!("an RPC read under {read} is counted under {counted}"));
+            self.breaks(format!(
+                "an RPC read under {read} is counted under {counted}"
+            ));
         }
     }
 }
@@ -232,7 +262,10 @@
                 server.way
             )
         };
-        self.servers.iter().map(told).for_each(|told| told.hash(&mut hasher));
+        self.servers
+            .iter()
+            .map(told)
+            .for_each(|told| told.hash(&mut hasher));
         self.published.hash(&mut hasher);
         hasher.finish()
     }
@@ -253,15 +286,24 @@
             }
             (0..SERVERS).for_each(|at| self.takes(at));
         }
-        let newest =
-            self.servers.iter().map(|server| server.versions.newest_held()).max().unwrap_or_default();
+        let newest = self
+            .servers
+            .iter()
+            .map(|server| server.versions.newest_held())
+            .max()
+            .unwrap_or_default();
         let on: Vec<Id> = self.servers.iter().map(|server| server.acts_on).collect();
         let apart = on.iter().any(|on| *on != newest);
-        self.broken.or_else(|| apart.then(|| format!("they act on {on:?}, and {newest} is there")))
+        self.broken
+            .or_else(|| apart.then(|| format!("they act on {on:?}, and {newest} is there")))
     }
 
     fn name(what: u8) -> &'static str {
-        if what >= RPC { "an RPC" } else { KINDS[usize::from(what / SERVERS as u8)] }
+        if what >= RPC {
+            "an RPC"
+        } else {
+            KINDS[usize::from(what / SERVERS as u8)]
+        }
     }
 }
 
--- a/crates/coralstep-lab/src/explore/fleet/tests.rs
+++ b/crates/coralstep-lab/src/explore/fleet/tests.rs
@@ -11,8 +11,12 @@
     for cheat in [Cheat::Unchecked, Cheat::CountsLate, Cheat::Sticks] {
         let scope = Scope { cheat };
         let short = exhaust::<Fleet>(&scope, 6, 10_000, |_, _| {});
-        let found = short.fault.or_else(|| wander::<Fleet>(&scope, 2_000, 60, 1).fault);
-        let why = found.unwrap_or_else(|| panic!("{cheat:?} is not found")).why;
+        let found = short
+            .fault
+            .or_else(|| wander::<Fleet>(&scope, 2_000, 60, 1).fault);
+        let why = found
+            .unwrap_or_else(|| panic!("{cheat:?} is not found"))
+            .why;
         let wanted = match cheat {
             Cheat::Unchecked => "two contents",
             Cheat::CountsLate => "is counted under",
--- a/crates/coralstep-lab/src/explore/mod.rs
+++ b/crates/coralstep-lab/src/explore/mod.rs
@@ -43,7 +43,11 @@
         format!(
             "{}; after: {}",
             self.why,
-            if names.is_empty() { "nothing".to_owned() } else { names.join(", ") }
+            if names.is_empty() {
+                "nothing".to_owned()
+            } else {
+                names.join(", ")
+            }
         )
     }
 }
@@ -86,7 +90,10 @@
     met.insert(played::<P>(scope, &[]).digest());
     walked.states = 1;
     if let Some(why) = fault::<P>(scope, &[]) {
-        walked.fault = Some(Fault { moves: Vec::new(), why });
+        walked.fault = Some(Fault {
+            moves: Vec::new(),
+            why,
+        });
         return walked;
     }
     for level in 1..=depth {
@@ -134,7 +141,10 @@
             moves.push(what);
         }
         walked.states += moves.len() as u64;
-        let why = play.broken().map(str::to_owned).or_else(|| play.comes_free());
+        let why = play
+            .broken()
+            .map(str::to_owned)
+            .or_else(|| play.comes_free());
         if let Some(why) = why {
             walked.fault = Some(shrink::<P>(scope, Fault { moves, why }));
             return walked;
--- a/crates/coralstep-lab/src/explore/module.rs
+++ b/crates/coralstep-lab/src/explore/module.rs
@@ -3,7 +3,9 @@
 //! patience is over end as timed out, RPCs that are answered at their call end there.
 use std::collections::BTreeMap;
 
-use coralstep::{Arrival, Below, Effect, Gauges, Method, Outcome, RpcId, Server, Span, Terms, Time, Turn};
+use coralstep::{
+    Arrival, Below, Effect, Gauges, Method, Outcome, RpcId, Server, Span, Terms, Time, Turn,
+};
 
 use super::Play;
 use crate::acts::{Act, Acts};
@@ -162,7 +164,8 @@
             // Nobody waits for what the run waited for.
             let call = self.live.get_mut(&id.0).and_then(|live| live.call.take());
             // A call that its RPC's own time cut short is a failed one.
-            call.into_iter().for_each(|(began, _)| self.counts(began, true));
+            call.into_iter()
+                .for_each(|(began, _)| self.counts(began, true));
             let trial = self.cut_short(id, call.map_or(0, |(began, _)| began));
             self.settle(id, Outcome::Cancelled);
             self.decided(trial);
@@ -181,7 +184,8 @@
             Act::Admit(id) => {
                 if let Some(live) = self.live.get_mut(&id.0) {
                     live.running = true;
-                    let token = (live.method == usize::from(PAY)).then_some((u64::from(id.0), now + 40_000));
+                    let token = (live.method == usize::from(PAY))
+                        .then_some((u64::from(id.0), now + 40_000));
                     self.rules.began(now, u64::from(id.0), token);
                 }
             }
@@ -190,7 +194,10 @@
                 let trial = self.state == "half-open" && !self.leaving;
                 let since = self.since;
                 if let Some(live) = self.live.get_mut(&id.0) {
-                    live.cut = trial && live.call.is_some_and(|(began, until)| began >= since && until > now);
+                    live.cut = trial
+                        && live
+                            .call
+                            .is_some_and(|(began, until)| began >= since && until > now);
                 }
                 self.answered(id, Told::Aborted);
                 if self.prompt && self.live.get(&id.0).is_some_and(|live| live.running) {
@@ -198,7 +205,10 @@
                 }
             }
             Act::Skip(id) => {
-                self.live.get_mut(&id.0).into_iter().for_each(|live| live.calls = false);
+                self.live
+                    .get_mut(&id.0)
+                    .into_iter()
+                    .for_each(|live| live.calls = false);
                 if self.cheat == Cheat::CallsOpen {
                     self.called(id, Span::ms(300));
                 }
@@ -216,15 +226,25 @@
 
     fn called(&mut self, id: RpcId, patience: Span) {
         let now = self.now;
-        let in_hand = self.live.values().filter(|live| live.call.is_some()).count();
+        let in_hand = self
+            .live
+            .values()
+            .filter(|live| live.call.is_some())
+            .count();
         // The design's bulkhead: never more than three quarters of the share, and a part of a permit as a whole one.
         if in_hand as f64 + 1.0 > (self.share * 0.75).ceil() {
-            self.breaks(format!("{} calls in hand, {} is the share", in_hand + 1, self.share));
+            self.breaks(format!(
+                "{} calls in hand, {} is the share",
+                in_hand + 1,
+                self.share
+            ));
         }
         match self.state {
             "open" => self.breaks("a call while the breaker is open".to_owned()),
             // A trial whose RPC is over has left; the next call is the trial.
-            "half-open" if self.trial().is_some() => self.breaks("a second call beside the trial".to_owned()),
+            "half-open" if self.trial().is_some() => {
+                self.breaks("a second call beside the trial".to_owned())
+            }
             _ => {}
         }
         if let Some(live) = self.live.get_mut(&id.0) {
@@ -235,9 +255,14 @@
     /// Since when a trial is out.
     fn trial(&self) -> Option<u64> {
         let began = |live: &Live| {
-            live.call.map(|(began, _)| began).filter(|began| *began >= self.since && !live.answered)
+            live.call
+                .map(|(began, _)| began)
+                .filter(|began| *began >= self.since && !live.answered)
         };
-        self.live.values().find_map(began).filter(|_| self.state == "half-open")
+        self.live
+            .values()
+            .find_map(began)
+            .filter(|_| self.state == "half-open")
     }
 
     /// A change of state must be one that the design knows, and have its reason.
@@ -271,7 +296,11 @@
             return;
         }
         live.answered = true;
-        *(if told == Told::Ok { &mut self.ok } else { &mut self.bad }) += 1;
+        *(if told == Told::Ok {
+            &mut self.ok
+        } else {
+            &mut self.bad
+        }) += 1;
         self.rules.answered(now, u64::from(id.0), told);
     }
 
@@ -296,21 +325,32 @@
             cut: false,
         };
         self.live.insert(id, live);
-        self.rules.read(now, u64::from(id), 0, due, method != usize::from(READ));
-        let arrival = Arrival { id: RpcId(id), method, held_kb: 10.0, ..Arrival::default() };
+        self.rules
+            .read(now, u64::from(id), 0, due, method != usize::from(READ));
+        let arrival = Arrival {
+            id: RpcId(id),
+            method,
+            held_kb: 10.0,
+            ..Arrival::default()
+        };
         self.tell(|server, now, out| server.rpc(now, arrival, out));
     }
 
     /// The oldest run that is on the cores, and the oldest call.
     fn oldest(&self, which: impl Fn(&Live) -> bool) -> Option<RpcId> {
-        self.live.iter().find(|(_, live)| which(live)).map(|(id, _)| RpcId(*id))
+        self.live
+            .iter()
+            .find(|(_, live)| which(live))
+            .map(|(id, _)| RpcId(*id))
     }
 
     fn goes_on(&mut self, id: RpcId) {
         if self.cheat == Cheat::NoEnds {
             return;
         }
-        let Some(live) = self.live.get_mut(&id.0) else { return };
+        let Some(live) = self.live.get_mut(&id.0) else {
+            return;
+        };
         if std::mem::take(&mut live.calls) {
             return self.tell(|server, now, out| server.needs_call(now, id, out));
         }
@@ -343,13 +383,18 @@
     }
 
     fn call_ends(&mut self, id: RpcId, outcome: Outcome) {
-        let Some((began, _)) = self.live.get_mut(&id.0).and_then(|live| live.call.take()) else { return };
+        let Some((began, _)) = self.live.get_mut(&id.0).and_then(|live| live.call.take()) else {
+            return;
+        };
         self.counts(began, outcome != Outcome::Ok);
         let trial = self.cut_short(id, began);
         let took = Span(self.now - began);
         self.tell(|server, now, out| server.called(now, id, outcome, took, out));
         self.decided(trial);
-        let answered = self.live.get(&id.0).is_some_and(|live| live.answered && live.running);
+        let answered = self
+            .live
+            .get(&id.0)
+            .is_some_and(|live| live.answered && live.running);
         if outcome != Outcome::Ok && answered {
             self.settle(id, Outcome::Cancelled);
         }
@@ -364,18 +409,37 @@
     fn beats(&mut self) {
         self.now = self.beat;
         self.beat += BEAT;
-        while let Some(id) = self.oldest(|live| live.call.is_some_and(|(_, until)| until <= self.now)) {
+        while let Some(id) =
+            self.oldest(|live| live.call.is_some_and(|(_, until)| until <= self.now))
+        {
             self.call_ends(id, Outcome::TimedOut);
         }
-        let busy = self.live.values().filter(|live| Module::on_cores(live)).count() as f64 / 2.0;
-        let gauges = Gauges { busy: Some(busy.min(1.0)), connections: None };
+        let busy = self
+            .live
+            .values()
+            .filter(|live| Module::on_cores(live))
+            .count() as f64
+            / 2.0;
+        let gauges = Gauges {
+            busy: Some(busy.min(1.0)),
+            connections: None,
+        };
         self.tell(|server, now, out| server.timer(now, gauges, out));
-        if self.trial().is_some_and(|began| self.now > began + TRIAL_MOST) {
-            self.breaks(format!("half-open for {} ms with its trial out", (self.now - self.since) / 10));
+        if self
+            .trial()
+            .is_some_and(|began| self.now > began + TRIAL_MOST)
+        {
+            self.breaks(format!(
+                "half-open for {} ms with its trial out",
+                (self.now - self.since) / 10
+            ));
         }
         let now = self.now;
         self.rules.stands(now, 0, 0.0, 0);
-        let late = self.live.values().any(|live| !live.answered && now > live.due);
+        let late = self
+            .live
+            .values()
+            .any(|live| !live.answered && now > live.due);
         if late {
             self.breaks("an RPC without an answer past its due time".to_owned());
         }
@@ -493,15 +557,25 @@
                 self.arrived += 1;
                 self.arrives(usize::from(what));
             }
-            GO_ON => self.oldest(Module::on_cores).into_iter().for_each(|id| self.goes_on(id)),
+            GO_ON => self
+                .oldest(Module::on_cores)
+                .into_iter()
+                .for_each(|id| self.goes_on(id)),
             CALL_OK | CALL_FAILS => {
-                let outcome = if what == CALL_OK { Outcome::Ok } else { Outcome::Error };
+                let outcome = if what == CALL_OK {
+                    Outcome::Ok
+                } else {
+                    Outcome::Error
+                };
                 let id = self.oldest(|live| live.call.is_some());
                 id.into_iter().for_each(|id| self.call_ends(id, outcome));
             }
             GONE => {
                 if let Some(id) = self.oldest(|live| !live.answered) {
-                    self.live.get_mut(&id.0).into_iter().for_each(|live| live.answered = true);
+                    self.live
+                        .get_mut(&id.0)
+                        .into_iter()
+                        .for_each(|live| live.answered = true);
                     self.rules.gone(u64::from(id.0));
                     self.tell(|server, now, out| server.gone(now, id, out));
                 }
@@ -523,7 +597,14 @@
     fn digest(&self) -> u64 {
         use std::hash::{DefaultHasher, Hash, Hasher};
         let mut hasher = DefaultHasher::new();
-        (self.server.digest(), self.now, self.arrived, self.leaving, self.state).hash(&mut hasher);
+        (
+            self.server.digest(),
+            self.now,
+            self.arrived,
+            self.leaving,
+            self.state,
+        )
+            .hash(&mut hasher);
         format!("{:?}", self.live).hash(&mut hasher);
         hasher.finish()
     }
@@ -555,7 +636,10 @@
             (0..25).for_each(|_| self.beats());
             why = format!("{row:?} in a row, breaker {}", self.state);
         }
-        Some(format!("it does not come free in {} s: {why}", FREE_WITHIN / 10_000))
+        Some(format!(
+            "it does not come free in {} s: {why}",
+            FREE_WITHIN / 10_000
+        ))
     }
 
     fn name(what: u8) -> &'static str {
--- a/crates/coralstep-lab/src/explore/pool.rs
+++ b/crates/coralstep-lab/src/explore/pool.rs
@@ -49,7 +49,9 @@
 impl Pool {
     fn choose(&mut self) -> bool {
         let before = self.real.view(Time(u64::MAX / 2));
-        let Ok(pick) = self.real.choose(Time(self.now), None) else { return false };
+        let Ok(pick) = self.real.choose(Time(self.now), None) else {
+            return false;
+        };
         let key = *self.real.key(&pick);
         if let Some(view) = before.iter().find(|view| view.key == key && !view.leaving) {
             if view.state == "closed" && view.in_hand >= EACH_MOST {
@@ -57,20 +59,37 @@
             }
             let trial = view.state != "closed";
             if trial
-                && self.out.iter().any(|out| out.trial && !out.judged && *self.real.key(&out.pick) == key)
+                && self
+                    .out
+                    .iter()
+                    .any(|out| out.trial && !out.judged && *self.real.key(&out.pick) == key)
             {
                 self.broken = Some("a second attempt beside the trial".to_owned());
             }
-            self.out.push(Out { pick, due: self.now + DUE, judged: false, trial });
+            self.out.push(Out {
+                pick,
+                due: self.now + DUE,
+                judged: false,
+                trial,
+            });
             return true;
         }
-        self.out.push(Out { pick, due: self.now + DUE, judged: false, trial: false });
+        self.out.push(Out {
+            pick,
+            due: self.now + DUE,
+            judged: false,
+            trial: false,
+        });
         true
     }
 
     fn passes(&mut self, ticks: u64) {
         self.now += ticks;
-        for out in self.out.iter_mut().filter(|out| out.due <= self.now && !out.judged) {
+        for out in self
+            .out
+            .iter_mut()
+            .filter(|out| out.due <= self.now && !out.judged)
+        {
             self.real.overran(Time(self.now), &mut out.pick);
             out.judged = true;
         }
@@ -90,12 +109,22 @@
     fn start(scope: &Scope) -> Pool {
         let terms = PoolTerms {
             each_most: EACH_MOST,
-            ramp: RampTerms { slow_start: Span::ms(1_000), ..PoolTerms::default().ramp },
+            ramp: RampTerms {
+                slow_start: Span::ms(1_000),
+                ..PoolTerms::default().ramp
+            },
             ..PoolTerms::default()
         };
         let mut real = Real::new(terms, 7);
         real.set(Time(START), &[1, 2]);
-        let mut pool = Pool { real, now: START, out: Vec::new(), chosen: 0, both: true, broken: None };
+        let mut pool = Pool {
+            real,
+            now: START,
+            out: Vec::new(),
+            chosen: 0,
+            both: true,
+            broken: None,
+        };
         if *scope == Scope::Shut {
             for _ in 0..200 {
                 if !pool.choose() {
@@ -142,7 +171,12 @@
                 let keys: &[u8] = if self.both { &[1, 2] } else { &[1] };
                 self.real.set(Time(self.now), keys);
             }
-            _ => self.passes(WAITS.get(usize::from(what.saturating_sub(WAIT))).copied().unwrap_or(0)),
+            _ => self.passes(
+                WAITS
+                    .get(usize::from(what.saturating_sub(WAIT)))
+                    .copied()
+                    .unwrap_or(0),
+            ),
         }
         let in_hand = self.real.in_hand() as usize;
         if in_hand != self.out.len() {
@@ -153,8 +187,11 @@
     fn digest(&self) -> u64 {
         use std::hash::{DefaultHasher, Hash, Hasher};
         let mut hasher = DefaultHasher::new();
-        let out: Vec<(u8, bool)> =
-            self.out.iter().map(|out| (*self.real.key(&out.pick), out.judged)).collect();
+        let out: Vec<(u8, bool)> = self
+            .out
+            .iter()
+            .map(|out| (*self.real.key(&out.pick), out.judged))
+            .collect();
         (self.now, self.chosen, self.both, out).hash(&mut hasher);
         format!("{:?}", self.real.view(Time(u64::MAX / 2))).hash(&mut hasher);
         hasher.finish()
@@ -188,7 +225,10 @@
             }
             self.passes(1_000);
         }
-        Some(format!("it does not come free in {} s", FREE_WITHIN / 10_000))
+        Some(format!(
+            "it does not come free in {} s",
+            FREE_WITHIN / 10_000
+        ))
     }
 
     fn name(what: u8) -> &'static str {
--- a/crates/coralstep-lab/src/explore/shares.rs
+++ b/crates/coralstep-lab/src/explore/shares.rs
@@ -88,7 +88,9 @@
                 _ => true,
             }
         };
-        (0..(KINDS.len() * SERVERS) as u8).filter(possible).collect()
+        (0..(KINDS.len() * SERVERS) as u8)
+            .filter(possible)
+            .collect()
     }
 
     fn step(&mut self, what: u8) {
@@ -131,7 +133,8 @@
         }
         // Who left is replaced.
         (0..SERVERS).for_each(|server| self.world.start(server));
-        self.world.pass(keeper_after_crash() + stretched(coralstep_limits::bounds::TENURE));
+        self.world
+            .pass(keeper_after_crash() + stretched(coralstep_limits::bounds::TENURE));
         let kept = self.world.keeper().is_some();
         self.world.pass(free_after_crash(LEASE, 500));
         // All demand is at one: it gets all.
@@ -143,7 +146,9 @@
         }
         let broken = self.world.broken.clone();
         let stuck = (!kept).then(|| "nobody gives".to_owned());
-        broken.or(stuck).or_else(|| (most < 5).then(|| format!("{most} of 5 units are in use")))
+        broken
+            .or(stuck)
+            .or_else(|| (most < 5).then(|| format!("{most} of 5 units are in use")))
     }
 
     fn name(what: u8) -> &'static str {
--- a/crates/coralstep-lab/src/explore/straggler.rs
+++ b/crates/coralstep-lab/src/explore/straggler.rs
@@ -98,17 +98,24 @@
         self.spoken += 1;
         self.straggler.judge(self.now, &self.facts);
         let admits = self.straggler.back(self.now).is_none();
-        let over = |since: Option<u64>, bound: u64| since.is_some_and(|since| self.now > since + bound);
+        let over =
+            |since: Option<u64>, bound: u64| since.is_some_and(|since| self.now > since + bound);
         let truth = &self.truth;
         // Room among those who may be out has to be there for as long as it waits to hear of it.
         let may = truth.crowded.is_none() && self.now > truth.roomy + SAID + LOOK;
-        let fresh = truth.unanswered.is_some_and(|since| self.now < since + RESUME);
+        let fresh = truth
+            .unanswered
+            .is_some_and(|since| self.now < since + RESUME);
         let why = match () {
             () if !admits => return,
             () if truth.by_hand => "though an operator shut it out",
             () if fresh => "after a stop, before any answer",
-            () if may && over(truth.lags, BEHIND + SAID + LOOK) => "behind for longer than its bound",
-            () if may && over(truth.refuses, SAID + LOOK) => "though it turned down what must be acted on",
+            () if may && over(truth.lags, BEHIND + SAID + LOOK) => {
+                "behind for longer than its bound"
+            }
+            () if may && over(truth.refuses, SAID + LOOK) => {
+                "though it turned down what must be acted on"
+            }
             () if self.scope.silent_shuts && self.now > truth.heard + SILENT + LOOK => {
                 "though it hears nobody"
             }
@@ -119,7 +126,10 @@
 
     /// The version of this number, as all know it.
     fn id(number: u64) -> Id {
-        Id { number, ..Id::default() }
+        Id {
+            number,
+            ..Id::default()
+        }
     }
 
     fn learn(&mut self) {
@@ -135,11 +145,27 @@
     type Scope = Scope;
 
     fn start(scope: &Scope) -> Lag {
-        let behind = if scope.cheat == Cheat::Patient { u64::MAX / 4 } else { BEHIND };
-        let bounds = Bounds { behind, silent: SILENT, silent_shuts: scope.silent_shuts };
+        let behind = if scope.cheat == Cheat::Patient {
+            u64::MAX / 4
+        } else {
+            BEHIND
+        };
+        let bounds = Bounds {
+            behind,
+            silent: SILENT,
+            silent_shuts: scope.silent_shuts,
+        };
         let now = 60_000;
-        let facts = Facts { others: 4, held: true, is_due: true, ..Facts::default() };
-        let truth = Truth { heard: now, ..Truth::default() };
+        let facts = Facts {
+            others: 4,
+            held: true,
+            is_due: true,
+            ..Facts::default()
+        };
+        let truth = Truth {
+            heard: now,
+            ..Truth::default()
+        };
         Lag {
             scope: *scope,
             now,
@@ -189,7 +215,12 @@
             6 => {
                 self.now += PAUSE + 1_000;
                 if self.scope.cheat != Cheat::Sleeps
-                    && self.straggler.paused(self.now, PAUSE + 1_000, self.spoken + 1, self.facts.others)
+                    && self.straggler.paused(
+                        self.now,
+                        PAUSE + 1_000,
+                        self.spoken + 1,
+                        self.facts.others,
+                    )
                 {
                     self.truth.unanswered = Some(self.now);
                 }
@@ -204,7 +235,11 @@
                 self.truth.unanswered = None;
             }
             8 => {
-                let echo = if self.scope.cheat == Cheat::OldWords { u64::MAX } else { 0 };
+                let echo = if self.scope.cheat == Cheat::OldWords {
+                    u64::MAX
+                } else {
+                    0
+                };
                 self.straggler.answered(self.now, echo);
                 self.hears();
             }
@@ -241,7 +276,12 @@
         format!(
             "{:?} {:?} {:?} {:?} {:?}",
             self.facts,
-            (truth.by_hand, truth.lags.map(age), truth.refuses.map(age), truth.unanswered.map(age)),
+            (
+                truth.by_hand,
+                truth.lags.map(age),
+                truth.refuses.map(age),
+                truth.unanswered.map(age)
+            ),
             (age(truth.heard), truth.crowded.is_some(), age(truth.roomy)),
             // Only whether the next answer comes after the stop counts, and it always does.
             self.broken.is_some(),
@@ -270,7 +310,8 @@
         self.step(7);
         self.pass(RESUME + 2 * LOOK, true);
         let shut = self.straggler.shut().cloned();
-        self.broken.or_else(|| shut.map(|shut| format!("it stays shut out: {shut:?}")))
+        self.broken
+            .or_else(|| shut.map(|shut| format!("it stays shut out: {shut:?}")))
     }
 
     fn name(what: u8) -> &'static str {
--- a/crates/coralstep-lab/src/explore/tests.rs
+++ b/crates/coralstep-lab/src/explore/tests.rs
@@ -35,7 +35,10 @@
 fn the_shortest_fault_is_found_and_each_state_met_once() {
     let walked = exhaust::<Counter>(&0, 9, 1_000, |_, _| {});
     let fault = walked.fault.unwrap();
-    assert_eq!((fault.moves.clone(), fault.why.as_str()), (vec![1, 1, 1], "stuck"));
+    assert_eq!(
+        (fault.moves.clone(), fault.why.as_str()),
+        (vec![1, 1, 1], "stuck")
+    );
     assert_eq!(fault.told::<Counter>(), "stuck; after: down, down, down");
     let few = exhaust::<Counter>(&0, 2, 1_000, |_, _| {});
     assert_eq!((few.states, few.fault, few.cut), (5, None, false));
@@ -45,5 +48,8 @@
 #[test]
 fn a_long_history_is_made_short() {
     let found = wander::<Counter>(&0, 100, 60, 1).fault.unwrap();
-    assert!(found.moves == [0, 0, 0, 0] || found.moves == [1, 1, 1], "{found:?}");
+    assert!(
+        found.moves == [0, 0, 0, 0] || found.moves == [1, 1, 1],
+        "{found:?}"
+    );
 }
--- a/crates/coralstep-lab/src/fleet/drive.rs
+++ b/crates/coralstep-lab/src/fleet/drive.rs
@@ -26,7 +26,11 @@
 
 impl Default for Drive {
     fn default() -> Drive {
-        Drive { start: Instant::now(), answers: Mutex::default(), stop: AtomicBool::new(false) }
+        Drive {
+            start: Instant::now(),
+            answers: Mutex::default(),
+            stop: AtomicBool::new(false),
+        }
     }
 }
 
@@ -57,7 +61,12 @@
                     next += every;
                     let sent_ms = self.now_ms();
                     let told = fleet.call(at, method, Some("north"));
-                    lock(&self.answers).push(Answer { at, sent_ms, got_ms: self.now_ms(), told });
+                    lock(&self.answers).push(Answer {
+                        at,
+                        sent_ms,
+                        got_ms: self.now_ms(),
+                        told,
+                    });
                 }
             });
         }
@@ -74,7 +83,12 @@
     /// RPCs answered well that were sent within the span, by process where one is named.
     pub fn ok(&self, from_ms: f64, to_ms: f64, at: Option<usize>) -> usize {
         let within = |answer: &&Answer| answer.sent_ms >= from_ms && answer.sent_ms < to_ms;
-        let ours = |answer: &&Answer| at.is_none_or(|at| answer.at == at) && answer.told == Told::Ok;
-        lock(&self.answers).iter().filter(within).filter(ours).count()
+        let ours =
+            |answer: &&Answer| at.is_none_or(|at| answer.at == at) && answer.told == Told::Ok;
+        lock(&self.answers)
+            .iter()
+            .filter(within)
+            .filter(ours)
+            .count()
     }
 }
--- a/crates/coralstep-lab/src/fleet/guest.rs
+++ b/crates/coralstep-lab/src/fleet/guest.rs
@@ -37,8 +37,10 @@
         let at = socket.local_addr()?;
         fleet.links.guest(at);
         let peers: Vec<SocketAddr> = fleet.links.addresses.iter().copied().take(4).collect();
-        let unix =
-            SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
+        let unix = SystemTime::now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_millis() as u64;
         let own = Member::new(name, at, unix);
         let terms = FleetTerms {
             name: super::processes::NAME.to_owned(),
@@ -75,6 +77,9 @@
                 }
             }
         });
-        Ok(Guest { stop, thread: Some(thread) })
+        Ok(Guest {
+            stop,
+            thread: Some(thread),
+        })
     }
 }
