--- a/crates/coralstep-lab/src/fleet/judge.rs
+++ b/crates/coralstep-lab/src/fleet/judge.rs
@@ -22,11 +22,20 @@
 #[serde(tag = "breach", rename_all = "snake_case")]
 pub enum Breach {
     /// A process went back to an older version without a restart.
-    Back { at_ms: u64, process: usize, from: String, to: String },
+    Back {
+        at_ms: u64,
+        process: usize,
+        from: String,
+        to: String,
+    },
     /// More are shut out for a version than may be.
     TooManyOut { at_ms: u64, out: usize, most: usize },
     /// After a stop it ran an RPC under a version older than what all others had long acted on.
-    RanOld { at_ms: u64, process: usize, version: String },
+    RanOld {
+        at_ms: u64,
+        process: usize,
+        version: String,
+    },
     /// An RPC got no answer.
     NoAnswer { at_ms: u64, process: usize },
     /// At the end not all act on one version.
@@ -55,7 +64,12 @@
         {
             let name = |of: &Seen| format!("{}-{}", of.acts_on.0, of.acts_on.1);
             let (from, to) = (name(before), name(&seen));
-            self.breaches.push(Breach::Back { at_ms: seen.at_ms, process: seen.process, from, to });
+            self.breaches.push(Breach::Back {
+                at_ms: seen.at_ms,
+                process: seen.process,
+                from,
+                to,
+            });
         }
         let at_ms = seen.at_ms;
         self.last.insert(seen.process, seen);
@@ -78,7 +92,11 @@
 
     /// It goes on after a stop of over two seconds.
     pub fn resumed(&mut self, at_ms: u64, process: usize) {
-        let others = self.last.values().filter(|seen| seen.process != process).map(|seen| seen.acts_on.0);
+        let others = self
+            .last
+            .values()
+            .filter(|seen| seen.process != process)
+            .map(|seen| seen.acts_on.0);
         if let Some(least) = others.min() {
             self.resumed.insert(process, (at_ms, least));
         }
@@ -90,7 +108,11 @@
             && at_ms < since + HELD
             && number < *least
         {
-            self.breaches.push(Breach::RanOld { at_ms, process, version: number.to_string() });
+            self.breaches.push(Breach::RanOld {
+                at_ms,
+                process,
+                version: number.to_string(),
+            });
         }
     }
 
@@ -100,8 +122,11 @@
 
     /// The play is over, and there was time to come together.
     pub fn end(&mut self) {
-        let mut versions: Vec<String> =
-            self.last.values().map(|seen| format!("{}-{}", seen.acts_on.0, seen.acts_on.1)).collect();
+        let mut versions: Vec<String> = self
+            .last
+            .values()
+            .map(|seen| format!("{}-{}", seen.acts_on.0, seen.acts_on.1))
+            .collect();
         versions.sort();
         versions.dedup();
         if versions.len() > 1 {
@@ -113,7 +138,10 @@
 /// How far over `burst + rps * window` any window is, by what callers saw: RPCs that were sent and answered well within it were let in within
 /// it. At or under nought where the limit held.
 pub fn excess(answers: &[Answer], rps: f64, burst: f64) -> f64 {
-    let mut ok: Vec<&Answer> = answers.iter().filter(|answer| answer.told == Told::Ok).collect();
+    let mut ok: Vec<&Answer> = answers
+        .iter()
+        .filter(|answer| answer.told == Told::Ok)
+        .collect();
     ok.sort_by(|a, b| a.sent_ms.total_cmp(&b.sent_ms));
     let mut most = f64::MIN;
     for (at, first) in ok.iter().enumerate() {
--- a/crates/coralstep-lab/src/fleet/links.rs
+++ b/crates/coralstep-lab/src/fleet/links.rs
@@ -57,7 +57,9 @@
 impl Drop for Links {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
-        self.threads.drain(..).for_each(|thread| drop(thread.join()));
+        self.threads
+            .drain(..)
+            .for_each(|thread| drop(thread.join()));
     }
 }
 
@@ -83,7 +85,8 @@
 
 impl Links {
     pub fn start(count: usize, seed: u64) -> std::io::Result<Links> {
-        let (table, stop): (Arc<Mutex<Table>>, _) = (Arc::default(), Arc::new(AtomicBool::new(false)));
+        let (table, stop): (Arc<Mutex<Table>>, _) =
+            (Arc::default(), Arc::new(AtomicBool::new(false)));
         let (mut addresses, mut threads) = (Vec::new(), Vec::new());
         for to in 0..count {
             let socket = UdpSocket::bind("127.0.0.1:0")?;
@@ -91,9 +94,16 @@
             addresses.push(socket.local_addr()?);
             let (table, stop) = (table.clone(), stop.clone());
             let chance = SmallRng::seed_from_u64(seed ^ (to as u64) << 32);
-            threads.push(std::thread::spawn(move || relay(&socket, to, &table, &stop, chance)));
+            threads.push(std::thread::spawn(move || {
+                relay(&socket, to, &table, &stop, chance)
+            }));
         }
-        Ok(Links { addresses, table, stop, threads })
+        Ok(Links {
+            addresses,
+            table,
+            stop,
+            threads,
+        })
     }
 
     /// Where process `of` listens, and sends from.
@@ -118,13 +128,18 @@
     pub fn set(&self, from: &[usize], to: &[usize], fault: Fault) {
         let mut table = lock(&self.table);
         for from in from {
-            table.faults.extend(to.iter().map(|to| ((*from, *to), fault)));
+            table
+                .faults
+                .extend(to.iter().map(|to| ((*from, *to), fault)));
         }
     }
 
     /// Nobody of `one` reaches anybody of `other`, nor back.
     pub fn cut(&self, one: &[usize], other: &[usize]) {
-        let cut = Fault { cut: true, ..Fault::default() };
+        let cut = Fault {
+            cut: true,
+            ..Fault::default()
+        };
         self.set(one, other, cut);
         self.set(other, one, cut);
     }
@@ -140,11 +155,19 @@
     pub fn sent(&self, from: usize) -> (u64, u64) {
         let table = lock(&self.table);
         let of = table.carried.iter().filter(|((by, _), _)| *by == from);
-        of.fold((0, 0), |sum, (_, carried)| (sum.0 + carried.0, sum.1 + carried.1))
+        of.fold((0, 0), |sum, (_, carried)| {
+            (sum.0 + carried.0, sum.1 + carried.1)
+        })
     }
 }
 
-fn relay(socket: &UdpSocket, to: usize, table: &Mutex<Table>, stop: &AtomicBool, mut chance: SmallRng) {
+fn relay(
+    socket: &UdpSocket,
+    to: usize,
+    table: &Mutex<Table>,
+    stop: &AtomicBool,
+    mut chance: SmallRng,
+) {
     let (mut way, mut buffer, mut idle) = (BinaryHeap::new(), [0; 4096], false);
     while !stop.load(Ordering::SeqCst) {
         // Guards against hundreds of relays that use the machine up by looking at nothing.
@@ -171,7 +194,8 @@
                     if count > 0 && chance.random_bool(fault.garbled) {
                         bytes[chance.random_range(0..count)] ^= 1 << chance.random_range(0..8);
                     }
-                    let delay = chance.random_range(fault.delay.0..=fault.delay.1.max(fault.delay.0));
+                    let delay =
+                        chance.random_range(fault.delay.0..=fault.delay.1.max(fault.delay.0));
                     if way.len() < WAY_MOST {
                         way.push(Late(now + Duration::from_millis(delay), bytes));
                     }
--- a/crates/coralstep-lab/src/fleet/mixed_builds.rs
+++ b/crates/coralstep-lab/src/fleet/mixed_builds.rs
@@ -85,10 +85,18 @@
 }
 
 fn setup(store: &Store) -> Setup {
-    let lease_holders: Vec<String> = (0..LEASE_HOLDERS).map(|member| format!("n{member}")).collect();
+    let lease_holders: Vec<String> = (0..LEASE_HOLDERS)
+        .map(|member| format!("n{member}"))
+        .collect();
     let fleet = json!({"keepers": lease_holders, "lease_ms": LEASE_MS, "verdicts": {}});
-    let limits = json!([{"name": "saves", "method": METHODS[0], "rps": LIMIT_RPS, "burst": LIMIT_BURST}]);
-    Setup { store: Some(store.address), limits, keeps_state: true, ..Setup::new(fleet) }
+    let limits =
+        json!([{"name": "saves", "method": METHODS[0], "rps": LIMIT_RPS, "burst": LIMIT_BURST}]);
+    Setup {
+        store: Some(store.address),
+        limits,
+        keeps_state: true,
+        ..Setup::new(fleet)
+    }
 }
 
 impl<'a> Scenario<'a> {
@@ -98,22 +106,45 @@
         stop: &'a AtomicBool,
         told: &'a dyn Fn(&str),
     ) -> Result<Scenario<'a>, Failure> {
-        let failed = |source| Failure::Io { step: "start", source };
+        let failed = |source| Failure::Io {
+            step: "start",
+            source,
+        };
         let dependency = json!({"capacity": 200, "call_ms": {"fixed": 20.0}, "fails": 0.0});
-        let dependency: Dependency = serde_json::from_value(dependency).map_err(|why| failed(why.into()))?;
+        let dependency: Dependency =
+            serde_json::from_value(dependency).map_err(|why| failed(why.into()))?;
         let store = Store::start(&dependency, seed).map_err(failed)?;
-        let fleet = Fleet::set_up(programs.clone(), MEMBERS, seed, setup(&store)).map_err(failed)?;
-        Ok(Scenario { fleet, _store: store, programs, stop, told, report: Report::default() })
+        let fleet =
+            Fleet::set_up(programs.clone(), MEMBERS, seed, setup(&store)).map_err(failed)?;
+        Ok(Scenario {
+            fleet,
+            _store: store,
+            programs,
+            stop,
+            told,
+            report: Report::default(),
+        })
     }
 
     /// Waits for an event; how long it took, in milliseconds.
-    fn wait(&self, step: &'static str, mut done: impl FnMut(&Fleet) -> bool) -> Result<u64, Failure> {
+    fn wait(
+        &self,
+        step: &'static str,
+        mut done: impl FnMut(&Fleet) -> bool,
+    ) -> Result<u64, Failure> {
         let stopped = || self.stop.load(Ordering::SeqCst);
-        let took = self.fleet.until(EVENT_LIMIT, |fleet| stopped() || done(fleet));
+        let took = self
+            .fleet
+            .until(EVENT_LIMIT, |fleet| stopped() || done(fleet));
         if stopped() {
             return Err(Failure::Interrupted);
         }
-        let took = took.ok_or(Failure::TimedOut { step, limit: EVENT_LIMIT })?.as_millis() as u64;
+        let took = took
+            .ok_or(Failure::TimedOut {
+                step,
+                limit: EVENT_LIMIT,
+            })?
+            .as_millis() as u64;
         (self.told)(&format!("{step}: after {took} ms"));
         Ok(took)
     }
@@ -123,17 +154,36 @@
         Ok(())
     }
 
-    fn publish(&mut self, member: usize, record_ms: u64, step: &'static str) -> Result<(), Failure> {
-        let published = self.fleet.publish(member, &settings(record_ms), false, &[], 0);
+    fn publish(
+        &mut self,
+        member: usize,
+        record_ms: u64,
+        step: &'static str,
+    ) -> Result<(), Failure> {
+        let published = self
+            .fleet
+            .publish(member, &settings(record_ms), false, &[], 0);
         let id = published.map_err(|source| Failure::Io { step, source })?;
         let all_on_ms = self.wait(step, |fleet| fleet.all_on(&id))?;
-        self.report.versions.push(Published { id, member, all_on_ms });
+        self.report.versions.push(Published {
+            id,
+            member,
+            all_on_ms,
+        });
         Ok(())
     }
 
     fn versions_reach_all(&mut self) -> Result<(), Failure> {
-        self.publish(OTHER_MEMBER, RECORD_MS[0], "all act on a version of the other build")?;
-        self.publish(PRIMARY_MEMBER, RECORD_MS[1], "all act on a version of the primary build")
+        self.publish(
+            OTHER_MEMBER,
+            RECORD_MS[0],
+            "all act on a version of the other build",
+        )?;
+        self.publish(
+            PRIMARY_MEMBER,
+            RECORD_MS[1],
+            "all act on a version of the primary build",
+        )
     }
 
     /// All members have more callers than their share of the limit.
@@ -142,7 +192,15 @@
         let limited = |_: &Fleet| (0..MEMBERS).all(|member| admits_and_rejects(&drive, member));
         std::thread::scope(|scope| {
             for member in 0..MEMBERS {
-                drive.calls(scope, &self.fleet, member, CALLERS, CALL_INTERVAL, METHODS[0], EVENT_LIMIT);
+                drive.calls(
+                    scope,
+                    &self.fleet,
+                    member,
+                    CALLERS,
+                    CALL_INTERVAL,
+                    METHODS[0],
+                    EVENT_LIMIT,
+                );
             }
             let waited = self.wait("each member admits RPCs under the limit", limited);
             drive.stop();
@@ -153,17 +211,32 @@
                 Told::Ok => &mut self.report.admitted,
                 _ => &mut self.report.rejected,
             };
-            *(if is_primary(answer.at) { &mut per_build.primary } else { &mut per_build.other }) += 1;
+            *(if is_primary(answer.at) {
+                &mut per_build.primary
+            } else {
+                &mut per_build.other
+            }) += 1;
         }
-        let excess = excess(&drive.answers(), LIMIT_RPS * (1.0 + DRIFT), f64::from(LIMIT_BURST));
+        let excess = excess(
+            &drive.answers(),
+            LIMIT_RPS * (1.0 + DRIFT),
+            f64::from(LIMIT_BURST),
+        );
         self.report.limit_excess = excess;
-        if excess > 0.0 { Err(Failure::LimitExceeded { excess }) } else { Ok(()) }
+        if excess > 0.0 {
+            Err(Failure::LimitExceeded { excess })
+        } else {
+            Ok(())
+        }
     }
 
     fn verdicts_reach_the_other_build(&mut self) -> Result<(), Failure> {
         self.verdicts_of(OTHER_MEMBER, "calls")?;
         self.verdicts_of(PRIMARY_MEMBER, "calls")?;
-        let broken = Faults { half_open: 1.0, ..Faults::default() };
+        let broken = Faults {
+            half_open: 1.0,
+            ..Faults::default()
+        };
         for member in [OTHER_MEMBER, PRIMARY_MEMBER] {
             self.fleet.way(member, broken);
             let received = self.verdicts_of(member, "failures");
@@ -177,7 +250,8 @@
     fn verdicts_of(&mut self, member: usize, count: &'static str) -> Result<(), Failure> {
         let drive = Drive::default();
         let observers = || (0..MEMBERS).filter(|other| is_primary(*other) != is_primary(member));
-        let received = |fleet: &Fleet| observers().all(|other| shows_count(fleet, other, member, count));
+        let received =
+            |fleet: &Fleet| observers().all(|other| shows_count(fleet, other, member, count));
         let step = match (is_primary(member), count) {
             (true, "calls") => "the other build shows calls of the primary build",
             (true, _) => "the other build shows failures of the primary build",
@@ -185,13 +259,25 @@
             (false, _) => "the primary build shows failures of the other build",
         };
         std::thread::scope(|scope| {
-            drive.calls(scope, &self.fleet, member, CALLERS, CALL_INTERVAL, METHODS[1], EVENT_LIMIT);
+            drive.calls(
+                scope,
+                &self.fleet,
+                member,
+                CALLERS,
+                CALL_INTERVAL,
+                METHODS[1],
+                EVENT_LIMIT,
+            );
             let waited = self.wait(step, received);
             drive.stop();
             waited
         })?;
         let received = &mut self.report.verdicts_received;
-        *(if is_primary(member) { &mut received.primary } else { &mut received.other }) += 1;
+        *(if is_primary(member) {
+            &mut received.primary
+        } else {
+            &mut received.other
+        }) += 1;
         Ok(())
     }
 
@@ -200,12 +286,18 @@
         const QUESTION: &str = "fleet_members";
         for member in 0..MEMBERS {
             let asked = self.fleet.ask(member, &json!({"ask": QUESTION}));
-            let answer = asked.map_err(|source| Failure::Io { step: QUESTION, source })?;
-            let count = answer["not_believed"].as_u64().ok_or_else(|| Failure::UnexpectedAnswer {
-                member,
-                question: QUESTION,
-                answer: answer.to_string(),
+            let answer = asked.map_err(|source| Failure::Io {
+                step: QUESTION,
+                source,
             })?;
+            let count =
+                answer["not_believed"]
+                    .as_u64()
+                    .ok_or_else(|| Failure::UnexpectedAnswer {
+                        member,
+                        question: QUESTION,
+                        answer: answer.to_string(),
+                    })?;
             if count > 0 {
                 return Err(Failure::RefusedDatagrams { member, count });
             }
@@ -216,19 +308,33 @@
     }
 
     fn state_directory_is_taken_over(&mut self) -> Result<(), Failure> {
-        let version = self.report.versions.last().map(|version| version.id.clone()).unwrap_or_default();
+        let version = self
+            .report
+            .versions
+            .last()
+            .map(|version| version.id.clone())
+            .unwrap_or_default();
         self.predecessor_is_killed()?;
         self.successor_starts_alone(&version)?;
         self.fleet.links.heal();
-        self.report.successor.rejoined_ms = self.wait("the successor is a member again", all_see_all)?;
-        self.wait("all act on one version again", |fleet| fleet.all_on(&version))?;
-        self.publish(REPLACED_MEMBER, RECORD_MS[2], "all act on a version of the successor")
+        self.report.successor.rejoined_ms =
+            self.wait("the successor is a member again", all_see_all)?;
+        self.wait("all act on one version again", |fleet| {
+            fleet.all_on(&version)
+        })?;
+        self.publish(
+            REPLACED_MEMBER,
+            RECORD_MS[2],
+            "all act on a version of the successor",
+        )
     }
 
     /// Kills the predecessor once its directory holds what it learned and acts on.
     fn predecessor_is_killed(&mut self) -> Result<(), Failure> {
-        let (program, directory) =
-            (self.programs.of(REPLACED_MEMBER), self.fleet.state_directory(REPLACED_MEMBER));
+        let (program, directory) = (
+            self.programs.of(REPLACED_MEMBER),
+            self.fleet.state_directory(REPLACED_MEMBER),
+        );
         let kept = |_: &Fleet| has_learned(program, &directory);
         self.wait("a snapshot holds what the predecessor learned", kept)?;
         let content = settings(RECORD_MS[1]).to_string();
@@ -237,20 +343,29 @@
         self.fleet.kill(REPLACED_MEMBER);
         // Guards against members that take the successor for the predecessor, which they never missed.
         let missed = |fleet: &Fleet| {
-            fleet.running().into_iter().all(|at| fleet.alive(at).is_ok_and(|alive| alive == MEMBERS - 1))
+            fleet
+                .running()
+                .into_iter()
+                .all(|at| fleet.alive(at).is_ok_and(|alive| alive == MEMBERS - 1))
         };
         self.wait("the others miss the predecessor", missed)?;
-        self.report.successor.predecessor_snapshot = snapshots::newest(program, &directory).unwrap_or(0);
+        self.report.successor.predecessor_snapshot =
+            snapshots::newest(program, &directory).unwrap_or(0);
         same_export(self.programs.of(PRIMARY_MEMBER), program, &directory)
     }
 
     /// Starts the primary build on the directory, cut off: what it knows is from there alone.
     fn successor_starts_alone(&mut self, version: &str) -> Result<(), Failure> {
-        let rest: Vec<usize> = (0..MEMBERS).filter(|member| *member != REPLACED_MEMBER).collect();
+        let rest: Vec<usize> = (0..MEMBERS)
+            .filter(|member| *member != REPLACED_MEMBER)
+            .collect();
         self.fleet.links.cut(&[REPLACED_MEMBER], &rest);
         let program = self.programs.of(PRIMARY_MEMBER);
         let started = self.fleet.boot_from(REPLACED_MEMBER, program);
-        started.map_err(|source| Failure::Io { step: "start of the successor", source })?;
+        started.map_err(|source| Failure::Io {
+            step: "start of the successor",
+            source,
+        })?;
         let acts = |fleet: &Fleet| fleet.acts_on(REPLACED_MEMBER).is_ok_and(|on| on == version);
         self.wait("the successor acts on the recorded version", acts)?;
         let directory = self.fleet.state_directory(REPLACED_MEMBER);
@@ -262,7 +377,10 @@
         // Its first RPC, of no tenant, is what lets it write a snapshot of its own.
         let serves = |fleet: &Fleet| fleet.call(REPLACED_MEMBER, METHODS[1], None) == Told::Ok;
         self.wait("the successor serves an RPC", serves)?;
-        self.wait("a snapshot of the successor holds what its predecessor learned", newer)?;
+        self.wait(
+            "a snapshot of the successor holds what its predecessor learned",
+            newer,
+        )?;
         let successor = &mut self.report.successor;
         successor.member = REPLACED_MEMBER;
         version.clone_into(&mut successor.acted_on);
@@ -279,15 +397,22 @@
 fn admits_and_rejects(drive: &Drive, member: usize) -> bool {
     let mut answers = drive.answers();
     answers.retain(|answer| answer.at == member);
-    let admitted = answers.iter().filter(|answer| answer.told == Told::Ok).count();
+    let admitted = answers
+        .iter()
+        .filter(|answer| answer.told == Told::Ok)
+        .count();
     let after_first = answers.iter().skip_while(|answer| answer.told != Told::Ok);
-    let rejected = after_first.into_iter().any(|answer| matches!(answer.told, Told::PushedBack(_)));
+    let rejected = after_first
+        .into_iter()
+        .any(|answer| matches!(answer.told, Told::PushedBack(_)));
     admitted >= MIN_ADMITTED && rejected
 }
 
 /// Whether `observer` shows `count` of the store above zero for `reporter`.
 fn shows_count(fleet: &Fleet, observer: usize, reporter: usize, count: &str) -> bool {
-    let Ok(answer) = fleet.ask(observer, &json!({"ask": "fleet_verdicts"})) else { return false };
+    let Ok(answer) = fleet.ask(observer, &json!({"ask": "fleet_verdicts"})) else {
+        return false;
+    };
     let reporter = format!("n{reporter}");
     let rows = answer["verdicts"].as_array().into_iter().flatten();
     rows.filter(|row| row["server"] == reporter.as_str())
@@ -307,6 +432,10 @@
     if by_primary.is_some() && by_primary == by_other {
         return Ok(());
     }
-    let text = |export: Option<Value>| export.map_or("nothing".to_owned(), |export| export.to_string());
-    Err(Failure::SnapshotMisread { primary: text(by_primary), other: text(by_other) })
+    let text =
+        |export: Option<Value>| export.map_or("nothing".to_owned(), |export| export.to_string());
+    Err(Failure::SnapshotMisread {
+        primary: text(by_primary),
+        other: text(by_other),
+    })
 }
--- a/crates/coralstep-lab/src/fleet/mixed_builds/report.rs
+++ b/crates/coralstep-lab/src/fleet/mixed_builds/report.rs
@@ -55,7 +55,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
     #[error("{step}: {source}")]
-    Io { step: &'static str, source: std::io::Error },
+    Io {
+        step: &'static str,
+        source: std::io::Error,
+    },
     #[error("{step}: not seen within {} s", limit.as_secs())]
     TimedOut { step: &'static str, limit: Duration },
     #[error("the fleet admitted {excess:.1} RPCs more than its limit in some window")]
@@ -65,7 +68,11 @@
     #[error("the builds read the same snapshot differently: {primary} and {other}")]
     SnapshotMisread { primary: String, other: String },
     #[error("member {member} answered {question} with {answer}")]
-    UnexpectedAnswer { member: usize, question: &'static str, answer: String },
+    UnexpectedAnswer {
+        member: usize,
+        question: &'static str,
+        answer: String,
+    },
     #[error("interrupted")]
     Interrupted,
 }
--- a/crates/coralstep-lab/src/fleet/mixed_builds/snapshots.rs
+++ b/crates/coralstep-lab/src/fleet/mixed_builds/snapshots.rs
@@ -6,7 +6,11 @@
 
 /// What `program` reads from the newest good snapshot in `directory`; nothing where there is none.
 pub fn export(program: &Path, directory: &Path) -> Option<Value> {
-    let output = Command::new(program).args(["state", "export"]).arg(directory).output().ok()?;
+    let output = Command::new(program)
+        .args(["state", "export"])
+        .arg(directory)
+        .output()
+        .ok()?;
     serde_json::from_slice(&output.stdout).ok()
 }
 
@@ -19,14 +23,30 @@
 
 /// The number of the newest snapshot in `directory` that `program` believes.
 pub fn newest(program: &Path, directory: &Path) -> Option<u64> {
-    let output = Command::new(program).args(["state", "show"]).arg(directory).arg("--json").output().ok()?;
+    let output = Command::new(program)
+        .args(["state", "show"])
+        .arg(directory)
+        .arg("--json")
+        .output()
+        .ok()?;
     let lines = String::from_utf8(output.stdout).ok()?;
-    lines.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok()?["number"].as_u64()).max()
+    lines
+        .lines()
+        .filter_map(|line| serde_json::from_str::<Value>(line).ok()?["number"].as_u64())
+        .max()
 }
 
 /// Whether any fleet record in `directory` holds the text of a version.
 pub fn records_version(directory: &Path, text: &str) -> bool {
-    let Ok(files) = std::fs::read_dir(directory.join("fleet")) else { return false };
-    let records = files.flatten().filter_map(|file| std::fs::read(file.path()).ok());
-    records.into_iter().any(|bytes| bytes.windows(text.len()).any(|window| window == text.as_bytes()))
+    let Ok(files) = std::fs::read_dir(directory.join("fleet")) else {
+        return false;
+    };
+    let records = files
+        .flatten()
+        .filter_map(|file| std::fs::read(file.path()).ok());
+    records.into_iter().any(|bytes| {
+        bytes
+            .windows(text.len())
+            .any(|window| window == text.as_bytes())
+    })
 }
--- a/crates/coralstep-lab/src/fleet/play.rs
+++ b/crates/coralstep-lab/src/fleet/play.rs
@@ -103,16 +103,25 @@
             What::All(_) | What::Heal => Vec::new(),
         };
         if !(1..=PROCESSES_MOST).contains(&play.processes) {
-            return Err(format!("processes: {} is not from 1 to {PROCESSES_MOST}", play.processes));
+            return Err(format!(
+                "processes: {} is not from 1 to {PROCESSES_MOST}",
+                play.processes
+            ));
         }
         if !(0.0..=86_400.0).contains(&play.seconds) || !(0.0..=10_000.0).contains(&play.rpcs) {
             return Err("seconds: 0 to 86400, rpcs: 0 to 10000".to_owned());
         }
         if play.steps.len() > STEPS_MOST {
-            return Err(format!("steps: {} are more than {STEPS_MOST}", play.steps.len()));
+            return Err(format!(
+                "steps: {} are more than {STEPS_MOST}",
+                play.steps.len()
+            ));
         }
         for (number, step) in play.steps.iter().enumerate() {
-            if let Some(at) = named(&step.what).into_iter().find(|at| *at >= play.processes) {
+            if let Some(at) = named(&step.what)
+                .into_iter()
+                .find(|at| *at >= play.processes)
+            {
                 return Err(format!("steps[{number}]: there is no process {at}"));
             }
             if !step.at_s.is_finite() || step.at_s < 0.0 {
@@ -123,7 +132,8 @@
     }
 
     pub fn schema() -> String {
-        let mut text = serde_json::to_string_pretty(&schemars::schema_for!(Play)).unwrap_or_default();
+        let mut text =
+            serde_json::to_string_pretty(&schemars::schema_for!(Play)).unwrap_or_default();
         text.push('\n');
         text
     }
@@ -138,10 +148,16 @@
         let mut fleet = Fleet::start(programs, self.processes, self.seed, self.fleet.clone())?;
         let all = self.processes;
         let met = |fleet: &Fleet| {
-            stop.load(Ordering::SeqCst) || (0..all).all(|at| fleet.alive(at).is_ok_and(|alive| alive == all))
+            stop.load(Ordering::SeqCst)
+                || (0..all).all(|at| fleet.alive(at).is_ok_and(|alive| alive == all))
         };
-        let met = fleet.until(TOGETHER * 3, met).ok_or_else(|| std::io::Error::other("they don't meet"))?;
-        told(&format!("{all} processes met after {:.1} s", met.as_secs_f64()));
+        let met = fleet
+            .until(TOGETHER * 3, met)
+            .ok_or_else(|| std::io::Error::other("they don't meet"))?;
+        told(&format!(
+            "{all} processes met after {:.1} s",
+            met.as_secs_f64()
+        ));
         let mut run = Run {
             judge: Judge::default(),
             lives: vec![0; all],
@@ -174,13 +190,19 @@
             }
         }
         let bytes: u64 = (0..all).map(|at| fleet.links.sent(at).1).sum();
-        run.report.bytes_a_second = bytes as f64 / (start.elapsed() + met).as_secs_f64() / all as f64;
+        run.report.bytes_a_second =
+            bytes as f64 / (start.elapsed() + met).as_secs_f64() / all as f64;
         let one = |fleet: &Fleet| {
-            let on: Vec<String> =
-                fleet.running().into_iter().filter_map(|at| fleet.acts_on(at).ok()).collect();
+            let on: Vec<String> = fleet
+                .running()
+                .into_iter()
+                .filter_map(|at| fleet.acts_on(at).ok())
+                .collect();
             on.windows(2).all(|two| two[0] == two[1])
         };
-        run.report.together_ms = fleet.until(TOGETHER, one).map(|took| took.as_millis() as u64);
+        run.report.together_ms = fleet
+            .until(TOGETHER, one)
+            .map(|took| took.as_millis() as u64);
         run.look(&fleet, start);
         run.judge.end();
         run.report.breaches = run.judge.breaches;
@@ -198,7 +220,13 @@
 impl Run {
     fn does(&mut self, fleet: &mut Fleet, what: &What, at_ms: u64) -> std::io::Result<()> {
         match what {
-            What::Publish { at, content, must, waves, pause_ms } => {
+            What::Publish {
+                at,
+                content,
+                must,
+                waves,
+                pause_ms,
+            } => {
                 fleet.publish(*at, content, *must, waves, *pause_ms)?;
             }
             What::Link { from, to, fault } => fleet.links.set(from, to, *fault),
@@ -210,8 +238,9 @@
                 fleet.pause(*at, true)?;
             }
             What::Continue(at) => {
-                let long =
-                    self.stopped[*at].take().is_some_and(|since| since.elapsed() > Duration::from_secs(2));
+                let long = self.stopped[*at]
+                    .take()
+                    .is_some_and(|since| since.elapsed() > Duration::from_secs(2));
                 if long {
                     self.judge.resumed(at_ms, *at);
                 }
@@ -231,12 +260,15 @@
 
     fn rpc(&mut self, fleet: &mut Fleet, number: usize, start: Instant) {
         let running = fleet.running();
-        let Some(at) = running.get(number % running.len().max(1)).copied() else { return };
+        let Some(at) = running.get(number % running.len().max(1)).copied() else {
+            return;
+        };
         match fleet.rpc(at) {
             Told::Ok => {
                 self.report.ok += 1;
                 if let Ok(on) = fleet.acts_on(at) {
-                    self.judge.ran(start.elapsed().as_millis() as u64, at, version(&on).0);
+                    self.judge
+                        .ran(start.elapsed().as_millis() as u64, at, version(&on).0);
                 }
             }
             Told::PushedBack(_) => self.report.pushed_back += 1,
@@ -247,7 +279,9 @@
 
     fn look(&mut self, fleet: &Fleet, start: Instant) {
         for at in fleet.running() {
-            let Ok(said) = fleet.ask(at, &json!({"ask": "fleet_members"})) else { continue };
+            let Ok(said) = fleet.ask(at, &json!({"ask": "fleet_members"})) else {
+                continue;
+            };
             let own = format!("n{at}");
             let members = said["members"].as_array().cloned().unwrap_or_default();
             let on = members
@@ -256,8 +290,17 @@
                 .and_then(|own| own["version"].as_str());
             // Shut out by hand, for a pause or by a cut is not for a version.
             let shut = said["shut"].is_object();
-            let (acts_on, at_ms) = (version(on.unwrap_or("0")), start.elapsed().as_millis() as u64);
-            self.judge.seen(Seen { at_ms, process: at, life: self.lives[at], acts_on, shut });
+            let (acts_on, at_ms) = (
+                version(on.unwrap_or("0")),
+                start.elapsed().as_millis() as u64,
+            );
+            self.judge.seen(Seen {
+                at_ms,
+                process: at,
+                life: self.lives[at],
+                acts_on,
+                shut,
+            });
         }
     }
 }
--- a/crates/coralstep-lab/src/fleet/play/tests.rs
+++ b/crates/coralstep-lab/src/fleet/play/tests.rs
@@ -7,7 +7,14 @@
             {"at_s": 3, "do": "heal"}, {"at_s": 3.5, "do": {"all": {"loss": 0.3, "delay": [100, 500]}}}, {"at_s": 4, "do": {"stop": 2}}]}"#;
     assert_eq!(Play::parse(text).unwrap().steps.len(), 5);
     let bad = text.replace("\"stop\": 2", "\"stop\": 3");
-    assert_eq!(Play::parse(&bad).unwrap_err(), "steps[4]: there is no process 3");
-    assert!(Play::parse(&text.replace("heal", "hail")).unwrap_err().starts_with("steps[2].do"));
+    assert_eq!(
+        Play::parse(&bad).unwrap_err(),
+        "steps[4]: there is no process 3"
+    );
+    assert!(
+        Play::parse(&text.replace("heal", "hail"))
+            .unwrap_err()
+            .starts_with("steps[2].do")
+    );
     assert!(Play::schema().contains("\"publish\""));
 }
--- a/crates/coralstep-lab/src/fleet/processes.rs
+++ b/crates/coralstep-lab/src/fleet/processes.rs
@@ -88,7 +88,11 @@
 impl Work for Even {
     fn begins(&mut self, _id: &str, method: &str, _body: &[u8]) -> Option<(f64, Option<f64>)> {
         let calls = self.calls && method == METHODS[1];
-        Some(if calls { (self.ms / 2.0, Some(self.ms / 2.0)) } else { (self.ms, None) })
+        Some(if calls {
+            (self.ms / 2.0, Some(self.ms / 2.0))
+        } else {
+            (self.ms, None)
+        })
     }
 
     fn crowd(&mut self, running: usize) {
@@ -144,8 +148,14 @@
 }
 
 fn signal(child: &Child, name: &str) -> std::io::Result<()> {
-    let status = Command::new("/bin/sh").args(["-c", &format!("kill -{name} {}", child.id())]).status()?;
-    if status.success() { Ok(()) } else { Err(std::io::Error::other(format!("kill -{name}: {status}"))) }
+    let status = Command::new("/bin/sh")
+        .args(["-c", &format!("kill -{name} {}", child.id())])
+        .status()?;
+    if status.success() {
+        Ok(())
+    } else {
+        Err(std::io::Error::other(format!("kill -{name}: {status}")))
+    }
 }
 
 impl Fleet {
@@ -166,12 +176,15 @@
         setup: Setup,
     ) -> std::io::Result<Fleet> {
         let programs = programs.into();
-        let ways =
-            setup.store.iter().flat_map(|store| (0..count).map(move |at| Wire::to(*store, seed ^ at as u64)));
+        let ways = setup
+            .store
+            .iter()
+            .flat_map(|store| (0..count).map(move |at| Wire::to(*store, seed ^ at as u64)));
         let ways = ways.collect::<std::io::Result<Vec<Wire>>>()?;
         let links = Links::start(count, seed)?;
         let place = links.addresses.first().map_or(0, SocketAddr::port);
-        let folder = std::env::temp_dir().join(format!("coralstep-fleet-{}-{place}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("coralstep-fleet-{}-{place}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let control = UdpSocket::bind("127.0.0.1:0")?;
         let processes = (0..count).map(|_| None).collect();
@@ -183,7 +196,10 @@
             keeps: setup.keeps_state,
             setup,
             ways,
-            crowd: Arc::new(Mutex::new(Crowd { running: vec![0; count], most: 0 })),
+            crowd: Arc::new(Mutex::new(Crowd {
+                running: vec![0; count],
+                most: 0,
+            })),
             control,
             sent: AtomicU64::new(0),
         };
@@ -194,20 +210,38 @@
     /// All are killed and started again, with a folder that outlives them from now on.
     pub fn reboot(&mut self) -> std::io::Result<()> {
         self.keeps = true;
-        self.processes.iter_mut().for_each(|process| *process = None);
+        self.processes
+            .iter_mut()
+            .for_each(|process| *process = None);
         (0..self.count()).try_for_each(|at| self.boot(at))
     }
 
     /// Starts process `at`, in place of the one that was there.
     pub fn boot(&mut self, at: usize) -> std::io::Result<()> {
         self.processes[at] = None;
-        let terms =
-            EngineTerms { cores: 2, crowd: 8.0, speed: 1.0, cold: None, breaks: None, never_ends: false };
+        let terms = EngineTerms {
+            cores: 2,
+            crowd: 8.0,
+            speed: 1.0,
+            cold: None,
+            breaks: None,
+            never_ends: false,
+        };
         let plight: Arc<Mutex<Plight>> = Arc::default();
         let store = self.ways.get(at).map(|way| way.address);
         lock(&self.crowd).running[at] = 0;
-        let work = Even { ms: self.setup.work_ms, calls: store.is_some(), at, crowd: self.crowd.clone() };
-        let engine = Engine::serve(std::net::TcpListener::bind("127.0.0.1:0")?, terms, work, plight)?;
+        let work = Even {
+            ms: self.setup.work_ms,
+            calls: store.is_some(),
+            at,
+            crowd: self.crowd.clone(),
+        };
+        let engine = Engine::serve(
+            std::net::TcpListener::bind("127.0.0.1:0")?,
+            terms,
+            work,
+            plight,
+        )?;
         let settings = json!({
             "classes": [
                 {"name": METHODS[0], "idempotency": "by_key", "promise": 2_000_000_000u64, "deadline": 4_000_000_000u64,
@@ -237,7 +271,8 @@
         let mut section = json!({
             "name": NAME, "listen": "127.0.0.1:0", "advertise": self.links.addresses[at].to_string(), "peers": peers,
         });
-        if let (Some(section), Some(more)) = (section.as_object_mut(), self.setup.fleet.as_object()) {
+        if let (Some(section), Some(more)) = (section.as_object_mut(), self.setup.fleet.as_object())
+        {
             section.extend(more.clone());
         }
         let mut site = json!({
@@ -265,8 +300,10 @@
                 site["state"]["every_s"] = json!(SNAPSHOT_INTERVAL_S);
             }
         }
-        let (config_file, site_file) =
-            (self.folder.join(format!("config-{at}.json")), self.folder.join(format!("site-{at}.json")));
+        let (config_file, site_file) = (
+            self.folder.join(format!("config-{at}.json")),
+            self.folder.join(format!("site-{at}.json")),
+        );
         std::fs::write(&config_file, config.to_string())?;
         std::fs::write(&site_file, site.to_string())?;
         let mut child = Command::new(&self.programs[at])
@@ -285,7 +322,10 @@
         if let Some(stderr) = child.stderr.take() {
             let log = log.clone();
             std::thread::spawn(move || {
-                BufReader::new(stderr).lines().map_while(Result::ok).for_each(|line| lock(&log).push(line))
+                BufReader::new(stderr)
+                    .lines()
+                    .map_while(Result::ok)
+                    .for_each(|line| lock(&log).push(line))
             });
         }
         let mut process = Process {
@@ -309,7 +349,10 @@
                 named(&process, "operators ask at ", ""),
                 named(&process, "hears its fleet at ", "").or_else(|| {
                     // Without a fleet nobody is heard, anywhere.
-                    self.setup.fleet.is_null().then_some(SocketAddr::from(([127, 0, 0, 1], 9)))
+                    self.setup
+                        .fleet
+                        .is_null()
+                        .then_some(SocketAddr::from(([127, 0, 0, 1], 9)))
                 }),
             );
             if let (Some(scgi), Some(operator), Some(fleet)) = found {
@@ -346,8 +389,11 @@
 
     /// Those that run and were not stopped.
     pub fn running(&self) -> Vec<usize> {
-        let runs = |process: &Option<Process>| process.as_ref().is_some_and(|process| !process.stopped);
-        (0..self.count()).filter(|at| runs(&self.processes[*at])).collect()
+        let runs =
+            |process: &Option<Process>| process.as_ref().is_some_and(|process| !process.stopped);
+        (0..self.count())
+            .filter(|at| runs(&self.processes[*at]))
+            .collect()
     }
 
     /// SIGKILL.
@@ -357,24 +403,32 @@
 
     /// SIGSTOP, or SIGCONT.
     pub fn pause(&mut self, at: usize, stopped: bool) -> std::io::Result<()> {
-        let Some(process) = &mut self.processes[at] else { return Ok(()) };
+        let Some(process) = &mut self.processes[at] else {
+            return Ok(());
+        };
         process.stopped = stopped;
         signal(&process.child, if stopped { "STOP" } else { "CONT" })
     }
 
     /// SIGHUP.
     pub fn reload(&self, at: usize) -> std::io::Result<()> {
-        self.processes[at].as_ref().map_or(Ok(()), |process| signal(&process.child, "HUP"))
+        self.processes[at]
+            .as_ref()
+            .map_or(Ok(()), |process| signal(&process.child, "HUP"))
     }
 
     /// SIGTERM.
     pub fn leave(&self, at: usize) -> std::io::Result<()> {
-        self.processes[at].as_ref().map_or(Ok(()), |process| signal(&process.child, "TERM"))
+        self.processes[at]
+            .as_ref()
+            .map_or(Ok(()), |process| signal(&process.child, "TERM"))
     }
 
     /// Asks process `at` as an operator does.
     pub fn ask(&self, at: usize, question: &Value) -> std::io::Result<Value> {
-        let Some(process) = &self.processes[at] else { return Err(std::io::Error::other("it doesn't run")) };
+        let Some(process) = &self.processes[at] else {
+            return Err(std::io::Error::other("it doesn't run"));
+        };
         let mut stream = TcpStream::connect_timeout(&process.operator, LIMIT)?;
         stream.set_read_timeout(Some(LIMIT))?;
         stream.write_all(format!("{question}\n").as_bytes())?;
@@ -392,16 +446,23 @@
         let said = self.ask(at, &json!({"ask": "fleet_members"}))?;
         let own = format!("n{at}");
         let members = said["members"].as_array().cloned().unwrap_or_default();
-        let version =
-            members.iter().find(|member| member["server"] == own.as_str()).map(|own| own["version"].clone());
-        Ok(version.and_then(|version| version.as_str().map(str::to_owned)).unwrap_or_default())
+        let version = members
+            .iter()
+            .find(|member| member["server"] == own.as_str())
+            .map(|own| own["version"].clone());
+        Ok(version
+            .and_then(|version| version.as_str().map(str::to_owned))
+            .unwrap_or_default())
     }
 
     /// How many members process `at` says are there.
     pub fn alive(&self, at: usize) -> std::io::Result<usize> {
         let said = self.ask(at, &json!({"ask": "fleet_members"}))?;
         let members = said["members"].as_array().cloned().unwrap_or_default();
-        Ok(members.iter().filter(|member| member["state"] == "alive").count())
+        Ok(members
+            .iter()
+            .filter(|member| member["state"] == "alive")
+            .count())
     }
 
     /// Publishes at process `at`; its id.
@@ -415,7 +476,10 @@
     ) -> std::io::Result<String> {
         let question = json!({"ask": "fleet_publish", "content": content, "must": must, "waves": waves, "pause_ms": pause_ms});
         let said = self.ask(at, &question)?;
-        said["published"].as_str().map(str::to_owned).ok_or_else(|| std::io::Error::other(said.to_string()))
+        said["published"]
+            .as_str()
+            .map(str::to_owned)
+            .ok_or_else(|| std::io::Error::other(said.to_string()))
     }
 
     /// Waits until `done` says so, at most so long.
@@ -432,15 +496,26 @@
 
     /// Whether all that run act on `version`.
     pub fn all_on(&self, version: &str) -> bool {
-        self.running().into_iter().all(|at| self.acts_on(at).is_ok_and(|on| on == version))
+        self.running()
+            .into_iter()
+            .all(|at| self.acts_on(at).is_ok_and(|on| on == version))
     }
 
     /// CPU seconds that process `at` has used.
     pub fn cpu(&self, at: usize) -> f64 {
-        let Some(process) = &self.processes[at] else { return 0.0 };
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", process.child.id())).unwrap_or_default();
+        let Some(process) = &self.processes[at] else {
+            return 0.0;
+        };
+        let stat = std::fs::read_to_string(format!("/proc/{}/stat", process.child.id()))
+            .unwrap_or_default();
         let after = stat.rsplit_once(") ").map_or("", |(_, after)| after);
-        after.split(' ').skip(11).take(2).filter_map(|ticks| ticks.parse::<f64>().ok()).sum::<f64>() / 100.0
+        after
+            .split(' ')
+            .skip(11)
+            .take(2)
+            .filter_map(|ticks| ticks.parse::<f64>().ok())
+            .sum::<f64>()
+            / 100.0
     }
 
     pub fn logged(&self, at: usize, text: &str) -> bool {
@@ -450,7 +525,10 @@
     }
 
     pub fn log(&self, at: usize) -> Vec<String> {
-        self.processes[at].as_ref().map(|process| lock(&process.log).clone()).unwrap_or_default()
+        self.processes[at]
+            .as_ref()
+            .map(|process| lock(&process.log).clone())
+            .unwrap_or_default()
     }
 
     /// Sends an RPC to process `at` and waits for its answer.
@@ -466,7 +544,9 @@
 
     /// The same under a token of the caller's: a second time it is a repeat.
     pub fn repeat(&self, at: usize, method: &str, tenant: Option<&str>, token: &str) -> Told {
-        let Some(process) = &self.processes[at] else { return Told::Nothing };
+        let Some(process) = &self.processes[at] else {
+            return Told::Nothing;
+        };
         rpc(process.scgi, method, tenant, token).unwrap_or(Told::Nothing)
     }
 
@@ -498,7 +578,12 @@
     stream.write_all(&[format!("{}:", head.len()).as_bytes(), &head, b",x"].concat())?;
     let mut said = String::new();
     stream.read_to_string(&mut said)?;
-    let retry = said.lines().find_map(|line| line.strip_prefix("Retry-After: ")?.trim().parse::<u64>().ok());
+    let retry = said.lines().find_map(|line| {
+        line.strip_prefix("Retry-After: ")?
+            .trim()
+            .parse::<u64>()
+            .ok()
+    });
     Ok(match said.split_whitespace().nth(1) {
         Some("200") => Told::Ok,
         Some("503") => Told::PushedBack(retry.unwrap_or(0) * 1000),
--- a/crates/coralstep-lab/src/fleet/programs.rs
+++ b/crates/coralstep-lab/src/fleet/programs.rs
@@ -16,7 +16,10 @@
 
     /// The program of member `member`.
     pub fn of(&self, member: usize) -> &Path {
-        self.other.as_deref().filter(|_| member % 2 == 1).unwrap_or(&self.primary)
+        self.other
+            .as_deref()
+            .filter(|_| member % 2 == 1)
+            .unwrap_or(&self.primary)
     }
 }
 
--- a/crates/coralstep-lab/src/load.rs
+++ b/crates/coralstep-lab/src/load.rs
@@ -39,11 +39,20 @@
 /// A recorded stream: one JSON object a line, in order of time.
 pub fn recorded(text: &str) -> Result<Vec<Due>, String> {
     let mut plan: Vec<Due> = Vec::new();
-    for (number, line) in text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()) {
-        let due: Due = serde_json::from_str(line).map_err(|why| format!("line {}: {why}", number + 1))?;
+    for (number, line) in text
+        .lines()
+        .enumerate()
+        .filter(|(_, line)| !line.trim().is_empty())
+    {
+        let due: Due =
+            serde_json::from_str(line).map_err(|why| format!("line {}: {why}", number + 1))?;
         let before = plan.last().map_or(0.0, |last| last.at_ms);
         if !(due.at_ms >= before && due.at_ms <= 86_400_000.0) {
-            return Err(format!("line {}: at_ms: {} comes before {before}", number + 1, due.at_ms));
+            return Err(format!(
+                "line {}: at_ms: {} comes before {before}",
+                number + 1,
+                due.at_ms
+            ));
         }
         plan.push(due);
     }
@@ -68,8 +77,16 @@
             part -= share;
             part < 0.0
         });
-        let method = method.or(methods.last()).map(|(name, _)| name.clone()).unwrap_or_default();
-        plan.push(Due { at_ms: at * 1000.0, method, token: None, tenant: String::new() });
+        let method = method
+            .or(methods.last())
+            .map(|(name, _)| name.clone())
+            .unwrap_or_default();
+        plan.push(Due {
+            at_ms: at * 1000.0,
+            method,
+            token: None,
+            tenant: String::new(),
+        });
     }
     plan
 }
@@ -219,7 +236,11 @@
     }
     // A microsecond to an hour, three digits: what is created so can't fail.
     let took = Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("sound bounds");
-    let seen = Rc::new(RefCell::new(Seen { figures: Figures::default(), took, open: 0 }));
+    let seen = Rc::new(RefCell::new(Seen {
+        figures: Figures::default(),
+        took,
+        open: 0,
+    }));
     let (start, terminal) = (Instant::now(), std::io::stderr().is_terminal());
     // References and tokens of two runs must not meet at one server.
     let first = now_ms() << 20;
@@ -248,7 +269,11 @@
                 retry: false,
                 body: terms.body.clone(),
             };
-            let (way, told, until) = (ways[number % ways.len()].clone(), seen.clone(), at + terms.deadline);
+            let (way, told, until) = (
+                ways[number % ways.len()].clone(),
+                seen.clone(),
+                at + terms.deadline,
+            );
             pace.sent((Instant::now() - at).as_secs_f64() * 1000.0);
             executor
                 .spawn(async move {
--- a/crates/coralstep-lab/src/load/tests.rs
+++ b/crates/coralstep-lab/src/load/tests.rs
@@ -4,11 +4,20 @@
 fn a_recorded_stream_is_read_and_a_faulty_line_named() {
     let good = "{\"at_ms\":0,\"method\":\"read\"}\n\n{\"at_ms\":2.5,\"method\":\"pay\",\"token\":7,\"tenant\":\"north\"}\n";
     let plan = recorded(good).unwrap();
-    assert_eq!((plan.len(), plan[1].token, plan[1].tenant.as_str()), (2, Some(7), "north"));
+    assert_eq!(
+        (plan.len(), plan[1].token, plan[1].tenant.as_str()),
+        (2, Some(7), "north")
+    );
     for (bad, why) in [
-        ("{\"at_ms\":5,\"method\":\"a\"}\n{\"at_ms\":4,\"method\":\"a\"}", "line 2: at_ms: 4 comes before 5"),
+        (
+            "{\"at_ms\":5,\"method\":\"a\"}\n{\"at_ms\":4,\"method\":\"a\"}",
+            "line 2: at_ms: 4 comes before 5",
+        ),
         ("{\"at_ms\":5}", "line 1: missing field `method`"),
-        ("\n{\"at_ms\":-1,\"method\":\"a\"}", "line 2: at_ms: -1 comes before 0"),
+        (
+            "\n{\"at_ms\":-1,\"method\":\"a\"}",
+            "line 2: at_ms: -1 comes before 0",
+        ),
         ("what", "line 1: expected value"),
     ] {
         let told = recorded(bad).unwrap_err();
@@ -35,6 +44,10 @@
     (0..10).for_each(|_| pace.sent(LATE_MS + 1.0));
     assert_eq!(pace.void(), None);
     pace.unsent();
-    assert!(pace.void().unwrap().starts_with("void: of 1001 requests 10 left more than 20 ms late"));
+    assert!(
+        pace.void()
+            .unwrap()
+            .starts_with("void: of 1001 requests 10 left more than 20 ms late")
+    );
     assert_eq!(Pace::default().void(), None);
 }
--- a/crates/coralstep-lab/src/main.rs
+++ b/crates/coralstep-lab/src/main.rs
@@ -149,32 +149,42 @@
             Long("rate") => call.rate = within(&mut parser, "rate", 0.0, 1e6)?,
             Long("seconds") => call.seconds = within(&mut parser, "seconds", 0.1, 86_400.0)?,
             Long("connections") => call.connections = within(&mut parser, "connections", 1, 1_000)?,
-            Long("deadline-ms") => call.deadline_ms = within(&mut parser, "deadline-ms", 1, 3_600_000)?,
+            Long("deadline-ms") => {
+                call.deadline_ms = within(&mut parser, "deadline-ms", 1, 3_600_000)?
+            }
             Long("body") => call.body = within(&mut parser, "body", 0, 8_192)?,
             Long("replay") => call.replay = Some(parser.value()?.into()),
             Long("server") => call.server = Some(parser.value()?.into()),
             Long("other-server") => call.other_server = Some(parser.value()?.into()),
             Long("out") => call.out = Some(parser.value()?.into()),
             Long("wire") => {
-                call.wire =
-                    Faults::parse(&parser.value()?.string()?).map_err(|why| format!("--wire: {why}"))?;
+                call.wire = Faults::parse(&parser.value()?.string()?)
+                    .map_err(|why| format!("--wire: {why}"))?;
             }
             Long("policy") => {
                 let name = parser.value()?.string()?;
-                call.policies
-                    .push(Policy::named(&name).ok_or_else(|| format!("--policy: {name:?} is none"))?);
+                call.policies.push(
+                    Policy::named(&name).ok_or_else(|| format!("--policy: {name:?} is none"))?,
+                );
             }
             Long("method") => {
                 let text = parser.value()?.string()?;
                 let (name, share) = text.split_once('=').unwrap_or((&text, "1"));
-                let share = share.parse().ok().filter(|share| (0.0..=1e6).contains(share));
-                call.methods
-                    .push((name.to_owned(), share.ok_or_else(|| format!("--method: {text:?}: no share"))?));
+                let share = share
+                    .parse()
+                    .ok()
+                    .filter(|share| (0.0..=1e6).contains(share));
+                call.methods.push((
+                    name.to_owned(),
+                    share.ok_or_else(|| format!("--method: {text:?}: no share"))?,
+                ));
             }
             Long("at") => {
                 for address in parser.value()?.string()?.split(',') {
                     call.at.push(
-                        address.parse().map_err(|_| format!("--at: {address:?} is no address and port"))?,
+                        address
+                            .parse()
+                            .map_err(|_| format!("--at: {address:?} is no address and port"))?,
                     );
                 }
             }
@@ -199,14 +209,20 @@
 
 impl Call {
     fn out(&self, command: &str) -> Result<PathBuf, Fault> {
-        self.out.clone().ok_or_else(|| Fault::Call(format!("{command}: --out is missing")))
+        self.out
+            .clone()
+            .ok_or_else(|| Fault::Call(format!("{command}: --out is missing")))
     }
 
     fn load(&self, protocol: &str) -> Result<bool, Fault> {
         let protocol = match protocol {
             "thrift" => Protocol::Thrift,
             "scgi" => Protocol::Scgi,
-            other => return Err(Fault::Call(format!("load: {other:?} is neither thrift nor scgi"))),
+            other => {
+                return Err(Fault::Call(format!(
+                    "load: {other:?} is neither thrift nor scgi"
+                )));
+            }
         };
         let planned = self.replay.is_some() || (self.rate > 0.0 && !self.methods.is_empty());
         if self.at.is_empty() || !planned {
@@ -231,7 +247,11 @@
     }
 
     fn emulate(&self, world: &World) -> Result<bool, Fault> {
-        let protocol = if self.scgi { Protocol::Scgi } else { Protocol::Thrift };
+        let protocol = if self.scgi {
+            Protocol::Scgi
+        } else {
+            Protocol::Thrift
+        };
         let terms = Terms {
             program: cli::sockets::program(self.server.clone())?,
             protocol,
@@ -239,7 +259,13 @@
             faults: self.wire,
             seed: self.seed,
         };
-        Ok(cli::sockets::emulated(world, &terms, self.out.as_deref(), self.beside, self.json)?)
+        Ok(cli::sockets::emulated(
+            world,
+            &terms,
+            self.out.as_deref(),
+            self.beside,
+            self.json,
+        )?)
     }
 
     fn fleet(&self, play: &str) -> Result<bool, Fault> {
@@ -247,8 +273,11 @@
         if play != cli::fleet::MIXED_BUILDS {
             return Ok(cli::fleet::play(play, server, other, self.json)?);
         }
-        let other = other.ok_or_else(|| Fault::Call(format!("fleet {play}: --other-server is missing")))?;
-        Ok(cli::fleet::mixed_builds(server, other, self.seed, self.json)?)
+        let other =
+            other.ok_or_else(|| Fault::Call(format!("fleet {play}: --other-server is missing")))?;
+        Ok(cli::fleet::mixed_builds(
+            server, other, self.seed, self.json,
+        )?)
     }
 
     fn run(&self) -> Result<bool, Fault> {
@@ -264,33 +293,74 @@
                 for (name, text) in WORLDS {
                     let world = World::parse(text)?;
                     let (servers, rate) = (world.servers.count, world.rate());
-                    println!("{name}\t{servers} servers\t{rate:.0} requests a second\t{} s", world.seconds);
+                    println!(
+                        "{name}\t{servers} servers\t{rate:.0} requests a second\t{} s",
+                        world.seconds
+                    );
                 }
             }
             ["demo"] => return Ok(cli::sockets::demo(self.server.clone(), self.out.clone())?),
             ["simulate", world] => {
                 let (world, days) = (cli::world(world)?, self.days.unwrap_or(1));
-                return Ok(cli::simulate::simulate(&world, policy, seed, days, threads, json)?);
+                return Ok(cli::simulate::simulate(
+                    &world, policy, seed, days, threads, json,
+                )?);
             }
             ["emulate", world] => return self.emulate(&cli::world(world)?),
             ["load", protocol] => return self.load(protocol),
-            ["bound", world] => return Ok(cli::simulate::bound(&cli::world(world)?, policy, seed, json)?),
+            ["bound", world] => {
+                return Ok(cli::simulate::bound(
+                    &cli::world(world)?,
+                    policy,
+                    seed,
+                    json,
+                )?);
+            }
             ["report", world] => {
-                return Ok(cli::simulate::report(&cli::world(world)?, policy, seed, &self.out("report")?)?);
+                return Ok(cli::simulate::report(
+                    &cli::world(world)?,
+                    policy,
+                    seed,
+                    &self.out("report")?,
+                )?);
             }
             ["experiment", world] => {
-                let all = [Policy::Plain, Policy::NoBreaker, Policy::Static, Policy::Codel];
-                let variants = if self.policies.is_empty() { &all[..] } else { &self.policies };
+                let all = [
+                    Policy::Plain,
+                    Policy::NoBreaker,
+                    Policy::Static,
+                    Policy::Codel,
+                ];
+                let variants = if self.policies.is_empty() {
+                    &all[..]
+                } else {
+                    &self.policies
+                };
                 let days = self.days.unwrap_or(64);
                 let world = cli::world(world)?;
-                let days = cli::experiment::Days { seed, most: days, threads, json };
-                return Ok(cli::experiment::baselines(&world, variants, &days, self.out.as_deref())?);
+                let days = cli::experiment::Days {
+                    seed,
+                    most: days,
+                    threads,
+                    json,
+                };
+                return Ok(cli::experiment::baselines(
+                    &world,
+                    variants,
+                    &days,
+                    self.out.as_deref(),
+                )?);
             }
             ["compare", old, new, world] => {
                 let text = cli::world_text(world)?;
                 let world = cli::world(world)?;
                 let days = self.days.unwrap_or(64);
-                let days = cli::experiment::Days { seed, most: days, threads, json };
+                let days = cli::experiment::Days {
+                    seed,
+                    most: days,
+                    threads,
+                    json,
+                };
                 return Ok(cli::experiment::commits(old, new, &world, &text, &days)?);
             }
             ["search", world] => {
@@ -304,14 +374,39 @@
             ["explore"] => {
                 let (depth, most) = (self.depth, self.states);
                 let (histories, length) = (self.histories, self.length);
-                let call = cli::explore::Call { depth, most, histories, length, seed, threads, json };
+                let call = cli::explore::Call {
+                    depth,
+                    most,
+                    histories,
+                    length,
+                    seed,
+                    threads,
+                    json,
+                };
                 return Ok(cli::explore::explore(&call)?);
             }
             [] => return Err(Fault::Call("no sub-command; see --help".to_owned())),
-            [one] if ["simulate", "emulate", "bound", "report", "experiment", "search"].contains(&one) => {
-                return Err(Fault::Call(format!("{one}: no world; see coralstep-lab worlds")));
+            [one]
+                if [
+                    "simulate",
+                    "emulate",
+                    "bound",
+                    "report",
+                    "experiment",
+                    "search",
+                ]
+                .contains(&one) =>
+            {
+                return Err(Fault::Call(format!(
+                    "{one}: no world; see coralstep-lab worlds"
+                )));
+            }
+            _ => {
+                return Err(Fault::Call(format!(
+                    "{:?} is not understood; see --help",
+                    words.join(" ")
+                )));
             }
-            _ => return Err(Fault::Call(format!("{:?} is not understood; see --help", words.join(" ")))),
         }
         Ok(true)
     }
--- a/crates/coralstep-lab/src/queue.rs
+++ b/crates/coralstep-lab/src/queue.rs
@@ -43,13 +43,21 @@
 impl Map {
     fn set(&mut self, slot: usize, full: bool) {
         let bit = 1 << (slot % 64);
-        if full { self.0[slot / 64] |= bit } else { self.0[slot / 64] &= !bit }
+        if full {
+            self.0[slot / 64] |= bit
+        } else {
+            self.0[slot / 64] &= !bit
+        }
     }
 
     /// The first full slot from `from` on.
     fn next(&self, from: usize) -> Option<usize> {
         (from / 64..SLOTS / 64).find_map(|word| {
-            let mask = if word == from / 64 { u64::MAX << (from % 64) } else { u64::MAX };
+            let mask = if word == from / 64 {
+                u64::MAX << (from % 64)
+            } else {
+                u64::MAX
+            };
             let bits = self.0[word] & mask;
             (bits != 0).then(|| word * 64 + bits.trailing_zeros() as usize)
         })
@@ -84,7 +92,11 @@
     /// What is said for the past happens now.
     pub fn push(&mut self, at: u64, tie: u64, item: T) {
         self.len += 1;
-        self.put(Entry { at: at.max(self.now), tie, item });
+        self.put(Entry {
+            at: at.max(self.now),
+            tie,
+            item,
+        });
     }
 
     fn put(&mut self, entry: Entry<T>) {
@@ -127,7 +139,9 @@
         for wheel in 0..WHEELS {
             let shift = wheel as u32 * BITS;
             let from = (self.now >> shift) as usize % SLOTS;
-            let Some(slot) = self.maps[wheel].next(from) else { continue };
+            let Some(slot) = self.maps[wheel].next(from) else {
+                continue;
+            };
             let above = self.now >> (shift + BITS) << (shift + BITS);
             self.now = above | (slot as u64) << shift;
             if wheel > 0 {
@@ -136,7 +150,9 @@
             }
             return true;
         }
-        let Some(next) = self.far.iter().map(|entry| entry.at).min() else { return false };
+        let Some(next) = self.far.iter().map(|entry| entry.at).min() else {
+            return false;
+        };
         self.now = next;
         let far = std::mem::take(&mut self.far);
         far.into_iter().for_each(|entry| self.put(entry));
--- a/crates/coralstep-lab/src/record.rs
+++ b/crates/coralstep-lab/src/record.rs
@@ -123,7 +123,15 @@
 
     /// Answered well, for `kept` of its `worth`.
     #[allow(clippy::too_many_arguments)]
-    pub fn ok(&mut self, now: u64, server: usize, method: usize, took_ms: f64, kept: f64, worth: f64) {
+    pub fn ok(
+        &mut self,
+        now: u64,
+        server: usize,
+        method: usize,
+        took_ms: f64,
+        kept: f64,
+        worth: f64,
+    ) {
         let at = self.at(now);
         self.slices[at].ok += 1;
         self.slices[at].kept += kept;
--- a/crates/coralstep-lab/src/report/tests.rs
+++ b/crates/coralstep-lab/src/report/tests.rs
@@ -10,7 +10,11 @@
     assert!(clean.contains("virtual &lt;time&gt;") && clean.contains("none was broken"));
     assert!(!clean.contains("src=") && !clean.contains("href="));
     (day.breaches, day.told) = (1, vec!["Lost at 5 ms".to_owned()]);
-    assert!(page("", &day, &record, None, &[]).unwrap().contains("<li>Lost at 5 ms</li>"));
+    assert!(
+        page("", &day, &record, None, &[])
+            .unwrap()
+            .contains("<li>Lost at 5 ms</li>")
+    );
 }
 
 #[test]
@@ -24,10 +28,17 @@
     if full.exists() {
         std::os::unix::fs::symlink(full, folder.join("day.html.part")).unwrap();
         let told = write(&path, "new").unwrap_err();
-        assert!(told.contains("day.html: ") && told.contains("space"), "{told}");
+        assert!(
+            told.contains("day.html: ") && told.contains("space"),
+            "{told}"
+        );
     }
     assert_eq!(std::fs::read_to_string(&path).unwrap(), "old");
     assert!(!folder.join("day.html.part").exists());
     std::fs::remove_dir_all(&folder).unwrap();
-    assert!(write(&path, "x").unwrap_err().starts_with(&path.display().to_string()));
+    assert!(
+        write(&path, "x")
+            .unwrap_err()
+            .starts_with(&path.display().to_string())
+    );
 }
--- a/crates/coralstep-lab/src/rules.rs
+++ b/crates/coralstep-lab/src/rules.rs
@@ -37,7 +37,13 @@
 
 impl fmt::Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} at {:.1} ms: {}", self.rule, self.at as f64 / 10.0, self.what)
+        write!(
+            f,
+            "{:?} at {:.1} ms: {}",
+            self.rule,
+            self.at as f64 / 10.0,
+            self.what
+        )
     }
 }
 
@@ -88,14 +94,25 @@
 impl Rules {
     /// Servers with `memory_kb` each, that survive `crowd` runs.
     pub fn new(servers: usize, memory_kb: f64, crowd: f64) -> Rules {
-        let machine = Machine { memory_kb, crowd, ..Machine::default() };
-        Rules { machines: vec![machine; servers], ..Rules::default() }
+        let machine = Machine {
+            memory_kb,
+            crowd,
+            ..Machine::default()
+        };
+        Rules {
+            machines: vec![machine; servers],
+            ..Rules::default()
+        }
     }
 
     /// One more server; its place.
     pub fn another(&mut self) -> usize {
         let like = self.machines.first().copied().unwrap_or_default();
-        self.machines.push(Machine { grace: None, crowded: None, ..like });
+        self.machines.push(Machine {
+            grace: None,
+            crowded: None,
+            ..like
+        });
         self.machines.len() - 1
     }
 
@@ -109,8 +126,17 @@
 
     pub fn read(&mut self, at: u64, attempt: Attempt, server: usize, due: u64, effect: bool) {
         self.arrived.insert(attempt, at);
-        self.open
-            .insert(attempt, Open { server, due, effect, ran: false, answered: false, pushed_back: false });
+        self.open.insert(
+            attempt,
+            Open {
+                server,
+                due,
+                effect,
+                ran: false,
+                answered: false,
+                pushed_back: false,
+            },
+        );
     }
 
     /// `token`: until when a second run under it counts.
@@ -118,24 +144,41 @@
         let Some(open) = self.open.get_mut(&attempt) else {
             return self.breach(Rule::Lost, at, format!("{attempt} runs and was never read"));
         };
-        let (server, again, effect, refused) = (open.server, open.ran, open.effect, open.pushed_back);
+        let (server, again, effect, refused) =
+            (open.server, open.ran, open.effect, open.pushed_back);
         open.ran = true;
         if again && effect {
             self.breach(Rule::Twice, at, format!("{attempt} ran again"));
         }
         if refused {
-            self.breach(Rule::Twice, at, format!("{attempt} runs after it was pushed back"));
+            self.breach(
+                Rule::Twice,
+                at,
+                format!("{attempt} runs after it was pushed back"),
+            );
         }
         if let Some((token, until)) = token {
-            if self.tokens.get(&(server, token)).is_some_and(|until| *until > at) {
-                self.breach(Rule::Twice, at, format!("token {token} ran again, as {attempt}"));
+            if self
+                .tokens
+                .get(&(server, token))
+                .is_some_and(|until| *until > at)
+            {
+                self.breach(
+                    Rule::Twice,
+                    at,
+                    format!("token {token} ran again, as {attempt}"),
+                );
             }
             self.tokens.insert((server, token), until);
         }
         let grace = self.machines[server].grace;
         let arrived = self.arrived.get(&attempt).copied().unwrap_or(at);
         if grace.is_some_and(|grace| arrived > grace) {
-            self.breach(Rule::Drain, at, format!("{attempt} came after the grace and runs"));
+            self.breach(
+                Rule::Drain,
+                at,
+                format!("{attempt} came after the grace and runs"),
+            );
         }
         if at > self.swept + 100_000 {
             self.swept = at;
@@ -145,33 +188,61 @@
 
     pub fn answered(&mut self, at: u64, attempt: Attempt, told: Told) {
         let Some(open) = self.open.get_mut(&attempt) else {
-            return self.breach(Rule::Lost, at, format!("{attempt} has an answer and was never read"));
+            return self.breach(
+                Rule::Lost,
+                at,
+                format!("{attempt} has an answer and was never read"),
+            );
         };
         let (again, late) = (open.answered, at > open.due + SLACK);
         let (ran, effect) = (open.ran, open.effect);
         (open.answered, open.pushed_back) = (true, told == Told::PushedBack);
         if again {
-            self.breach(Rule::Lost, at, format!("{attempt} has a second answer, {told:?}"));
+            self.breach(
+                Rule::Lost,
+                at,
+                format!("{attempt} has a second answer, {told:?}"),
+            );
         }
         if late {
-            self.breach(Rule::Lost, at, format!("{attempt} was answered past its due time"));
+            self.breach(
+                Rule::Lost,
+                at,
+                format!("{attempt} was answered past its due time"),
+            );
         }
         if told == Told::PushedBack && ran && effect {
-            self.breach(Rule::Twice, at, format!("{attempt} was pushed back after it ran"));
+            self.breach(
+                Rule::Twice,
+                at,
+                format!("{attempt} was pushed back after it ran"),
+            );
         }
     }
 
     /// What a server told one that it pushed back: when to come back, in ticks, and that no other server is better.
     pub fn advised(&mut self, at: u64, server: usize, after: u64, nowhere: bool, retry: bool) {
         if after == 0 {
-            self.breach(Rule::Advice, at, format!("server {server} didn't say when to come back"));
+            self.breach(
+                Rule::Advice,
+                at,
+                format!("server {server} didn't say when to come back"),
+            );
         }
         if after > ADVICE_MOST {
-            self.breach(Rule::Advice, at, format!("server {server} said to stay away for {} ms", after / 10));
+            self.breach(
+                Rule::Advice,
+                at,
+                format!("server {server} said to stay away for {} ms", after / 10),
+            );
         }
         // A further try may be the last one anywhere; a first one has all servers that stay.
         if nowhere && !retry && self.machines[server].grace.is_some_and(|grace| at > grace) {
-            self.breach(Rule::Advice, at, format!("server {server} leaves and said that no other is better"));
+            self.breach(
+                Rule::Advice,
+                at,
+                format!("server {server} leaves and said that no other is better"),
+            );
         }
     }
 
@@ -187,13 +258,20 @@
 
     /// Its caller is known to be gone, or the wire to it: nobody waits for its answer.
     pub fn gone(&mut self, attempt: Attempt) {
-        self.open.get_mut(&attempt).into_iter().for_each(|open| open.answered = true);
+        self.open
+            .get_mut(&attempt)
+            .into_iter()
+            .for_each(|open| open.answered = true);
     }
 
     /// A server died by itself: what was open there is lost by nobody else's fault.
     pub fn died(&mut self, at: u64, server: usize) {
         self.stopped(at, server, true);
-        self.breach(Rule::FallOver, at, format!("server {server} died by itself"));
+        self.breach(
+            Rule::FallOver,
+            at,
+            format!("server {server} died by itself"),
+        );
     }
 
     /// A server that left is still there past its stop.
@@ -208,7 +286,10 @@
 
     /// A pause of the machine is not the server's time: what is open there is due so much later.
     pub fn paused(&mut self, server: usize, span: u64) {
-        self.open.values_mut().filter(|open| open.server == server).for_each(|open| open.due += span);
+        self.open
+            .values_mut()
+            .filter(|open| open.server == server)
+            .for_each(|open| open.due += span);
     }
 
     pub fn notice(&mut self, server: usize, grace: u64) {
@@ -217,14 +298,22 @@
 
     /// The server stops; a crash loses what it had, a drain may not.
     pub fn stopped(&mut self, at: u64, server: usize, crash: bool) {
-        let mut left: Vec<Attempt> =
-            self.open.iter().filter(|(_, open)| open.server == server).map(|(id, _)| *id).collect();
+        let mut left: Vec<Attempt> = self
+            .open
+            .iter()
+            .filter(|(_, open)| open.server == server)
+            .map(|(id, _)| *id)
+            .collect();
         left.sort_unstable();
         for attempt in left {
             self.arrived.remove(&attempt);
             let open = self.open.remove(&attempt);
             if !crash && open.is_some_and(|open| !open.answered) {
-                self.breach(Rule::Drain, at, format!("{attempt} has no answer at the stop"));
+                self.breach(
+                    Rule::Drain,
+                    at,
+                    format!("{attempt} has no answer at the stop"),
+                );
             }
         }
         let machine = &mut self.machines[server];
@@ -243,21 +332,38 @@
         let (over, most) = (memory_kb > machine.memory_kb, machine.memory_kb);
         if crowded && at - since > CROWDED_MOST {
             machine.crowded = Some(at);
-            self.breach(Rule::FallOver, at, format!("server {server} has {runs} runs on its cores for 3 s"));
+            self.breach(
+                Rule::FallOver,
+                at,
+                format!("server {server} has {runs} runs on its cores for 3 s"),
+            );
         }
         if over {
-            self.breach(Rule::FallOver, at, format!("server {server} needs {memory_kb:.0} KB of {most:.0}"));
+            self.breach(
+                Rule::FallOver,
+                at,
+                format!("server {server} needs {memory_kb:.0} KB of {most:.0}"),
+            );
         }
     }
 
     /// What is open at the end of the day and should have been answered.
     pub fn end(&mut self, at: u64) {
         let late = |open: &Open| !open.answered && at > open.due + SLACK;
-        let mut left: Vec<Attempt> =
-            self.open.iter().filter(|(_, open)| late(open)).map(|(id, _)| *id).collect();
+        let mut left: Vec<Attempt> = self
+            .open
+            .iter()
+            .filter(|(_, open)| late(open))
+            .map(|(id, _)| *id)
+            .collect();
         left.sort_unstable();
-        left.into_iter()
-            .for_each(|attempt| self.breach(Rule::Lost, at, format!("{attempt} has no answer at the end")));
+        left.into_iter().for_each(|attempt| {
+            self.breach(
+                Rule::Lost,
+                at,
+                format!("{attempt} has no answer at the end"),
+            )
+        });
     }
 }
 
--- a/crates/coralstep-lab/src/rules/tests.rs
+++ b/crates/coralstep-lab/src/rules/tests.rs
@@ -9,7 +9,11 @@
 
 fn caught(rules: &Rules, rule: Rule) {
     assert_eq!(
-        rules.breaches.iter().map(|breach| breach.rule).collect::<Vec<_>>(),
+        rules
+            .breaches
+            .iter()
+            .map(|breach| breach.rule)
+            .collect::<Vec<_>>(),
         [rule],
         "{:?}",
         rules.breaches
@@ -40,7 +44,9 @@
     type Cheat<'a> = (Rule, &'a dyn Fn(&mut Rules));
     let cheats: [Cheat<'_>; 18] = [
         (Rule::Advice, &|rules| rules.advised(10, 0, 0, false, false)),
-        (Rule::Advice, &|rules| rules.advised(10, 0, 600_001, false, false)),
+        (Rule::Advice, &|rules| {
+            rules.advised(10, 0, 600_001, false, false)
+        }),
         (Rule::Advice, &|rules| {
             rules.notice(0, 500);
             rules.advised(600, 0, 10, true, true);
@@ -54,7 +60,9 @@
         (Rule::Drain, &|rules| rules.overstayed(10)),
         (Rule::Lost, &|rules| rules.over(100, 1)),
         (Rule::Lost, &|rules| rules.end(20_000)),
-        (Rule::Lost, &|rules| rules.answered(10_501, 1, Told::Aborted)),
+        (Rule::Lost, &|rules| {
+            rules.answered(10_501, 1, Told::Aborted)
+        }),
         (Rule::Lost, &|rules| {
             rules.answered(10, 1, Told::Ok);
             rules.answered(20, 1, Told::Aborted);
@@ -80,7 +88,9 @@
         }),
         (Rule::Drain, &|rules| rules.stopped(700, 0, false)),
         (Rule::FallOver, &|rules| rules.stands(10, 0, 101.0, 1)),
-        (Rule::FallOver, &|rules| (0..400).for_each(|beat| rules.stands(beat * 100, 1, 1.0, 5))),
+        (Rule::FallOver, &|rules| {
+            (0..400).for_each(|beat| rules.stands(beat * 100, 1, 1.0, 5))
+        }),
     ];
     for (rule, cheat) in cheats {
         let mut rules = rules();
--- a/crates/coralstep-lab/src/search.rs
+++ b/crates/coralstep-lab/src/search.rs
@@ -55,7 +55,10 @@
         3 => world.gap_shape = [0.2, 0.5, 1.0, 4.0][chance.random_range(0..4)],
         4 => world.methods[method].share *= factor,
         5 => world.methods[method].criticality *= factor,
-        6 => world.methods[method].target_ms = (world.methods[method].target_ms * factor).round().max(50.0),
+        6 => {
+            world.methods[method].target_ms =
+                (world.methods[method].target_ms * factor).round().max(50.0)
+        }
         7 => world.servers.cold_speed = (world.servers.cold_speed * factor).clamp(0.05, 1.0),
         8 | 9 if world.troubles.len() < TROUBLES => {
             let trouble = trouble(world, chance);
@@ -75,8 +78,9 @@
         }
         _ => {}
     }
-    world.methods[method].deadline_ms =
-        world.methods[method].deadline_ms.max(world.methods[method].target_ms);
+    world.methods[method].deadline_ms = world.methods[method]
+        .deadline_ms
+        .max(world.methods[method].target_ms);
 }
 
 /// Tries so many worlds, and gives back the worst with all that doesn't matter left out. `told` hears of each worse one.
@@ -88,11 +92,23 @@
     mut told: impl FnMut(u64, f64),
 ) -> Found {
     let mut chance = SmallRng::seed_from_u64(seed);
-    let mut found = Found { world: start.clone(), badness: badness(start), tries: 1 };
+    let mut found = Found {
+        world: start.clone(),
+        badness: badness(start),
+        tries: 1,
+    };
     while found.tries < tries {
         let restart = chance.random_range(0.0..1.0) < RESTARTS;
-        let mut world = if restart { start.clone() } else { found.world.clone() };
-        let changes = if restart { chance.random_range(1..=CHANGES) } else { 1 };
+        let mut world = if restart {
+            start.clone()
+        } else {
+            found.world.clone()
+        };
+        let changes = if restart {
+            chance.random_range(1..=CHANGES)
+        } else {
+            1
+        };
         (0..changes).for_each(|_| change(&mut world, &mut chance));
         if world.check().is_err() || world == found.world {
             // Not a try, but never for ever: each is one step of the count.
@@ -134,8 +150,10 @@
         let mut nobody = of.clone();
         nobody.tenants.clear();
         smaller.extend([half, shorter, plain, nobody]);
-        let next =
-            smaller.into_iter().filter(|world| world != of && world.check().is_ok()).find_map(|world| {
+        let next = smaller
+            .into_iter()
+            .filter(|world| world != of && world.check().is_ok())
+            .find_map(|world| {
                 found.tries += 1;
                 let bad = badness(&world);
                 (bad >= least).then_some((world, bad))
--- a/crates/coralstep-lab/src/shares.rs
+++ b/crates/coralstep-lab/src/shares.rs
@@ -78,7 +78,10 @@
 }
 
 fn at(server: usize) -> SocketAddr {
-    SocketAddr::from(([127, 1, (server / 250) as u8, (server % 250) as u8 + 1], 7946))
+    SocketAddr::from((
+        [127, 1, (server / 250) as u8, (server % 250) as u8 + 1],
+        7946,
+    ))
 }
 
 fn server_at(at: SocketAddr) -> usize {
@@ -89,8 +92,20 @@
 
 /// A limit on all RPCs of the one method there is.
 pub fn limit(kind: Kind, cut_off: CutOff) -> Limit {
-    let key = if matches!(kind, Kind::Rate { .. }) { 1 } else { 2 };
-    Limit { key, name: format!("limit {key}"), tenant: None, method: Some(0), calls: false, kind, cut_off }
+    let key = if matches!(kind, Kind::Rate { .. }) {
+        1
+    } else {
+        2
+    };
+    Limit {
+        key,
+        name: format!("limit {key}"),
+        tenant: None,
+        method: Some(0),
+        calls: false,
+        kind,
+        cut_off,
+    }
 }
 
 impl Server {
@@ -101,7 +116,14 @@
 }
 
 impl World {
-    pub fn new(count: usize, keepers: usize, limits: &[Limit], lease: u64, seed: u64, cheat: Cheat) -> World {
+    pub fn new(
+        count: usize,
+        keepers: usize,
+        limits: &[Limit],
+        lease: u64,
+        seed: u64,
+        cheat: Cheat,
+    ) -> World {
         let mut world = World {
             now: 0,
             cheat,
@@ -127,19 +149,33 @@
 
     fn breaks(&mut self, why: String) {
         let now = self.now;
-        self.broken.get_or_insert_with(|| format!("at {now} ms: {why}"));
+        self.broken
+            .get_or_insert_with(|| format!("at {now} ms: {why}"));
     }
 
     /// Starts a server, in place of the one that was there.
     pub fn start(&mut self, server: usize) {
         self.starts += 1;
         let member = Member::new(&format!("n{server}"), at(server), self.starts);
-        let spread = if self.cheat == Cheat::Drifts { 0.3 } else { DRIFT / 2.0 };
+        let spread = if self.cheat == Cheat::Drifts {
+            0.3
+        } else {
+            DRIFT / 2.0
+        };
         let rate = [1.0 - spread, 1.0, 1.0 + spread][(self.starts % 3) as usize];
         let local = (self.now as f64 * rate) as u64;
-        let begins = if self.cheat == Cheat::Forgets { local.saturating_sub(60_000) } else { local };
-        let mut part =
-            Limits::new(&member, &self.keepers, self.lease, self.chance.random_range(1..u64::MAX), begins);
+        let begins = if self.cheat == Cheat::Forgets {
+            local.saturating_sub(60_000)
+        } else {
+            local
+        };
+        let mut part = Limits::new(
+            &member,
+            &self.keepers,
+            self.lease,
+            self.chance.random_range(1..u64::MAX),
+            begins,
+        );
         part.set(local, &self.limits);
         let server_ = Server {
             part,
@@ -159,7 +195,9 @@
     }
 
     pub fn is_up(&self, server: usize) -> bool {
-        self.servers.get(&server).is_some_and(|server| server.paused.is_none())
+        self.servers
+            .get(&server)
+            .is_some_and(|server| server.paused.is_none())
     }
 
     pub fn pause(&mut self, server: usize, paused: bool) {
@@ -174,11 +212,16 @@
     }
 
     pub fn leave(&mut self, server: usize) {
-        self.servers.entry(server).and_modify(|server| server.leaving = true);
+        self.servers
+            .entry(server)
+            .and_modify(|server| server.leaving = true);
     }
 
     pub fn cut(&mut self, one: &[usize], other: &[usize]) {
-        for (one, other) in one.iter().flat_map(|one| other.iter().map(move |other| (*one, *other))) {
+        for (one, other) in one
+            .iter()
+            .flat_map(|one| other.iter().map(move |other| (*one, *other)))
+        {
             self.cut.extend([(one, other), (other, one)]);
         }
     }
@@ -205,7 +248,8 @@
         for _ in 0..copies {
             let late = self.chance.random_range(self.delay.0..=self.delay.1);
             self.sent += 1;
-            self.way.insert((self.now + late, self.sent), (from, to, bytes.clone()));
+            self.way
+                .insert((self.now + late, self.sent), (from, to, bytes.clone()));
         }
     }
 
@@ -220,7 +264,11 @@
 
     /// The next letter comes a second time, so much later.
     pub fn double_next(&mut self, late: u64) {
-        if let Some((_, letter)) = self.way.first_key_value().map(|(at, letter)| (*at, letter.clone())) {
+        if let Some((_, letter)) = self
+            .way
+            .first_key_value()
+            .map(|(at, letter)| (*at, letter.clone()))
+        {
             self.sent += 1;
             self.way.insert((self.now + late, self.sent), letter);
         }
@@ -236,11 +284,19 @@
     }
 
     fn step(&mut self) {
-        while let Some(entry) = self.way.first_entry().filter(|entry| entry.key().0 <= self.now) {
+        while let Some(entry) = self
+            .way
+            .first_entry()
+            .filter(|entry| entry.key().0 <= self.now)
+        {
             let (from, to, bytes) = entry.remove();
-            let Some(member) = self.servers.get(&from).map(|server| server.member.clone()) else { continue };
+            let Some(member) = self.servers.get(&from).map(|server| server.member.clone()) else {
+                continue;
+            };
             let now = self.now;
-            let Some(server) = self.servers.get_mut(&to) else { continue };
+            let Some(server) = self.servers.get_mut(&to) else {
+                continue;
+            };
             if server.paused.is_some() {
                 // It lies in the socket until the process goes on.
                 self.sent += 1;
@@ -248,14 +304,26 @@
                 continue;
             }
             let letters = server.part.letter(server.local(now), &member, &bytes);
-            letters.into_iter().for_each(|(at, bytes)| self.post(to, at, bytes));
+            letters
+                .into_iter()
+                .for_each(|(at, bytes)| self.post(to, at, bytes));
         }
-        let all: Vec<(usize, Member)> =
-            self.servers.iter().map(|(at, server)| (*at, server.member.clone())).collect();
+        let all: Vec<(usize, Member)> = self
+            .servers
+            .iter()
+            .map(|(at, server)| (*at, server.member.clone()))
+            .collect();
         let (now, mut out) = (self.now, Vec::new());
-        for (at, server) in self.servers.iter_mut().filter(|(_, server)| server.paused.is_none()) {
-            let over: Vec<Pass> =
-                server.hands.extract_if(.., |(until, _)| *until <= now).map(|(_, pass)| pass).collect();
+        for (at, server) in self
+            .servers
+            .iter_mut()
+            .filter(|(_, server)| server.paused.is_none())
+        {
+            let over: Vec<Pass> = server
+                .hands
+                .extract_if(.., |(until, _)| *until <= now)
+                .map(|(_, pass)| pass)
+                .collect();
             over.into_iter().for_each(|pass| server.part.done(pass));
             let local = server.local(now);
             if local < server.ticked + TICK {
@@ -263,8 +331,11 @@
             }
             server.ticked = local;
             // Who is cut off is still taken for a member for a while; that it can't be reached is found out by silence.
-            let present: Vec<&Member> =
-                all.iter().filter(|(other, _)| other != at).map(|(_, member)| member).collect();
+            let present: Vec<&Member> = all
+                .iter()
+                .filter(|(other, _)| other != at)
+                .map(|(_, member)| member)
+                .collect();
             let own = server.member.clone();
             let view = View {
                 own: &own,
@@ -273,7 +344,13 @@
                 shut: Vec::new(),
                 leaving: server.leaving,
             };
-            out.extend(server.part.tick(local, &view).into_iter().map(|(to, bytes)| (*at, to, bytes)));
+            out.extend(
+                server
+                    .part
+                    .tick(local, &view)
+                    .into_iter()
+                    .map(|(to, bytes)| (*at, to, bytes)),
+            );
         }
         for (from, to, bytes) in out {
             self.post(from, to, bytes);
@@ -284,15 +361,26 @@
     /// At every moment: one gives at the most, and what is in hand is within the limit.
     fn judge(&mut self) {
         let now = self.now;
-        let gives = |server: &&Server| server.paused.is_none() && server.part.gives(server.local(now));
-        let keepers: Vec<String> =
-            self.servers.values().filter(gives).map(|server| server.member.name.clone()).collect();
+        let gives =
+            |server: &&Server| server.paused.is_none() && server.part.gives(server.local(now));
+        let keepers: Vec<String> = self
+            .servers
+            .values()
+            .filter(gives)
+            .map(|server| server.member.name.clone())
+            .collect();
         if keepers.len() > 1 {
             self.breaks(format!("{keepers:?} give at the same time"));
         }
         for limit in self.limits.clone() {
             if let Kind::InHand(most) = limit.kind {
-                let hands = |server: &Server| server.hands.iter().filter(|(until, _)| *until > now).count();
+                let hands = |server: &Server| {
+                    server
+                        .hands
+                        .iter()
+                        .filter(|(until, _)| *until > now)
+                        .count()
+                };
                 let hands: usize = self.servers.values().map(hands).sum();
                 let seen = self.seen.entry(limit.key).or_default();
                 seen.greatest = seen.greatest.max(hands as f64);
@@ -306,7 +394,11 @@
     /// An RPC comes to `server`, and is answered within `holds`. Whether it was admitted.
     pub fn rpc(&mut self, server: usize, holds: u64) -> Result<(), u64> {
         let (now, cheat) = (self.now, self.cheat);
-        let Some(of) = self.servers.get_mut(&server).filter(|server| server.paused.is_none()) else {
+        let Some(of) = self
+            .servers
+            .get_mut(&server)
+            .filter(|server| server.paused.is_none())
+        else {
             return Err(0);
         };
         let local = of.local(now);
@@ -318,7 +410,9 @@
         let pass = match admitted {
             Ok(pass) => pass,
             Err(back) => {
-                self.seen.values_mut().for_each(|seen| seen.turned_away += 1);
+                self.seen
+                    .values_mut()
+                    .for_each(|seen| seen.turned_away += 1);
                 return Err(back);
             }
         };
@@ -345,7 +439,11 @@
     pub fn keeper(&self) -> Option<usize> {
         let now = self.now;
         let gives = |(_, server): &(&usize, &Server)| server.part.gives(server.local(now));
-        self.servers.iter().filter(|(_, server)| server.paused.is_none()).find(gives).map(|(at, _)| *at)
+        self.servers
+            .iter()
+            .filter(|(_, server)| server.paused.is_none())
+            .find(gives)
+            .map(|(at, _)| *at)
     }
 
     /// Waits for somebody to give; the time it took.
@@ -359,19 +457,33 @@
 
     /// Admitted, turned away, and the greatest ever over the rate or in hand.
     pub fn figures(&self, key: u64) -> (u64, u64, f64) {
-        self.seen.get(&key).map_or((0, 0, 0.0), |seen| (seen.admitted, seen.turned_away, seen.greatest))
+        self.seen.get(&key).map_or((0, 0, 0.0), |seen| {
+            (seen.admitted, seen.turned_away, seen.greatest)
+        })
     }
 
     /// Units in the hands of a server.
     pub fn units(&self, server: usize) -> u32 {
-        let Some(server) = self.servers.get(&server) else { return 0 };
-        server.part.holder().have(server.local(self.now)).iter().map(|have| have.units).sum()
+        let Some(server) = self.servers.get(&server) else {
+            return 0;
+        };
+        server
+            .part
+            .holder()
+            .have(server.local(self.now))
+            .iter()
+            .map(|have| have.units)
+            .sum()
     }
 
     /// RPCs in hand of all servers.
     pub fn in_hand(&self) -> usize {
         let now = self.now;
-        self.servers.values().flat_map(|server| &server.hands).filter(|(until, _)| *until > now).count()
+        self.servers
+            .values()
+            .flat_map(|server| &server.hands)
+            .filter(|(until, _)| *until > now)
+            .count()
     }
 
     pub fn count(&self) -> usize {
@@ -394,6 +506,11 @@
             .iter()
             .map(|((due, _), (from, to, bytes))| (due - self.now.min(*due), from, to, bytes))
             .collect();
-        format!("{:?} {way:?} {:?} {}", self.servers.iter().map(of).collect::<Vec<_>>(), self.cut, self.now)
+        format!(
+            "{:?} {way:?} {:?} {}",
+            self.servers.iter().map(of).collect::<Vec<_>>(),
+            self.cut,
+            self.now
+        )
     }
 }
--- a/crates/coralstep-lab/src/simulate/clockwork.rs
+++ b/crates/coralstep-lab/src/simulate/clockwork.rs
@@ -41,15 +41,30 @@
                     self.done(node);
                 }
             }
-            Event::Called { node, life, rpc, call, outcome, began } => {
+            Event::Called {
+                node,
+                life,
+                rpc,
+                call,
+                outcome,
+                began,
+            } => {
                 self.calls = self.calls.saturating_sub(1);
                 let known = self.nodes[node].life == life;
-                let of = self.nodes[node].rpcs.get(rpc.0 as usize).and_then(Option::as_ref);
+                let of = self.nodes[node]
+                    .rpcs
+                    .get(rpc.0 as usize)
+                    .and_then(Option::as_ref);
                 if known && of.is_some_and(|of| of.call == call) {
                     self.called(node, rpc, outcome, began);
                 }
             }
-            Event::Ran { node, life, rpc, good } => {
+            Event::Ran {
+                node,
+                life,
+                rpc,
+                good,
+            } => {
                 if self.nodes[node].life == life {
                     self.ran(node, rpc, good);
                 }
@@ -66,9 +81,12 @@
             Event::Look => self.look(),
             Event::Leave(node) => {
                 let stop = self.now + ticks(self.world.servers.stop_ms);
-                self.rules.notice(node, self.now + ticks(self.world.servers.grace_ms));
+                self.rules
+                    .notice(node, self.now + ticks(self.world.servers.grace_ms));
                 self.nodes[node].unlisted_from = self.now + self.list();
-                self.tell(node, |server, now, out| server.wind_down(now, Time(stop), out));
+                self.tell(node, |server, now, out| {
+                    server.wind_down(now, Time(stop), out)
+                });
                 let life = self.nodes[node].life;
                 self.push(stop, Event::Stop(node, life));
             }
@@ -122,7 +140,8 @@
             && !self.hangs
             && !self.dead
         {
-            calls = of.capacity / (of.call_ms.mean() * self.slow_calls).max(0.1) * LOOK as f64 / 10.0;
+            calls =
+                of.capacity / (of.call_ms.mean() * self.slow_calls).max(0.1) * LOOK as f64 / 10.0;
         }
         let at = self.record.at(now - ORIGIN);
         let slice = &mut self.record.slices[at];
@@ -134,7 +153,9 @@
     }
 
     pub(super) fn trace(&mut self, what: u64) {
-        self.day.trace = (self.day.trace ^ what).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(23);
+        self.day.trace = (self.day.trace ^ what)
+            .wrapping_mul(0x9e37_79b9_7f4a_7c15)
+            .rotate_left(23);
     }
 
     pub(super) fn end(mut self) -> (Day, Record) {
@@ -149,11 +170,24 @@
             (self.day.p50_ms, self.day.p99_ms) = (ms(0.5), ms(0.99));
         }
         self.day.open = self.requests.iter().flatten().count() as u64;
-        self.day.kept = if self.asked > 0.0 { self.good / self.asked } else { 1.0 };
+        self.day.kept = if self.asked > 0.0 {
+            self.good / self.asked
+        } else {
+            1.0
+        };
         self.day.breaches = self.rules.count;
-        self.day.by_rule =
-            self.rules.by_rule.iter().map(|(rule, count)| (format!("{rule:?}"), *count)).collect();
-        self.day.told = self.rules.breaches.iter().map(ToString::to_string).collect();
+        self.day.by_rule = self
+            .rules
+            .by_rule
+            .iter()
+            .map(|(rule, count)| (format!("{rule:?}"), *count))
+            .collect();
+        self.day.told = self
+            .rules
+            .breaches
+            .iter()
+            .map(ToString::to_string)
+            .collect();
         (self.day, self.record)
     }
 }
--- a/crates/coralstep-lab/src/simulate/engine.rs
+++ b/crates/coralstep-lab/src/simulate/engine.rs
@@ -10,10 +10,14 @@
 impl Sim<'_> {
     /// Its run goes to an application.
     pub(super) fn hand_on(&mut self, at: usize, id: RpcId) {
-        let Some(of) = &self.world.applications else { return };
+        let Some(of) = &self.world.applications else {
+            return;
+        };
         let (now, fails) = (self.now, self.chance.random_range(0.0..1.0) < of.fails);
         let node = &mut self.nodes[at];
-        let Some(pool) = node.pool.as_mut() else { return };
+        let Some(pool) = node.pool.as_mut() else {
+            return;
+        };
         pool.first_try();
         let Ok(pick) = pool.choose(Time(now), None) else {
             // None may run it: it never ran, and says so.
@@ -29,14 +33,24 @@
         let took = (rpc.work / speed * crowd).ceil() as u64;
         let life = self.nodes[at].life;
         if !hangs {
-            self.push(now + took.max(1), Event::Ran { node: at, life, rpc: id, good: !fails });
+            self.push(
+                now + took.max(1),
+                Event::Ran {
+                    node: at,
+                    life,
+                    rpc: id,
+                    good: !fails,
+                },
+            );
         }
     }
 
     /// An application is done with it, or given up.
     pub(super) fn let_go(&mut self, at: usize, id: RpcId, end: End) {
         let now = self.now;
-        let Some(pick) = self.rpc(at, id).and_then(|rpc| rpc.pick.take()) else { return };
+        let Some(pick) = self.rpc(at, id).and_then(|rpc| rpc.pick.take()) else {
+            return;
+        };
         let node = &mut self.nodes[at];
         if let Some(pool) = node.pool.as_mut() {
             let app = *pool.key(&pick);
@@ -50,13 +64,24 @@
         let now = self.now;
         let node = &mut self.nodes[at];
         let life = node.life;
-        let Some(pool) = node.pool.as_mut() else { return };
+        let Some(pool) = node.pool.as_mut() else {
+            return;
+        };
         let rpc = node.rpcs.get_mut(id.0 as usize).and_then(Option::as_mut);
-        let Some(mut pick) = rpc.and_then(|rpc| rpc.pick.take()) else { return };
+        let Some(mut pick) = rpc.and_then(|rpc| rpc.pick.take()) else {
+            return;
+        };
         let app = *pool.key(&pick);
         if node.apps[app].1 {
             pool.overran(Time(now), &mut pick);
-            return self.push(now + STUCK, Event::LetGo { node: at, life, pick });
+            return self.push(
+                now + STUCK,
+                Event::LetGo {
+                    node: at,
+                    life,
+                    pick,
+                },
+            );
         }
         node.apps[app].0 = node.apps[app].0.saturating_sub(1);
         pool.ended(Time(now), pick, End::GivenUp);
@@ -78,7 +103,11 @@
     /// Its next part goes onto the cores: half the work before a call, the rest behind it.
     pub(super) fn run(&mut self, at: usize, id: RpcId) {
         let Some(rpc) = self.rpc(at, id) else { return };
-        let work = if rpc.calls || rpc.call > 0 || rpc.bare { rpc.work / 2.0 } else { rpc.work };
+        let work = if rpc.calls || rpc.call > 0 || rpc.bare {
+            rpc.work / 2.0
+        } else {
+            rpc.work
+        };
         self.advance(at);
         let node = &mut self.nodes[at];
         node.jobs.push((id, node.service + work));
@@ -92,7 +121,11 @@
             let part = (self.now - since) as f64 / ticks(servers.warm_ms).max(1) as f64;
             (servers.cold_speed + (1.0 - servers.cold_speed) * part).min(1.0)
         });
-        if node.paused { 0.0 } else { node.speed * warm / node.slow }
+        if node.paused {
+            0.0
+        } else {
+            node.speed * warm / node.slow
+        }
     }
 
     /// Service a tick that each job gets now.
@@ -117,7 +150,11 @@
         let node = &mut self.nodes[at];
         node.version += 1;
         let (version, service) = (node.version, node.service);
-        let least = node.jobs.iter().map(|(_, done)| *done).fold(f64::MAX, f64::min);
+        let least = node
+            .jobs
+            .iter()
+            .map(|(_, done)| *done)
+            .fold(f64::MAX, f64::min);
         if least < f64::MAX && rate > 0.0 {
             let span = ((least - service).max(0.0) / rate).ceil() as u64;
             self.push(self.now + span, Event::Done(at, version));
@@ -128,12 +165,18 @@
         self.advance(at);
         let node = &mut self.nodes[at];
         let service = node.service + 1e-6;
-        let over: Vec<RpcId> =
-            node.jobs.iter().filter(|(_, done)| *done <= service).map(|(id, _)| *id).collect();
+        let over: Vec<RpcId> = node
+            .jobs
+            .iter()
+            .filter(|(_, done)| *done <= service)
+            .map(|(id, _)| *id)
+            .collect();
         node.jobs.retain(|(_, done)| *done > service);
         self.schedule(at);
         for id in over {
-            let Some(rpc) = self.rpc(at, id) else { continue };
+            let Some(rpc) = self.rpc(at, id) else {
+                continue;
+            };
             if rpc.calls {
                 rpc.calls = false;
                 self.tell(at, |server, now, out| server.needs_call(now, id, out));
@@ -145,7 +188,9 @@
     }
 
     pub(super) fn call(&mut self, at: usize, id: RpcId, patience: Span) {
-        let Some(dependency) = &self.world.dependency else { return };
+        let Some(dependency) = &self.world.dependency else {
+            return;
+        };
         let (now, life) = (self.now, self.nodes[at].life);
         self.calls += 1;
         let crowd = (self.calls as f64 / dependency.capacity.max(1e-9)).max(1.0);
@@ -167,7 +212,17 @@
         let Some(rpc) = self.rpc(at, id) else { return };
         rpc.call += 1;
         let call = rpc.call;
-        self.push(now + took.max(1), Event::Called { node: at, life, rpc: id, call, outcome, began: now });
+        self.push(
+            now + took.max(1),
+            Event::Called {
+                node: at,
+                life,
+                rpc: id,
+                call,
+                outcome,
+                began: now,
+            },
+        );
     }
 
     pub(super) fn called(&mut self, at: usize, id: RpcId, outcome: Outcome, began: u64) {
@@ -178,7 +233,9 @@
         if self.policy == Policy::Sharing {
             self.sharing.called(at, self.now, outcome != Outcome::Ok);
         }
-        self.tell(at, |server, now, out| server.called(now, id, outcome, took, out));
+        self.tell(at, |server, now, out| {
+            server.called(now, id, outcome, took, out)
+        });
         let answered = self.rpc(at, id).is_some_and(|rpc| rpc.answered);
         if outcome == Outcome::Ok {
             self.run(at, id);
--- a/crates/coralstep-lab/src/simulate/gateways.rs
+++ b/crates/coralstep-lab/src/simulate/gateways.rs
@@ -37,11 +37,19 @@
         self.tokens += 1;
         let gateway = self.chance.random_range(0..self.world.gateways.count);
         let (tenant, subject) = self.asker();
-        let request =
-            Request { method, token: self.tokens, first: self.now, tries: 0, gateway, tenant, subject };
+        let request = Request {
+            method,
+            token: self.tokens,
+            first: self.now,
+            tries: 0,
+            gateway,
+            tenant,
+            subject,
+        };
         self.day.requests += 1;
         self.asked += methods[method].criticality;
-        self.record.asked(self.now - ORIGIN, method, methods[method].criticality);
+        self.record
+            .asked(self.now - ORIGIN, method, methods[method].criticality);
         let index = match self.free.pop() {
             Some(index) => {
                 self.requests[index] = Some(request);
@@ -60,8 +68,9 @@
         let tenants = &self.world.tenants;
         let mut tenant = None;
         if !tenants.is_empty() {
-            let mut part =
-                self.chance.random_range(0.0..tenants.iter().map(|tenant| tenant.share).sum::<f64>());
+            let mut part = self
+                .chance
+                .random_range(0.0..tenants.iter().map(|tenant| tenant.share).sum::<f64>());
             tenant = tenants.iter().position(|tenant| {
                 part -= tenant.share;
                 part < 0.0
@@ -86,7 +95,10 @@
             chosen = self.chance.random_range(0..self.nodes.len());
             let node = &self.nodes[chosen];
             let listed = node.listed_from <= self.now && self.now < node.unlisted_from;
-            let away = self.away.get(&(gateway, chosen)).is_some_and(|until| *until > self.now);
+            let away = self
+                .away
+                .get(&(gateway, chosen))
+                .is_some_and(|until| *until > self.now);
             if listed && !away {
                 break;
             }
@@ -95,10 +107,16 @@
     }
 
     pub(super) fn attempt(&mut self, index: usize) {
-        let Some(request) = self.requests[index].as_mut() else { return };
+        let Some(request) = self.requests[index].as_mut() else {
+            return;
+        };
         request.tries += 1;
-        let (gateway, method, token, retry) =
-            (request.gateway, request.method, request.token, request.tries > 1);
+        let (gateway, method, token, retry) = (
+            request.gateway,
+            request.method,
+            request.token,
+            request.tries > 1,
+        );
         let (tenant, subject) = (request.tenant, request.subject.filter(|_| !retry));
         let at = subject.unwrap_or_else(|| self.choose(gateway));
         self.day.attempts += 1;
@@ -114,7 +132,11 @@
             work *= size;
         }
         if !retry && let Some(requests) = &mut self.record.requests {
-            requests.push(Asked { at_ms: (self.now - ORIGIN) as f64 / 10.0, method, work_ms: work });
+            requests.push(Asked {
+                at_ms: (self.now - ORIGIN) as f64 / 10.0,
+                method,
+                work_ms: work,
+            });
         }
         let tokened = of.effect == Effect::Tokened;
         let node = &mut self.nodes[at];
@@ -147,16 +169,27 @@
         node.held += 1;
         let pause = self.nodes[at].pause_ends.saturating_sub(self.now);
         let due = self.now + ticks(of.deadline_ms) + pause;
-        self.rules.read(self.now, attempt, at, due, of.effect != Effect::Idempotent);
+        self.rules
+            .read(self.now, attempt, at, due, of.effect != Effect::Idempotent);
         let held_kb = self.world.servers.held_kb;
         let prior = prior.map_or(Prior::Nothing, Prior::Of);
-        let arrival = Arrival { id, method, held_kb, retry, prior, tenant, ..Arrival::default() };
+        let arrival = Arrival {
+            id,
+            method,
+            held_kb,
+            retry,
+            prior,
+            tenant,
+            ..Arrival::default()
+        };
         self.tell(at, |server, now, out| server.rpc(now, arrival, out));
     }
 
     pub(super) fn method(&self, request: usize) -> Option<&'a crate::world::OneMethod> {
         let world = self.world;
-        self.requests[request].as_ref().map(|request| &world.methods[request.method])
+        self.requests[request]
+            .as_ref()
+            .map(|request| &world.methods[request.method])
     }
 
     /// How long a change of a server's health takes to reach the gateways, in ticks.
@@ -165,15 +198,25 @@
     }
 
     /// The first answer is the only one; an end after it tells nobody anything.
-    pub(super) fn answer(&mut self, at: usize, id: RpcId, told: Told, advice: Option<(Span, bool)>) {
+    pub(super) fn answer(
+        &mut self,
+        at: usize,
+        id: RpcId,
+        told: Told,
+        advice: Option<(Span, bool)>,
+    ) {
         let now = self.now;
         let Some(rpc) = self.rpc(at, id) else { return };
         if rpc.answered && told == Told::Ok {
             return;
         }
         rpc.answered = true;
-        let (attempt, index, bare, began) =
-            (rpc.attempt, rpc.request, rpc.bare, rpc.running || rpc.ended.is_some());
+        let (attempt, index, bare, began) = (
+            rpc.attempt,
+            rpc.request,
+            rpc.bare,
+            rpc.running || rpc.ended.is_some(),
+        );
         let (waited, tenant, call_failed, calls) =
             (now - rpc.arrived, rpc.tenant, rpc.call_failed, rpc.calls);
         if !began {
@@ -181,28 +224,47 @@
         }
         self.rules.answered(now, attempt, told);
         if let Some((after, nowhere)) = advice {
-            let retry = self.requests[index].as_ref().is_some_and(|request| request.tries > 1);
+            let retry = self.requests[index]
+                .as_ref()
+                .is_some_and(|request| request.tries > 1);
             self.rules.advised(now, at, after.0, nowhere, retry);
         }
         self.trace(now ^ attempt << 20 ^ told as u64);
         match told {
             Told::Ok => {
-                let Some(request) = self.requests[index].take() else { return };
+                let Some(request) = self.requests[index].take() else {
+                    return;
+                };
                 self.free.push(index);
                 let of = &self.world.methods[request.method];
                 let took = now - request.first;
                 self.took.saturating_record(took.max(1));
                 self.day.ok += 1;
                 let part = if bare { of.skip } else { 1.0 };
-                let in_time = if took <= ticks(of.target_ms) { 1.0 } else { of.late };
-                let in_time = if took > ticks(of.deadline_ms) { 0.0 } else { in_time };
+                let in_time = if took <= ticks(of.target_ms) {
+                    1.0
+                } else {
+                    of.late
+                };
+                let in_time = if took > ticks(of.deadline_ms) {
+                    0.0
+                } else {
+                    in_time
+                };
                 let kept = of.criticality * part * in_time;
                 self.good += kept;
                 // What the call left out costs is told apart from what being late costs.
                 let skipped = of.criticality * (1.0 - part);
                 self.record.part(request.method, Loss::Skipped, skipped);
                 let took_ms = took as f64 / 10.0;
-                self.record.ok(now - ORIGIN, at, request.method, took_ms, kept, of.criticality - skipped);
+                self.record.ok(
+                    now - ORIGIN,
+                    at,
+                    request.method,
+                    took_ms,
+                    kept,
+                    of.criticality - skipped,
+                );
             }
             Told::PushedBack => {
                 let (after, last) = advice.unwrap_or((Span::ZERO, false));
@@ -216,8 +278,14 @@
                 self.failed(index, at, loss, !last);
             }
             Told::Aborted => {
-                let again = self.method(index).is_some_and(|method| method.effect == Effect::Idempotent);
-                let loss = if call_failed { Loss::Dependency } else { Loss::Late };
+                let again = self
+                    .method(index)
+                    .is_some_and(|method| method.effect == Effect::Idempotent);
+                let loss = if call_failed {
+                    Loss::Dependency
+                } else {
+                    Loss::Late
+                };
                 self.failed(index, at, loss, again);
             }
         }
@@ -229,7 +297,8 @@
         let over = |tenant: usize| {
             let of = &self.world.tenants;
             let part = of[tenant].share / of.iter().map(|tenant| tenant.share).sum::<f64>();
-            (self.hot.is_some() && tenant == 0) || part * self.world.rate() * self.jump > of[tenant].rate
+            (self.hot.is_some() && tenant == 0)
+                || part * self.world.rate() * self.jump > of[tenant].rate
         };
         match () {
             () if calls && node.shut => Loss::Breaker,
@@ -242,14 +311,17 @@
 
     /// A try has failed: another one, where there may be one.
     pub(super) fn failed(&mut self, index: usize, at: usize, loss: Loss, again: bool) {
-        let Some(request) = &self.requests[index] else { return };
+        let Some(request) = &self.requests[index] else {
+            return;
+        };
         let of = &self.world.methods[request.method];
         let pause = ticks(self.world.gateways.pause_ms);
         let in_time = self.now + pause < request.first + ticks(of.deadline_ms);
         if again && in_time && request.tries <= self.world.gateways.retries {
             return self.push(self.now + pause, Event::Try(index));
         }
-        self.record.lost(self.now - ORIGIN, at, request.method, loss, of.criticality);
+        self.record
+            .lost(self.now - ORIGIN, at, request.method, loss, of.criticality);
         self.requests[index] = None;
         self.free.push(index);
         match loss {
--- a/crates/coralstep-lab/src/simulate/mod.rs
+++ b/crates/coralstep-lab/src/simulate/mod.rs
@@ -245,7 +245,9 @@
     let below = world
         .dependency
         .as_ref()
-        .map_or(Below::Nothing, |dependency| Below::Shared(dependency.capacity / world.servers.count as f64));
+        .map_or(Below::Nothing, |dependency| {
+            Below::Shared(dependency.capacity / world.servers.count as f64)
+        });
     let tenant_rates = world.tenants.iter().map(|tenant| tenant.rate).collect();
     let method = |method: &crate::world::OneMethod| Method {
         effect: match method.effect {
@@ -322,8 +324,9 @@
         let mut chance = SmallRng::seed_from_u64(seed);
         let servers = &world.servers;
         let [least, most] = servers.speed;
-        let heeds =
-            (0..world.gateways.count).map(|_| chance.random_range(0.0..1.0) < world.gateways.heed).collect();
+        let heeds = (0..world.gateways.count)
+            .map(|_| chance.random_range(0.0..1.0) < world.gateways.heed)
+            .collect();
         let crowd = servers.crowd * f64::from(servers.cores);
         let mut sim = Sim {
             world,
@@ -346,7 +349,9 @@
             policy,
             cheat: Cheat::None,
             // Of mean 1, so that the rate is the world's. None: by pure chance.
-            gaps: Gamma::new(world.gap_shape, 1.0 / world.gap_shape).ok().filter(|_| world.gap_shape != 1.0),
+            gaps: Gamma::new(world.gap_shape, 1.0 / world.gap_shape)
+                .ok()
+                .filter(|_| world.gap_shape != 1.0),
             shut: 0,
             reduced: 0,
             struck: vec![Vec::new(); world.troubles.len()],
@@ -362,7 +367,11 @@
             chance,
         };
         for _ in 0..servers.count {
-            let speed = if least < most { sim.chance.random_range(least..most) } else { least };
+            let speed = if least < most {
+                sim.chance.random_range(least..most)
+            } else {
+                least
+            };
             sim.nodes.push(Node {
                 server: None,
                 levels: None,
--- a/crates/coralstep-lab/src/simulate/server.rs
+++ b/crates/coralstep-lab/src/simulate/server.rs
@@ -17,16 +17,38 @@
     pub(super) fn boot(&mut self, at: usize, cold: bool) {
         let mut acts = Acts::default();
         let seed = self.chance.random();
-        let server = Decider::start(self.policy, &terms(self.world, cold), seed, Time(self.now), &mut acts);
+        let server = Decider::start(
+            self.policy,
+            &terms(self.world, cold),
+            seed,
+            Time(self.now),
+            &mut acts,
+        );
         let (now, list) = (self.now, self.list());
         // What was checked when the world was read starts.
-        let levels = self.world.levels.as_ref().and_then(|levels| Levels::new(levels, Time(now)).ok());
+        let levels = self
+            .world
+            .levels
+            .as_ref()
+            .and_then(|levels| Levels::new(levels, Time(now)).ok());
         let pool = self.world.applications.as_ref().map(|of| {
-            let mut pool = Pool::new(PoolTerms { each_most: of.each_most, ..PoolTerms::default() }, seed ^ 1);
+            let mut pool = Pool::new(
+                PoolTerms {
+                    each_most: of.each_most,
+                    ..PoolTerms::default()
+                },
+                seed ^ 1,
+            );
             pool.set(Time(now), &(0..of.count).collect::<Vec<_>>());
             pool
         });
-        let hangs = |at: usize| self.nodes[at].apps.iter().map(|app| (0, app.1)).collect::<Vec<_>>();
+        let hangs = |at: usize| {
+            self.nodes[at]
+                .apps
+                .iter()
+                .map(|app| (0, app.1))
+                .collect::<Vec<_>>()
+        };
         let apps = match (&self.world.applications, self.nodes[at].apps.is_empty()) {
             (Some(of), true) => vec![(0, false); of.count],
             _ => hangs(at),
@@ -63,9 +85,10 @@
     pub(super) fn levels(&mut self, at: usize) {
         let now = Time(self.now);
         let node = &mut self.nodes[at];
-        let (Some(levels), Some(signals)) =
-            (node.levels.as_mut(), node.server.as_ref().and_then(Decider::signals))
-        else {
+        let (Some(levels), Some(signals)) = (
+            node.levels.as_mut(),
+            node.server.as_ref().and_then(Decider::signals),
+        ) else {
             return;
         };
         if levels.observe(now, &signals).is_some() {
@@ -89,7 +112,11 @@
                 Act::PushBack(..) if self.cheat == Cheat::Silent => {}
                 Act::PushBack(id, ..) if self.cheat == Cheat::RunAll => self.begin(at, id),
                 Act::PushBack(id, after, last) => {
-                    let after = if self.cheat == Cheat::NoAdvice { Span::ZERO } else { after };
+                    let after = if self.cheat == Cheat::NoAdvice {
+                        Span::ZERO
+                    } else {
+                        after
+                    };
                     self.answer(at, id, Told::PushedBack, Some((after, last)));
                 }
                 Act::Abort(id) if self.cheat == Cheat::PushBackRan => {
@@ -158,7 +185,11 @@
             self.rules.began(self.now, attempt, token);
             self.run(at, id);
         }
-        if self.world.applications.is_some() { self.hand_on(at, id) } else { self.run(at, id) }
+        if self.world.applications.is_some() {
+            self.hand_on(at, id)
+        } else {
+            self.run(at, id)
+        }
     }
 
     pub(super) fn settle(&mut self, at: usize, id: RpcId, outcome: Outcome) {
@@ -196,7 +227,13 @@
     }
 
     pub(super) fn release(&mut self, at: usize, id: RpcId) {
-        let Some(rpc) = self.nodes[at].rpcs.get_mut(id.0 as usize).and_then(Option::take) else { return };
+        let Some(rpc) = self.nodes[at]
+            .rpcs
+            .get_mut(id.0 as usize)
+            .and_then(Option::take)
+        else {
+            return;
+        };
         if let Some(prior) = rpc.prior.and_then(|prior| self.rpc(at, prior)) {
             prior.waiting.retain(|waiting| *waiting != id);
         }
@@ -219,7 +256,10 @@
             return self.push(self.now + 200, Event::Beat(at, life, beat));
         }
         let busy = self.world.applications.is_none().then_some(busy);
-        let gauges = Gauges { busy, connections: None };
+        let gauges = Gauges {
+            busy,
+            connections: None,
+        };
         self.tell(at, |server, now, out| server.timer(now, gauges, out));
         // Runs whose RPC was answered at a call end there.
         let ended: Vec<RpcId> = self.nodes[at]
@@ -228,12 +268,19 @@
             .enumerate()
             .filter_map(|(id, rpc)| {
                 let rpc = rpc.as_ref()?;
-                let on_cores = || self.nodes[at].jobs.iter().any(|(job, _)| job.0 as usize == id);
+                let on_cores = || {
+                    self.nodes[at]
+                        .jobs
+                        .iter()
+                        .any(|(job, _)| job.0 as usize == id)
+                };
                 (rpc.answered && rpc.running && rpc.ended.is_none() && !on_cores())
                     .then_some(RpcId(id as u32))
             })
             .collect();
-        ended.into_iter().for_each(|id| self.settle(at, id, Outcome::Cancelled));
+        ended
+            .into_iter()
+            .for_each(|id| self.settle(at, id, Outcome::Cancelled));
     }
 
     pub(super) fn stop(&mut self, at: usize, crash: bool) {
@@ -244,11 +291,18 @@
         (node.life, node.version) = (node.life + 1, node.version + 1);
         node.jobs.clear();
         node.tokens.clear();
-        let open: Vec<usize> =
-            node.rpcs.drain(..).flatten().filter(|rpc| !rpc.answered).map(|rpc| rpc.request).collect();
+        let open: Vec<usize> = node
+            .rpcs
+            .drain(..)
+            .flatten()
+            .filter(|rpc| !rpc.answered)
+            .map(|rpc| rpc.request)
+            .collect();
         node.free.clear();
         for index in open {
-            let again = self.method(index).is_some_and(|method| method.effect == Effect::Idempotent);
+            let again = self
+                .method(index)
+                .is_some_and(|method| method.effect == Effect::Idempotent);
             self.failed(index, at, Loss::Unreached, again);
         }
     }
--- a/crates/coralstep-lab/src/simulate/sharing.rs
+++ b/crates/coralstep-lab/src/simulate/sharing.rs
@@ -44,7 +44,10 @@
             calls: VecDeque::new(),
             seen: Seen::default(),
         };
-        Sharing { nodes: (0..count).map(node).collect(), looks: VecDeque::new() }
+        Sharing {
+            nodes: (0..count).map(node).collect(),
+            looks: VecDeque::new(),
+        }
     }
 
     /// A call of a server ended.
@@ -59,7 +62,10 @@
             node.calls.pop_front();
         }
         let all = [State::Closed, State::Open, State::HalfOpen];
-        let now_is = all.into_iter().find(|one| Some(one.name()) == state).unwrap_or_default();
+        let now_is = all
+            .into_iter()
+            .find(|one| Some(one.name()) == state)
+            .unwrap_or_default();
         if state.is_none() {
             // A successor knows nothing of it.
             node.seen = Seen::default();
@@ -89,12 +95,17 @@
                 state: seen.state,
                 failures: seen.failures,
                 calls: seen.calls,
-                called: if seen.called == 0 { AGE_MOST + 1 } else { ms(seen.called) },
+                called: if seen.called == 0 {
+                    AGE_MOST + 1
+                } else {
+                    ms(seen.called)
+                },
                 healed: seen.healed.map(ms),
             })
             .collect();
         let node = &mut self.nodes[at];
-        node.weigh.advise(now / 10, Parts::default(), node.seen.state, &others)
+        node.weigh
+            .advise(now / 10, Parts::default(), node.seen.state, &others)
     }
 }
 
@@ -103,7 +114,10 @@
     pub(super) fn share(&mut self) {
         let now = self.now;
         for at in 0..self.nodes.len() {
-            let state = self.nodes[at].server.as_ref().and_then(|server| server.breaker());
+            let state = self.nodes[at]
+                .server
+                .as_ref()
+                .and_then(|server| server.breaker());
             self.sharing.look(at, now, state);
         }
         let seen: Vec<Seen> = self.sharing.nodes.iter().map(|node| node.seen).collect();
--- a/crates/coralstep-lab/src/simulate/troubles.rs
+++ b/crates/coralstep-lab/src/simulate/troubles.rs
@@ -27,12 +27,12 @@
             Kind::Jump => self.jump = if begins { size } else { 1.0 },
             Kind::DependencySlow => self.slow_calls = if begins { size } else { 1.0 },
             // For a part of the servers it is their way there that fails.
-            Kind::DependencyHangs if part < 1.0 => {
-                struck.into_iter().for_each(|node| self.nodes[node].way_hangs = begins)
-            }
-            Kind::DependencyDead if part < 1.0 => {
-                struck.into_iter().for_each(|node| self.nodes[node].way_dead = begins)
-            }
+            Kind::DependencyHangs if part < 1.0 => struck
+                .into_iter()
+                .for_each(|node| self.nodes[node].way_hangs = begins),
+            Kind::DependencyDead if part < 1.0 => struck
+                .into_iter()
+                .for_each(|node| self.nodes[node].way_dead = begins),
             Kind::DependencyHangs => self.hangs = begins,
             Kind::DependencyDead => self.dead = begins,
             Kind::HeavyTail => self.tail = begins.then_some((part, size)),
@@ -41,13 +41,18 @@
                 let server = self.chance.random_range(0..count);
                 self.hot = begins.then_some((part, server));
             }
-            Kind::Partition => struck.into_iter().for_each(|node| self.nodes[node].cut_off = begins),
+            Kind::Partition => struck
+                .into_iter()
+                .for_each(|node| self.nodes[node].cut_off = begins),
             Kind::LostReports => {
                 // An entry of the list lapses some time after its last report.
                 let (lapses, listed) = (self.now + 3 * self.list(), self.now + self.list());
                 for node in struck {
                     match begins {
-                        true => self.nodes[node].unlisted_from = self.nodes[node].unlisted_from.min(lapses),
+                        true => {
+                            self.nodes[node].unlisted_from =
+                                self.nodes[node].unlisted_from.min(lapses)
+                        }
                         false => {
                             (self.nodes[node].listed_from, self.nodes[node].unlisted_from) =
                                 (listed, u64::MAX)
@@ -58,7 +63,10 @@
             Kind::ApplicationsHang => {
                 for node in &mut self.nodes {
                     let most = (node.apps.len() as f64 * part).round() as usize;
-                    node.apps.iter_mut().take(most).for_each(|app| app.1 = begins);
+                    node.apps
+                        .iter_mut()
+                        .take(most)
+                        .for_each(|app| app.1 = begins);
                 }
             }
             Kind::Slow | Kind::Pause => {
@@ -68,7 +76,8 @@
                         Kind::Slow => self.nodes[node].slow = if begins { size } else { 1.0 },
                         _ => {
                             self.nodes[node].paused = begins;
-                            self.nodes[node].pause_ends = if begins { self.now + span } else { self.now };
+                            self.nodes[node].pause_ends =
+                                if begins { self.now + span } else { self.now };
                             if begins {
                                 self.rules.paused(node, span);
                             }
--- a/crates/coralstep-lab/src/world.rs
+++ b/crates/coralstep-lab/src/world.rs
@@ -204,7 +204,9 @@
             Amount::Uniform([least, most]) if least < most => chance.random_range(least..most),
             Amount::Uniform([least, _]) => least,
             // What `check` lets through has a distribution.
-            Amount::Exponential(mean) => Exp::new(1.0 / mean).map_or(mean, |exp| exp.sample(chance)),
+            Amount::Exponential(mean) => {
+                Exp::new(1.0 / mean).map_or(mean, |exp| exp.sample(chance))
+            }
             Amount::LogNormal([median, spread]) => {
                 LogNormal::new(median.ln(), spread).map_or(median, |normal| normal.sample(chance))
             }
@@ -236,7 +238,11 @@
                 scale > 0.0 && scale.is_finite() && (0.1..=100.0).contains(&shape)
             }
         };
-        if good { Ok(()) } else { Err(format!("{key}: {self:?} is no amount")) }
+        if good {
+            Ok(())
+        } else {
+            Err(format!("{key}: {self:?} is no amount"))
+        }
     }
 }
 
@@ -306,7 +312,11 @@
         let mut reader = serde_json::Deserializer::from_str(text);
         let world: World = serde_path_to_error::deserialize(&mut reader).map_err(|why| {
             let path = why.path().to_string();
-            let path = if path == "." || path.starts_with('?') { "world".to_owned() } else { path };
+            let path = if path == "." || path.starts_with('?') {
+                "world".to_owned()
+            } else {
+                path
+            };
             format!("{path}: {}", why.into_inner())
         })?;
         reader.end().map_err(|why| format!("world: {why}"))?;
@@ -320,21 +330,46 @@
         within("servers.count", self.servers.count as f64, 1.0, 10_000.0)?;
         within("servers.cores", f64::from(self.servers.cores), 1.0, 1_024.0)?;
         within("servers.speed[0]", self.servers.speed[0], 0.01, 100.0)?;
-        within("servers.speed[1]", self.servers.speed[1], self.servers.speed[0], 100.0)?;
+        within(
+            "servers.speed[1]",
+            self.servers.speed[1],
+            self.servers.speed[0],
+            100.0,
+        )?;
         within("servers.cold_speed", self.servers.cold_speed, 0.01, 1.0)?;
         within("servers.warm_ms", self.servers.warm_ms, 0.0, 600_000.0)?;
         within("servers.crowd", self.servers.crowd, 1.0, 1_000.0)?;
         within("servers.memory_kb", self.servers.memory_kb, 1.0, 1e9)?;
-        within("servers.held_kb", self.servers.held_kb, 0.0, self.servers.memory_kb)?;
+        within(
+            "servers.held_kb",
+            self.servers.held_kb,
+            0.0,
+            self.servers.memory_kb,
+        )?;
         within("servers.run_factor", self.servers.run_factor, 1.0, 1_000.0)?;
         within("servers.key_kb", self.servers.key_kb, 0.0, 1e6)?;
         within("servers.stop_ms", self.servers.stop_ms, 500.0, 600_000.0)?;
-        within("servers.grace_ms", self.servers.grace_ms, 0.0, self.servers.stop_ms)?;
+        within(
+            "servers.grace_ms",
+            self.servers.grace_ms,
+            0.0,
+            self.servers.stop_ms,
+        )?;
         within("gateways.count", self.gateways.count as f64, 1.0, 100_000.0)?;
-        within("gateways.retries", f64::from(self.gateways.retries), 0.0, 20.0)?;
+        within(
+            "gateways.retries",
+            f64::from(self.gateways.retries),
+            0.0,
+            20.0,
+        )?;
         within("gateways.heed", self.gateways.heed, 0.0, 1.0)?;
         within("gateways.pause_ms", self.gateways.pause_ms, 0.0, 60_000.0)?;
-        within("gateways.health_ms", self.gateways.health_ms, 0.0, 600_000.0)?;
+        within(
+            "gateways.health_ms",
+            self.gateways.health_ms,
+            0.0,
+            600_000.0,
+        )?;
         within("gateways.by_subject", self.gateways.by_subject, 0.0, 1.0)?;
         within("gap_shape", self.gap_shape, 0.05, 100.0)?;
         within("over_share", self.over_share, 0.0, 1.0)?;
@@ -342,13 +377,30 @@
             within(&format!("tenants[{at}].share"), tenant.share, 0.0, 1e6)?;
             within(&format!("tenants[{at}].rate"), tenant.rate, 0.0, 1e9)?;
         }
-        if !self.tenants.is_empty() && self.tenants.iter().map(|tenant| tenant.share).sum::<f64>() <= 0.0 {
+        if !self.tenants.is_empty()
+            && self.tenants.iter().map(|tenant| tenant.share).sum::<f64>() <= 0.0
+        {
             return Err("tenants: all shares are 0".to_owned());
         }
         if let Some(applications) = &self.applications {
-            within("applications.count", applications.count as f64, 1.0, 1_000.0)?;
-            within("applications.each_most", f64::from(applications.each_most), 1.0, 10_000.0)?;
-            within("applications.cores", f64::from(applications.cores), 1.0, 1_024.0)?;
+            within(
+                "applications.count",
+                applications.count as f64,
+                1.0,
+                1_000.0,
+            )?;
+            within(
+                "applications.each_most",
+                f64::from(applications.each_most),
+                1.0,
+                10_000.0,
+            )?;
+            within(
+                "applications.cores",
+                f64::from(applications.cores),
+                1.0,
+                1_024.0,
+            )?;
             within("applications.fails", applications.fails, 0.0, 1.0)?;
         }
         if let Some(levels) = &self.levels {
@@ -367,7 +419,12 @@
             within(&key("share"), method.share, 0.0, 1e6)?;
             method.work_ms.check(&key("work_ms"))?;
             within(&key("target_ms"), method.target_ms, 1.0, 3_600_000.0)?;
-            within(&key("deadline_ms"), method.deadline_ms, method.target_ms, 3_600_000.0)?;
+            within(
+                &key("deadline_ms"),
+                method.deadline_ms,
+                method.target_ms,
+                3_600_000.0,
+            )?;
             within(&key("window_ms"), method.window_ms, 0.0, 3_600_000.0)?;
             within(&key("criticality"), method.criticality, 0.0, 1e6)?;
             within(&key("late"), method.late, 0.0, 1.0)?;
@@ -392,14 +449,21 @@
     /// Mean work of a request, in milliseconds.
     pub fn work_ms(&self) -> f64 {
         let shares: f64 = self.methods.iter().map(|method| method.share).sum();
-        self.methods.iter().map(|method| method.share * method.work_ms.mean()).sum::<f64>() / shares
+        self.methods
+            .iter()
+            .map(|method| method.share * method.work_ms.mean())
+            .sum::<f64>()
+            / shares
     }
 
     /// Requests a second that are asked for, without troubles.
     pub fn rate(&self) -> f64 {
         let speed = (self.servers.speed[0] + self.servers.speed[1]) / 2.0;
         let own = f64::from(self.servers.cores);
-        let each = self.applications.as_ref().map_or(own, Applications::all_cores);
+        let each = self
+            .applications
+            .as_ref()
+            .map_or(own, Applications::all_cores);
         let cores = self.servers.count as f64 * each * speed;
         self.load * cores * 1000.0 / self.work_ms().max(0.01)
     }
@@ -412,7 +476,8 @@
     }
 
     pub fn schema() -> String {
-        let mut text = serde_json::to_string_pretty(&schemars::schema_for!(World)).unwrap_or_default();
+        let mut text =
+            serde_json::to_string_pretty(&schemars::schema_for!(World)).unwrap_or_default();
         text.push('\n');
         text
     }
--- a/crates/coralstep-lab/src/world/tests.rs
+++ b/crates/coralstep-lab/src/world/tests.rs
@@ -3,9 +3,16 @@
 #[test]
 fn the_worlds_that_come_with_it_are_sound_and_named_so() {
     for (name, text) in WORLDS {
-        assert_eq!(World::parse(text).map(|world| world.name), Ok(name.to_owned()));
+        assert_eq!(
+            World::parse(text).map(|world| world.name),
+            Ok(name.to_owned())
+        );
     }
-    assert_eq!(include_str!("../../worlds/world.schema.json"), World::schema(), "worlds/world.schema.json");
+    assert_eq!(
+        include_str!("../../worlds/world.schema.json"),
+        World::schema(),
+        "worlds/world.schema.json"
+    );
 }
 
 #[test]
@@ -13,11 +20,27 @@
     let text = WORLDS[0].1;
     for (good, bad, why) in [
         ("\"seconds\"", "\"second\"", "second: unknown field"),
-        ("\"cores\": 4", "\"cores\": 0", "servers.cores: 0 is not from 1"),
+        (
+            "\"cores\": 4",
+            "\"cores\": 0",
+            "servers.cores: 0 is not from 1",
+        ),
         ("\"load\": 0.7", "\"load\": \"much\"", "load: invalid type"),
-        ("\"target_ms\": 1000", "\"target_ms\": 100000", "methods[0].deadline_ms: 4000 is not from 100000"),
-        ("\"calls\": false", "\"calls\": true", "methods[0].calls: there is no dependency"),
-        ("\"fixed\": 50", "\"fixed\": -5", "methods[0].work_ms: Fixed(-5.0) is no amount"),
+        (
+            "\"target_ms\": 1000",
+            "\"target_ms\": 100000",
+            "methods[0].deadline_ms: 4000 is not from 100000",
+        ),
+        (
+            "\"calls\": false",
+            "\"calls\": true",
+            "methods[0].calls: there is no dependency",
+        ),
+        (
+            "\"fixed\": 50",
+            "\"fixed\": -5",
+            "methods[0].work_ms: Fixed(-5.0) is no amount",
+        ),
     ] {
         assert!(text.contains(good), "{good}");
         let told = World::parse(&text.replacen(good, bad, 1)).unwrap_err();
@@ -40,6 +63,9 @@
         Amount::Gamma([4.0, 0.5]),
     ] {
         let mean = (0..40_000).map(|_| amount.draw(&mut chance)).sum::<f64>() / 40_000.0;
-        assert!((mean / amount.mean() - 1.0).abs() < 0.03, "{amount:?} {mean}");
+        assert!(
+            (mean / amount.mean() - 1.0).abs() < 0.03,
+            "{amount:?} {mean}"
+        );
     }
 }
--- a/crates/coralstep-lab/tests/days.rs
+++ b/crates/coralstep-lab/tests/days.rs
@@ -10,14 +10,19 @@
 
 /// The world with changes to its JSON.
 fn changed(name: &str, change: impl FnOnce(&mut serde_json::Value)) -> World {
-    let mut json = serde_json::from_str(WORLDS.iter().find(|(known, _)| *known == name).unwrap().1).unwrap();
+    let mut json =
+        serde_json::from_str(WORLDS.iter().find(|(known, _)| *known == name).unwrap().1).unwrap();
     change(&mut json);
     World::parse(&json.to_string()).unwrap()
 }
 
 fn whole(day: &Day) {
     assert_eq!(day.breaches, 0, "{:?}", day.told);
-    assert_eq!(day.ok + day.pushed_back + day.aborted + day.unreached + day.open, day.requests, "{day:?}");
+    assert_eq!(
+        day.ok + day.pushed_back + day.aborted + day.unreached + day.open,
+        day.requests,
+        "{day:?}"
+    );
 }
 
 #[test]
@@ -27,7 +32,10 @@
     assert!(calm.kept > 0.99 && calm.requests > 4_000, "{calm:?}");
     let crowd = simulate(&world("crowd-4"), 1);
     whole(&crowd);
-    assert!(crowd.kept > 0.6 && crowd.kept < 0.95 && crowd.pushed_back > 1_000, "{crowd:?}");
+    assert!(
+        crowd.kept > 0.6 && crowd.kept < 0.95 && crowd.pushed_back > 1_000,
+        "{crowd:?}"
+    );
 }
 
 #[test]
@@ -43,10 +51,20 @@
                 })
             })
             .collect();
-        threads.into_iter().map(|thread| thread.join().unwrap()).collect()
+        threads
+            .into_iter()
+            .map(|thread| thread.join().unwrap())
+            .collect()
     });
-    assert_eq!(serde_json::to_string(&alone).unwrap(), serde_json::to_string(&beside[1]).unwrap());
-    assert!(beside.iter().all(|day| day.seed == 5 || day.trace != alone.trace));
+    assert_eq!(
+        serde_json::to_string(&alone).unwrap(),
+        serde_json::to_string(&beside[1]).unwrap()
+    );
+    assert!(
+        beside
+            .iter()
+            .all(|day| day.seed == 5 || day.trace != alone.trace)
+    );
 }
 
 #[test]
@@ -69,7 +87,12 @@
     let without = changed("store-6", |json| json["troubles"] = serde_json::json!([]));
     let calm = simulate(&without, 3);
     whole(&calm);
-    assert!(calm.kept > day.kept + 0.1 && calm.breaker_turns == 0, "{} {}", calm.kept, day.kept);
+    assert!(
+        calm.kept > day.kept + 0.1 && calm.breaker_turns == 0,
+        "{} {}",
+        calm.kept,
+        day.kept
+    );
 }
 
 #[test]
@@ -89,14 +112,20 @@
 fn a_trouble_from_before_the_day_holds_from_its_start_and_one_beyond_its_end_to_the_end() {
     let with = |at: f64, span: f64| {
         changed("calm-3", |json| {
-            json["troubles"] = serde_json::json!([{"kind": "slow", "at_s": at, "for_s": span, "size": 50}]);
+            json["troubles"] =
+                serde_json::json!([{"kind": "slow", "at_s": at, "for_s": span, "size": 50}]);
         })
     };
     let calm = simulate(&world("calm-3"), 1).kept;
     let whole_day = simulate(&with(-10.0, 100.0), 1);
     let half = simulate(&with(-10.0, 25.0), 1);
     let over_before = simulate(&with(-10.0, 9.0), 1);
-    assert!(whole_day.kept < 0.3 && half.kept > whole_day.kept + 0.2, "{} {}", whole_day.kept, half.kept);
+    assert!(
+        whole_day.kept < 0.3 && half.kept > whole_day.kept + 0.2,
+        "{} {}",
+        whole_day.kept,
+        half.kept
+    );
     assert_eq!(over_before.kept, calm);
     [whole_day, half, over_before].iter().for_each(whole);
 }
@@ -106,10 +135,16 @@
     let silent = simulate(&changed("calm-3", |json| json["load"] = 0.into()), 1);
     whole(&silent);
     assert_eq!((silent.requests, silent.kept, silent.p99_ms), (0, 1.0, 0.0));
-    let one = simulate(&changed("calm-3", |json| json["servers"]["count"] = 1.into()), 1);
+    let one = simulate(
+        &changed("calm-3", |json| json["servers"]["count"] = 1.into()),
+        1,
+    );
     whole(&one);
     assert!(one.ok > 1_000);
-    let none = simulate(&changed("store-6", |json| json["dependency"]["capacity"] = 0.into()), 1);
+    let none = simulate(
+        &changed("store-6", |json| json["dependency"]["capacity"] = 0.into()),
+        1,
+    );
     whole(&none);
     // What need not call, or may leave the call out, is still answered.
     assert!(none.ok > 0 && none.kept < 0.8, "{none:?}");
@@ -134,7 +169,9 @@
         json["load"] = 1.3.into();
     });
     // Runs of an effect that are aborted at their call.
-    let hung = changed("store-6", |json| json["methods"][1]["effect"] = "non_idempotent".into());
+    let hung = changed("store-6", |json| {
+        json["methods"][1]["effect"] = "non_idempotent".into()
+    });
     for (world, cheat, rule) in [
         (&deploy, Cheat::Silent, "Lost"),
         (&deploy, Cheat::Again, "Twice"),
@@ -146,7 +183,9 @@
         assert_eq!(cheated(world, 1, Cheat::None).breaches, 0);
         let day = cheated(world, 1, cheat);
         assert!(
-            day.by_rule.iter().any(|(name, count)| name == rule && *count > 0),
+            day.by_rule
+                .iter()
+                .any(|(name, count)| name == rule && *count > 0),
             "{cheat:?} {:?}",
             day.by_rule
         );
@@ -176,10 +215,22 @@
 #[test]
 fn new_troubles_cost_something_and_are_over_with_their_end() {
     for (name, trouble) in [
-        ("split-40", r#"{"kind": "partition", "at_s": 2, "for_s": 8, "part": 0.9}"#),
-        ("split-40", r#"{"kind": "lost_reports", "at_s": 2, "for_s": 8, "part": 0.8}"#),
-        ("subject-20", r#"{"kind": "hot_caller", "at_s": 2, "for_s": 8, "part": 0.8}"#),
-        ("apps-5", r#"{"kind": "applications_hang", "at_s": 2, "for_s": 8}"#),
+        (
+            "split-40",
+            r#"{"kind": "partition", "at_s": 2, "for_s": 8, "part": 0.9}"#,
+        ),
+        (
+            "split-40",
+            r#"{"kind": "lost_reports", "at_s": 2, "for_s": 8, "part": 0.8}"#,
+        ),
+        (
+            "subject-20",
+            r#"{"kind": "hot_caller", "at_s": 2, "for_s": 8, "part": 0.8}"#,
+        ),
+        (
+            "apps-5",
+            r#"{"kind": "applications_hang", "at_s": 2, "for_s": 8}"#,
+        ),
     ] {
         let with = |trouble: &str, seconds: f64| {
             changed(name, |json| {
@@ -193,7 +244,17 @@
             simulate(&with(trouble, 60.0), 1),
         );
         [&calm, &troubled, &after].into_iter().for_each(whole);
-        assert!(troubled.kept < calm.kept - 0.05, "{trouble}: {} {}", troubled.kept, calm.kept);
-        assert!(after.kept > troubled.kept + 0.03, "{trouble}: {} {}", after.kept, troubled.kept);
+        assert!(
+            troubled.kept < calm.kept - 0.05,
+            "{trouble}: {} {}",
+            troubled.kept,
+            calm.kept
+        );
+        assert!(
+            after.kept > troubled.kept + 0.03,
+            "{trouble}: {} {}",
+            after.kept,
+            troubled.kept
+        );
     }
 }
--- a/crates/coralstep-lab/tests/limits.rs
+++ b/crates/coralstep-lab/tests/limits.rs
@@ -20,7 +20,14 @@
 
 /// A fleet in which somebody gives, and what was out before is over.
 fn settled(count: usize, kind: Kind, seed: u64) -> World {
-    let mut world = World::new(count, 3, &[limit(kind, CutOff::Strict)], LEASE, seed, Cheat::None);
+    let mut world = World::new(
+        count,
+        3,
+        &[limit(kind, CutOff::Strict)],
+        LEASE,
+        seed,
+        Cheat::None,
+    );
     world.pass(stretched(LEASE) + keeper_after_crash());
     world.until_kept(20_000);
     assert!(world.keeper().is_some());
@@ -41,7 +48,10 @@
     let (end, mut longest, mut ok, mut away) = (world.now + lasts, 0, 0, 0);
     while world.now < end {
         world.pass(25);
-        while let Some(entry) = next.first_entry().filter(|entry| entry.key().0 <= world.now) {
+        while let Some(entry) = next
+            .first_entry()
+            .filter(|entry| entry.key().0 <= world.now)
+        {
             let ((_, server), wanted) = (*entry.key(), entry.remove());
             match world.rpc(server, HOLDS) {
                 Ok(()) => {
@@ -58,7 +68,11 @@
         }
     }
     // Who still waits counts, too.
-    let waits = next.values().map(|wanted| world.now.saturating_sub(*wanted)).max().unwrap_or(0);
+    let waits = next
+        .values()
+        .map(|wanted| world.now.saturating_sub(*wanted))
+        .max()
+        .unwrap_or(0);
     (longest.max(waits), ok, away)
 }
 
@@ -68,7 +82,11 @@
     let mut world = settled(60, rate(4.0, 16), 1);
     let (longest, ok, away) = served(&mut world, 10_000, 60_000, 2);
     assert_eq!(world.broken, None);
-    assert!(ok as f64 >= 4.0 * 60.0 * 0.8, "{ok} of {}, {away} turned away", 4 * 60);
+    assert!(
+        ok as f64 >= 4.0 * 60.0 * 0.8,
+        "{ok} of {}, {away} turned away",
+        4 * 60
+    );
     assert!(longest <= 45_000, "{longest} ms");
 }
 
@@ -88,12 +106,17 @@
     let moved = all(&mut world, 9);
     world.kill(9);
     let after = all(&mut world, 5);
-    println!("all units at one after {first} ms, after demand moved {moved} ms, after a crash {after} ms");
+    println!(
+        "all units at one after {first} ms, after demand moved {moved} ms, after a crash {after} ms"
+    );
     assert!(first <= 5_000 && moved <= 8_000, "{first}, {moved}");
     assert!(after <= free_after_crash(LEASE, 3_000), "{after}");
     let keeper = world.keeper().unwrap();
     world.kill(keeper);
-    assert!(world.until_kept(20_000) <= keeper_after_crash(), "somebody else gives");
+    assert!(
+        world.until_kept(20_000) <= keeper_after_crash(),
+        "somebody else gives"
+    );
     assert_eq!(world.broken, None);
 }
 
@@ -117,7 +140,9 @@
     // Two of the three that may give are on this side; the others hear of nothing.
     world.cut(&[0, 1, 3, 4], &[2, 5, 6, 7, 8]);
     let low = [limit(Kind::InHand(4), CutOff::Strict)];
-    [0, 1, 3, 4].into_iter().for_each(|server| world.set(server, &low));
+    [0, 1, 3, 4]
+        .into_iter()
+        .for_each(|server| world.set(server, &low));
     let after = busy(&mut world, free_after_crash(LEASE, 2_000));
     assert!(after <= 40, "{after}");
     // All that the old one had given is over, on both sides.
@@ -131,7 +156,10 @@
 
 #[test]
 fn what_is_open_lets_through_no_more_than_its_floor_where_nobody_gives() {
-    let open = CutOff::Open { each: 2.0, most: 6.0 };
+    let open = CutOff::Open {
+        each: 2.0,
+        most: 6.0,
+    };
     let mut world = World::new(6, 3, &[limit(rate(30.0, 30), open)], LEASE, 8, Cheat::None);
     world.pass(stretched(LEASE) + keeper_after_crash());
     for _ in 0..20 {
@@ -148,13 +176,20 @@
     }
     let (after, ..) = world.figures(1);
     let most = open_over(1, 2.0, 6.0, 6, 10_000);
-    assert!((after - before) as f64 <= most && after - before >= 5, "{} of {most}", after - before);
+    assert!(
+        (after - before) as f64 <= most && after - before >= 5,
+        "{} of {most}",
+        after - before
+    );
 }
 
 /// One history of faults under load; what broke.
 fn history(count: usize, seed: u64, acts: usize) -> Option<String> {
     let mut chance = SmallRng::seed_from_u64(seed);
-    let limits = [limit(rate(20.0, 20), CutOff::Strict), limit(Kind::InHand(15), CutOff::Strict)];
+    let limits = [
+        limit(rate(20.0, 20), CutOff::Strict),
+        limit(Kind::InHand(15), CutOff::Strict),
+    ];
     let mut world = World::new(count, 5, &limits, LEASE, seed, Cheat::None);
     (world.loss, world.delay, world.doubled) = (0.1, (0, 300), 0.1);
     world.pass(3_000);
@@ -165,7 +200,8 @@
             1 => world.pause(one, world.is_up(one)),
             2 => {
                 let part = chance.random_range(1..count);
-                let sides: (Vec<usize>, Vec<usize>) = ((0..part).collect(), (part..count).collect());
+                let sides: (Vec<usize>, Vec<usize>) =
+                    ((0..part).collect(), (part..count).collect());
                 world.cut(&sides.0, &sides.1);
             }
             3 => world.heal(),
@@ -214,7 +250,9 @@
             });
         }
     });
-    println!("{seeds} histories of {count} servers and 25 faults each: no limit broken, no two gave at once");
+    println!(
+        "{seeds} histories of {count} servers and 25 faults each: no limit broken, no two gave at once"
+    );
 }
 
 #[test]
--- a/crates/coralstep-levels/benches/observe.rs
+++ b/crates/coralstep-levels/benches/observe.rs
@@ -6,8 +6,12 @@
 use criterion::{Criterion, criterion_group, criterion_main};
 
 fn observe(criterion: &mut Criterion) {
-    let signals =
-        Signals { hold: Some(0.5), pushed_back: Some(0.1), memory: Some(0.4), ..Signals::default() };
+    let signals = Signals {
+        hold: Some(0.5),
+        pushed_back: Some(0.1),
+        memory: Some(0.4),
+        ..Signals::default()
+    };
     let terms = LevelTerms::default();
     let mut levels = Levels::new(&terms, Time(0)).expect("sound terms");
     let mut now = Time(0);
@@ -22,7 +26,11 @@
         b.iter(|| {
             Signal::ALL
                 .iter()
-                .filter(|signal| signal.of(black_box(&signals)).is_some_and(|figure| figure > 0.9))
+                .filter(|signal| {
+                    signal
+                        .of(black_box(&signals))
+                        .is_some_and(|figure| figure > 0.9)
+                })
                 .count()
         })
     });
--- a/crates/coralstep-levels/src/check.rs
+++ b/crates/coralstep-levels/src/check.rs
@@ -16,12 +16,20 @@
 
 fn within(key: String, value: u32, range: &std::ops::RangeInclusive<u32>) -> Result<(), String> {
     let (least, most) = (range.start(), range.end());
-    if range.contains(&value) { Ok(()) } else { Err(format!("{key}: {value} is not from {least} to {most}")) }
+    if range.contains(&value) {
+        Ok(())
+    } else {
+        Err(format!("{key}: {value} is not from {least} to {most}"))
+    }
 }
 
 fn part(key: String, value: f64, most: f64) -> Result<(), String> {
     let good = value.is_finite() && (0.0..=most).contains(&value);
-    if good { Ok(()) } else { Err(format!("{key}: {value} is not from 0 to {most}")) }
+    if good {
+        Ok(())
+    } else {
+        Err(format!("{key}: {value} is not from 0 to {most}"))
+    }
 }
 
 impl LevelTerms {
@@ -29,7 +37,10 @@
         within("levels.stay_ms".to_owned(), self.stay_ms, &STAY)?;
         within("levels.smooth_ms".to_owned(), self.smooth_ms, &SMOOTH)?;
         if self.list.is_empty() || self.list.len() > LEVELS_MOST {
-            return Err(format!("levels.list: {} levels are not from 1 to {LEVELS_MOST}", self.list.len()));
+            return Err(format!(
+                "levels.list: {} levels are not from 1 to {LEVELS_MOST}",
+                self.list.len()
+            ));
         }
         let mut names = HashSet::new();
         for (at, level) in self.list.iter().enumerate() {
@@ -48,14 +59,26 @@
                         key("when")
                     ));
                 }
-                (_, 0) => return Err(format!("{}: no way in, for it has no condition", key("when"))),
+                (_, 0) => {
+                    return Err(format!(
+                        "{}: no way in, for it has no condition",
+                        key("when")
+                    ));
+                }
                 (_, count) if count > CONDITIONS_MOST => {
-                    return Err(format!("{}: more than {CONDITIONS_MOST} conditions", key("when")));
+                    return Err(format!(
+                        "{}: more than {CONDITIONS_MOST} conditions",
+                        key("when")
+                    ));
                 }
                 _ => {}
             }
             self.conditions(at, level)?;
-            part(key("does.least_criticality"), level.does.least_criticality, 1e9)?;
+            part(
+                key("does.least_criticality"),
+                level.does.least_criticality,
+                1e9,
+            )?;
             part(key("does.hold"), level.does.hold, 1.0)?;
             part(key("does.value"), level.does.value, 1.0)?;
         }
@@ -68,7 +91,10 @@
             let key = |rest: &str| format!("levels.list[{at}].when[{number}].{rest}");
             let name = condition.signal.name();
             if !signals.insert(condition.signal) {
-                return Err(format!("{}: two conditions on {name} overlap", key("signal")));
+                return Err(format!(
+                    "{}: two conditions on {name} overlap",
+                    key("signal")
+                ));
             }
             if !condition.enter.is_finite()
                 || condition.enter <= 0.0
--- a/crates/coralstep-levels/src/machine.rs
+++ b/crates/coralstep-levels/src/machine.rs
@@ -42,9 +42,20 @@
             write!(f, ", by hand")?;
         }
         for cause in &self.causes {
-            write!(f, ", {} {:.2} of {:.2}", cause.signal.name(), cause.figure, cause.threshold)?;
+            write!(
+                f,
+                ", {} {:.2} of {:.2}",
+                cause.signal.name(),
+                cause.figure,
+                cause.threshold
+            )?;
         }
-        write!(f, ", after {} ms; now {}", self.lasted_ms, Words(&self.does))
+        write!(
+            f,
+            ", after {} ms; now {}",
+            self.lasted_ms,
+            Words(&self.does)
+        )
     }
 }
 
@@ -134,7 +145,11 @@
     pub fn new(terms: &LevelTerms, now: Time) -> Result<Levels, String> {
         terms.check()?;
         Ok(Levels {
-            timers: terms.list.iter().map(|level| vec![Timer::default(); level.when.len()]).collect(),
+            timers: terms
+                .list
+                .iter()
+                .map(|level| vec![Timer::default(); level.when.len()])
+                .collect(),
             terms: terms.clone(),
             smooth: Default::default(),
             steps: Steps::default(),
@@ -152,7 +167,11 @@
         terms.check()?;
         let name = self.level().name.clone();
         let before = self.does();
-        self.timers = terms.list.iter().map(|level| vec![Timer::default(); level.when.len()]).collect();
+        self.timers = terms
+            .list
+            .iter()
+            .map(|level| vec![Timer::default(); level.when.len()])
+            .collect();
         self.terms = terms.clone();
         self.held = None;
         let at = self.terms.list.iter().position(|level| level.name == name);
@@ -196,7 +215,11 @@
             skip_calls: does.skip_calls,
             hold: does.hold,
             value: does.value,
-            back: if self.at == 0 { Span::ZERO } else { self.stay() - self.stayed },
+            back: if self.at == 0 {
+                Span::ZERO
+            } else {
+                self.stay() - self.stayed
+            },
         }
     }
 
@@ -237,8 +260,9 @@
     /// Straight to the worst level that has cause; back one step at a time.
     fn next(&self) -> Option<(usize, Vec<Cause>)> {
         for level in (self.at + 1..self.terms.list.len()).rev() {
-            let causes =
-                self.causes(level, |condition, timer| timer.met >= Span::ms(u64::from(condition.enter_ms)));
+            let causes = self.causes(level, |condition, timer| {
+                timer.met >= Span::ms(u64::from(condition.enter_ms))
+            });
             if !causes.is_empty() {
                 return Some((level, causes));
             }
@@ -246,7 +270,9 @@
         let when = &self.level().when;
         let gone = when.iter().zip(&self.timers[self.at]);
         let left = self.at > 0
-            && gone.clone().all(|(condition, timer)| timer.gone >= Span::ms(u64::from(condition.leave_ms)));
+            && gone
+                .clone()
+                .all(|(condition, timer)| timer.gone >= Span::ms(u64::from(condition.leave_ms)));
         left.then(|| (self.at - 1, self.causes(self.at, |_, _| true)))
     }
 
@@ -256,7 +282,11 @@
         let cause = |condition: &Condition| Cause {
             signal: condition.signal,
             figure: self.figure(condition.signal).unwrap_or(0.0),
-            threshold: if entering { condition.enter } else { condition.leave },
+            threshold: if entering {
+                condition.enter
+            } else {
+                condition.leave
+            },
         };
         conditions
             .filter(|(condition, timer)| which(condition, timer))
@@ -269,10 +299,24 @@
         self.turn(now, from, to, causes, by_hand)
     }
 
-    fn turn(&mut self, now: Time, from: String, to: usize, causes: Vec<Cause>, by_hand: bool) -> Change {
+    fn turn(
+        &mut self,
+        now: Time,
+        from: String,
+        to: usize,
+        causes: Vec<Cause>,
+        by_hand: bool,
+    ) -> Change {
         let lasted_ms = (now - self.since).0 / 10;
         (self.at, self.since, self.stayed, self.why) = (to, now, Span::ZERO, causes.clone());
-        Change { from, to: self.name().to_owned(), causes, by_hand, lasted_ms, does: self.does() }
+        Change {
+            from,
+            to: self.name().to_owned(),
+            causes,
+            by_hand,
+            lasted_ms,
+            does: self.does(),
+        }
     }
 
     /// Holds a level by hand until `span` has passed; the change comes with the next beat.
@@ -312,7 +356,10 @@
             level: self.name().to_owned(),
             since_ms: (now - self.since).0 / 10,
             stays_ms: (self.stay() - self.stayed).0 / 10,
-            held_ms: self.held.filter(|(_, until)| now < *until).map(|(_, until)| (until - now).0 / 10),
+            held_ms: self
+                .held
+                .filter(|(_, until)| now < *until)
+                .map(|(_, until)| (until - now).0 / 10),
             why: self.why.clone(),
             does: self.does(),
             conditions,
--- a/crates/coralstep-levels/src/replay.rs
+++ b/crates/coralstep-levels/src/replay.rs
@@ -78,7 +78,9 @@
     let time = |ms: u64| Time(0) + Span::ms(ms);
     for (number, line) in record.lines().enumerate() {
         let line = line.map_err(|why| format!("line {}: {why}", number + 1))?;
-        let Ok(sample) = serde_json::from_str::<Sample>(&line) else { continue };
+        let Ok(sample) = serde_json::from_str::<Sample>(&line) else {
+            continue;
+        };
         let levels = match &mut levels {
             Some(levels) => levels,
             None => levels.insert(Levels::new(terms, time(sample.at_ms))?),
@@ -97,5 +99,9 @@
         }
         (last, count) = (sample, count + 1);
     }
-    if count == 0 { Err("no line holds signals".to_owned()) } else { Ok(count) }
+    if count == 0 {
+        Err("no line holds signals".to_owned())
+    } else {
+        Ok(count)
+    }
 }
--- a/crates/coralstep-levels/src/terms.rs
+++ b/crates/coralstep-levels/src/terms.rs
@@ -155,7 +155,13 @@
 }
 
 fn condition(signal: Signal, enter: f64, leave: f64, enter_ms: u32) -> Condition {
-    Condition { signal, enter, leave, enter_ms, leave_ms: leave_ms() }
+    Condition {
+        signal,
+        enter,
+        leave,
+        enter_ms,
+        leave_ms: leave_ms(),
+    }
 }
 
 impl Default for LevelTerms {
@@ -180,7 +186,10 @@
                         condition(Signal::Slowness, 4.0, 2.0, 3_000),
                         condition(Signal::Breaker, 0.5, 0.1, 1_000),
                     ],
-                    Does { skip_calls: true, ..Does::default() },
+                    Does {
+                        skip_calls: true,
+                        ..Does::default()
+                    },
                 ),
                 level(
                     "essentials",
@@ -202,7 +211,13 @@
                         condition(Signal::PushedBack, 0.8, 0.5, 5_000),
                         condition(Signal::Memory, 0.88, 0.7, 2_000),
                     ],
-                    Does { skip_calls: true, effects_only: true, hold: 0.6, value: 0.4, ..Does::default() },
+                    Does {
+                        skip_calls: true,
+                        effects_only: true,
+                        hold: 0.6,
+                        value: 0.4,
+                        ..Does::default()
+                    },
                 ),
                 level(
                     "closed",
@@ -210,7 +225,11 @@
                         condition(Signal::Memory, 0.96, 0.75, 2_000),
                         condition(Signal::Unread, 8.0, 1.0, 5_000),
                     ],
-                    Does { closed: true, value: 0.0, ..Does::default() },
+                    Does {
+                        closed: true,
+                        value: 0.0,
+                        ..Does::default()
+                    },
                 ),
             ],
         }
--- a/crates/coralstep-levels/tests/fleet.rs
+++ b/crates/coralstep-levels/tests/fleet.rs
@@ -1,7 +1,8 @@
 //! Levels on the real decisions, in virtual time: four servers at 120% through a rolling deploy whose successors start cold,
 //! each with its own levels and nobody's state but its own.
 use coralstep::{
-    Arrival, Below, Effect, Gauges, Level, Method, Outcome, Outlet, RpcId, Server, Span, Terms, Time,
+    Arrival, Below, Effect, Gauges, Level, Method, Outcome, Outlet, RpcId, Server, Span, Terms,
+    Time,
 };
 use coralstep_levels::{LevelTerms, Levels};
 use rand::rngs::SmallRng;
@@ -80,7 +81,11 @@
     };
     Terms {
         methods: vec![
-            Method { calls: true, skip: SKIP, ..method(Effect::Idempotent, 0.5) },
+            Method {
+                calls: true,
+                skip: SKIP,
+                ..method(Effect::Idempotent, 0.5)
+            },
             method(Effect::Idempotent, 1.0),
             method(Effect::NonIdempotent, 3.0),
         ],
@@ -121,15 +126,26 @@
             RpcId(self.rpcs.len() as u32 - 1)
         });
         self.rpcs[id.0 as usize] = (ms, method);
-        self.server.rpc(at(ms), Arrival { id, method, held_kb: 20.0, ..Arrival::default() }, &mut self.out);
+        self.server.rpc(
+            at(ms),
+            Arrival {
+                id,
+                method,
+                held_kb: 20.0,
+                ..Arrival::default()
+            },
+            &mut self.out,
+        );
         self.settle(ms, call_ms);
     }
 
     fn settle(&mut self, ms: u64, call_ms: u64) {
-        self.running.extend(self.out.admitted.drain(..).map(|id| (id, WORK_MS)));
+        self.running
+            .extend(self.out.admitted.drain(..).map(|id| (id, WORK_MS)));
         for (id, patience) in self.out.called.drain(..) {
             let patience = patience.0 / 10;
-            self.calling.push((id, ms, ms + call_ms.min(patience), call_ms <= patience));
+            self.calling
+                .push((id, ms, ms + call_ms.min(patience), call_ms <= patience));
         }
         for id in self.out.skipped.drain(..) {
             self.bare.push(id);
@@ -141,14 +157,25 @@
     /// One step; the criticality answered in time.
     fn step(&mut self, ms: u64, with_levels: bool, call_ms: u64) -> f64 {
         let warmth = (ms - self.began) as f64 / WARMING_MS as f64;
-        let speed = if self.cold { (COLD_SPEED + (1.0 - COLD_SPEED) * warmth).min(1.0) } else { 1.0 };
-        let each = STEP_MS as f64 * speed * (CORES as f64 / self.running.len().max(1) as f64).min(1.0);
+        let speed = if self.cold {
+            (COLD_SPEED + (1.0 - COLD_SPEED) * warmth).min(1.0)
+        } else {
+            1.0
+        };
+        let each =
+            STEP_MS as f64 * speed * (CORES as f64 / self.running.len().max(1) as f64).min(1.0);
         self.running.iter_mut().for_each(|(_, left)| *left -= each);
-        let ended: Vec<_> = self.calling.iter().filter(|(_, _, end, _)| *end <= ms).copied().collect();
+        let ended: Vec<_> = self
+            .calling
+            .iter()
+            .filter(|(_, _, end, _)| *end <= ms)
+            .copied()
+            .collect();
         self.calling.retain(|(_, _, end, _)| *end > ms);
         for (id, began, _, good) in ended {
             let outcome = if good { Outcome::Ok } else { Outcome::TimedOut };
-            self.server.called(at(ms), id, outcome, Span::ms(ms - began), &mut self.out);
+            self.server
+                .called(at(ms), id, outcome, Span::ms(ms - began), &mut self.out);
             if good {
                 self.running.push((id, WORK_MS / 2.0));
             }
@@ -158,14 +185,23 @@
         let half = |(id, left): &&mut (RpcId, f64)| {
             *left <= WORK_MS / 2.0 && calls(id) && !self.halfway.contains(id)
         };
-        let need: Vec<RpcId> = self.running.iter_mut().filter(half).map(|(id, _)| *id).collect();
+        let need: Vec<RpcId> = self
+            .running
+            .iter_mut()
+            .filter(half)
+            .map(|(id, _)| *id)
+            .collect();
         for id in need {
             self.halfway.push(id);
             self.running.retain(|(other, _)| *other != id);
             self.server.needs_call(at(ms), id, &mut self.out);
         }
-        let over: Vec<RpcId> =
-            self.running.iter().filter(|(_, left)| *left <= 0.0).map(|(id, _)| *id).collect();
+        let over: Vec<RpcId> = self
+            .running
+            .iter()
+            .filter(|(_, left)| *left <= 0.0)
+            .map(|(id, _)| *id)
+            .collect();
         self.running.retain(|(_, left)| *left > 0.0);
         let mut good = 0.0;
         for id in over {
@@ -179,7 +215,14 @@
             self.server.settled(at(ms), id, Outcome::Ok, &mut self.out);
         }
         let busy = Some((self.running.len() as f64 / CORES as f64).min(1.0));
-        self.server.timer(at(ms), Gauges { busy, connections: None }, &mut self.out);
+        self.server.timer(
+            at(ms),
+            Gauges {
+                busy,
+                connections: None,
+            },
+            &mut self.out,
+        );
         if with_levels && ms.is_multiple_of(100) {
             if let Some(change) = self.levels.observe(at(ms), &self.server.signals()) {
                 self.changes.push((ms, change.to));
@@ -200,7 +243,13 @@
 }
 
 /// `load` by the millisecond, of what the warm fleet gets done; one server is replaced each `deploy` ms.
-fn play(seed: u64, ms: u64, load: impl Fn(u64) -> f64, deploy: Option<u64>, with_levels: bool) -> Day {
+fn play(
+    seed: u64,
+    ms: u64,
+    load: impl Fn(u64) -> f64,
+    deploy: Option<u64>,
+    with_levels: bool,
+) -> Day {
     play_slow(seed, ms, load, deploy, with_levels, |_| CALL_MS)
 }
 
@@ -232,23 +281,45 @@
             let to = chance.random_range(0..nodes.len());
             nodes[to].arrive(now, method, calls(now));
         }
-        good += nodes.iter_mut().map(|node| node.step(now, with_levels, calls(now))).sum::<f64>();
+        good += nodes
+            .iter_mut()
+            .map(|node| node.step(now, with_levels, calls(now)))
+            .sum::<f64>();
     }
     gone.append(&mut nodes);
-    Day { kept: good / asked, nodes: gone }
+    Day {
+        kept: good / asked,
+        nodes: gone,
+    }
 }
 
 #[test]
 fn cold_successors_neither_start_closed_nor_reopen_what_their_peers_cannot_carry() {
     for seed in 0..6 {
-        let day = play(seed, 240_000, |ms| if ms < 100_000 { 1.2 } else { 0.5 }, Some(12_000), true);
+        let day = play(
+            seed,
+            240_000,
+            |ms| if ms < 100_000 { 1.2 } else { 0.5 },
+            Some(12_000),
+            true,
+        );
         let mut moved = 0;
         for node in &day.nodes {
             let first = node.changes.first();
-            assert!(first.is_none_or(|(ms, _)| *ms >= node.began + 3_000), "seed {seed}: {:?}", node.changes);
-            assert!(node.changes.iter().all(|(_, to)| to != "closed"), "seed {seed}: {:?}", node.changes);
             assert!(
-                node.changes.windows(2).all(|pair| pair[1].0 - pair[0].0 >= 30_000),
+                first.is_none_or(|(ms, _)| *ms >= node.began + 3_000),
+                "seed {seed}: {:?}",
+                node.changes
+            );
+            assert!(
+                node.changes.iter().all(|(_, to)| to != "closed"),
+                "seed {seed}: {:?}",
+                node.changes
+            );
+            assert!(
+                node.changes
+                    .windows(2)
+                    .all(|pair| pair[1].0 - pair[0].0 >= 30_000),
                 "{:?}",
                 node.changes
             );
@@ -256,7 +327,12 @@
         }
         assert!(moved > 0, "120% moved no level");
         // Once the load has fallen, full service is back everywhere.
-        assert!(day.nodes[4..].iter().all(|node| node.levels.name() == "full"), "seed {seed}");
+        assert!(
+            day.nodes[4..]
+                .iter()
+                .all(|node| node.levels.name() == "full"),
+            "seed {seed}"
+        );
     }
 }
 
@@ -271,19 +347,35 @@
 #[test]
 #[ignore = "half a minute; figures for docs/levels.md"]
 fn by_hand_with_and_without() {
-    println!("load  deploy  without   with  (criticality answered in time, mean of 8 seeds, virtual time)");
+    println!(
+        "load  deploy  without   with  (criticality answered in time, mean of 8 seeds, virtual time)"
+    );
     for load in [0.83, 1.0, 1.2, 1.5] {
         for deploy in [None, Some(12_000)] {
             let mean = |with: bool| {
-                (0..8).map(|seed| play(seed, 120_000, |_| load, deploy, with).kept).sum::<f64>() / 8.0
+                (0..8)
+                    .map(|seed| play(seed, 120_000, |_| load, deploy, with).kept)
+                    .sum::<f64>()
+                    / 8.0
             };
-            println!("{load}\t{}\t{:.3}\t{:.3}", deploy.is_some(), mean(false), mean(true));
+            println!(
+                "{load}\t{}\t{:.3}\t{:.3}",
+                deploy.is_some(),
+                mean(false),
+                mean(true)
+            );
         }
     }
     println!("load  calls from 40 to 80 s  without   with");
     for load in [0.83, 1.0, 1.2, 1.5] {
         for slow in [200, 700, 1_500] {
-            let calls = |ms: u64| if (40_000..80_000).contains(&ms) { slow } else { CALL_MS };
+            let calls = |ms: u64| {
+                if (40_000..80_000).contains(&ms) {
+                    slow
+                } else {
+                    CALL_MS
+                }
+            };
             let play = |seed, with| play_slow(seed, 120_000, |_| load, None, with, calls).kept;
             let mean = |with: bool| (0..8).map(|seed| play(seed, with)).sum::<f64>() / 8.0;
             println!("{load}\t{slow} ms\t{:.3}\t{:.3}", mean(false), mean(true));
--- a/crates/coralstep-levels/tests/levels.rs
+++ b/crates/coralstep-levels/tests/levels.rs
@@ -54,15 +54,22 @@
     mut figures: impl FnMut(u64) -> Signals,
 ) -> Vec<(u64, Change)> {
     let beats = (from..from + ms).step_by(BEAT as usize);
-    beats.filter_map(|ms| Some((ms, levels.observe(at(ms), &figures(ms))?))).collect()
+    beats
+        .filter_map(|ms| Some((ms, levels.observe(at(ms), &figures(ms))?)))
+        .collect()
 }
 
 /// Every threshold of the built-in levels, for entering and leaving.
 fn boundaries() -> Vec<(Signal, f64)> {
     let terms = LevelTerms::default();
     let all = terms.list.iter().flat_map(|level| &level.when);
-    all.flat_map(|condition| [(condition.signal, condition.enter), (condition.signal, condition.leave)])
-        .collect()
+    all.flat_map(|condition| {
+        [
+            (condition.signal, condition.enter),
+            (condition.signal, condition.leave),
+        ]
+    })
+    .collect()
 }
 
 /// The longest that a worse level may last once nothing speaks for it: each step takes its least stay.
@@ -71,15 +78,18 @@
 }
 
 #[test]
-fn load_that_swings_round_each_boundary_for_ten_minutes_changes_the_level_once_in_30_s_at_the_most() {
+fn load_that_swings_round_each_boundary_for_ten_minutes_changes_the_level_once_in_30_s_at_the_most()
+{
     let boundaries = boundaries();
     let mut changes = 0;
     for seed in 0..1_000u64 {
         let mut chance = SmallRng::seed_from_u64(seed);
         let (signal, boundary) = boundaries[seed as usize % boundaries.len()];
         let period = [700.0, 3_000.0, 9_000.0, 31_000.0, 67_000.0][chance.random_range(0..5)];
-        let (swing, noise) =
-            (boundary * chance.random_range(0.0..0.6), boundary * chance.random_range(0.0..0.4));
+        let (swing, noise) = (
+            boundary * chance.random_range(0.0..0.6),
+            boundary * chance.random_range(0.0..0.4),
+        );
         let shape = chance.random_range(0..4);
         let mut levels = levels();
         let played = play(&mut levels, 0, 600_000, |ms| {
@@ -97,14 +107,22 @@
                     }
                 }
             };
-            only(signal, (boundary + wave * swing + chance.random_range(-1.0..1.0) * noise).max(0.0))
+            only(
+                signal,
+                (boundary + wave * swing + chance.random_range(-1.0..1.0) * noise).max(0.0),
+            )
         });
         for pair in played.windows(2) {
             assert!(pair[1].0 - pair[0].0 >= 30_000, "seed {seed}: {pair:?}");
         }
         changes += played.len();
         // Once the cause is gone, full service is back within the stated time.
-        play(&mut levels, 600_000, back_ms(&LevelTerms::default()), |_| calm());
+        play(
+            &mut levels,
+            600_000,
+            back_ms(&LevelTerms::default()),
+            |_| calm(),
+        );
         assert_eq!(levels.name(), "full", "seed {seed}");
     }
     // It was no test of levels that never move.
@@ -127,15 +145,23 @@
     ] {
         let mut levels = levels();
         let entered = play(&mut levels, 0, 60_000, |_| only(signal, figure));
-        let last = entered.last().unwrap_or_else(|| panic!("{signal:?} {figure}"));
-        assert_eq!((last.1.to.as_str(), last.1.causes[0].signal), (level, signal));
+        let last = entered
+            .last()
+            .unwrap_or_else(|| panic!("{signal:?} {figure}"));
+        assert_eq!(
+            (last.1.to.as_str(), last.1.causes[0].signal),
+            (level, signal)
+        );
         // Soon after its cause: the condition's own time and the smoothing, or the least stay of a level on the way.
         assert!(last.0 < 42_000, "{signal:?} {figure}: {}", last.0);
         let left = play(&mut levels, 60_000, 200_000, |_| calm());
         let names: Vec<&str> = left.iter().map(|(_, change)| change.to.as_str()).collect();
         // One step at a time.
         let all = ["effects-only", "essentials", "no-extras", "full"];
-        let from = all.iter().position(|name| *name == level).map_or(0, |at| at + 1);
+        let from = all
+            .iter()
+            .position(|name| *name == level)
+            .map_or(0, |at| at + 1);
         assert_eq!(names, all[from..], "{signal:?}");
     }
 }
@@ -163,15 +189,33 @@
 #[test]
 fn of_two_causes_the_one_that_stays_keeps_its_level() {
     let mut levels = levels();
-    let both = Signals { slowness: Some(8.0), ..only(Signal::PushedBack, 0.7) };
+    let both = Signals {
+        slowness: Some(8.0),
+        ..only(Signal::PushedBack, 0.7)
+    };
     let entered = play(&mut levels, 0, 40_000, |_| both);
     assert_eq!(entered.last().unwrap().1.to, "essentials");
-    let left = play(&mut levels, 40_000, 300_000, |_| only(Signal::Slowness, 8.0));
-    assert_eq!(left.iter().map(|(_, change)| change.to.as_str()).collect::<Vec<_>>(), ["no-extras"]);
+    let left = play(&mut levels, 40_000, 300_000, |_| {
+        only(Signal::Slowness, 8.0)
+    });
+    assert_eq!(
+        left.iter()
+            .map(|(_, change)| change.to.as_str())
+            .collect::<Vec<_>>(),
+        ["no-extras"]
+    );
     // A slow store with idle cores is told from a crowd by what stands in the event.
     let mut alone = self::levels();
     let slow = play(&mut alone, 0, 10_000, |_| only(Signal::Slowness, 8.0));
-    assert_eq!(slow[0].1.causes.iter().map(|cause| cause.signal).collect::<Vec<_>>(), [Signal::Slowness]);
+    assert_eq!(
+        slow[0]
+            .1
+            .causes
+            .iter()
+            .map(|cause| cause.signal)
+            .collect::<Vec<_>>(),
+        [Signal::Slowness]
+    );
 }
 
 #[test]
@@ -186,7 +230,9 @@
     };
     assert!(play(&mut levels, 60_000, 60_000, |_| nonsense).is_empty());
     // What is no longer seen speaks for no level any more.
-    play(&mut levels, 120_000, 40_000, |_| only(Signal::Slowness, 9.0));
+    play(&mut levels, 120_000, 40_000, |_| {
+        only(Signal::Slowness, 9.0)
+    });
     assert_eq!(levels.name(), "no-extras");
     play(&mut levels, 160_000, 90_000, |_| Signals::default());
     assert_eq!(levels.name(), "full");
@@ -205,7 +251,9 @@
     // With its end the evidence decides, at once.
     let after = play(&mut levels, 129_900, 2_000, |_| worst);
     assert_eq!(after[0].1.to, "closed");
-    levels.hold(at(140_000), "essentials", Span::ms(60_000)).unwrap();
+    levels
+        .hold(at(140_000), "essentials", Span::ms(60_000))
+        .unwrap();
     let held = play(&mut levels, 140_000, 1_000, |_| calm());
     assert!(held[0].1.by_hand && held[0].1.to == "essentials");
     assert!(levels.release() && !levels.release());
@@ -221,7 +269,10 @@
     assert_eq!(levels.name(), "no-extras");
     terms.list[1].name = "lean".to_owned();
     let change = levels.reload(&terms, at(41_000)).unwrap().unwrap();
-    assert_eq!((change.from.as_str(), change.to.as_str(), change.by_hand), ("no-extras", "full", true));
+    assert_eq!(
+        (change.from.as_str(), change.to.as_str(), change.by_hand),
+        ("no-extras", "full", true)
+    );
     terms.list[1].when.clear();
     assert!(levels.reload(&terms, at(42_000)).is_err());
     assert_eq!(levels.name(), "full");
@@ -232,9 +283,16 @@
     let mut levels = levels();
     play(&mut levels, 0, 40_000, |_| only(Signal::Slowness, 9.0));
     let view = levels.view(at(40_000));
-    assert_eq!((view.level.as_str(), view.why[0].signal), ("no-extras", Signal::Slowness));
+    assert_eq!(
+        (view.level.as_str(), view.why[0].signal),
+        ("no-extras", Signal::Slowness)
+    );
     assert!(view.does.skip_calls && view.since_ms > 30_000);
-    let slow = view.conditions.iter().find(|standing| standing.signal == Signal::Slowness).unwrap();
+    let slow = view
+        .conditions
+        .iter()
+        .find(|standing| standing.signal == Signal::Slowness)
+        .unwrap();
     assert!(slow.met_ms > 30_000 && slow.gone_ms == 0 && slow.figure.unwrap() > slow.enter);
     assert!(levels.effect().back <= Span::ms(30_000));
     serde_json::to_string(&view).unwrap();
@@ -242,7 +300,13 @@
 
 #[test]
 fn a_record_replayed_says_what_the_server_would_have_done() {
-    let figure = |ms: u64| if (20_000..90_000).contains(&ms) { only(Signal::Hold, 1.5) } else { calm() };
+    let figure = |ms: u64| {
+        if (20_000..90_000).contains(&ms) {
+            only(Signal::Hold, 1.5)
+        } else {
+            calm()
+        }
+    };
     let mut lines = String::from("a line that is something else\n{\"other\": 1}\n");
     for ms in (0..200_000).step_by(1_000) {
         let sample = serde_json::to_string(&Sample::new(ms, &figure(ms))).unwrap();
@@ -251,10 +315,18 @@
         lines.push('\n');
     }
     let mut changes = Vec::new();
-    let count =
-        replay(&LevelTerms::default(), lines.as_bytes(), |ms, change| changes.push((ms, change.to))).unwrap();
+    let count = replay(&LevelTerms::default(), lines.as_bytes(), |ms, change| {
+        changes.push((ms, change.to))
+    })
+    .unwrap();
     assert_eq!(count, 200);
-    assert_eq!(changes.iter().map(|(_, to)| to.as_str()).collect::<Vec<_>>(), ["no-extras", "full"]);
+    assert_eq!(
+        changes
+            .iter()
+            .map(|(_, to)| to.as_str())
+            .collect::<Vec<_>>(),
+        ["no-extras", "full"]
+    );
     assert!((23_000..30_000).contains(&changes[0].0), "{changes:?}");
     // A boundary moved: it would not have happened.
     let mut terms = LevelTerms::default();
--- a/crates/coralstep-limits/benches/limits.rs
+++ b/crates/coralstep-limits/benches/limits.rs
@@ -14,7 +14,10 @@
         tenant: Some(number),
         method: None,
         calls: false,
-        kind: Kind::Rate { rps: 1e6, burst: 1_000_000 },
+        kind: Kind::Rate {
+            rps: 1e6,
+            burst: 1_000_000,
+        },
         cut_off: CutOff::Strict,
     }
 }
@@ -48,7 +51,11 @@
     for count in [1, 100, 10_000] {
         let limits: Vec<Limit> = (0..count).map(limit).collect();
         let mut holder = Holder::new(&limits, 0);
-        let which = Which { tenant: Some(count / 2), method: 0, calls: false };
+        let which = Which {
+            tenant: Some(count / 2),
+            method: 0,
+            calls: false,
+        };
         let mut now = 1;
         group.bench_function(format!("{count} limits, with a share"), |bench| {
             bench.iter_custom(|rounds| {
@@ -60,7 +67,11 @@
                     now += 300;
                     let letters: Vec<(u32, Vec<Ask>)> = holder.asks(now, false);
                     for (number, asks) in letters {
-                        let give = |ask: &Ask| Give { key: ask.key, units: 500_000, wait_ms: 0 };
+                        let give = |ask: &Ask| Give {
+                            key: ask.key,
+                            units: 500_000,
+                            wait_ms: 0,
+                        };
                         let gives: Vec<Give> = asks.iter().map(give).collect();
                         holder.gives(now, 1, number, 10_000, 250, &gives);
                     }
@@ -75,7 +86,10 @@
                 spent
             })
         });
-        let other = Which { tenant: None, ..which };
+        let other = Which {
+            tenant: None,
+            ..which
+        };
         group.bench_function(format!("{count} limits, none for it"), |bench| {
             bench.iter(|| black_box(holder.admit(now, black_box(other), 100).is_ok()))
         });
--- a/crates/coralstep-limits/src/bounds.rs
+++ b/crates/coralstep-limits/src/bounds.rs
@@ -25,7 +25,9 @@
 /// `burst + rps * window`, the clock of the keeper running fast by [`DRIFT`].
 pub fn most_in(kind: Kind, window: Ms) -> f64 {
     match kind {
-        Kind::Rate { rps, burst } => f64::from(burst) + rps * (1.0 + DRIFT) * window as f64 / 1000.0,
+        Kind::Rate { rps, burst } => {
+            f64::from(burst) + rps * (1.0 + DRIFT) * window as f64 / 1000.0
+        }
         // At any moment.
         Kind::InHand(most) => f64::from(most),
     }
--- a/crates/coralstep-limits/src/holder.rs
+++ b/crates/coralstep-limits/src/holder.rs
@@ -133,7 +133,9 @@
     /// What a server that nobody gives anything admits a second, or has in hand.
     fn each(&self, now: Ms, members: usize) -> f64 {
         // A server that was never given anything is cut off, too, once it has asked for as long.
-        let silent = self.given.is_none_or(|given| now.saturating_sub(given) > CUT_OFF);
+        let silent = self
+            .given
+            .is_none_or(|given| now.saturating_sub(given) > CUT_OFF);
         match self.limit.cut_off {
             CutOff::Open { each, most } if silent => each.min(most / members.max(1) as f64),
             _ => 0.0,
@@ -153,7 +155,10 @@
                 }
                 let (tokens, since) = self.floor;
                 // One at once at the most: the floor of all must not come in one moment.
-                self.floor = ((tokens + each * now.saturating_sub(since) as f64 / 1000.0).min(1.0), now);
+                self.floor = (
+                    (tokens + each * now.saturating_sub(since) as f64 / 1000.0).min(1.0),
+                    now,
+                );
                 match () {
                     () if self.units + self.old.0 > 0 => Some(false),
                     () if each > 0.0 && self.floor.0 >= 1.0 => Some(true),
@@ -190,13 +195,21 @@
 
     /// From one unit for this server to the next, as far as it can tell.
     fn each_unit(&self, round: Ms) -> Ms {
-        let each = if self.through >= 0.2 { (1000.0 / self.through) as Ms } else { self.wait.max(round) };
+        let each = if self.through >= 0.2 {
+            (1000.0 / self.through) as Ms
+        } else {
+            self.wait.max(round)
+        };
         each.min(BACK_EACH_MOST)
     }
 
     /// Guards against all that are turned away in one moment coming back in one: each is told a later time, as fast as units come.
     fn back(&mut self, now: Ms, round: Ms) -> Ms {
-        let at = self.next_back.max(self.more_at).max(now + BACK_LEAST).min(now + BACK_MOST);
+        let at = self
+            .next_back
+            .max(self.more_at)
+            .max(now + BACK_LEAST)
+            .min(now + BACK_MOST);
         self.next_back = at + self.each_unit(round);
         if self.backs.len() < BACKS_MOST {
             self.backs.push_back(at);
@@ -207,12 +220,18 @@
     /// What it wants to have for the rounds to come.
     fn want(&self, now: Ms, round: Ms) -> u32 {
         let awaited = self.backs.len() as u32;
-        if awaited == 0 && self.active.is_none_or(|active| now.saturating_sub(active) > IDLE) {
+        if awaited == 0
+            && self
+                .active
+                .is_none_or(|active| now.saturating_sub(active) > IDLE)
+        {
             return self.used;
         }
         match self.limit.kind {
             // Where little comes nothing is kept for what may come, only for who was told to come back.
-            Kind::Rate { .. } => (self.demand * round as f64 / 1000.0 * AHEAD).round() as u32 + awaited,
+            Kind::Rate { .. } => {
+                (self.demand * round as f64 / 1000.0 * AHEAD).round() as u32 + awaited
+            }
             // A quarter more than it had at the most, and what was turned away.
             Kind::InHand(_) => self.peak.max(self.used) + self.peak / 4 + awaited.max(1),
         }
@@ -241,20 +260,28 @@
 
     /// The limits as they hold from now on; what is in hand of those that stay is kept.
     pub fn limits(&mut self, limits: &[Limit], now: Ms) {
-        let mut old: HashMap<u64, Share> =
-            std::mem::take(&mut self.shares).into_iter().map(|share| (share.limit.key, share)).collect();
+        let mut old: HashMap<u64, Share> = std::mem::take(&mut self.shares)
+            .into_iter()
+            .map(|share| (share.limit.key, share))
+            .collect();
         (self.by, self.index) = (HashMap::new(), HashMap::new());
         for (at, limit) in limits.iter().enumerate() {
-            let mut share = old.remove(&limit.key).unwrap_or_else(|| Share::new(limit.clone(), now));
+            let mut share = old
+                .remove(&limit.key)
+                .unwrap_or_else(|| Share::new(limit.clone(), now));
             share.limit = limit.clone();
             share.used += self.gone.remove(&limit.key).unwrap_or(0);
-            self.by.entry((limit.tenant, limit.method, limit.calls)).or_default().push(at);
+            self.by
+                .entry((limit.tenant, limit.method, limit.calls))
+                .or_default()
+                .push(at);
             self.index.insert(limit.key, at);
             self.shares.push(share);
         }
         let left = old.into_iter().filter(|(_, share)| share.used > 0);
         self.gone.extend(left.map(|(key, share)| (key, share.used)));
-        self.turned_away.retain(|key, _| self.index.contains_key(key));
+        self.turned_away
+            .retain(|key, _| self.index.contains_key(key));
     }
 
     pub fn is_empty(&self) -> bool {
@@ -353,14 +380,22 @@
             while share.backs.front().is_some_and(|at| *at + LATE < now) {
                 share.backs.pop_front();
             }
-            let want = if leaving { share.used } else { share.want(now, round) };
+            let want = if leaving {
+                share.used
+            } else {
+                share.want(now, round)
+            };
             (share.came, share.turned, share.peak) = (0, 0, share.used);
             let rate = matches!(share.limit.kind, Kind::Rate { .. });
             if now >= share.until {
                 share.units = 0;
             }
             // What it does not want any more it has not got any more, from before it says so.
-            let held = if rate { share.units.min(want) } else { share.units.min(want).max(share.used) };
+            let held = if rate {
+                share.units.min(want)
+            } else {
+                share.units.min(want).max(share.used)
+            };
             if held == 0 && want == 0 && share.units == 0 {
                 continue;
             }
@@ -372,7 +407,11 @@
             // Each letter has a number of its own: only an answer to the last one counts.
             let letter = number + (asks.len() / ENTRIES) as u32;
             share.asked = Some((letter, now));
-            asks.push(Ask { key: share.limit.key, held, want });
+            asks.push(Ask {
+                key: share.limit.key,
+                held,
+                want,
+            });
         }
         let letters: Vec<(u32, Vec<Ask>)> = asks
             .chunks(ENTRIES)
@@ -389,10 +428,20 @@
     }
 
     /// A keeper gave, in answer to letter `number`. What is not the answer to the last letter about a limit came late, or twice.
-    pub fn gives(&mut self, now: Ms, tenure: u64, number: u32, lease: Ms, round: Ms, gives: &[Give]) {
+    pub fn gives(
+        &mut self,
+        now: Ms,
+        tenure: u64,
+        number: u32,
+        lease: Ms,
+        round: Ms,
+        gives: &[Give],
+    ) {
         let answers = gives.iter().any(|give| {
             let share = self.index.get(&give.key).map(|at| &self.shares[*at]);
-            share.and_then(|share| share.asked).is_some_and(|(asked, _)| asked == number)
+            share
+                .and_then(|share| share.asked)
+                .is_some_and(|(asked, _)| asked == number)
         });
         if !answers {
             return;
@@ -400,7 +449,10 @@
         if tenure != self.tenure {
             // Another keeper: tokens of the one before run out by themselves, nobody renews them.
             self.tenure = tenure;
-            for share in self.shares.iter_mut().filter(|share| matches!(share.limit.kind, Kind::Rate { .. }))
+            for share in self
+                .shares
+                .iter_mut()
+                .filter(|share| matches!(share.limit.kind, Kind::Rate { .. }))
             {
                 if share.units > 0 {
                     share.old = (share.old.0 + share.units, share.until.max(share.old.1));
@@ -411,9 +463,13 @@
         self.round = round.clamp(SOON, 10_000);
         self.next = self.next.min(now + self.round);
         for give in gives {
-            let Some(at) = self.index.get(&give.key) else { continue };
+            let Some(at) = self.index.get(&give.key) else {
+                continue;
+            };
             let share = &mut self.shares[*at];
-            let Some((_, sent)) = share.asked.take_if(|(asked, _)| *asked == number) else { continue };
+            let Some((_, sent)) = share.asked.take_if(|(asked, _)| *asked == number) else {
+                continue;
+            };
             let rate = matches!(share.limit.kind, Kind::Rate { .. });
             // Reckoned from when it asked: the letter may have been under way for long.
             let until = sent + shrunk(if rate { TOKENS } else { lease });
@@ -423,8 +479,11 @@
             (share.until, share.given) = (until, Some(now));
             // Tokens used since it asked are gone; a forged figure is no more than the limit has.
             let most = share.limit.kind.units();
-            share.units =
-                if rate { give.units.min(most).saturating_sub(share.came) } else { give.units.min(most) };
+            share.units = if rate {
+                give.units.min(most).saturating_sub(share.came)
+            } else {
+                give.units.min(most)
+            };
             share.wait = Ms::from(give.wait_ms);
             share.more_at = now + share.wait;
         }
@@ -441,7 +500,8 @@
             turned_away: self.turned_away.get(&share.limit.key).copied().unwrap_or(0),
             over: share.over,
         });
-        all.filter(|have| have.units > 0 || have.used > 0 || have.turned_away > 0).collect()
+        all.filter(|have| have.units > 0 || have.used > 0 || have.turned_away > 0)
+            .collect()
     }
 
     pub fn all(&self) -> impl Iterator<Item = &Limit> {
@@ -450,7 +510,9 @@
 
     /// Admitted of a limit in all, and of these beyond what this server had.
     pub fn admitted(&self, key: u64) -> (u64, u64) {
-        self.index.get(&key).map_or((0, 0), |at| (self.shares[*at].admitted, self.shares[*at].over))
+        self.index.get(&key).map_or((0, 0), |at| {
+            (self.shares[*at].admitted, self.shares[*at].over)
+        })
     }
 }
 
