--- a/crates/coralstep-limits/src/keeper.rs
+++ b/crates/coralstep-limits/src/keeper.rs
@@ -81,19 +81,28 @@
 impl Book {
     fn new(kind: Kind, now: Ms) -> Book {
         // Nothing at first: what the keeper before gave may still be used.
-        Book { kind, bucket: 0.0, reckoned: now, hands: HashMap::new(), waiting: VecDeque::new() }
+        Book {
+            kind,
+            bucket: 0.0,
+            reckoned: now,
+            hands: HashMap::new(),
+            waiting: VecDeque::new(),
+        }
     }
 
     /// What may be in hands, but for `own`'s.
     fn out(&self, but: Option<&Member>) -> u32 {
         let others = self.hands.iter().filter(|(of, _)| Some(*of) != but);
-        others.map(|(_, hand)| hand.units).fold(0, u32::saturating_add)
+        others
+            .map(|(_, hand)| hand.units)
+            .fold(0, u32::saturating_add)
     }
 
     /// Leases that are over are back; tokens come in as time passes, never more than fit.
     fn reckon(&mut self, now: Ms) {
         self.hands.retain(|_, hand| now < hand.until);
-        self.waiting.retain(|(_, heard)| now.saturating_sub(*heard) <= 2 * TOKENS);
+        self.waiting
+            .retain(|(_, heard)| now.saturating_sub(*heard) <= 2 * TOKENS);
         if let Kind::Rate { rps, .. } = self.kind {
             let span = now.saturating_sub(self.reckoned) as f64 / 1000.0;
             let room = f64::from(self.kind.units()) - f64::from(self.out(None));
@@ -104,10 +113,21 @@
 
     /// How many wait for longer than `from`.
     fn before(&self, from: &Member) -> u32 {
-        self.waiting.iter().position(|(of, _)| of == from).unwrap_or(self.waiting.len()) as u32
+        self.waiting
+            .iter()
+            .position(|(of, _)| of == from)
+            .unwrap_or(self.waiting.len()) as u32
     }
 
-    fn ask(&mut self, now: Ms, from: &Member, number: u32, ask: Ask, wakes: bool, lease: Ms) -> Option<Give> {
+    fn ask(
+        &mut self,
+        now: Ms,
+        from: &Member,
+        number: u32,
+        ask: Ask,
+        wakes: bool,
+        lease: Ms,
+    ) -> Option<Give> {
         self.reckon(now);
         let known = self.hands.get(from).copied();
         // Guards against letters that come twice or late: what they say is no longer so.
@@ -128,10 +148,19 @@
                 let need = want.saturating_sub(held);
                 // Those who wait for longer are first; each of them is owed one.
                 let free = (self.bucket.floor() as u32).saturating_sub(before);
-                let fair = level(self.hands.values().map(|hand| hand.want).chain([want]), most).max(1);
+                let fair = level(
+                    self.hands.values().map(|hand| hand.want).chain([want]),
+                    most,
+                )
+                .max(1);
                 // Guards against one that asks more often than its round, and so gets all that comes in: the level is one of rounds.
-                let soon = known.is_some_and(|known| known.got > 0 && now < known.got + ROUND * 3 / 4);
-                let more = if soon { 0 } else { need.min(free).min(fair.saturating_sub(held).max(1)) };
+                let soon =
+                    known.is_some_and(|known| known.got > 0 && now < known.got + ROUND * 3 / 4);
+                let more = if soon {
+                    0
+                } else {
+                    need.min(free).min(fair.saturating_sub(held).max(1))
+                };
                 got = if more > 0 { now } else { got };
                 self.bucket -= f64::from(more);
                 held + more
@@ -140,38 +169,77 @@
                 let out = self.out(Some(from));
                 let room = most.saturating_sub(out);
                 // Those who wait for longer are owed one each, also by who has them: where there are more servers than units, they take turns.
-                let free = if wakes { ask.held.min(room) } else { room.saturating_sub(before) };
-                let wants = self.hands.iter().filter(|(of, _)| *of != from).map(|(_, hand)| hand.want);
+                let free = if wakes {
+                    ask.held.min(room)
+                } else {
+                    room.saturating_sub(before)
+                };
+                let wants = self
+                    .hands
+                    .iter()
+                    .filter(|(of, _)| *of != from)
+                    .map(|(_, hand)| hand.want);
                 let fair = level(wants.chain([want]), most).max(1);
                 want.min(free).min(fair)
             }
         };
-        let lease = if matches!(self.kind, Kind::Rate { .. }) { TOKENS } else { lease };
+        let lease = if matches!(self.kind, Kind::Rate { .. }) {
+            TOKENS
+        } else {
+            lease
+        };
         // What it says it has counts until it says that it has less: the letter that takes it away may be lost. Of what it can't have,
         // nothing: a forged figure takes room from nobody else.
         let keeps = match self.kind {
             Kind::Rate { .. } => units,
-            Kind::InHand(most) => units.max(ask.held.min(most.saturating_sub(self.out(Some(from))))),
+            Kind::InHand(most) => {
+                units.max(ask.held.min(most.saturating_sub(self.out(Some(from)))))
+            }
         };
         let waits = want > 0 && units == 0;
         let place = self.waiting.iter().position(|(of, _)| of == from);
         match (waits, place) {
             (true, Some(place)) => self.waiting[place].1 = now,
-            (true, None) if self.waiting.len() < WAITING_MOST => self.waiting.push_back((from.clone(), now)),
+            (true, None) if self.waiting.len() < WAITING_MOST => {
+                self.waiting.push_back((from.clone(), now))
+            }
             (false, Some(place)) => drop(self.waiting.remove(place)),
             _ => {}
         }
         if keeps > 0 || want > 0 {
             self.hands.insert(
                 from.clone(),
-                Hand { units: keeps, until: now + stretched(lease), want, number, got },
+                Hand {
+                    units: keeps,
+                    until: now + stretched(lease),
+                    want,
+                    number,
+                    got,
+                },
             );
         } else {
             // Kept for its number alone.
-            self.hands.insert(from.clone(), Hand { units: 0, until: now + TOKENS, want: 0, number, got });
+            self.hands.insert(
+                from.clone(),
+                Hand {
+                    units: 0,
+                    until: now + TOKENS,
+                    want: 0,
+                    number,
+                    got,
+                },
+            );
         }
-        let wait_ms = if waits { self.wait(now, from, lease) } else { 0 };
-        Some(Give { key: ask.key, units, wait_ms })
+        let wait_ms = if waits {
+            self.wait(now, from, lease)
+        } else {
+            0
+        };
+        Some(Give {
+            key: ask.key,
+            units,
+            wait_ms,
+        })
     }
 
     /// When `from` will get its one: its place in the line by how fast the limit lets through.
@@ -181,7 +249,11 @@
             Kind::Rate { rps, .. } => ms((place / rps * 1000.0) as Ms + ROUND / 2),
             // Others come down to their level when they next ask; else their leases end.
             Kind::InHand(_) => {
-                let soonest = self.hands.values().map(|hand| hand.until.saturating_sub(now)).min();
+                let soonest = self
+                    .hands
+                    .values()
+                    .map(|hand| hand.until.saturating_sub(now))
+                    .min();
                 ms(soonest.unwrap_or(lease).min(2 * ROUND))
             }
         }
@@ -192,14 +264,23 @@
     /// From `now` on; `lease` is that of RPCs in hand.
     pub fn new(now: Ms, lease: Ms) -> Keeper {
         let (wakes, tokens_from) = (now + stretched(lease), now + stretched(TOKENS));
-        Keeper { lease, wakes, tokens_from, books: BTreeMap::new(), askers: HashMap::new() }
+        Keeper {
+            lease,
+            wakes,
+            tokens_from,
+            books: BTreeMap::new(),
+            askers: HashMap::new(),
+        }
     }
 
     /// The limits as they hold from now on. What is out stays out until its lease ends or it comes back.
     pub fn limits(&mut self, now: Ms, limits: &[Limit]) {
         for limit in limits {
             let from = now.max(self.tokens_from);
-            let book = self.books.entry(limit.key).or_insert_with(|| Book::new(limit.kind, from));
+            let book = self
+                .books
+                .entry(limit.key)
+                .or_insert_with(|| Book::new(limit.kind, from));
             book.reckon(now);
             book.kind = limit.kind;
         }
@@ -212,20 +293,39 @@
     }
 
     /// A server asks; `ours`: what it says it holds was given in this tenure.
-    pub fn asks(&mut self, now: Ms, from: &Member, number: u32, ours: bool, asks: &[Ask]) -> Vec<Give> {
+    pub fn asks(
+        &mut self,
+        now: Ms,
+        from: &Member,
+        number: u32,
+        ours: bool,
+        asks: &[Ask],
+    ) -> Vec<Give> {
         if self.askers.len() < HANDS_MOST || self.askers.contains_key(from) {
             self.askers.insert(from.clone(), now);
         }
         let (wakes, lease) = (now < self.wakes, self.lease);
         let mut gives = Vec::new();
         for ask in asks {
-            let Some(book) = self.books.get_mut(&ask.key) else { continue };
+            let Some(book) = self.books.get_mut(&ask.key) else {
+                continue;
+            };
             // Tokens of another tenure are not this one's to know of.
             let rate = matches!(book.kind, Kind::Rate { .. });
-            let ask = Ask { held: if rate && !ours { 0 } else { ask.held }, ..*ask };
+            let ask = Ask {
+                held: if rate && !ours { 0 } else { ask.held },
+                ..*ask
+            };
             // Guards against a server that claims to hold what nobody gave it, once all that was given before is known.
             let known = book.hands.get(from).map_or(0, |hand| hand.units);
-            let ask = Ask { held: if rate || wakes { ask.held } else { ask.held.min(known) }, ..ask };
+            let ask = Ask {
+                held: if rate || wakes {
+                    ask.held
+                } else {
+                    ask.held.min(known)
+                },
+                ..ask
+            };
             gives.extend(book.ask(now, from, number, ask, wakes, lease));
         }
         gives
@@ -233,7 +333,8 @@
 
     /// When a server that asks should ask again.
     pub fn round(&mut self, now: Ms) -> Ms {
-        self.askers.retain(|_, asked| now.saturating_sub(*asked) <= 2 * ROUND_MOST);
+        self.askers
+            .retain(|_, asked| now.saturating_sub(*asked) <= 2 * ROUND_MOST);
         (ROUND + ROUND_EACH * self.askers.len() as Ms).min(ROUND_MOST)
     }
 
@@ -259,7 +360,10 @@
             units: hand.units,
             lease_ms: hand.until.saturating_sub(now),
         };
-        let hands = self.books.iter().flat_map(|(key, book)| book.hands.iter().map(move |hand| (key, hand)));
+        let hands = self
+            .books
+            .iter()
+            .flat_map(|(key, book)| book.hands.iter().map(move |hand| (key, hand)));
         let mut rows: Vec<Row> = hands
             .filter(|(_, (_, hand))| hand.units > 0)
             .map(|(key, (of, hand))| row(key, of, hand))
--- a/crates/coralstep-limits/src/keeper/tests.rs
+++ b/crates/coralstep-limits/src/keeper/tests.rs
@@ -26,12 +26,23 @@
 }
 
 fn ask(keeper: &mut Keeper, now: Ms, of: &str, number: u32, held: u32, want: u32) -> Option<Give> {
-    keeper.asks(now, &member(of), number, true, &[Ask { key: 1, held, want }]).pop()
+    keeper
+        .asks(
+            now,
+            &member(of),
+            number,
+            true,
+            &[Ask { key: 1, held, want }],
+        )
+        .pop()
 }
 
 #[test]
 fn tokens_come_in_at_the_rate_and_no_more_than_the_burst_is_ever_out() {
-    let mut keeper = keeper(Kind::Rate { rps: 10.0, burst: 5 });
+    let mut keeper = keeper(Kind::Rate {
+        rps: 10.0,
+        burst: 5,
+    });
     // Those of the keeper before may be out.
     let from = stretched(TOKENS);
     assert_eq!(ask(&mut keeper, from, "a", 1, 0, 3).unwrap().units, 0);
@@ -48,7 +59,11 @@
     // One that asks again at once gets no more, whatever it says that it wants: the level is one of rounds.
     assert_eq!(asks(1_100, "b", 2, 2, 9).unwrap().units, 2);
     // Used ones come in again; the one that waits is first.
-    assert_eq!(asks(1_700, "a", 3, 1, 5).unwrap().units, 1, "one of the two is owed to c");
+    assert_eq!(
+        asks(1_700, "a", 3, 1, 5).unwrap().units,
+        1,
+        "one of the two is owed to c"
+    );
     assert_eq!(asks(1_900, "c", 2, 0, 1).unwrap().units, 1);
     // What died with its holder is free when its lease is over.
     let after = from + 1_100 + stretched(TOKENS);
@@ -64,17 +79,31 @@
         6,
         "what the keeper before gave is confirmed, no more"
     );
-    assert_eq!(ask(&mut keeper, 20, "b", 1, 4, 4).unwrap().units, 2, "nobody's claims exceed the limit");
+    assert_eq!(
+        ask(&mut keeper, 20, "b", 1, 4, 4).unwrap().units,
+        2,
+        "nobody's claims exceed the limit"
+    );
     assert_eq!(ask(&mut keeper, 30, "c", 1, 0, 2).unwrap().units, 0);
     let woken = stretched(LEASE);
-    assert_eq!(ask(&mut keeper, woken, "a", 2, 6, 6).unwrap().units, 3, "b's and c's wants count");
+    assert_eq!(
+        ask(&mut keeper, woken, "a", 2, 6, 6).unwrap().units,
+        3,
+        "b's and c's wants count"
+    );
     // It still has six until it says that it has less.
     assert_eq!(ask(&mut keeper, woken + 10, "c", 2, 0, 2).unwrap().units, 0);
     assert_eq!(ask(&mut keeper, woken + 20, "a", 3, 3, 3).unwrap().units, 3);
     assert_eq!(ask(&mut keeper, woken + 30, "c", 3, 0, 2).unwrap().units, 2);
     assert!(keeper.out(woken + 30, 1).unwrap().0 <= 8);
     // A claim that nobody gave is none.
-    assert_eq!(ask(&mut keeper, woken + 40, "liar", 1, 8, 8).unwrap().units.min(1), 1);
+    assert_eq!(
+        ask(&mut keeper, woken + 40, "liar", 1, 8, 8)
+            .unwrap()
+            .units
+            .min(1),
+        1
+    );
     assert!(keeper.out(woken + 40, 1).unwrap().0 <= 8);
 }
 
@@ -85,9 +114,16 @@
     assert_eq!(ask(&mut keeper, woken, "a", 1, 0, 10).unwrap().units, 10);
     keeper.limits(woken, &[limit(Kind::InHand(1))]);
     assert_eq!(ask(&mut keeper, woken + 10, "b", 1, 0, 1).unwrap().units, 0);
-    assert_eq!(ask(&mut keeper, woken + 20, "a", 2, 10, 10).unwrap().units, 0, "they are nobody's to give");
+    assert_eq!(
+        ask(&mut keeper, woken + 20, "a", 2, 10, 10).unwrap().units,
+        0,
+        "they are nobody's to give"
+    );
     keeper.limits(woken + 30, &[limit(Kind::InHand(100))]);
-    assert_eq!(ask(&mut keeper, woken + 40, "b", 2, 0, 30).unwrap().units, 30);
+    assert_eq!(
+        ask(&mut keeper, woken + 40, "b", 2, 0, 30).unwrap().units,
+        30
+    );
 }
 
 #[test]
--- a/crates/coralstep-limits/src/part.rs
+++ b/crates/coralstep-limits/src/part.rs
@@ -68,9 +68,15 @@
         match self {
             Event::Gives => write!(f, "this server gives shares"),
             Event::Ended => {
-                write!(f, "this server gives no shares any more: too few of the keepers answer, or it leaves")
+                write!(
+                    f,
+                    "this server gives no shares any more: too few of the keepers answer, or it leaves"
+                )
             }
-            Event::CutOff => write!(f, "cut off from whoever gives shares: what is in hand runs out"),
+            Event::CutOff => write!(
+                f,
+                "cut off from whoever gives shares: what is in hand runs out"
+            ),
             Event::Back => write!(f, "shares come again"),
             Event::Limits(count) => write!(f, "{count} limits hold"),
         }
@@ -200,28 +206,60 @@
     }
 
     /// Answers an ask; none where another server gives, or nobody.
-    fn asks(&mut self, now: Ms, from: &Member, tenure: u64, number: u32, entries: &[Ask]) -> Option<Letter> {
+    fn asks(
+        &mut self,
+        now: Ms,
+        from: &Member,
+        tenure: u64,
+        number: u32,
+        entries: &[Ask],
+    ) -> Option<Letter> {
         self.ends(now);
         let (mark, _) = self.tenure.mark();
         let keeper = self.keeper.as_mut()?;
         // Others take nothing from a server that is shut out, and give it nothing.
-        let none = |ask: &Ask| Ask { want: ask.want.min(if ask.held > 0 { ask.held } else { 0 }), ..*ask };
+        let none = |ask: &Ask| Ask {
+            want: ask.want.min(if ask.held > 0 { ask.held } else { 0 }),
+            ..*ask
+        };
         let asks: Vec<Ask> = match self.shut.contains(from) {
             true => entries.iter().map(none).collect(),
             false => entries.to_vec(),
         };
         let entries = keeper.asks(now, from, number, tenure == mark, &asks);
         let again_ms = keeper.round(now).min(u64::from(u16::MAX)) as u16;
-        Some(Letter::Gives { tenure: mark, number, lease_ms: ms(keeper.lease()), again_ms, entries })
+        Some(Letter::Gives {
+            tenure: mark,
+            number,
+            lease_ms: ms(keeper.lease()),
+            again_ms,
+            entries,
+        })
     }
 
     fn given(&mut self, now: Ms, letter: Letter) {
-        let Letter::Gives { tenure, number, lease_ms, again_ms, entries } = letter else { return };
+        let Letter::Gives {
+            tenure,
+            number,
+            lease_ms,
+            again_ms,
+            entries,
+        } = letter
+        else {
+            return;
+        };
         // Guards against a lease that is not the one that all reckon by.
         if lease_ms != ms(self.lease) {
             return;
         }
-        self.holder.gives(now, tenure, number, self.lease, Ms::from(again_ms), &entries);
+        self.holder.gives(
+            now,
+            tenure,
+            number,
+            self.lease,
+            Ms::from(again_ms),
+            &entries,
+        );
         (self.asked, self.answered) = (None, now);
         if std::mem::take(&mut self.cut_off) {
             self.event(Event::Back);
@@ -230,15 +268,27 @@
 
     /// Shares by limit and server: this server's own, the others' as they said or as this one gave.
     pub fn rows(&self, now: Ms) -> Vec<Row> {
-        let name =
-            |key: u64| self.limits.iter().find(|limit| limit.key == key).map(|limit| limit.name.clone());
-        let book = self.keeper.as_ref().map(|keeper| keeper.rows(now)).unwrap_or_default();
+        let name = |key: u64| {
+            self.limits
+                .iter()
+                .find(|limit| limit.key == key)
+                .map(|limit| limit.name.clone())
+        };
+        let book = self
+            .keeper
+            .as_ref()
+            .map(|keeper| keeper.rows(now))
+            .unwrap_or_default();
         let lease = |key: u64, server: &str| {
-            book.iter().find(|row| row.key == key && row.server == server).map(|row| row.lease_ms)
+            book.iter()
+                .find(|row| row.key == key && row.server == server)
+                .map(|row| row.lease_ms)
         };
         let mut rows = Vec::new();
         for have in self.holder.have(now) {
-            let Some(limit) = name(have.key) else { continue };
+            let Some(limit) = name(have.key) else {
+                continue;
+            };
             let (server, lease_ms) = (self.own.name.clone(), Some(have.lease_ms));
             rows.push(Row {
                 limit,
@@ -278,9 +328,20 @@
         let shares = have
             .into_iter()
             .take(SAID)
-            .map(|have| (have.key, have.units, have.used, have.over.min(u64::from(u32::MAX)) as u32))
+            .map(|have| {
+                (
+                    have.key,
+                    have.units,
+                    have.used,
+                    have.over.min(u64::from(u32::MAX)) as u32,
+                )
+            })
             .collect();
-        self.spread.own(Holding { of: self.own.clone(), number: self.number, shares });
+        self.spread.own(Holding {
+            of: self.own.clone(),
+            number: self.number,
+            shares,
+        });
     }
 
     /// Whom to ask: who gives as far as is known, else any of those that may.
@@ -288,20 +349,33 @@
         if let Some(keeper) = self.tenure.keeper(now) {
             return Some(keeper.clone());
         }
-        let silent = self.asked.is_some_and(|asked| now.saturating_sub(asked) > TENURE / 4);
-        if let Some(known) =
-            self.known.clone().filter(|known| !silent && self.named.values().any(|one| one == known))
+        let silent = self
+            .asked
+            .is_some_and(|asked| now.saturating_sub(asked) > TENURE / 4);
+        if let Some(known) = self
+            .known
+            .clone()
+            .filter(|known| !silent && self.named.values().any(|one| one == known))
         {
             return Some(known);
         }
         let count = self.named.len();
-        (count > 0).then(|| self.named.values().nth(self.chance.random_range(0..count)).cloned()).flatten()
+        (count > 0)
+            .then(|| {
+                self.named
+                    .values()
+                    .nth(self.chance.random_range(0..count))
+                    .cloned()
+            })
+            .flatten()
     }
 }
 
 impl Rider for Limits {
     fn said(&mut self, now: Ms, room: usize) -> Option<Vec<u8>> {
-        (!self.limits.is_empty()).then(|| self.spread.said(now, room)).flatten()
+        (!self.limits.is_empty())
+            .then(|| self.spread.said(now, room))
+            .flatten()
     }
 
     fn heard(&mut self, now: Ms, own: &Member, bytes: &[u8]) {
@@ -309,13 +383,21 @@
     }
 
     fn letter(&mut self, now: Ms, from: &Member, bytes: &[u8]) -> Vec<Sent> {
-        let Some(letter) = Letter::read(bytes) else { return Vec::new() };
+        let Some(letter) = Letter::read(bytes) else {
+            return Vec::new();
+        };
         let answer = match letter {
-            Letter::Asks { tenure, number, entries } => {
+            Letter::Asks {
+                tenure,
+                number,
+                entries,
+            } => {
                 let elsewhere = || Letter::Elsewhere { keeper: None };
                 let answer = self.asks(now, from, tenure, number, &entries);
                 Some(answer.unwrap_or_else(|| match self.tenure.keeper(now) {
-                    Some(keeper) => Letter::Elsewhere { keeper: Some(keeper.clone()) },
+                    Some(keeper) => Letter::Elsewhere {
+                        keeper: Some(keeper.clone()),
+                    },
                     None => elsewhere(),
                 }))
             }
@@ -343,7 +425,10 @@
                 None
             }
         };
-        answer.into_iter().map(|letter| (from.at, letter.bytes())).collect()
+        answer
+            .into_iter()
+            .map(|letter| (from.at, letter.bytes()))
+            .collect()
     }
 
     fn tick(&mut self, now: Ms, view: &View<'_>) -> Vec<Sent> {
@@ -353,11 +438,20 @@
         self.own = view.own.clone();
         self.holder.members(view.present.len() + 1);
         self.shut = view.shut.iter().map(|member| (*member).clone()).collect();
-        let named = view.present.iter().filter(|member| self.tenure.is_named(&member.name));
-        self.named = named.map(|member| (member.name.clone(), (*member).clone())).collect();
+        let named = view
+            .present
+            .iter()
+            .filter(|member| self.tenure.is_named(&member.name));
+        self.named = named
+            .map(|member| (member.name.clone(), (*member).clone()))
+            .collect();
         let mut sent = Vec::new();
         let (letters, begins) = self.tenure.tick(now, &self.named, view.leaving);
-        sent.extend(letters.into_iter().map(|(to, letter)| (to.at, letter.bytes())));
+        sent.extend(
+            letters
+                .into_iter()
+                .map(|(to, letter)| (to.at, letter.bytes())),
+        );
         if begins {
             self.begins(now);
         }
@@ -373,9 +467,21 @@
                 continue;
             }
             self.asked.get_or_insert(now);
-            sent.push((whom.at, Letter::Asks { tenure, number, entries }.bytes()));
+            sent.push((
+                whom.at,
+                Letter::Asks {
+                    tenure,
+                    number,
+                    entries,
+                }
+                .bytes(),
+            ));
         }
-        if !self.cut_off && self.asked.is_some_and(|asked| now.saturating_sub(asked) > SILENT) {
+        if !self.cut_off
+            && self
+                .asked
+                .is_some_and(|asked| now.saturating_sub(asked) > SILENT)
+        {
             self.cut_off = true;
             self.event(Event::CutOff);
         }
--- a/crates/coralstep-limits/src/tenure.rs
+++ b/crates/coralstep-limits/src/tenure.rs
@@ -79,24 +79,40 @@
         if self.holds(now) {
             return Some(&self.own);
         }
-        self.promised.as_ref().filter(|(to, until, _)| now < *until && *to != self.own).map(|(to, ..)| to)
+        self.promised
+            .as_ref()
+            .filter(|(to, until, _)| now < *until && *to != self.own)
+            .map(|(to, ..)| to)
     }
 
     /// A candidate asks for this server's promise.
     pub fn vote(&mut self, now: Ms, from: &Member, number: u32, lease_ms: u32) -> bool {
-        let free = self.promised.as_ref().is_none_or(|(to, until, _)| now >= *until || to == from);
-        let may = self.is_named(&self.own.name) && self.is_named(&from.name) && lease_ms == ms(self.lease);
+        let free = self
+            .promised
+            .as_ref()
+            .is_none_or(|(to, until, _)| now >= *until || to == from);
+        let may = self.is_named(&self.own.name)
+            && self.is_named(&from.name)
+            && lease_ms == ms(self.lease);
         if !free || !may || now < self.abstains {
             return false;
         }
-        let before = self.promised.as_ref().filter(|(to, ..)| to == from).map_or(0, |(_, _, number)| *number);
+        let before = self
+            .promised
+            .as_ref()
+            .filter(|(to, ..)| to == from)
+            .map_or(0, |(_, _, number)| *number);
         self.promised = Some((from.clone(), now + stretched(TENURE), number.max(before)));
         true
     }
 
     /// A candidate does without this server's promise to its question `number`. Guards against a late letter that takes a later one back.
     pub fn released(&mut self, from: &Member, number: u32) {
-        if self.promised.as_ref().is_some_and(|(to, _, to_number)| to == from && *to_number <= number) {
+        if self
+            .promised
+            .as_ref()
+            .is_some_and(|(to, _, to_number)| to == from && *to_number <= number)
+        {
             self.promised = None;
         }
     }
@@ -132,7 +148,10 @@
         if !self.is_named(&self.own.name) || leaving || now < self.next || now < self.abstains {
             return (Vec::new(), false);
         }
-        let taken = self.promised.as_ref().is_some_and(|(to, until, _)| now < *until && *to != self.own);
+        let taken = self
+            .promised
+            .as_ref()
+            .is_some_and(|(to, until, _)| now < *until && *to != self.own);
         if taken {
             // Somebody gives; it is looked at again when that could be over.
             let until = self.promised.as_ref().map_or(now, |(_, until, _)| *until);
@@ -142,8 +161,14 @@
         let mut letters = Vec::new();
         if !self.holds(now) && self.asked > 0 && !self.yes.is_empty() {
             // Too few votes came: guards against promises to candidates that none of them can use.
-            let release = Letter::Release { number: self.number };
-            letters.extend(present.values().map(|voter| (voter.clone(), release.clone())));
+            let release = Letter::Release {
+                number: self.number,
+            };
+            letters.extend(
+                present
+                    .values()
+                    .map(|voter| (voter.clone(), release.clone())),
+            );
             self.yes.clear();
             self.asked = 0;
             self.promised = None;
@@ -157,8 +182,15 @@
         self.yes.clear();
         let wait = if self.holds(now) { RENEW } else { ELECTION / 2 };
         self.next = now + wait - self.chance.random_range(0..wait / 4);
-        let letter = Letter::Vote { number: self.number, lease_ms: ms(self.lease) };
-        letters.extend(present.values().map(|voter| (voter.clone(), letter.clone())));
+        let letter = Letter::Vote {
+            number: self.number,
+            lease_ms: ms(self.lease),
+        };
+        letters.extend(
+            present
+                .values()
+                .map(|voter| (voter.clone(), letter.clone())),
+        );
         let own = self.own.clone();
         let number = self.number;
         let yes = self.vote(now, &own, number, ms(self.lease));
--- a/crates/coralstep-limits/src/terms.rs
+++ b/crates/coralstep-limits/src/terms.rs
@@ -68,9 +68,16 @@
     /// Of two versions' figures for one limit the lower ones hold.
     pub fn lower(self, other: Kind) -> Kind {
         match (self, other) {
-            (Kind::Rate { rps, burst }, Kind::Rate { rps: other, burst: less }) => {
-                Kind::Rate { rps: rps.min(other), burst: burst.min(less) }
-            }
+            (
+                Kind::Rate { rps, burst },
+                Kind::Rate {
+                    rps: other,
+                    burst: less,
+                },
+            ) => Kind::Rate {
+                rps: rps.min(other),
+                burst: burst.min(less),
+            },
             (Kind::InHand(most), Kind::InHand(other)) => Kind::InHand(most.min(other)),
             (one, _) => one,
         }
@@ -100,7 +107,12 @@
     pub dependencies: &'a [String],
 }
 
-fn within<T: PartialOrd + std::fmt::Display>(key: String, value: T, least: T, most: T) -> Result<(), String> {
+fn within<T: PartialOrd + std::fmt::Display>(
+    key: String,
+    value: T,
+    least: T,
+    most: T,
+) -> Result<(), String> {
     if value >= least && value <= most {
         Ok(())
     } else {
@@ -112,18 +124,27 @@
     fn look_up(&self, at: usize, names: &Names<'_>) -> Result<Limit, String> {
         let key = |rest: &str| format!("limits[{at}].{rest}");
         if self.name.is_empty() || self.name.len() > NAME_MOST {
-            return Err(format!("{}: {:?} is not of 1 to {NAME_MOST} letters", key("name"), self.name));
+            return Err(format!(
+                "{}: {:?} is not of 1 to {NAME_MOST} letters",
+                key("name"),
+                self.name
+            ));
         }
         let find = |what: &str, name: &Option<String>, all: &[String]| {
             let Some(name) = name else { return Ok(None) };
             let found = all.iter().position(|one| one == name);
-            found.map(Some).ok_or_else(|| format!("{}: {name:?} is unknown", key(what)))
+            found
+                .map(Some)
+                .ok_or_else(|| format!("{}: {name:?} is unknown", key(what)))
         };
         let tenant = find("tenant", &self.tenant, names.tenants)?;
         let method = find("method", &self.method, names.methods)?;
         let dependency = find("dependency", &self.dependency, names.dependencies)?;
         if tenant.is_none() && method.is_none() && dependency.is_none() {
-            return Err(format!("{}: names no tenant, method or dependency", key("name")));
+            return Err(format!(
+                "{}: names no tenant, method or dependency",
+                key("name")
+            ));
         }
         if let Some(method) =
             method.filter(|method| dependency.is_some() && names.calls.get(*method) == Some(&false))
@@ -162,13 +183,27 @@
             within(key("cut_off.open.each"), each, 0.0, RPS_MOST)?;
             within(key("cut_off.open.most"), most, 0.0, RPS_MOST)?;
         }
-        let kind_name = if matches!(kind, Kind::Rate { .. }) { "rps" } else { "in_hand" };
-        let text =
-            format!("{:?} {:?} {:?} {:?} {kind_name}", self.name, self.tenant, self.method, self.dependency);
+        let kind_name = if matches!(kind, Kind::Rate { .. }) {
+            "rps"
+        } else {
+            "in_hand"
+        };
+        let text = format!(
+            "{:?} {:?} {:?} {:?} {kind_name}",
+            self.name, self.tenant, self.method, self.dependency
+        );
         let sum = Sha256::digest(text.as_bytes());
         let key = u64::from_le_bytes(std::array::from_fn(|at| sum[at]));
         let calls = dependency.is_some();
-        Ok(Limit { key, name: self.name.clone(), tenant, method, calls, kind, cut_off: self.cut_off })
+        Ok(Limit {
+            key,
+            name: self.name.clone(),
+            tenant,
+            method,
+            calls,
+            kind,
+            cut_off: self.cut_off,
+        })
     }
 
     /// Whether all RPCs of `other` are of this one, too.
@@ -180,21 +215,34 @@
     }
 
     fn figure(&self) -> (bool, f64) {
-        (self.rps.is_some(), self.rps.unwrap_or_else(|| f64::from(self.in_hand.unwrap_or(0))))
+        (
+            self.rps.is_some(),
+            self.rps
+                .unwrap_or_else(|| f64::from(self.in_hand.unwrap_or(0))),
+        )
     }
 }
 
 /// Checks and looks up; messages name the key.
 pub fn look_up(terms: &[LimitTerms], names: &Names<'_>) -> Result<Vec<Limit>, String> {
     if terms.len() > LIMITS_MOST {
-        return Err(format!("limits: {} are more than {LIMITS_MOST}", terms.len()));
+        return Err(format!(
+            "limits: {} are more than {LIMITS_MOST}",
+            terms.len()
+        ));
     }
-    let limits: Vec<Limit> =
-        terms.iter().enumerate().map(|(at, one)| one.look_up(at, names)).collect::<Result<_, _>>()?;
+    let limits: Vec<Limit> = terms
+        .iter()
+        .enumerate()
+        .map(|(at, one)| one.look_up(at, names))
+        .collect::<Result<_, _>>()?;
     let mut seen = std::collections::HashMap::new();
     for (at, one) in terms.iter().enumerate() {
         if let Some(first) = seen.insert(&one.name, at) {
-            return Err(format!("limits[{at}].name: {:?} is limits[{first}], too", one.name));
+            return Err(format!(
+                "limits[{at}].name: {:?} is limits[{first}], too",
+                one.name
+            ));
         }
     }
     // A few hundred are compared each with each; tables of thousands are made by programs, and are taken as they are.
@@ -207,7 +255,10 @@
                     *other != at && whole.covers(part) && whole.figure().0 == part.figure().0
                 })
                 .collect();
-            if let Some((part, of)) = parts.iter().find(|(_, part)| part.figure().1 > whole.figure().1) {
+            if let Some((part, of)) = parts
+                .iter()
+                .find(|(_, part)| part.figure().1 > whole.figure().1)
+            {
                 return Err(format!(
                     "limits[{part}]: {} is unreachable under limits[{at}], which lets {} through",
                     of.figure().1,
--- a/crates/coralstep-limits/src/terms/tests.rs
+++ b/crates/coralstep-limits/src/terms/tests.rs
@@ -2,10 +2,23 @@
 use serde_json::{Value, json};
 
 fn tried(limits: Value) -> Result<Vec<Limit>, String> {
-    let owned = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect::<Vec<_>>();
-    let (methods, tenants, dependencies) = (owned(&["read", "save"]), owned(&["a", "b"]), owned(&["store"]));
-    let names =
-        Names { methods: &methods, calls: &[true, false], tenants: &tenants, dependencies: &dependencies };
+    let owned = |names: &[&str]| {
+        names
+            .iter()
+            .map(|name| (*name).to_owned())
+            .collect::<Vec<_>>()
+    };
+    let (methods, tenants, dependencies) = (
+        owned(&["read", "save"]),
+        owned(&["a", "b"]),
+        owned(&["store"]),
+    );
+    let names = Names {
+        methods: &methods,
+        calls: &[true, false],
+        tenants: &tenants,
+        dependencies: &dependencies,
+    };
     let terms: Vec<LimitTerms> = serde_json::from_value(limits).map_err(|why| why.to_string())?;
     look_up(&terms, &names)
 }
@@ -19,13 +32,35 @@
         {"name": "store", "dependency": "store", "in_hand": 40, "cut_off": {"open": {"each": 1, "most": 20}}},
     ]));
     let good = good.unwrap();
-    assert_eq!(good[0].kind, Kind::Rate { rps: 100.0, burst: 100 });
-    assert!(good[3].calls && good[3].cut_off == CutOff::Open { each: 1.0, most: 20.0 });
+    assert_eq!(
+        good[0].kind,
+        Kind::Rate {
+            rps: 100.0,
+            burst: 100
+        }
+    );
+    assert!(
+        good[3].calls
+            && good[3].cut_off
+                == CutOff::Open {
+                    each: 1.0,
+                    most: 20.0
+                }
+    );
     for (bad, why) in [
         (json!([{"name": "x", "rps": 1}]), "limits[0].name: names no"),
-        (json!([{"name": "x", "tenant": "c", "rps": 1}]), "limits[0].tenant: \"c\" is unknown"),
-        (json!([{"name": "x", "tenant": "a"}]), "limits[0].rps: one of"),
-        (json!([{"name": "x", "tenant": "a", "rps": 0}]), "limits[0].rps: 0 is not from"),
+        (
+            json!([{"name": "x", "tenant": "c", "rps": 1}]),
+            "limits[0].tenant: \"c\" is unknown",
+        ),
+        (
+            json!([{"name": "x", "tenant": "a"}]),
+            "limits[0].rps: one of",
+        ),
+        (
+            json!([{"name": "x", "tenant": "a", "rps": 0}]),
+            "limits[0].rps: 0 is not from",
+        ),
         (
             json!([{"name": "x", "tenant": "a", "rps": 100, "burst": 10}]),
             "limits[0].burst: 10 lets no more than 20 ",
@@ -63,8 +98,20 @@
         json!([{"name": "a", "tenant": "a", "rps": 10}, {"name": "s", "method": "save", "in_hand": 40}]),
     )
     .unwrap();
-    let mut held: Vec<Kind> = lower(&one, &two).into_iter().map(|limit| limit.kind).collect();
+    let mut held: Vec<Kind> = lower(&one, &two)
+        .into_iter()
+        .map(|limit| limit.kind)
+        .collect();
     held.sort_by_key(|kind| matches!(kind, Kind::InHand(_)));
-    assert_eq!(held, [Kind::Rate { rps: 10.0, burst: 10 }, Kind::InHand(4)]);
+    assert_eq!(
+        held,
+        [
+            Kind::Rate {
+                rps: 10.0,
+                burst: 10
+            },
+            Kind::InHand(4)
+        ]
+    );
     assert_eq!(lower(&one, &two), lower(&two, &one));
 }
--- a/crates/coralstep-pool/benches/choice.rs
+++ b/crates/coralstep-pool/benches/choice.rs
@@ -18,13 +18,16 @@
             })
         });
         let mut load = vec![0u32; count];
-        group.bench_function(BenchmarkId::new("baseline: scan for the least", count), |b| {
-            b.iter(|| {
-                let least = (0..count).min_by_key(|at| load[*at]).unwrap_or(0);
-                load[least] += 1;
-                load[least]
-            })
-        });
+        group.bench_function(
+            BenchmarkId::new("baseline: scan for the least", count),
+            |b| {
+                b.iter(|| {
+                    let least = (0..count).min_by_key(|at| load[*at]).unwrap_or(0);
+                    load[least] += 1;
+                    load[least]
+                })
+            },
+        );
         let mut at = 0;
         group.bench_function(BenchmarkId::new("baseline: round robin", count), |b| {
             b.iter(|| {
--- a/crates/coralstep-pool/examples/spread.rs
+++ b/crates/coralstep-pool/examples/spread.rs
@@ -32,15 +32,28 @@
 }
 
 /// Serves `rate` RPCs a second for each application; times in tenths of a ms.
-fn play(way: Way, count: usize, seconds: u64, seed: u64) -> Result<Figures, Box<dyn std::error::Error>> {
+fn play(
+    way: Way,
+    count: usize,
+    seconds: u64,
+    seed: u64,
+) -> Result<Figures, Box<dyn std::error::Error>> {
     let mut chance = SmallRng::seed_from_u64(seed);
     let speeds: Vec<f64> = (0..count).map(|_| chance.random_range(0.6..1.4)).collect();
     let (work, gap) = (LogNormal::new(4.0, 0.6)?, Exp::new(count as f64 * 0.01)?);
     let keys: Vec<usize> = (0..count).collect();
-    let mut pool = Pool::new(PoolTerms { each_most: 1 << 20, ..PoolTerms::default() }, seed);
+    let mut pool = Pool::new(
+        PoolTerms {
+            each_most: 1 << 20,
+            ..PoolTerms::default()
+        },
+        seed,
+    );
     pool.set(Time(0), &keys);
-    let mut lines: Vec<VecDeque<(u64, f64, Option<Pick>)>> = (0..count).map(|_| VecDeque::new()).collect();
-    let (mut got, mut served, mut failed, mut longest, mut next) = (vec![0u64; count], 0u64, 0u64, 0, 0);
+    let mut lines: Vec<VecDeque<(u64, f64, Option<Pick>)>> =
+        (0..count).map(|_| VecDeque::new()).collect();
+    let (mut got, mut served, mut failed, mut longest, mut next) =
+        (vec![0u64; count], 0u64, 0u64, 0, 0);
     let mut took = Histogram::<u64>::new(3)?;
     // Ends of what is served now.
     let mut ends: BinaryHeap<Reverse<(u64, usize)>> = BinaryHeap::new();
@@ -49,8 +62,10 @@
     loop {
         arrival += gap.sample(&mut chance);
         let now = arrival as u64;
-        while let Some(Reverse((at, app))) =
-            ends.peek().copied().filter(|Reverse((at, _))| *at <= now.min(end))
+        while let Some(Reverse((at, app))) = ends
+            .peek()
+            .copied()
+            .filter(|Reverse((at, _))| *at <= now.min(end))
         {
             ends.pop();
             if let Some((since, _, pick)) = lines[app].pop_front() {
@@ -67,7 +82,11 @@
         if now >= end {
             break;
         }
-        let pick = if way == Way::Pool { pool.choose(Time(now), None).ok() } else { None };
+        let pick = if way == Way::Pool {
+            pool.choose(Time(now), None).ok()
+        } else {
+            None
+        };
         let app = match (way, &pick) {
             (Way::Pool, Some(pick)) => *pool.key(pick),
             (Way::Pool, None) => {
--- a/crates/coralstep-pool/src/budget.rs
+++ b/crates/coralstep-pool/src/budget.rs
@@ -12,7 +12,10 @@
 impl Budget {
     /// `part` of a repeat for each first try; one repeat is there from the start.
     pub fn new(part: f64) -> Budget {
-        Budget { part: part.clamp(0.0, 1.0), saved: if part > 0.0 { 1.0 } else { 0.0 } }
+        Budget {
+            part: part.clamp(0.0, 1.0),
+            saved: if part > 0.0 { 1.0 } else { 0.0 },
+        }
     }
 
     pub fn earn(&mut self) {
--- a/crates/coralstep-pool/src/lib.rs
+++ b/crates/coralstep-pool/src/lib.rs
@@ -56,8 +56,17 @@
 impl Default for PoolTerms {
     /// Ten seconds of slow start by one process, 64 in hand, a tenth of repeats, three attempts.
     fn default() -> PoolTerms {
-        let ramp = RampTerms { slow_start: Span::ms(10_000), cold_rate: 0.0, processes: 1 };
-        PoolTerms { ramp, each_most: 64, repeats: 0.1, attempts: 3 }
+        let ramp = RampTerms {
+            slow_start: Span::ms(10_000),
+            cold_rate: 0.0,
+            processes: 1,
+        };
+        PoolTerms {
+            ramp,
+            each_most: 64,
+            repeats: 0.1,
+            attempts: 3,
+        }
     }
 }
 
@@ -180,7 +189,9 @@
     pub fn set(&mut self, now: Time, keys: &[K]) {
         let first = self.apps.iter().all(Option::is_none);
         for slot in 0..self.apps.len() as u32 {
-            let Some(app) = self.apps[slot as usize].as_mut() else { continue };
+            let Some(app) = self.apps[slot as usize].as_mut() else {
+                continue;
+            };
             let stays = keys.contains(&app.key);
             if !stays && !app.leaving {
                 app.leaving = true;
@@ -217,12 +228,17 @@
 
     pub fn key(&self, pick: &Pick) -> &K {
         // A pick keeps its application in its slot.
-        &self.apps[pick.slot as usize].as_ref().expect("a pick's application").key
+        &self.apps[pick.slot as usize]
+            .as_ref()
+            .expect("a pick's application")
+            .key
     }
 
     /// Puts a slot into the list or the heap that it belongs to, or frees it.
     fn settle(&mut self, slot: u32) {
-        let Some(app) = self.apps[slot as usize].as_mut() else { return };
+        let Some(app) = self.apps[slot as usize].as_mut() else {
+            return;
+        };
         let closed = app.breaker.is_closed() && !app.leaving && app.in_hand < self.terms.each_most;
         match (closed, app.ready) {
             (true, None) => {
@@ -240,7 +256,9 @@
             }
             _ => {}
         }
-        let gone = self.apps[slot as usize].as_ref().is_some_and(|app| app.leaving && app.in_hand == 0);
+        let gone = self.apps[slot as usize]
+            .as_ref()
+            .is_some_and(|app| app.leaving && app.in_hand == 0);
         if gone {
             self.apps[slot as usize] = None;
             self.free.push(slot);
@@ -249,10 +267,20 @@
 
     /// How loaded an application is: what is in hand, by how long it usually takes.
     fn load(&self, now: Time, slot: u32) -> f64 {
-        let Some(app) = self.apps[slot as usize].as_ref() else { return f64::MAX };
-        let usual = if self.usual > 0.0 { self.usual } else { GUESS.0 as f64 };
+        let Some(app) = self.apps[slot as usize].as_ref() else {
+            return f64::MAX;
+        };
+        let usual = if self.usual > 0.0 {
+            self.usual
+        } else {
+            GUESS.0 as f64
+        };
         let known = 1.0 - ((now - app.last).0 as f64 / STALE.0 as f64).min(1.0);
-        let time = if app.time > 0.0 { usual + (app.time - usual) * known } else { usual };
+        let time = if app.time > 0.0 {
+            usual + (app.time - usual) * known
+        } else {
+            usual
+        };
         f64::from(app.in_hand + 1) * time
     }
 
@@ -265,7 +293,9 @@
             self.shut.pop();
             let (terms, chance) = (&self.terms.ramp, &mut self.chance);
             let app = self.apps[slot as usize].as_mut();
-            let Some(app) = app.filter(|app| !app.leaving && app.breaker.awaits_trial(now)) else { continue };
+            let Some(app) = app.filter(|app| !app.leaving && app.breaker.awaits_trial(now)) else {
+                continue;
+            };
             // Guards against the trials of many processes, each one alone and all at once.
             let ramp = app.ramp.get_or_insert_with(|| Ramp::new(now));
             if ramp.lets(now, terms, chance) {
@@ -281,18 +311,27 @@
     pub fn choose(&mut self, now: Time, but: Option<u32>) -> Result<Pick, Span> {
         let slot = match self.trial(now) {
             Some(slot) => slot,
-            None => self.less_loaded(now, but).ok_or_else(|| self.back_in(now))?,
+            None => self
+                .less_loaded(now, but)
+                .ok_or_else(|| self.back_in(now))?,
         };
         self.attempts = self.attempts.wrapping_add(1);
         let attempt = RpcId(self.attempts);
-        let Some(app) = self.apps[slot as usize].as_mut() else { return Err(GUESS) };
+        let Some(app) = self.apps[slot as usize].as_mut() else {
+            return Err(GUESS);
+        };
         let (step, turn) = app.breaker.enter(now, attempt);
         debug_assert!(matches!(step, Step::Pass));
         app.in_hand += 1;
         let key = app.key.clone();
         self.turns.extend(turn.map(|turn| (key, turn)));
         self.settle(slot);
-        Ok(Pick { slot, began: now, attempt, judged: false })
+        Ok(Pick {
+            slot,
+            began: now,
+            attempt,
+            judged: false,
+        })
     }
 
     /// Whether a ready application is still led up to its share.
@@ -333,8 +372,14 @@
             // The one that it comes from is better than none, unless all others are cold: then they share it.
             None => return self.cold(now, but),
         };
-        let other = self.warm(now, Some(one)).filter(|other| Some(*other) != but);
-        Some(other.filter(|other| self.load(now, *other) < self.load(now, one)).unwrap_or(one))
+        let other = self
+            .warm(now, Some(one))
+            .filter(|other| Some(*other) != but);
+        Some(
+            other
+                .filter(|other| self.load(now, *other) < self.load(now, one))
+                .unwrap_or(one),
+        )
     }
 
     /// Whether a cold application takes this attempt: by its part, by the cold rate, and not where it is more loaded than a warm one.
@@ -347,19 +392,30 @@
         }
         let warm = self.warm(now, None);
         // By what is in hand alone: it is slower while it is cold, and would get nothing where little is in hand.
-        let in_hand = |slot: u32| self.apps[slot as usize].as_ref().map_or(0, |app| app.in_hand);
+        let in_hand = |slot: u32| {
+            self.apps[slot as usize]
+                .as_ref()
+                .map_or(0, |app| app.in_hand)
+        };
         warm.is_none_or(|warm| in_hand(slot) <= in_hand(warm)) && self.lets(now, slot)
     }
 
     fn lets(&mut self, now: Time, slot: u32) -> bool {
         let (terms, chance) = (&self.terms.ramp, &mut self.chance);
-        let ramp = self.apps[slot as usize].as_mut().and_then(|app| app.ramp.as_mut());
+        let ramp = self.apps[slot as usize]
+            .as_mut()
+            .and_then(|app| app.ramp.as_mut());
         ramp.is_none_or(|ramp| ramp.lets(now, terms, chance))
     }
 
     /// Where none is warm: the less loaded of two, as far as the cold rate lets it; the one of `but` where there is no other.
     fn cold(&mut self, now: Time, but: Option<u32>) -> Option<u32> {
-        let others: Vec<u32> = self.ready.iter().copied().filter(|slot| Some(*slot) != but).collect();
+        let others: Vec<u32> = self
+            .ready
+            .iter()
+            .copied()
+            .filter(|slot| Some(*slot) != but)
+            .collect();
         let Some(at) = self.index(others.len()) else {
             return self
                 .ready
@@ -368,7 +424,11 @@
                 .filter(|slot| !self.is_cold(now, *slot) || self.lets(now, *slot));
         };
         let second = others[(at + 1) % others.len()];
-        let slot = if self.load(now, second) < self.load(now, others[at]) { second } else { others[at] };
+        let slot = if self.load(now, second) < self.load(now, others[at]) {
+            second
+        } else {
+            others[at]
+        };
         self.lets(now, slot).then_some(slot)
     }
 
@@ -391,12 +451,19 @@
     }
 
     fn judge(&mut self, now: Time, slot: u32, attempt: RpcId, began: Time, failed: bool) {
-        let Some(app) = self.apps[slot as usize].as_mut() else { return };
+        let Some(app) = self.apps[slot as usize].as_mut() else {
+            return;
+        };
         if app.recent.len() >= RECENT_MOST {
             app.recent.pop_front();
         }
         app.recent.push_back((now, failed));
-        let Some(turn) = app.breaker.result(now, attempt, began, failed, &mut self.chance) else { return };
+        let Some(turn) = app
+            .breaker
+            .result(now, attempt, began, failed, &mut self.chance)
+        else {
+            return;
+        };
         if app.breaker.is_closed() {
             // What it did before it was shut is no measure of it now.
             (app.ramp, app.time) = (Some(Ramp::new(now)), 0.0);
@@ -412,7 +479,12 @@
 
     /// An attempt is out of the application's hands.
     pub fn ended(&mut self, now: Time, pick: Pick, end: End) {
-        let Pick { slot, began, attempt, judged } = pick;
+        let Pick {
+            slot,
+            began,
+            attempt,
+            judged,
+        } = pick;
         if let Some(app) = self.apps[slot as usize].as_mut() {
             app.in_hand -= 1;
             let took = (now - began).0.max(1) as f64;
@@ -423,9 +495,17 @@
                 app.ramp = Some(Ramp::new(now));
             }
             if matches!(end, End::Answered | End::Failed) {
-                app.time = if app.time > 0.0 { app.time + (took - app.time) * LAST } else { took };
+                app.time = if app.time > 0.0 {
+                    app.time + (took - app.time) * LAST
+                } else {
+                    took
+                };
                 app.last = now;
-                self.usual = if self.usual > 0.0 { self.usual + (took - self.usual) * LAST } else { took };
+                self.usual = if self.usual > 0.0 {
+                    self.usual + (took - self.usual) * LAST
+                } else {
+                    took
+                };
             }
         }
         match end {
@@ -450,7 +530,8 @@
     /// Whether an RPC whose attempt ended so is tried once more. Only what provably never ran or may run twice, never past its
     /// due time, and within the budget.
     pub fn repeats(&mut self, now: Time, end: End, idempotent: bool, made: u32, due: Time) -> bool {
-        let allowed = end.is_unstarted() || (idempotent && matches!(end, End::Failed | End::Broken));
+        let allowed =
+            end.is_unstarted() || (idempotent && matches!(end, End::Failed | End::Broken));
         allowed && made < self.terms.attempts && now < due && self.budget.spend()
     }
 
@@ -485,8 +566,14 @@
 
     /// What others saw of an application: so much evidence of one's own does, and its cooldown ends by then, where that is sooner.
     pub fn hear(&mut self, key: &K, need: u32, by: Option<Time>) {
-        let slot = self.apps.iter().position(|app| app.as_ref().is_some_and(|app| app.key == *key));
-        let Some((slot, app)) = slot.and_then(|slot| Some((slot, self.apps[slot].as_mut()?))) else { return };
+        let slot = self
+            .apps
+            .iter()
+            .position(|app| app.as_ref().is_some_and(|app| app.key == *key));
+        let Some((slot, app)) = slot.and_then(|slot| Some((slot, self.apps[slot].as_mut()?)))
+        else {
+            return;
+        };
         let sooner = by.filter(|by| app.breaker.until().is_some_and(|until| *by < until));
         app.breaker.hear(need, sooner);
         if let Some(by) = sooner {
@@ -497,7 +584,9 @@
     pub fn view(&self, now: Time) -> Vec<View<K>> {
         let recent = |app: &App<K>| {
             let ends = app.recent.iter().filter(|(at, _)| *at + RECENT >= now);
-            ends.fold((0, 0), |sum, (_, failed)| (sum.0 + 1, sum.1 + u32::from(*failed)))
+            ends.fold((0, 0), |sum, (_, failed)| {
+                (sum.0 + 1, sum.1 + u32::from(*failed))
+            })
         };
         let one = |app: &App<K>| View {
             key: app.key.clone(),
--- a/crates/coralstep-pool/src/ramp.rs
+++ b/crates/coralstep-pool/src/ramp.rs
@@ -35,7 +35,11 @@
 
 impl Ramp {
     pub fn new(back: Time) -> Ramp {
-        Ramp { back, credit: 0.0, at: back }
+        Ramp {
+            back,
+            credit: 0.0,
+            at: back,
+        }
     }
 
     /// The part of its share that it gets now.
@@ -52,7 +56,8 @@
         if terms.cold_rate <= 0.0 {
             return true;
         }
-        let rate = terms.cold_rate * self.part(now, terms) / LEAST / f64::from(terms.processes.max(1));
+        let rate =
+            terms.cold_rate * self.part(now, terms) / LEAST / f64::from(terms.processes.max(1));
         let each = |span: Span| rate * span.0 as f64 / 10_000.0;
         self.credit = (self.credit + each(now - self.at)).min(each(SAVED));
         self.at = now;
--- a/crates/coralstep-pool/tests/pool.rs
+++ b/crates/coralstep-pool/tests/pool.rs
@@ -30,7 +30,10 @@
 }
 
 fn turns(pool: &mut Pool<&'static str>) -> Vec<String> {
-    pool.turns().iter().map(|(key, turn)| format!("{key} {turn}")).collect()
+    pool.turns()
+        .iter()
+        .map(|(key, turn)| format!("{key} {turn}"))
+        .collect()
 }
 
 #[test]
@@ -58,7 +61,11 @@
         let pick = pick(&mut pool, at * 100);
         let key = *pool.key(&pick);
         *count.entry(key).or_default() += 1;
-        pool.ended(ms(at * 100 + if key == "slow" { 90 } else { 10 }), pick, End::Answered);
+        pool.ended(
+            ms(at * 100 + if key == "slow" { 90 } else { 10 }),
+            pick,
+            End::Answered,
+        );
     }
     assert!(count["quick"] > 300, "{count:?}");
     // With nine in hand the quick one is no longer the better choice.
@@ -68,7 +75,10 @@
             pool.key(&pick)
         })
         .collect();
-    assert!(held.iter().filter(|key| **key == "slow").count() >= 1, "{held:?}");
+    assert!(
+        held.iter().filter(|key| **key == "slow").count() >= 1,
+        "{held:?}"
+    );
 }
 
 #[test]
@@ -89,10 +99,18 @@
     // After 1, 2, 4, 8 seconds, each less a chance quarter.
     assert!((4..=5).contains(&trials), "{trials}");
     let last = turns(&mut pool);
-    assert_eq!(last.last().map(String::as_str), Some("a half-open -> open, failed 1.00"));
-    let trial = (15_000..60_000).find_map(|at| pool.choose(ms(at), None).ok()).unwrap();
+    assert_eq!(
+        last.last().map(String::as_str),
+        Some("a half-open -> open, failed 1.00")
+    );
+    let trial = (15_000..60_000)
+        .find_map(|at| pool.choose(ms(at), None).ok())
+        .unwrap();
     pool.ended(ms(60_000), trial, End::Answered);
-    assert_eq!(turns(&mut pool).last().map(String::as_str), Some("a half-open -> closed, failed 0.00"));
+    assert_eq!(
+        turns(&mut pool).last().map(String::as_str),
+        Some("a half-open -> closed, failed 0.00")
+    );
 }
 
 #[test]
@@ -108,9 +126,14 @@
     // Its trial hangs as well, and that is an outcome.
     let mut trial = pick(&mut pool, 1_600);
     pool.overran(ms(2_000), &mut trial);
-    assert_eq!(turns(&mut pool).last().map(String::as_str), Some("a half-open -> open, failed 1.00"));
+    assert_eq!(
+        turns(&mut pool).last().map(String::as_str),
+        Some("a half-open -> open, failed 1.00")
+    );
     // Late ends only give back what was in hand.
-    held.into_iter().chain([trial]).for_each(|pick| pool.ended(ms(9_000), pick, End::Answered));
+    held.into_iter()
+        .chain([trial])
+        .for_each(|pick| pool.ended(ms(9_000), pick, End::Answered));
     assert_eq!((pool.in_hand(), turns(&mut pool).len()), (0, 0));
 }
 
@@ -122,7 +145,10 @@
     pool.ended(ms(1_110), trial, End::GivenUp);
     let next = pick(&mut pool, 1_110);
     pool.ended(ms(1_120), next, End::Answered);
-    assert_eq!(turns(&mut pool).last().map(String::as_str), Some("a half-open -> closed, failed 0.00"));
+    assert_eq!(
+        turns(&mut pool).last().map(String::as_str),
+        Some("a half-open -> closed, failed 0.00")
+    );
 }
 
 #[test]
@@ -141,7 +167,8 @@
                 pool.ended(ms(from + at), first, End::Answered);
             }
         }
-        held.into_iter().for_each(|pick| pool.ended(ms(from + 1_000), pick, End::Answered));
+        held.into_iter()
+            .for_each(|pick| pool.ended(ms(from + 1_000), pick, End::Answered));
         count
     };
     let before = share(&mut pool, 0);
@@ -149,7 +176,10 @@
     pool.set(ms(2_000), &["a", "b"]);
     let slow = share(&mut pool, 2_100);
     let later = share(&mut pool, 20_000);
-    assert!(slow * 3 < before && later * 10 > before * 8, "{before} {slow} {later}");
+    assert!(
+        slow * 3 < before && later * 10 > before * 8,
+        "{before} {slow} {later}"
+    );
 }
 
 #[test]
@@ -165,9 +195,20 @@
         assert_eq!(*pool.key(&next), "b");
         pool.ended(ms(at), next, End::Answered);
     }
-    assert!(pool.view(ms(0)).iter().any(|view| view.leaving && view.key == "a" && view.in_hand > 0));
-    open.into_iter().for_each(|pick| pool.ended(ms(60), pick, End::Answered));
-    assert_eq!(pool.view(ms(0)).iter().map(|view| view.key).collect::<Vec<_>>(), ["b"]);
+    assert!(
+        pool.view(ms(0))
+            .iter()
+            .any(|view| view.leaving && view.key == "a" && view.in_hand > 0)
+    );
+    open.into_iter()
+        .for_each(|pick| pool.ended(ms(60), pick, End::Answered));
+    assert_eq!(
+        pool.view(ms(0))
+            .iter()
+            .map(|view| view.key)
+            .collect::<Vec<_>>(),
+        ["b"]
+    );
     pool.set(ms(70), &[]);
     assert!(pool.choose(ms(71), None).is_err());
 }
@@ -223,14 +264,22 @@
         pool.set(ms(0), &["a"]);
         let mut failed = 0;
         while pool.view(ms(failed))[0].state == "closed" {
-            need.into_iter().for_each(|need| pool.hear(&"a", need, None));
+            need.into_iter()
+                .for_each(|need| pool.hear(&"a", need, None));
             let pick = pool.choose(ms(failed), None).unwrap();
             failed += 1;
             pool.ended(ms(failed), pick, End::Failed);
         }
         (pool, failed)
     };
-    assert_eq!((shut_after(None).1, shut_after(Some(2)).1, shut_after(Some(0)).1), (20, 2, 2));
+    assert_eq!(
+        (
+            shut_after(None).1,
+            shut_after(Some(2)).1,
+            shut_after(Some(0)).1
+        ),
+        (20, 2, 2)
+    );
     let (mut pool, _) = shut_after(Some(2));
     let view = &pool.view(ms(100))[0];
     assert_eq!((view.recent, view.failures, view.state), (2, 2, "open"));
@@ -247,7 +296,13 @@
 
 #[test]
 fn nobody_holds_more_than_the_bound() {
-    let mut pool = Pool::new(PoolTerms { each_most: 3, ..PoolTerms::default() }, 1);
+    let mut pool = Pool::new(
+        PoolTerms {
+            each_most: 3,
+            ..PoolTerms::default()
+        },
+        1,
+    );
     pool.set(ms(0), &["a", "b"]);
     let mut held: Vec<Pick> = (0..6).map(|_| pool.choose(ms(0), None).unwrap()).collect();
     assert!(pool.choose(ms(0), None).is_err());
@@ -255,11 +310,22 @@
     assert!(pool.choose(ms(1), None).is_ok());
     // Other terms hold at once, for what was full and for a repeat, and leave what is in hand.
     pool.ended(ms(1), held.pop().unwrap(), End::Answered);
-    pool.reload(PoolTerms { each_most: 2, repeats: 0.0, ..PoolTerms::default() });
-    assert!(pool.choose(ms(1), None).is_err() && !pool.repeats(ms(1), End::Unstarted, true, 1, ms(9)));
-    pool.reload(PoolTerms { each_most: 4, ..PoolTerms::default() });
+    pool.reload(PoolTerms {
+        each_most: 2,
+        repeats: 0.0,
+        ..PoolTerms::default()
+    });
+    assert!(
+        pool.choose(ms(1), None).is_err() && !pool.repeats(ms(1), End::Unstarted, true, 1, ms(9))
+    );
+    pool.reload(PoolTerms {
+        each_most: 4,
+        ..PoolTerms::default()
+    });
     held.extend((0..3).map(|_| pool.choose(ms(1), None).unwrap()));
-    assert!(pool.choose(ms(1), None).is_err() && pool.repeats(ms(1), End::Unstarted, true, 1, ms(9)));
+    assert!(
+        pool.choose(ms(1), None).is_err() && pool.repeats(ms(1), End::Unstarted, true, 1, ms(9))
+    );
     assert_eq!(pool.in_hand(), 8);
 }
 
--- a/crates/coralstep-pool/tests/ramp.rs
+++ b/crates/coralstep-pool/tests/ramp.rs
@@ -15,8 +15,15 @@
 const WINDOW: u64 = 2 * SECOND;
 
 fn terms(cold_rate: f64, processes: u32) -> PoolTerms {
-    let ramp = RampTerms { slow_start: Span(10 * SECOND), cold_rate, processes };
-    PoolTerms { ramp, ..PoolTerms::default() }
+    let ramp = RampTerms {
+        slow_start: Span(10 * SECOND),
+        cold_rate,
+        processes,
+    };
+    PoolTerms {
+        ramp,
+        ..PoolTerms::default()
+    }
 }
 
 /// The part of its share that is meant for the one that is back, so long after its return.
@@ -32,12 +39,18 @@
 
 impl Sum {
     fn new() -> Sum {
-        Sum { came: vec![0.0; 5], meant: vec![0.0; 5] }
+        Sum {
+            came: vec![0.0; 5],
+            meant: vec![0.0; 5],
+        }
     }
 
     fn check(&self, what: &str) {
         for (at, (came, meant)) in self.came.iter().zip(&self.meant).enumerate() {
-            assert!(*came <= meant + 2.0 * meant.sqrt() + 2.0, "{what}, window {at}: {came} of {meant:.1}");
+            assert!(
+                *came <= meant + 2.0 * meant.sqrt() + 2.0,
+                "{what}, window {at}: {came} of {meant:.1}"
+            );
         }
     }
 }
@@ -52,23 +65,30 @@
     seed: u64,
 ) -> Sum {
     let mut chance = WyRand::new_seed(seed);
-    let mut gap =
-        || (-(1.0 - f64::from(chance.generate::<u32>()) / 4.3e9).ln() / each_s * SECOND as f64) as u64 + 1;
+    let mut gap = || {
+        (-(1.0 - f64::from(chance.generate::<u32>()) / 4.3e9).ln() / each_s * SECOND as f64) as u64
+            + 1
+    };
     let mut next: BinaryHeap<Reverse<(u64, usize)>> =
         (0..pools.len()).map(|at| Reverse((gap(), at))).collect();
     let mut open: BinaryHeap<Reverse<(u64, u64)>> = BinaryHeap::new();
     let mut picks: std::collections::HashMap<u64, (usize, Pick)> = std::collections::HashMap::new();
     let (mut sum, mut number) = (Sum::new(), 0);
-    while let Some(Reverse((at, process))) = next.pop().filter(|Reverse((at, _))| *at < 10 * SECOND) {
+    while let Some(Reverse((at, process))) = next.pop().filter(|Reverse((at, _))| *at < 10 * SECOND)
+    {
         next.push(Reverse((at + gap(), process)));
-        while let Some(Reverse((end, id))) = open.peek().copied().filter(|Reverse((end, _))| *end <= at) {
+        while let Some(Reverse((end, id))) =
+            open.peek().copied().filter(|Reverse((end, _))| *end <= at)
+        {
             open.pop();
             let (process, pick) = picks.remove(&id).unwrap();
             pools[process].ended(Time(from + end), pick, End::Answered);
         }
         let window = (at / WINDOW) as usize;
         sum.meant[window] += budget(at);
-        let Ok(pick) = pools[process].choose(Time(from + at), None) else { continue };
+        let Ok(pick) = pools[process].choose(Time(from + at), None) else {
+            continue;
+        };
         sum.came[window] += f64::from(u8::from(*pools[process].key(&pick) == "back"));
         number += 1;
         open.push(Reverse((at + TOOK, number)));
@@ -96,11 +116,22 @@
             for seed in 1..=3 {
                 let (mut pools, from) = served(processes, terms(0.0, 1), seed);
                 let each_s = all_s / processes as f64;
-                let sum = play(&mut pools, each_s, from, |at| part(at) / KEYS.len() as f64, seed);
-                sum.check(&format!("{processes} processes, {all_s} a second, seed {seed}"));
+                let sum = play(
+                    &mut pools,
+                    each_s,
+                    from,
+                    |at| part(at) / KEYS.len() as f64,
+                    seed,
+                );
+                sum.check(&format!(
+                    "{processes} processes, {all_s} a second, seed {seed}"
+                ));
                 // Nor is it left without: it would never be seen to work.
                 let (came, meant) = (sum.came.iter().sum::<f64>(), sum.meant.iter().sum::<f64>());
-                assert!(came > meant / 2.0, "{processes} processes, {all_s} a second: {came} of {meant:.1}");
+                assert!(
+                    came > meant / 2.0,
+                    "{processes} processes, {all_s} a second: {came} of {meant:.1}"
+                );
             }
         }
     }
@@ -129,7 +160,11 @@
             for seed in 1..=3 {
                 // Stated from the start; or counted, and the rate comes by a reload that states one process.
                 let reloaded = seed == 3;
-                let first = if reloaded { terms(0.0, 1) } else { terms(8.0, processes as u32) };
+                let first = if reloaded {
+                    terms(0.0, 1)
+                } else {
+                    terms(8.0, processes as u32)
+                };
                 let (mut pools, from) = served(processes, first, seed);
                 for pool in pools.iter_mut().filter(|_| reloaded) {
                     pool.processes(processes as u32);
@@ -141,8 +176,13 @@
                     let each = (0..WINDOW / 100).map(|at| part(window as u64 * WINDOW + at * 100));
                     each.sum::<f64>() * 80.0 / 100.0
                 };
-                let sum = Sum { meant: (0..5).map(allowed).collect(), ..sum };
-                sum.check(&format!("{processes} processes, {all_s} a second, seed {seed}"));
+                let sum = Sum {
+                    meant: (0..5).map(allowed).collect(),
+                    ..sum
+                };
+                sum.check(&format!(
+                    "{processes} processes, {all_s} a second, seed {seed}"
+                ));
             }
         }
     }
@@ -157,18 +197,32 @@
             let mut failed = 0;
             while failed < 20 {
                 let pick = pool.choose(Time(from + 11 * SECOND), None).unwrap();
-                let end = if *pool.key(&pick) == "back" { End::Broken } else { End::Answered };
+                let end = if *pool.key(&pick) == "back" {
+                    End::Broken
+                } else {
+                    End::Answered
+                };
                 failed += u32::from(end == End::Broken);
                 pool.ended(Time(from + 11 * SECOND), pick, end);
             }
         }
         let sum = play(&mut pools, 20.0, from + 11 * SECOND, |_| 0.0, 7);
         // Its breakers open again one by one, so it never gets more than at a start that all see at once.
-        let allowed =
-            |window: usize| (0..20).map(|at| part(window as u64 * WINDOW + at * 1_000)).sum::<f64>() * 3.0;
-        let sum = Sum { meant: (0..5).map(allowed).collect(), ..sum };
+        let allowed = |window: usize| {
+            (0..20)
+                .map(|at| part(window as u64 * WINDOW + at * 1_000))
+                .sum::<f64>()
+                * 3.0
+        };
+        let sum = Sum {
+            meant: (0..5).map(allowed).collect(),
+            ..sum
+        };
         sum.check(&format!("{processes} processes"));
-        assert!(sum.came.iter().sum::<f64>() > 0.0, "{processes} processes: it is never tried");
+        assert!(
+            sum.came.iter().sum::<f64>() > 0.0,
+            "{processes} processes: it is never tried"
+        );
     }
 }
 
@@ -179,14 +233,19 @@
     for at in 0..10 {
         for pool in &mut pools {
             let now = Time(from + 5 * SECOND + at * 50);
-            let Ok(pick) = pool.choose(now, None) else { continue };
+            let Ok(pick) = pool.choose(now, None) else {
+                continue;
+            };
             came += u32::from(*pool.key(&pick) == "back");
             pool.ended(now + Span(10), pick, End::Answered);
         }
     }
     // Of 50 ms, and of the quarter of a second that is saved at the most.
     let meant = 8.0 * part(5 * SECOND) / 0.1 * 0.3;
-    assert!(f64::from(came) <= meant + 2.0 * meant.sqrt() + 2.0, "{came} of {meant:.1}");
+    assert!(
+        f64::from(came) <= meant + 2.0 * meant.sqrt() + 2.0,
+        "{came} of {meant:.1}"
+    );
 }
 
 #[test]
@@ -209,7 +268,10 @@
         }
     }
     // Three applications, a quarter of the rate each, in one second.
-    assert!((1..=16).contains(&made) && away > 900, "{made} made, {away} turned away");
+    assert!(
+        (1..=16).contains(&made) && away > 900,
+        "{made} made, {away} turned away"
+    );
 }
 
 #[test]
@@ -223,10 +285,21 @@
             let back = *pool.key(&pick) == "back";
             count += u32::from(back);
             // It is down for a few attempts, too few for its breaker.
-            pool.ended(Time(from + at * 5 + 2), pick, if back && count <= 4 { end } else { End::Answered });
+            pool.ended(
+                Time(from + at * 5 + 2),
+                pick,
+                if back && count <= 4 {
+                    end
+                } else {
+                    End::Answered
+                },
+            );
         }
         count
     };
     let (before, cold) = (share(10, End::Answered), share(20_000, End::Refused));
-    assert!(cold < before / 2, "{before} before, {cold} after it was down");
+    assert!(
+        cold < before / 2,
+        "{before} before, {cold} after it was down"
+    );
 }
--- a/crates/coralstep-route/benches/find.rs
+++ b/crates/coralstep-route/benches/find.rs
@@ -7,8 +7,9 @@
 fn find(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("route");
     for count in [4usize, 64, 1024] {
-        let patterns: Vec<String> =
-            (0..count).map(|at| format!("/v1/area{}/ride/{{id}}/part{at}", at % 8)).collect();
+        let patterns: Vec<String> = (0..count)
+            .map(|at| format!("/v1/area{}/ride/{{id}}/part{at}", at % 8))
+            .collect();
         let mut routes = Routes::default();
         for (at, pattern) in patterns.iter().enumerate() {
             routes.insert("GET", pattern, at).expect("a proper route");
@@ -20,7 +21,10 @@
                 _ => unreachable!("it is there"),
             })
         });
-        let list: Vec<Vec<&str>> = patterns.iter().map(|pattern| pattern.split('/').collect()).collect();
+        let list: Vec<Vec<&str>> = patterns
+            .iter()
+            .map(|pattern| pattern.split('/').collect())
+            .collect();
         group.bench_function(BenchmarkId::new("baseline: list", count), |b| {
             b.iter(|| {
                 let path: Vec<&str> = black_box(&path).split('/').collect();
--- a/crates/coralstep-route/src/lib.rs
+++ b/crates/coralstep-route/src/lib.rs
@@ -68,7 +68,12 @@
 
 impl<T> Default for Node<T> {
     fn default() -> Node<T> {
-        Node { words: BTreeMap::new(), any: None, here: Vec::new(), rest: Vec::new() }
+        Node {
+            words: BTreeMap::new(),
+            any: None,
+            here: Vec::new(),
+            rest: Vec::new(),
+        }
     }
 }
 
@@ -80,14 +85,21 @@
 
 impl<T> Default for Routes<T> {
     fn default() -> Routes<T> {
-        Routes { root: Node::default(), count: 0 }
+        Routes {
+            root: Node::default(),
+            count: 0,
+        }
     }
 }
 
 /// The segments of a path, which begins with `/`; `/` has none.
 fn segments(path: &str) -> Option<Vec<&str>> {
     let path = path.strip_prefix('/')?;
-    Some(if path.is_empty() { Vec::new() } else { path.split('/').collect() })
+    Some(if path.is_empty() {
+        Vec::new()
+    } else {
+        path.split('/').collect()
+    })
 }
 
 fn named(segment: &str) -> bool {
@@ -97,7 +109,10 @@
 impl<T> Routes<T> {
     pub fn insert(&mut self, verb: &str, pattern: &str, target: T) -> Result<(), Refused> {
         if verb != "*"
-            && (verb.is_empty() || !verb.bytes().all(|byte| byte.is_ascii_uppercase() || byte == b'-'))
+            && (verb.is_empty()
+                || !verb
+                    .bytes()
+                    .all(|byte| byte.is_ascii_uppercase() || byte == b'-'))
         {
             return Err(Refused::Verb);
         }
@@ -144,7 +159,9 @@
         if path.len() > PATH_MOST {
             return Found::Nothing;
         }
-        let Some(segments) = segments(path) else { return Found::Nothing };
+        let Some(segments) = segments(path) else {
+            return Found::Nothing;
+        };
         if segments.len() > SEGMENTS_MOST * 4 {
             return Found::Nothing;
         }
@@ -178,16 +195,26 @@
 }
 
 /// `known` tells that some route has this path.
-fn walk<'a, T>(node: &'a Node<T>, verb: &str, segments: &[&str], known: &mut bool) -> Option<&'a T> {
+fn walk<'a, T>(
+    node: &'a Node<T>,
+    verb: &str,
+    segments: &[&str],
+    known: &mut bool,
+) -> Option<&'a T> {
     let of = |verbs: &'a Verbs<T>, known: &mut bool| {
         *known |= !verbs.is_empty();
         let exact = verbs.iter().find(|(name, _)| **name == *verb);
-        exact.or_else(|| verbs.iter().find(|(name, _)| **name == *"*")).map(|(_, target)| target)
+        exact
+            .or_else(|| verbs.iter().find(|(name, _)| **name == *"*"))
+            .map(|(_, target)| target)
     };
     let found = match segments.split_first() {
         None => of(&node.here, known),
         Some((first, rest)) => {
-            let word = node.words.get(*first).and_then(|next| walk(next, verb, rest, known));
+            let word = node
+                .words
+                .get(*first)
+                .and_then(|next| walk(next, verb, rest, known));
             let any = || node.any.as_ref().filter(|_| !first.is_empty());
             match word {
                 Some(target) => Some(target),
--- a/crates/coralstep-route/src/tests.rs
+++ b/crates/coralstep-route/src/tests.rs
@@ -58,7 +58,10 @@
 fn long_paths_lead_nowhere() {
     let mut routes = Routes::default();
     routes.insert("GET", "/*", 0).unwrap();
-    assert_eq!(routes.find("GET", &format!("/{}", "x".repeat(PATH_MOST))), Found::Nothing);
+    assert_eq!(
+        routes.find("GET", &format!("/{}", "x".repeat(PATH_MOST))),
+        Found::Nothing
+    );
     assert_eq!(routes.find("GET", &"/x".repeat(100)), Found::Nothing);
     assert_eq!(routes.find("GET", &"/x".repeat(60)), Found::Route(&0));
 }
--- a/crates/coralstep-scgi/benches/codec.rs
+++ b/crates/coralstep-scgi/benches/codec.rs
@@ -25,10 +25,20 @@
     let mut group = criterion.benchmark_group("scgi");
     group.throughput(Throughput::Bytes(bytes.len() as u64));
     group.bench_function("read a request", |b| {
-        b.iter(|| request::read(black_box(&bytes), &bounds).unwrap().unwrap().1)
+        b.iter(|| {
+            request::read(black_box(&bytes), &bounds)
+                .unwrap()
+                .unwrap()
+                .1
+        })
     });
     group.bench_function("baseline: split at the NULs", |b| {
-        b.iter(|| black_box(&bytes).split(|byte| *byte == 0).map(<[u8]>::len).sum::<usize>())
+        b.iter(|| {
+            black_box(&bytes)
+                .split(|byte| *byte == 0)
+                .map(<[u8]>::len)
+                .sum::<usize>()
+        })
     });
     let mut out = Vec::with_capacity(4096);
     group.bench_function("write a request", |b| {
@@ -49,7 +59,12 @@
     answer::put(&mut answered, 200, &[("X-Coralstep-Value", &0.5)], &body);
     group.throughput(Throughput::Bytes(answered.len() as u64));
     group.bench_function("read an answer", |b| {
-        b.iter(|| answer::read(black_box(&answered), false, &bounds).unwrap().unwrap().0)
+        b.iter(|| {
+            answer::read(black_box(&answered), false, &bounds)
+                .unwrap()
+                .unwrap()
+                .0
+        })
     });
     group.finish();
 }
--- a/crates/coralstep-scgi/src/answer.rs
+++ b/crates/coralstep-scgi/src/answer.rs
@@ -66,16 +66,23 @@
             break;
         }
         count += 1;
-        let colon =
-            field.iter().position(|byte| *byte == b':').ok_or(Fault::Malformed("a field without a colon"))?;
+        let colon = field
+            .iter()
+            .position(|byte| *byte == b':')
+            .ok_or(Fault::Malformed("a field without a colon"))?;
         let (name, value) = (&field[..colon], field[colon + 1..].trim_ascii());
         if name.is_empty() || !name.iter().all(u8::is_ascii_graphic) {
             return Err(Fault::Malformed("a field without a proper name"));
         }
         if name.eq_ignore_ascii_case(b"Status") {
-            let code = value.get(..3).and_then(whole).filter(|code| (100..600).contains(code));
+            let code = value
+                .get(..3)
+                .and_then(whole)
+                .filter(|code| (100..600).contains(code));
             let rest = value.get(3).is_none_or(|next| *next == b' ');
-            let code = code.filter(|_| rest).ok_or(Fault::Malformed("a status that is none"))?;
+            let code = code
+                .filter(|_| rest)
+                .ok_or(Fault::Malformed("a status that is none"))?;
             if status.replace(code as u16).is_some() {
                 return Err(Fault::Malformed("a status twice"));
             }
@@ -87,18 +94,30 @@
             if length.replace(stated as usize).is_some() {
                 return Err(Fault::Malformed("a length twice"));
             }
-        } else if name.eq_ignore_ascii_case(b"Content-Type") || name.eq_ignore_ascii_case(b"Location") {
+        } else if name.eq_ignore_ascii_case(b"Content-Type")
+            || name.eq_ignore_ascii_case(b"Location")
+        {
             typed = true;
         }
     }
-    let status = status.or(typed.then_some(200)).ok_or(Fault::Malformed("neither a status nor a type"))?;
+    let status = status
+        .or(typed.then_some(200))
+        .ok_or(Fault::Malformed("neither a status nor a type"))?;
     Ok(Some((Head { status, length }, used)))
 }
 
 /// A whole answer: what is in `bytes`, all of which has come; `ended` once nothing more will. `None` while more must be read.
-pub fn read<'a>(bytes: &'a [u8], ended: bool, bounds: &Bounds) -> Result<Option<(u16, &'a [u8])>, Fault> {
+pub fn read<'a>(
+    bytes: &'a [u8],
+    ended: bool,
+    bounds: &Bounds,
+) -> Result<Option<(u16, &'a [u8])>, Fault> {
     let Some((head, start)) = head(bytes, bounds)? else {
-        return if ended { Err(Fault::Malformed("cut short")) } else { Ok(None) };
+        return if ended {
+            Err(Fault::Malformed("cut short"))
+        } else {
+            Ok(None)
+        };
     };
     let body = &bytes[start..];
     if body.len() > bounds.body {
--- a/crates/coralstep-scgi/src/lib.rs
+++ b/crates/coralstep-scgi/src/lib.rs
@@ -27,7 +27,11 @@
 impl Default for Bounds {
     /// 16 KiB of at most 128 headers, a body of 8 KiB.
     fn default() -> Bounds {
-        Bounds { head: 16 * 1024, headers: 128, body: 8 * 1024 }
+        Bounds {
+            head: 16 * 1024,
+            headers: 128,
+            body: 8 * 1024,
+        }
     }
 }
 
@@ -49,7 +53,9 @@
 /// A whole number in plain digits, without sign, blanks or leading zeros. At most 18 digits, so nothing overflows.
 fn whole(digits: &[u8]) -> Option<u64> {
     let plain = !digits.is_empty() && digits.len() <= 18 && digits.iter().all(u8::is_ascii_digit);
-    let value = digits.iter().fold(0, |value: u64, digit| value.wrapping_mul(10) + u64::from(digit & 15));
+    let value = digits.iter().fold(0, |value: u64, digit| {
+        value.wrapping_mul(10) + u64::from(digit & 15)
+    });
     (plain && (digits[0] != b'0' || digits.len() == 1)).then_some(value)
 }
 
--- a/crates/coralstep-scgi/src/request.rs
+++ b/crates/coralstep-scgi/src/request.rs
@@ -15,7 +15,10 @@
 
 impl<'a> Request<'a> {
     pub fn get(&self, name: &str) -> Option<&'a [u8]> {
-        self.headers.iter().find(|(known, _)| *known == name).map(|(_, value)| *value)
+        self.headers
+            .iter()
+            .find(|(known, _)| *known == name)
+            .map(|(_, value)| *value)
     }
 
     /// The value of `name` where it is text.
@@ -35,7 +38,8 @@
             false => Err(Fault::Malformed("no netstring")),
         };
     };
-    let length = whole(&bytes[..colon]).ok_or(Fault::Malformed("no length of the headers"))? as usize;
+    let length =
+        whole(&bytes[..colon]).ok_or(Fault::Malformed("no length of the headers"))? as usize;
     if length > bounds.head {
         return Err(Fault::TooLarge("headers too long"));
     }
@@ -90,14 +94,18 @@
 
 /// How many bytes the request at the start of `bytes` takes in all; `None` until its headers are whole.
 pub fn need(bytes: &[u8], bounds: &Bounds) -> Result<Option<usize>, Fault> {
-    let Some((head, start)) = netstring(bytes, bounds)? else { return Ok(None) };
+    let Some((head, start)) = netstring(bytes, bounds)? else {
+        return Ok(None);
+    };
     headers(head, bounds).map(|(_, length)| Some(start + length))
 }
 
 /// The request at the start of `bytes` and what it takes; `None` while more must be read. Until the headers are whole a
 /// look costs no more than the digits of their length. What follows a request is nobody's: one comes on a connection.
 pub fn read<'a>(bytes: &'a [u8], bounds: &Bounds) -> Result<Option<(Request<'a>, usize)>, Fault> {
-    let Some((head, start)) = netstring(bytes, bounds)? else { return Ok(None) };
+    let Some((head, start)) = netstring(bytes, bounds)? else {
+        return Ok(None);
+    };
     let (headers, length) = headers(head, bounds)?;
     let body = bytes.get(start..start + length);
     Ok(body.map(|body| (Request { headers, body }, start + length)))
@@ -120,7 +128,9 @@
         }
     }
     let all = || first.iter().chain(headers);
-    let size: usize = all().map(|(name, value)| name.len() + value.len() + 2).sum();
+    let size: usize = all()
+        .map(|(name, value)| name.len() + value.len() + 2)
+        .sum();
     out.reserve(size + body.len() + 8);
     out.extend_from_slice(size.to_string().as_bytes());
     out.push(b':');
--- a/crates/coralstep-scgi/tests/codec.rs
+++ b/crates/coralstep-scgi/tests/codec.rs
@@ -2,12 +2,19 @@
 use coralstep_scgi::{Bounds, Fault, answer, request};
 use proptest::prelude::*;
 
-const BOUNDS: Bounds = Bounds { head: 400, headers: 12, body: 200 };
+const BOUNDS: Bounds = Bounds {
+    head: 400,
+    headers: 12,
+    body: 200,
+};
 
 fn sample() -> Vec<u8> {
     let mut bytes = Vec::new();
-    let headers: [(&str, &[u8]); 3] =
-        [("REQUEST_METHOD", b"POST"), ("PATH_INFO", b"/save"), ("HTTP_IDEMPOTENCY_KEY", b"\xff 1")];
+    let headers: [(&str, &[u8]); 3] = [
+        ("REQUEST_METHOD", b"POST"),
+        ("PATH_INFO", b"/save"),
+        ("HTTP_IDEMPOTENCY_KEY", b"\xff 1"),
+    ];
     request::put(&mut bytes, &headers, b"\0body\r\n").unwrap();
     bytes
 }
@@ -27,20 +34,31 @@
     assert_eq!((request.body, used), (&b"\0body\r\n"[..], bytes.len()));
     // What it takes is known with the last byte of the headers.
     assert_eq!(request::need(&bytes[..bytes.len() - 8], &BOUNDS), Ok(None));
-    assert_eq!(request::need(&bytes[..bytes.len() - 7], &BOUNDS), Ok(Some(bytes.len())));
+    assert_eq!(
+        request::need(&bytes[..bytes.len() - 7], &BOUNDS),
+        Ok(Some(bytes.len()))
+    );
     assert_eq!(request.text("REQUEST_METHOD"), Some("POST"));
     assert_eq!(
-        (request.get("HTTP_IDEMPOTENCY_KEY"), request.text("HTTP_IDEMPOTENCY_KEY")),
+        (
+            request.get("HTTP_IDEMPOTENCY_KEY"),
+            request.text("HTTP_IDEMPOTENCY_KEY")
+        ),
         (Some(&b"\xff 1"[..]), None)
     );
-    assert_eq!(request.headers[..2], [("CONTENT_LENGTH", &b"7"[..]), ("SCGI", b"1")]);
+    assert_eq!(
+        request.headers[..2],
+        [("CONTENT_LENGTH", &b"7"[..]), ("SCGI", b"1")]
+    );
 }
 
 #[test]
 fn what_is_no_request_is_told_as_soon_as_it_shows() {
-    let malformed =
-        |bytes: Vec<u8>, why| assert_eq!(request::read(&bytes, &BOUNDS), Err(Fault::Malformed(why)));
-    let large = |bytes: Vec<u8>, why| assert_eq!(request::read(&bytes, &BOUNDS), Err(Fault::TooLarge(why)));
+    let malformed = |bytes: Vec<u8>, why| {
+        assert_eq!(request::read(&bytes, &BOUNDS), Err(Fault::Malformed(why)))
+    };
+    let large =
+        |bytes: Vec<u8>, why| assert_eq!(request::read(&bytes, &BOUNDS), Err(Fault::TooLarge(why)));
     malformed(b"GET / HTTP".to_vec(), "no netstring");
     malformed(b"-5:".to_vec(), "no length of the headers");
     malformed(b"05:".to_vec(), "no length of the headers");
@@ -49,20 +67,47 @@
     large(b"401:".to_vec(), "headers too long");
     malformed(b"4:abcdX".to_vec(), "no comma behind the headers");
     malformed(raw("", ""), "CONTENT_LENGTH is not the first header");
-    malformed(raw("SCGI\x001\0CONTENT_LENGTH\x000\0", ""), "CONTENT_LENGTH is not the first header");
+    malformed(
+        raw("SCGI\x001\0CONTENT_LENGTH\x000\0", ""),
+        "CONTENT_LENGTH is not the first header",
+    );
     malformed(raw("CONTENT_LENGTH\x000\0", ""), "SCGI is not 1");
     malformed(raw("CONTENT_LENGTH\x000\0SCGI\x002\0", ""), "SCGI is not 1");
     for length in ["-1", "", "+1", "1x", "99999999999999999999"] {
-        malformed(raw(&format!("CONTENT_LENGTH\0{length}\0SCGI\x001\0"), ""), "CONTENT_LENGTH is no length");
+        malformed(
+            raw(&format!("CONTENT_LENGTH\0{length}\0SCGI\x001\0"), ""),
+            "CONTENT_LENGTH is no length",
+        );
     }
-    large(raw("CONTENT_LENGTH\x00201\0SCGI\x001\0", ""), "body too long");
-    malformed(raw("CONTENT_LENGTH\x000\0SCGI\x001\0CONTENT_LENGTH\x005\0", ""), "a header twice");
-    malformed(raw("CONTENT_LENGTH\x000\0SCGI\x001\0A\0", ""), "a header without a value");
-    malformed(raw("CONTENT_LENGTH\x000\0SCGI\x001\0\0x\0", ""), "a header without a proper name");
-    malformed(raw("CONTENT_LENGTH\x000\0SCGI\x001\0A b\0x\0", ""), "a header without a proper name");
-    malformed(raw("CONTENT_LENGTH\x000\0SCGI\x001\0A\0x", ""), "a header without a value");
+    large(
+        raw("CONTENT_LENGTH\x00201\0SCGI\x001\0", ""),
+        "body too long",
+    );
+    malformed(
+        raw("CONTENT_LENGTH\x000\0SCGI\x001\0CONTENT_LENGTH\x005\0", ""),
+        "a header twice",
+    );
+    malformed(
+        raw("CONTENT_LENGTH\x000\0SCGI\x001\0A\0", ""),
+        "a header without a value",
+    );
+    malformed(
+        raw("CONTENT_LENGTH\x000\0SCGI\x001\0\0x\0", ""),
+        "a header without a proper name",
+    );
+    malformed(
+        raw("CONTENT_LENGTH\x000\0SCGI\x001\0A b\0x\0", ""),
+        "a header without a proper name",
+    );
+    malformed(
+        raw("CONTENT_LENGTH\x000\0SCGI\x001\0A\0x", ""),
+        "a header without a value",
+    );
     let many: String = (0..11).map(|at| format!("H{at}\0\0")).collect();
-    large(raw(&format!("CONTENT_LENGTH\x000\0SCGI\x001\0{many}"), ""), "too many headers");
+    large(
+        raw(&format!("CONTENT_LENGTH\x000\0SCGI\x001\0{many}"), ""),
+        "too many headers",
+    );
 }
 
 #[test]
@@ -84,15 +129,31 @@
 #[test]
 fn an_answer_is_read_from_any_split() {
     let mut bytes = Vec::new();
-    answer::put(&mut bytes, 503, &[("Retry-After", &1), ("X-Value", &"0.5")], b"later\r\n");
+    answer::put(
+        &mut bytes,
+        503,
+        &[("Retry-After", &1), ("X-Value", &"0.5")],
+        b"later\r\n",
+    );
     assert!(bytes.starts_with(
         b"Status: 503 Service Unavailable\r\nRetry-After: 1\r\nX-Value: 0.5\r\nContent-Length: 7\r\n\r\n"
     ));
     for cut in 0..bytes.len() {
-        assert_eq!(answer::read(&bytes[..cut], false, &BOUNDS), Ok(None), "{cut}");
-        assert_eq!(answer::read(&bytes[..cut], true, &BOUNDS), Err(Fault::Malformed("cut short")), "{cut}");
+        assert_eq!(
+            answer::read(&bytes[..cut], false, &BOUNDS),
+            Ok(None),
+            "{cut}"
+        );
+        assert_eq!(
+            answer::read(&bytes[..cut], true, &BOUNDS),
+            Err(Fault::Malformed("cut short")),
+            "{cut}"
+        );
     }
-    assert_eq!(answer::read(&bytes, false, &BOUNDS), Ok(Some((503, &b"later\r\n"[..]))));
+    assert_eq!(
+        answer::read(&bytes, false, &BOUNDS),
+        Ok(Some((503, &b"later\r\n"[..])))
+    );
 }
 
 #[test]
@@ -104,8 +165,14 @@
     // Without a length the end of the connection ends it, with LF as with CR LF.
     assert_eq!(read("Status: 200\n\nab", false), Ok(None));
     assert_eq!(read("Status: 200\n\nab", true), Ok(Some((200, 2))));
-    assert_eq!(read("content-type: text/plain\r\n\r\n", true), Ok(Some((200, 0))));
-    assert_eq!(read("STATUS:404 gone\r\ncontent-length: 1\r\n\r\nx", false), Ok(Some((404, 1))));
+    assert_eq!(
+        read("content-type: text/plain\r\n\r\n", true),
+        Ok(Some((200, 0)))
+    );
+    assert_eq!(
+        read("STATUS:404 gone\r\ncontent-length: 1\r\n\r\nx", false),
+        Ok(Some((404, 1)))
+    );
     for (text, why) in [
         ("\r\n", "neither a status nor a type"),
         ("X: y\r\n\r\n", "neither a status nor a type"),
@@ -114,15 +181,30 @@
         ("Status: 2000\r\n\r\n", "a status that is none"),
         ("Status: 99 x\r\n\r\n", "a status that is none"),
         ("Status: 200\r\nStatus: 500\r\n\r\n", "a status twice"),
-        ("Status: 200\r\nContent-Length: -1\r\n\r\n", "a length that is none"),
-        ("Status: 200\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n", "a length twice"),
-        ("Status: 200\r\nContent-Length: 1\r\n\r\nab", "longer than its length"),
+        (
+            "Status: 200\r\nContent-Length: -1\r\n\r\n",
+            "a length that is none",
+        ),
+        (
+            "Status: 200\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n",
+            "a length twice",
+        ),
+        (
+            "Status: 200\r\nContent-Length: 1\r\n\r\nab",
+            "longer than its length",
+        ),
         (": x\r\n\r\n", "a field without a proper name"),
     ] {
         assert_eq!(read(text, true), Err(Fault::Malformed(why)), "{text:?}");
     }
-    assert_eq!(read(&"A".repeat(401), false), Err(Fault::TooLarge("headers without end")));
-    assert_eq!(read(&"A: b\r\n".repeat(14), false), Err(Fault::TooLarge("too many headers")));
+    assert_eq!(
+        read(&"A".repeat(401), false),
+        Err(Fault::TooLarge("headers without end"))
+    );
+    assert_eq!(
+        read(&"A: b\r\n".repeat(14), false),
+        Err(Fault::TooLarge("too many headers"))
+    );
     assert_eq!(
         read("Status: 200\r\nContent-Length: 201\r\n\r\n", false),
         Err(Fault::TooLarge("body too long"))
--- a/crates/coralstep-server/benches/front.rs
+++ b/crates/coralstep-server/benches/front.rs
@@ -36,7 +36,9 @@
 
 impl Run for EchoRun {
     fn start(&self, order: &Order<'_>) {
-        self.0.borrow_mut().put(Notice::Done(RunEnd::Ok(order.body.into())));
+        self.0
+            .borrow_mut()
+            .put(Notice::Done(RunEnd::Ok(order.body.into())));
     }
     fn feed(&self, _answer: &[u8]) {}
     fn answered(&self) {}
@@ -60,7 +62,10 @@
 }
 
 fn site() -> SiteTerms {
-    let names = Names { methods: vec!["read".to_owned()], ..Names::default() };
+    let names = Names {
+        methods: vec!["read".to_owned()],
+        ..Names::default()
+    };
     let text = r#"{"scgi": {"listen": ["127.0.0.1:1"], "trusted": ["127.0.0.0/8"],
         "routes": [{"verb": "POST", "path": "/read", "method": "read"}]}}"#;
     SiteTerms::parse(text, &names).expect("a proper site file")
@@ -75,9 +80,16 @@
     };
     text(&mut bytes, b"invoke");
     bytes.extend_from_slice(&seq.to_be_bytes());
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap_or_default();
     let since = now.as_millis().to_string();
-    let fields = [("service", "read"), ("ref", id), ("since", &since), ("room", "24.5")];
+    let fields = [
+        ("service", "read"),
+        ("ref", id),
+        ("since", &since),
+        ("room", "24.5"),
+    ];
     bytes.extend_from_slice(&[13, 0, 1, 11, 11]);
     bytes.extend_from_slice(&(fields.len() as u32).to_be_bytes());
     for (key, value) in fields {
@@ -98,11 +110,30 @@
 
 fn front(criterion: &mut Criterion) {
     let target = Span::ms(60_000);
-    let method = Method { target, deadline: target, criticality: 1.0, ..Method::default() };
-    let terms = Terms { methods: vec![method], cores: 8, memory_kb: 1e6, ..Terms::default() };
-    let names = Names { methods: vec!["read".to_owned()], ..Names::default() };
-    let limits =
-        Limits { connections: 512, spare: 32, answers: 1 << 20, rpcs: 1024, results: 1 << 20, ids: 1 << 16 };
+    let method = Method {
+        target,
+        deadline: target,
+        criticality: 1.0,
+        ..Method::default()
+    };
+    let terms = Terms {
+        methods: vec![method],
+        cores: 8,
+        memory_kb: 1e6,
+        ..Terms::default()
+    };
+    let names = Names {
+        methods: vec!["read".to_owned()],
+        ..Names::default()
+    };
+    let limits = Limits {
+        connections: 512,
+        spare: 32,
+        answers: 1 << 20,
+        rpcs: 1024,
+        results: 1 << 20,
+        ids: 1 << 16,
+    };
     let facade = Rc::new(Facade::new(terms, names.clone(), 1, &limits));
     facade.start(Some(false), Duration::from_secs(1));
     let endpoints = Endpoints {
@@ -112,22 +143,38 @@
         descriptors: Rc::new(Descriptors::new(1024)),
     };
     let descriptors = endpoints.descriptors.clone();
-    let course = Rc::new(Course::new(facade.clone(), Rc::new(Echo), Store(Rc::new(endpoints)), &limits));
+    let course = Rc::new(Course::new(
+        facade.clone(),
+        Rc::new(Echo),
+        Store(Rc::new(endpoints)),
+        &limits,
+    ));
     let executor = Rc::new(LocalExecutor::new());
-    let connections =
-        Rc::new(Connections::new(executor.clone(), facade.clone(), course, descriptors, limits));
+    let connections = Rc::new(Connections::new(
+        executor.clone(),
+        facade.clone(),
+        course,
+        descriptors,
+        limits,
+    ));
     let site = site();
     let scgi_terms: &ScgiTerms = site.scgi.as_ref().expect("its SCGI part");
     assert_eq!(
         scgi_terms.routes,
-        [RouteTerms { verb: "POST".into(), path: "/read".into(), method: "read".into() }]
+        [RouteTerms {
+            verb: "POST".into(),
+            path: "/read".into(),
+            method: "read".into()
+        }]
     );
     let scgi: Rc<dyn Front> = Rc::new(Scgi::new(scgi_terms, &names).expect("a front"));
     let mut addresses = Vec::new();
     for front in [Rc::new(Thrift) as Rc<dyn Front>, scgi] {
         let (listener, address) = bind();
         let connections = connections.clone();
-        executor.spawn(async move { connections.listen(listener, front).await }).detach();
+        executor
+            .spawn(async move { connections.listen(listener, front).await })
+            .detach();
         addresses.push(address);
     }
     let (plain, echo) = bind();
@@ -141,24 +188,34 @@
         })
         .detach();
     let body = vec![b'x'; 400];
-    let run = |future: std::pin::Pin<Box<dyn Future<Output = usize> + '_>>| block_on(executor.run(future));
+    let run = |future: std::pin::Pin<Box<dyn Future<Output = usize> + '_>>| {
+        block_on(executor.run(future))
+    };
     let mut group = criterion.benchmark_group("front");
     group.bench_function("baseline: a connection and its echo", |b| {
         b.iter(|| {
             run(Box::pin(async {
-                let mut stream = Async::<TcpStream>::connect(echo).await.expect("a connection");
+                let mut stream = Async::<TcpStream>::connect(echo)
+                    .await
+                    .expect("a connection");
                 stream.write_all(&body).await.expect("room");
                 until_the_end(stream).await
             }))
         })
     });
     let mut bytes = Vec::new();
-    request::put(&mut bytes, &[("REQUEST_METHOD", b"POST"), ("REQUEST_URI", b"/read")], &body)
-        .expect("a request");
+    request::put(
+        &mut bytes,
+        &[("REQUEST_METHOD", b"POST"), ("REQUEST_URI", b"/read")],
+        &body,
+    )
+    .expect("a request");
     group.bench_function("SCGI: a connection and its RPC", |b| {
         b.iter(|| {
             run(Box::pin(async {
-                let mut stream = Async::<TcpStream>::connect(addresses[1]).await.expect("a connection");
+                let mut stream = Async::<TcpStream>::connect(addresses[1])
+                    .await
+                    .expect("a connection");
                 stream.write_all(&bytes).await.expect("room");
                 until_the_end(stream).await
             }))
@@ -170,7 +227,9 @@
             number += 1;
             let call = invoke(1, &format!("{number:016x}"), &body);
             run(Box::pin(async {
-                let mut stream = Async::<TcpStream>::connect(addresses[0]).await.expect("a connection");
+                let mut stream = Async::<TcpStream>::connect(addresses[0])
+                    .await
+                    .expect("a connection");
                 stream.write_all(&call).await.expect("room");
                 let mut bytes = [0; 2048];
                 stream.read(&mut bytes).await.expect("an answer")
--- a/crates/coralstep-server/src/base/backoff.rs
+++ b/crates/coralstep-server/src/base/backoff.rs
@@ -14,13 +14,19 @@
 
 impl Backoff {
     pub fn new(least: Duration, most: Duration, seed: u64) -> Backoff {
-        Backoff { least, most, next: least, chance: WyRand::new_seed(seed) }
+        Backoff {
+            least,
+            most,
+            next: least,
+            chance: WyRand::new_seed(seed),
+        }
     }
 
     pub fn wait(&mut self) -> Duration {
         let whole = self.next;
         self.next = (whole * 2).min(self.most);
-        whole / 2 + (whole / 2).mul_f64(f64::from(self.chance.generate::<u32>()) / f64::from(u32::MAX))
+        whole / 2
+            + (whole / 2).mul_f64(f64::from(self.chance.generate::<u32>()) / f64::from(u32::MAX))
     }
 
     /// It was reached, and spoke.
--- a/crates/coralstep-server/src/base/clock.rs
+++ b/crates/coralstep-server/src/base/clock.rs
@@ -26,8 +26,11 @@
 /// How long ago the Unix clock showed `stamp_ms`; nothing where that is still to come by up to `ahead`, `None` where it
 /// is further away.
 pub fn age(stamp_ms: u64, ahead: Duration) -> Option<Span> {
-    let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    let past = Span((now.as_micros().div_ceil(100) as u64).saturating_sub(stamp_ms.saturating_mul(10)));
+    let now = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default();
+    let past =
+        Span((now.as_micros().div_ceil(100) as u64).saturating_sub(stamp_ms.saturating_mul(10)));
     (u128::from(stamp_ms) <= (now + ahead).as_millis()).then_some(past)
 }
 
--- a/crates/coralstep-server/src/base/clock/tests.rs
+++ b/crates/coralstep-server/src/base/clock/tests.rs
@@ -9,7 +9,10 @@
 
 #[test]
 fn a_stamp_from_the_near_future_is_new_and_one_from_the_far_future_is_none() {
-    let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap().as_millis() as u64;
+    let now = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as u64;
     assert_eq!(age(now + 5_000, Duration::from_secs(10)), Some(Span::ZERO));
     assert_eq!(age(now + 5_000, Duration::from_secs(1)), None);
     assert_eq!(age(u64::MAX, Duration::from_secs(1)), None);
--- a/crates/coralstep-server/src/base/config.rs
+++ b/crates/coralstep-server/src/base/config.rs
@@ -58,8 +58,12 @@
     fn new(memory_mb: u64, descriptors: usize, calls: f64) -> Limits {
         let memory = (memory_mb as usize).saturating_mul(1 << 20);
         let sockets = descriptors.saturating_sub(SOCKETS_OWN);
-        let calls = (calls as usize).clamp(sockets / SOCKETS_CALLS, sockets / SOCKETS_CALLS_MOST).max(1);
-        let connections = (memory / 4 / CONNECTION_BYTES).min(sockets.saturating_sub(calls)).max(2);
+        let calls = (calls as usize)
+            .clamp(sockets / SOCKETS_CALLS, sockets / SOCKETS_CALLS_MOST)
+            .max(1);
+        let connections = (memory / 4 / CONNECTION_BYTES)
+            .min(sockets.saturating_sub(calls))
+            .max(2);
         let spare = (connections / SPARE).max(1);
         Limits {
             // Some that leave, and some that all came while none could be let go.
@@ -106,23 +110,32 @@
     /// The file at `path`, else the one that RELAY_CONFIG names; the operator's own file at `site`.
     pub fn new(path: Option<PathBuf>, site: Option<PathBuf>) -> Result<Source, String> {
         let path = path.or_else(|| env::var_os("RELAY_CONFIG").map(PathBuf::from));
-        let config = path.ok_or_else(|| "RELAY_CONFIG: not set, and no --config given".to_owned())?;
+        let config =
+            path.ok_or_else(|| "RELAY_CONFIG: not set, and no --config given".to_owned())?;
         Ok(Source { config, site })
     }
 
     pub fn load(&self) -> Result<Config, String> {
-        let read =
-            |path: &PathBuf| fs::read_to_string(path).map_err(|why| format!("{}: {why}", path.display()));
-        let site = self.site.as_ref().map(|path| Ok::<_, String>((path, read(path)?))).transpose()?;
-        let mut config =
-            Config::parse(&read(&self.config)?, descriptors::allowed(), |name| env::var(name).ok())
-                .map_err(|why| format!("{}: {why}", self.config.display()))?;
+        let read = |path: &PathBuf| {
+            fs::read_to_string(path).map_err(|why| format!("{}: {why}", path.display()))
+        };
+        let site = self
+            .site
+            .as_ref()
+            .map(|path| Ok::<_, String>((path, read(path)?)))
+            .transpose()?;
+        let mut config = Config::parse(&read(&self.config)?, descriptors::allowed(), |name| {
+            env::var(name).ok()
+        })
+        .map_err(|why| format!("{}: {why}", self.config.display()))?;
         if let Some((path, text)) = site {
             let named = |why: String| format!("{}: {why}", path.display());
             config.site = SiteTerms::parse(&text, &config.names).map_err(named)?;
             starves::check(&config.site, None, &config.names, &config.terms).map_err(named)?;
         }
-        config.check().map_err(|why| format!("{}: {why}", self.config.display()))?;
+        config
+            .check()
+            .map_err(|why| format!("{}: {why}", self.config.display()))?;
         Ok(config)
     }
 }
@@ -144,7 +157,8 @@
         };
         let address = |key: &'static str, name: &str| -> Result<SocketAddr, String> {
             let text = word(key, name)?;
-            text.parse().map_err(|_| format!("{key}: {text:?} is no address and port"))
+            text.parse()
+                .map_err(|_| format!("{key}: {text:?} is no address and port"))
         };
         let may_lack = |key: &'static str, name: &str| -> Result<Option<SocketAddr>, String> {
             let there = !json[key].is_null() || variable(name).is_some();
@@ -159,10 +173,16 @@
             return Err("settings.classes: names no class".to_owned());
         }
         if terms.methods.iter().any(|method| method.skip > 0.0) {
-            return Err("settings.domain.class_skip_worth: the engine can't go on without a call".to_owned());
+            return Err(
+                "settings.domain.class_skip_worth: the engine can't go on without a call"
+                    .to_owned(),
+            );
         }
         if terms.preemption == Preemption::Pause {
-            return Err("settings.domain.preemption: the engine can't take a paused run up again".to_owned());
+            return Err(
+                "settings.domain.preemption: the engine can't take a paused run up again"
+                    .to_owned(),
+            );
         }
         let calls = terms.methods.iter().any(|method| method.calls);
         let limits = &json["limits"];
@@ -170,17 +190,25 @@
             return Err(format!("limits: {limits} is no object"));
         }
         // Guards against a statement that the system does not keep: what it allows binds, too.
-        let descriptors = (count(&limits["sockets"], "limits.sockets", SOCKETS)? as usize).min(allowed);
+        let descriptors =
+            (count(&limits["sockets"], "limits.sockets", SOCKETS)? as usize).min(allowed);
         if descriptors < SOCKETS_LEAST {
-            return Err(format!("limits.sockets: {descriptors} are too few, {SOCKETS_LEAST} at the least"));
+            return Err(format!(
+                "limits.sockets: {descriptors} are too few, {SOCKETS_LEAST} at the least"
+            ));
         }
         Ok(Config {
             name: names.instance.clone(),
             listen: may_lack("listen", "RELAY_LISTEN")?,
             engine: may_lack("engine", "")?,
-            store: if calls || !json["store"].is_null() { Some(address("store", "")?) } else { None },
+            store: if calls || !json["store"].is_null() {
+                Some(address("store", "")?)
+            } else {
+                None
+            },
             control: may_lack("control", "")?,
-            seed: u64::from_str_radix(&seed, 16).map_err(|_| format!("seed: {seed:?} is no hex number"))?,
+            seed: u64::from_str_radix(&seed, 16)
+                .map_err(|_| format!("seed: {seed:?} is no hex number"))?,
             stop: Duration::from_millis(count(&json["stop_ms"], "stop_ms", STOP_MS)?),
             limits: Limits::new(
                 count(&limits["memory_mb"], "limits.memory_mb", MEMORY_MB)?,
@@ -214,7 +242,10 @@
 /// Calls that the decisions may have in hand at once: not more than runs that the cores survive, nor than the share.
 fn calls_at_once(terms: &Terms) -> f64 {
     let runs = f64::from(terms.cores) * terms.survivable_crowd.max(1.0);
-    terms.below.share().map_or(runs, |share| share.ceil().min(runs))
+    terms
+        .below
+        .share()
+        .map_or(runs, |share| share.ceil().min(runs))
 }
 
 /// A whole number above 0.
@@ -222,8 +253,12 @@
     match value {
         Value::Null => Ok(absent),
         value => {
-            let number = value.as_f64().filter(|number| *number >= 1.0 && *number < 1e12);
-            number.map(|number| number as u64).ok_or_else(|| format!("{key}: {value} is no number above 0"))
+            let number = value
+                .as_f64()
+                .filter(|number| *number >= 1.0 && *number < 1e12);
+            number
+                .map(|number| number as u64)
+                .ok_or_else(|| format!("{key}: {value} is no number above 0"))
         }
     }
 }
--- a/crates/coralstep-server/src/base/config/tests.rs
+++ b/crates/coralstep-server/src/base/config/tests.rs
@@ -10,9 +10,19 @@
 #[test]
 fn all_of_it_is_read() {
     let config = Config::parse(GOOD, usize::MAX, |_| None).unwrap();
-    assert_eq!((config.name.as_str(), config.seed), ("n3", 0x8c1f_30d2_7a5b_e964));
+    assert_eq!(
+        (config.name.as_str(), config.seed),
+        ("n3", 0x8c1f_30d2_7a5b_e964)
+    );
     assert_eq!(config.stop, Duration::from_millis(3200));
-    assert_eq!((config.limits.connections, config.limits.spare, config.limits.rpcs), (710, 23, 3072));
+    assert_eq!(
+        (
+            config.limits.connections,
+            config.limits.spare,
+            config.limits.rpcs
+        ),
+        (710, 23, 3072)
+    );
     assert_eq!(config.terms.methods[0].criticality, 1.5);
     assert!(config.terms.methods[0].calls);
     assert_eq!(config.names.gauges, ["cpu_busy", "sockets"]);
@@ -23,21 +33,50 @@
 fn a_message_names_the_faulty_key() {
     for (good, bad, why) in [
         ("\"n3\"", "7", "name: 7 is no text"),
-        ("127.0.0.4:6565", "here", "listen: \"here\" is no address and port"),
+        (
+            "127.0.0.4:6565",
+            "here",
+            "listen: \"here\" is no address and port",
+        ),
         ("\"127.1.0.2:7700\"", "null", "store: missing"),
         ("8c1f30d27a5be964", "xyz", "seed: \"xyz\" is no hex number"),
         ("3200", "-1", "stop_ms: -1 is no number above 0"),
-        ("192", "\"many\"", "limits.memory_mb: \"many\" is no number above 0"),
-        ("1000000000", "\"soon\"", "settings: classes.0.promise=soon is no proper value"),
-        ("\"shared\"", "\"moon\"", "settings: domain.depends_on=moon is unknown"),
+        (
+            "192",
+            "\"many\"",
+            "limits.memory_mb: \"many\" is no number above 0",
+        ),
+        (
+            "1000000000",
+            "\"soon\"",
+            "settings: classes.0.promise=soon is no proper value",
+        ),
+        (
+            "\"shared\"",
+            "\"moon\"",
+            "settings: domain.depends_on=moon is unknown",
+        ),
         ("\"settings\"", "\"set\"", "settings: missing"),
-        ("\"classes\"", "\"none\"", "settings.classes: names no class"),
+        (
+            "\"classes\"",
+            "\"none\"",
+            "settings.classes: names no class",
+        ),
     ] {
         assert_eq!(
-            Config::parse(&GOOD.replacen(good, bad, 1), usize::MAX, |_| None).err().as_deref(),
+            Config::parse(&GOOD.replacen(good, bad, 1), usize::MAX, |_| None)
+                .err()
+                .as_deref(),
             Some(why)
         );
     }
-    assert!(Config::parse("{", usize::MAX, |_| None).unwrap_err().starts_with("not JSON: "));
-    assert_eq!(Config::parse("[]", usize::MAX, |_| None).err().as_deref(), Some("seed: missing"));
+    assert!(
+        Config::parse("{", usize::MAX, |_| None)
+            .unwrap_err()
+            .starts_with("not JSON: ")
+    );
+    assert_eq!(
+        Config::parse("[]", usize::MAX, |_| None).err().as_deref(),
+        Some("seed: missing")
+    );
 }
--- a/crates/coralstep-server/src/base/descriptors.rs
+++ b/crates/coralstep-server/src/base/descriptors.rs
@@ -19,7 +19,11 @@
 
 /// How many this process may have open, as the system has it.
 pub fn allowed() -> usize {
-    getrlimit(Resource::Nofile).current.map_or(usize::MAX, |most| usize::try_from(most).unwrap_or(usize::MAX))
+    getrlimit(Resource::Nofile)
+        .current
+        .map_or(usize::MAX, |most| {
+            usize::try_from(most).unwrap_or(usize::MAX)
+        })
 }
 
 /// Whether that failed for want of a descriptor, of this process's or of the whole system's.
@@ -36,7 +40,11 @@
 
 impl Descriptors {
     pub fn new(most: usize) -> Descriptors {
-        Descriptors { most, short: Event::new(), freed: Event::new() }
+        Descriptors {
+            most,
+            short: Event::new(),
+            freed: Event::new(),
+        }
     }
 
     /// Whether a new one lies in the places kept: the system gives the lowest number that is free, so all below are in use.
--- a/crates/coralstep-server/src/base/endpoints.rs
+++ b/crates/coralstep-server/src/base/endpoints.rs
@@ -17,7 +17,10 @@
 
 impl<T: Copy + PartialEq> Endpoint<T> {
     pub fn new(at: T) -> Endpoint<T> {
-        Endpoint { at: Cell::new(at), moved: Event::new() }
+        Endpoint {
+            at: Cell::new(at),
+            moved: Event::new(),
+        }
     }
 
     pub fn get(&self) -> T {
--- a/crates/coralstep-server/src/base/lines.rs
+++ b/crates/coralstep-server/src/base/lines.rs
@@ -26,7 +26,9 @@
 
     pub fn parse(text: &str) -> Option<Ref> {
         let digits = text.as_bytes().try_into().ok()?;
-        text.bytes().all(|byte| byte.is_ascii_hexdigit()).then_some(Ref(digits))
+        text.bytes()
+            .all(|byte| byte.is_ascii_hexdigit())
+            .then_some(Ref(digits))
     }
 }
 
@@ -57,7 +59,9 @@
 ) -> Result<Option<(Vec<&str>, &[u8], usize)>, Garbled> {
     let mut start = 0;
     loop {
-        let Some((text, used)) = line(&bytes[start..])? else { return Ok(None) };
+        let Some((text, used)) = line(&bytes[start..])? else {
+            return Ok(None);
+        };
         start += used;
         if text.is_empty() {
             continue;
@@ -66,11 +70,16 @@
         if !has_body(&words) {
             return Ok(Some((words, &[], start)));
         }
-        let length: usize = words.last().and_then(|word| word.parse().ok()).ok_or(Garbled)?;
+        let length: usize = words
+            .last()
+            .and_then(|word| word.parse().ok())
+            .ok_or(Garbled)?;
         if length > BODY_MOST {
             return Err(Garbled);
         }
-        let Some(body) = bytes.get(start..start + length + 2) else { return Ok(None) };
+        let Some(body) = bytes.get(start..start + length + 2) else {
+            return Ok(None);
+        };
         let body = body.strip_suffix(b"\r\n").ok_or(Garbled)?;
         return Ok(Some((words, body, start + length + 2)));
     }
--- a/crates/coralstep-server/src/base/log.rs
+++ b/crates/coralstep-server/src/base/log.rs
@@ -12,14 +12,24 @@
 
 /// From here on events are written; those before went nowhere.
 pub fn start(terms: &LogTerms) -> Result<(), String> {
-    let targets: Targets =
-        terms.levels.parse().map_err(|why| format!("log.levels: {:?}: {why}", terms.levels))?;
+    let targets: Targets = terms
+        .levels
+        .parse()
+        .map_err(|why| format!("log.levels: {:?}: {why}", terms.levels))?;
     let layer = match terms.format {
         LogFormat::Text => {
-            let plain = fmt::layer().without_time().with_level(false).with_target(false).with_ansi(false);
+            let plain = fmt::layer()
+                .without_time()
+                .with_level(false)
+                .with_target(false)
+                .with_ansi(false);
             plain.with_writer(stderr).boxed()
         }
-        LogFormat::Json => fmt::layer().json().flatten_event(true).with_writer(stderr).boxed(),
+        LogFormat::Json => fmt::layer()
+            .json()
+            .flatten_event(true)
+            .with_writer(stderr)
+            .boxed(),
     };
     tracing_subscriber::registry()
         .with(layer.with_filter(targets))
@@ -49,11 +59,22 @@
 pub fn admitted(now: Instant, client: bool) -> Option<u32> {
     let mut window = WINDOW.get();
     let left_out = window.left_out;
-    if window.since.is_none_or(|since| now.saturating_duration_since(since) >= Duration::from_secs(1)) {
-        window = Window { since: Some(now), others: 0, clients: 0, left_out: 0 };
+    if window
+        .since
+        .is_none_or(|since| now.saturating_duration_since(since) >= Duration::from_secs(1))
+    {
+        window = Window {
+            since: Some(now),
+            others: 0,
+            clients: 0,
+            left_out: 0,
+        };
     }
-    let (count, most) =
-        if client { (&mut window.clients, CLIENT_LINES) } else { (&mut window.others, LINES - CLIENT_LINES) };
+    let (count, most) = if client {
+        (&mut window.clients, CLIENT_LINES)
+    } else {
+        (&mut window.others, LINES - CLIENT_LINES)
+    };
     let written = *count < most;
     *count += u32::from(written);
     let before = left_out - window.left_out;
--- a/crates/coralstep-server/src/callers/connection.rs
+++ b/crates/coralstep-server/src/callers/connection.rs
@@ -154,7 +154,9 @@
 
     /// Whether it was asked so long ago.
     pub fn was_asked(&self, now: Instant, ago: Duration) -> bool {
-        self.asked.get().is_some_and(|since| now.saturating_duration_since(since) >= ago)
+        self.asked
+            .get()
+            .is_some_and(|since| now.saturating_duration_since(since) >= ago)
     }
 
     /// Reads with `read` until that ends or it is lost, writes all answers, and leaves it as the table above says.
@@ -204,7 +206,11 @@
             return;
         }
         // Guards against floods of silent clients that keep their descriptors: nothing was said that could get lost.
-        let span = if self.spoke.get() || self.out.was_used() { LINGER } else { Duration::ZERO };
+        let span = if self.spoke.get() || self.out.was_used() {
+            LINGER
+        } else {
+            Duration::ZERO
+        };
         let read = async {
             let (mut bytes, mut count) = ([0; 4 * 1024], 0);
             while count < LINGER_BYTES {
--- a/crates/coralstep-server/src/callers/connections.rs
+++ b/crates/coralstep-server/src/callers/connections.rs
@@ -41,9 +41,13 @@
 impl<W: Writer> Open<W> {
     fn answer(mut self, reply: &Reply<'_>) {
         let connection = &self.connection;
-        connection.proven.set(connection.proven.get() || matches!(reply, Reply::Ok(_)));
+        connection
+            .proven
+            .set(connection.proven.get() || matches!(reply, Reply::Ok(_)));
         let about = self.facade.about();
-        connection.out.put(|out| self.writer.answer(out, reply, &about));
+        connection
+            .out
+            .put(|out| self.writer.answer(out, reply, &about));
         self.answered = true;
     }
 }
@@ -129,14 +133,22 @@
 
     /// Those that are not on their way out.
     fn staying(&self) -> usize {
-        self.all.borrow().iter().filter(|one| !one.is_ending()).count()
+        self.all
+            .borrow()
+            .iter()
+            .filter(|one| !one.is_ending())
+            .count()
     }
 
     /// Whether a listener of `front` has to wait: as many of its own still leave as may, or all who stay carry something.
     fn is_full(&self, front: &Rc<dyn Front>) -> bool {
         let all = self.all.borrow();
-        let leave = all.iter().filter(|one| one.is_ending() && Rc::ptr_eq(one.front(), front)).count();
-        leave >= self.limits.spare || all.iter().filter(|one| !one.is_ending()).count() >= self.most()
+        let leave = all
+            .iter()
+            .filter(|one| one.is_ending() && Rc::ptr_eq(one.front(), front))
+            .count();
+        leave >= self.limits.spare
+            || all.iter().filter(|one| !one.is_ending()).count() >= self.most()
     }
 
     fn most(&self) -> usize {
@@ -181,7 +193,12 @@
         let least = all.iter().filter(free).min_by_key(|one| {
             let spoke = one.spoke.get();
             let fresh = !spoke && now.saturating_duration_since(one.idle.get()) < FRESH;
-            (fresh, spoke, Reverse(if spoke { 0 } else { silent(one.front()) }), one.idle.get())
+            (
+                fresh,
+                spoke,
+                Reverse(if spoke { 0 } else { silent(one.front()) }),
+                one.idle.get(),
+            )
         });
         // Who never said anything is told nothing: its descriptor comes free at once.
         least
@@ -226,12 +243,17 @@
                     note!(client: "connection ended: {why}");
                 }
             };
-            let served = AssertUnwindSafe(connection.serve(&stream, read)).catch_unwind().await;
+            let served = AssertUnwindSafe(connection.serve(&stream, read))
+                .catch_unwind()
+                .await;
             if served.is_err() {
                 note!("a connection ended by a panic");
             }
             connection.lose();
-            connections.all.borrow_mut().retain(|other| !Rc::ptr_eq(other, &connection));
+            connections
+                .all
+                .borrow_mut()
+                .retain(|other| !Rc::ptr_eq(other, &connection));
             drop(stream);
             connections.descriptors.freed();
             connections.left.notify(usize::MAX);
@@ -250,14 +272,24 @@
     ) {
         connection.begins();
         let (facade, connection) = (self.facade.clone(), connection.clone());
-        let open = Open { facade, connection: connection.clone(), writer, answered: false };
+        let open = Open {
+            facade,
+            connection: connection.clone(),
+            writer,
+            answered: false,
+        };
         if connection.is_ending() {
             // Guards against work for an answer that may not get through any more: it may go elsewhere, at once.
-            return open.answer(&Reply::PushedBack { after_ms: 0, last: false });
+            return open.answer(&Reply::PushedBack {
+                after_ms: 0,
+                last: false,
+            });
         }
         let course = self.course.clone();
         let task = async move {
-            let run = course.run(offer, id, body, connection.lost(), |reply| open.answer(&reply));
+            let run = course.run(offer, id, body, connection.lost(), |reply| {
+                open.answer(&reply)
+            });
             if AssertUnwindSafe(run).catch_unwind().await.is_err() {
                 note!("{id} ended by a panic");
             }
@@ -272,7 +304,8 @@
             let now = Instant::now();
             let limit = self.facade.idle_limit();
             for one in self.all.borrow().iter().filter(|one| !one.is_busy()) {
-                if limit.is_some_and(|limit| now.saturating_duration_since(one.idle.get()) >= limit) {
+                if limit.is_some_and(|limit| now.saturating_duration_since(one.idle.get()) >= limit)
+                {
                     one.ask_to_leave();
                 }
                 if one.was_asked(now, LEAVE) {
--- a/crates/coralstep-server/src/callers/connections/tests.rs
+++ b/crates/coralstep-server/src/callers/connections/tests.rs
@@ -8,8 +8,18 @@
 use crate::runs::engine::Engine;
 
 fn connections() -> Connections {
-    let limits = Limits { connections: 3, spare: 1, answers: 100, rpcs: 1, results: 1, ids: 1 };
-    let terms = Terms { methods: vec![Method::default()], ..Terms::default() };
+    let limits = Limits {
+        connections: 3,
+        spare: 1,
+        answers: 100,
+        rpcs: 1,
+        results: 1,
+        ids: 1,
+    };
+    let terms = Terms {
+        methods: vec![Method::default()],
+        ..Terms::default()
+    };
     let facade = Rc::new(Facade::new(terms, Names::default(), 1, &limits));
     let nowhere = Some("127.0.0.1:9".parse().unwrap());
     let endpoints = Endpoints {
@@ -21,7 +31,13 @@
     let (engine, descriptors) = (Rc::new(Engine::default()), endpoints.descriptors.clone());
     let store = Store(Rc::new(endpoints));
     let course = Rc::new(Course::new(facade.clone(), engine, store, &limits));
-    Connections::new(Rc::new(LocalExecutor::new()), facade, course, descriptors, limits)
+    Connections::new(
+        Rc::new(LocalExecutor::new()),
+        facade,
+        course,
+        descriptors,
+        limits,
+    )
 }
 
 fn some(connections: &Connections, count: usize) -> Vec<Rc<Connection>> {
@@ -38,7 +54,9 @@
     let some = some(&connections, 5);
     let (busy, longest, idle, silent) = (&some[0], &some[1], &some[2], &some[3]);
     busy.begins();
-    [busy, longest, idle].iter().for_each(|one| one.spoke.set(true));
+    [busy, longest, idle]
+        .iter()
+        .for_each(|one| one.spoke.set(true));
     idle.idle.set(longest.idle.get() + Duration::from_millis(1));
     // It has had the time to say something; one that came just now hardly had, and goes after those that rest.
     silent.idle.set(longest.idle.get() - FRESH);
@@ -73,5 +91,8 @@
     assert!(some.iter().all(|one| !one.is_ending()));
     some[2].out.put(|out| out.push(0));
     connections.bound_answers();
-    assert_eq!(some.iter().map(|one| one.is_ending()).collect::<Vec<_>>(), [false, true, false]);
+    assert_eq!(
+        some.iter().map(|one| one.is_ending()).collect::<Vec<_>>(),
+        [false, true, false]
+    );
 }
--- a/crates/coralstep-server/src/callers/gateway.rs
+++ b/crates/coralstep-server/src/callers/gateway.rs
@@ -37,7 +37,12 @@
         stream: &'a Async<TcpStream>,
         connection: &'a Rc<Connection>,
     ) -> Reading<'a> {
-        let talk = Talk { connections, connection, last: 0, faults: 0 };
+        let talk = Talk {
+            connections,
+            connection,
+            last: 0,
+            faults: 0,
+        };
         Box::pin(talk.read(stream))
     }
 
@@ -49,7 +54,10 @@
 /// What every answer carries.
 fn fields(about: &About) -> Vec<(&'static str, String)> {
     let value = about.value.map(|value| ("pressure", value.to_string()));
-    value.into_iter().chain(about.level.clone().map(|level| ("level", level))).collect()
+    value
+        .into_iter()
+        .chain(about.level.clone().map(|level| ("level", level)))
+        .collect()
 }
 
 /// An open request, by its sequence number.
@@ -132,7 +140,9 @@
     fn refuse(&mut self, seq: i32, why: &str) {
         note!(client: "a request was not understood: {why}");
         self.faults += 1;
-        self.connection.out.put(|out| thrift::exception(out, seq, why));
+        self.connection
+            .out
+            .put(|out| thrift::exception(out, seq, why));
     }
 
     fn message(&mut self, message: Message<'_>) -> Result<(), String> {
@@ -146,11 +156,14 @@
             Message::Ping { seq } => {
                 let facade = &self.connections.facade;
                 let (fields, good) = (fields(&facade.about()), facade.healthy());
-                self.connection.out.put(|out| thrift::answer(out, "ping", seq, b"", &fields, good));
+                self.connection
+                    .out
+                    .put(|out| thrift::answer(out, "ping", seq, b"", &fields, good));
             }
             Message::Invoke { seq, fields, body } => match self.offer(&fields, body) {
                 Ok((offer, id)) => {
-                    self.connections.begin(offer, id, body.to_vec(), self.connection, Seq(seq))
+                    self.connections
+                        .begin(offer, id, body.to_vec(), self.connection, Seq(seq))
                 }
                 Err(why) => self.refuse(seq, why),
             },
@@ -166,7 +179,8 @@
             return Err("body too long");
         }
         let facade = &self.connections.facade;
-        let (mut offer, mut method, mut id, mut age, mut room) = (Offer::default(), None, None, None, None);
+        let (mut offer, mut method, mut id, mut age, mut room) =
+            (Offer::default(), None, None, None, None);
         for (key, value) in fields {
             match *key {
                 "service" => method = Some(facade.method(value).ok_or("unknown service")?),
@@ -182,7 +196,11 @@
                 "dup" if *value != "1" => return Err("malformed dup"),
                 "dup" => offer.retry = true,
                 "room" => {
-                    room = Some(within(value, ROOM_MOST).filter(|kb| *kb > 0.0).ok_or("malformed room")?)
+                    room = Some(
+                        within(value, ROOM_MOST)
+                            .filter(|kb| *kb > 0.0)
+                            .ok_or("malformed room")?,
+                    )
                 }
                 "class_rank" => drop(within(value, 1.0).ok_or("malformed class_rank")?),
                 "replay" if value.len() > TOKEN_MOST => return Err("token too long"),
--- a/crates/coralstep-server/src/callers/inbox.rs
+++ b/crates/coralstep-server/src/callers/inbox.rs
@@ -34,7 +34,11 @@
 
 impl Inbox {
     pub fn new() -> Inbox {
-        Inbox { bytes: vec![0; READ], filled: 0, since: Instant::now() }
+        Inbox {
+            bytes: vec![0; READ],
+            filled: 0,
+            since: Instant::now(),
+        }
     }
 
     pub fn bytes(&self) -> &[u8] {
@@ -73,7 +77,11 @@
             yield_now().await;
             Err(io::ErrorKind::TimedOut.into())
         };
-        match stream.read(&mut self.bytes[self.filled..]).or(patience).await {
+        match stream
+            .read(&mut self.bytes[self.filled..])
+            .or(patience)
+            .await
+        {
             Ok(0) if self.filled == 0 => return Ok(Came::End),
             Ok(0) => return Err("a message was cut short".to_owned()),
             Ok(count) => {
--- a/crates/coralstep-server/src/callers/said.rs
+++ b/crates/coralstep-server/src/callers/said.rs
@@ -19,7 +19,10 @@
 
 /// A figure from 0 to under `most`.
 pub fn within(value: &str, most: f64) -> Option<f64> {
-    value.parse().ok().filter(|figure: &f64| *figure >= 0.0 && *figure < most)
+    value
+        .parse()
+        .ok()
+        .filter(|figure: &f64| *figure >= 0.0 && *figure < most)
 }
 
 #[cfg(test)]
--- a/crates/coralstep-server/src/callers/scgi.rs
+++ b/crates/coralstep-server/src/callers/scgi.rs
@@ -48,15 +48,26 @@
 
 impl Known {
     fn new(terms: &ScgiTerms, names: &Names) -> Result<Known, String> {
-        let bounds = Bounds { head: HEAD_MOST, headers: HEADERS_MOST, body: terms.body_kb as usize * 1024 };
-        Ok(Known { routes: terms.routes(names)?, terms: terms.clone(), bounds })
+        let bounds = Bounds {
+            head: HEAD_MOST,
+            headers: HEADERS_MOST,
+            body: terms.body_kb as usize * 1024,
+        };
+        Ok(Known {
+            routes: terms.routes(names)?,
+            terms: terms.clone(),
+            bounds,
+        })
     }
 
     /// Whether a connection's word on tenant, room and age is good.
     fn trusts(&self, from: IpAddr) -> bool {
         // Guards against an IPv4 connection that is seen under its IPv6 form and then matches no network.
         let from = from.to_canonical();
-        self.terms.trusted.iter().any(|network| network.contains(&from))
+        self.terms
+            .trusted
+            .iter()
+            .any(|network| network.contains(&from))
     }
 }
 
@@ -77,7 +88,9 @@
 
 impl Scgi {
     pub fn new(terms: &ScgiTerms, names: &Names) -> Result<Scgi, String> {
-        Ok(Scgi { known: RefCell::new(Rc::new(Known::new(terms, names)?)) })
+        Ok(Scgi {
+            known: RefCell::new(Rc::new(Known::new(terms, names)?)),
+        })
     }
 
     /// What can change without a restart changes for the requests to come.
@@ -94,11 +107,18 @@
         from: IpAddr,
         connections: &Connections,
     ) -> Result<Asked, Refusal> {
-        let verb = request.text("REQUEST_METHOD").ok_or(Refusal(400, "no REQUEST_METHOD"))?;
+        let verb = request
+            .text("REQUEST_METHOD")
+            .ok_or(Refusal(400, "no REQUEST_METHOD"))?;
         // As servers differ in which of these they send, the first that says something counts.
         let path = ["PATH_INFO", "DOCUMENT_URI", "REQUEST_URI"].into_iter();
-        let path = path.filter_map(|name| request.text(name)).find(|path| !path.is_empty());
-        let method = match known.routes.find(verb, path.ok_or(Refusal(400, "no path"))?) {
+        let path = path
+            .filter_map(|name| request.text(name))
+            .find(|path| !path.is_empty());
+        let method = match known
+            .routes
+            .find(verb, path.ok_or(Refusal(400, "no path"))?)
+        {
             Found::Route(Target::Health) => return Ok(Asked::Health),
             Found::Route(Target::Method(method)) => *method,
             Found::WrongVerb => return Err(Refusal(405, "not with this verb")),
@@ -107,9 +127,9 @@
         let (names, trusted) = (&known.terms.headers, known.trusts(from));
         let text = |name: &str| match request.get(name) {
             None => Ok(None),
-            Some(value) => {
-                std::str::from_utf8(value).map(Some).map_err(|_| Refusal(400, "a header that is no text"))
-            }
+            Some(value) => std::str::from_utf8(value)
+                .map(Some)
+                .map_err(|_| Refusal(400, "a header that is no text")),
         };
         let mut offer = Offer {
             method,
@@ -119,13 +139,18 @@
             ..Offer::default()
         };
         if let Some(stamp) = text(&names.arrived)? {
-            let stamp = stamp.parse().map_err(|_| Refusal(400, "malformed time of arrival"))?;
+            let stamp = stamp
+                .parse()
+                .map_err(|_| Refusal(400, "malformed time of arrival"))?;
             // Guards against stamps that would bend what is believed of the load.
             let age = clock::age(stamp, AHEAD_MOST).filter(|age| *age <= AGE_MOST);
             offer.age = age.ok_or(Refusal(400, "time of arrival out of range"))?;
         }
         if let Some(patience) = text(&names.patience)? {
-            let ms = patience.parse().ok().filter(|ms| (1..=PATIENCE_MOST_MS).contains(ms));
+            let ms = patience
+                .parse()
+                .ok()
+                .filter(|ms| (1..=PATIENCE_MOST_MS).contains(ms));
             offer.patience = Some(Span::ms(ms.ok_or(Refusal(400, "malformed patience"))?));
         }
         match text(&names.retry)? {
@@ -145,7 +170,12 @@
         // Guards against strangers who book others' memory or speak for others.
         if trusted {
             if let Some(tenant) = text(&names.tenant)? {
-                offer.tenant = Some(connections.facade.tenant(tenant).ok_or(Refusal(400, "unknown tenant"))?);
+                offer.tenant = Some(
+                    connections
+                        .facade
+                        .tenant(tenant)
+                        .ok_or(Refusal(400, "unknown tenant"))?,
+                );
             }
             if let Some(room) = text(&names.room)? {
                 let room = within(room, ROOM_MOST).filter(|kb| *kb > 0.0);
@@ -187,7 +217,9 @@
             match inbox.more(stream, connection).await? {
                 Came::More => {}
                 Came::End => return Ok(()),
-                Came::Late => return self.refuse(connection, 408, "the request takes too long to come"),
+                Came::Late => {
+                    return self.refuse(connection, 408, "the request takes too long to come");
+                }
             }
         }
         connection.heard();
@@ -198,11 +230,16 @@
         };
         match self.asked(&known, &request, connection.from, connections) {
             Ok(Asked::Health) => {
-                let (status, text) =
-                    if connections.facade.healthy() { (200, &b"good\n"[..]) } else { (503, &b"bad\n"[..]) };
+                let (status, text) = if connections.facade.healthy() {
+                    (200, &b"good\n"[..])
+                } else {
+                    (503, &b"bad\n"[..])
+                };
                 self.write(connection, &connections.facade.about(), status, &[], text);
             }
-            Ok(Asked::Rpc(offer, id)) => connections.begin(offer, id, request.body.to_vec(), connection, One),
+            Ok(Asked::Rpc(offer, id)) => {
+                connections.begin(offer, id, request.body.to_vec(), connection, One)
+            }
             Err(Refusal(status, why)) => return self.refuse(connection, status, why),
         }
         drop(inbox);
@@ -232,11 +269,18 @@
         fields: &[(&str, &dyn std::fmt::Display)],
         body: &[u8],
     ) {
-        connection.out.put(|out| put(out, about, status, fields, body));
+        connection
+            .out
+            .put(|out| put(out, about, status, fields, body));
         connection.out.close();
     }
 
-    fn refuse(&self, connection: &Connection, status: u16, why: &'static str) -> Result<(), String> {
+    fn refuse(
+        &self,
+        connection: &Connection,
+        status: u16,
+        why: &'static str,
+    ) -> Result<(), String> {
         note!(client: "a request was not understood: {why}");
         self.write(
             connection,
@@ -279,7 +323,13 @@
 impl Writer for One {
     fn answer(&self, out: &mut Vec<u8>, reply: &Reply<'_>, about: &About) {
         match *reply {
-            Reply::Ok(body) => put(out, about, 200, &[("Content-Type", &"application/octet-stream")], body),
+            Reply::Ok(body) => put(
+                out,
+                about,
+                200,
+                &[("Content-Type", &"application/octet-stream")],
+                body,
+            ),
             Reply::Aborted => put(out, about, 500, &[], b""),
             Reply::PushedBack { after_ms, last } => {
                 let seconds = after_ms.div_ceil(1000);
--- a/crates/coralstep-server/src/callers/thrift.rs
+++ b/crates/coralstep-server/src/callers/thrift.rs
@@ -30,13 +30,21 @@
 
 #[derive(Debug, PartialEq)]
 pub enum Message<'a> {
-    Invoke { seq: i32, fields: Vec<(&'a str, &'a str)>, body: &'a [u8] },
-    Ping { seq: i32 },
+    Invoke {
+        seq: i32,
+        fields: Vec<(&'a str, &'a str)>,
+        body: &'a [u8],
+    },
+    Ping {
+        seq: i32,
+    },
 }
 
 /// The first whole frame of `bytes` and its length with the prefix; `None` while more must be read.
 pub fn frame(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, Fault> {
-    let Some(prefix) = bytes.first_chunk::<4>() else { return Ok(None) };
+    let Some(prefix) = bytes.first_chunk::<4>() else {
+        return Ok(None);
+    };
     let length = u32::from_be_bytes(*prefix) as usize;
     if length == 0 || length > FRAME_MOST {
         return Err(Fault::Garbled);
@@ -81,7 +89,9 @@
         if count > self.0.len() / 8 || (count > 0 && (key, value) != (STRING, STRING)) {
             return None;
         }
-        (0..count).map(|_| Some((self.text()?, self.text()?))).collect()
+        (0..count)
+            .map(|_| Some((self.text()?, self.text()?)))
+            .collect()
     }
 
     fn skip(&mut self, kind: u8, depth: u32) -> Option<()> {
@@ -134,7 +144,9 @@
     match name {
         b"invoke" => invoke(seq, &mut reader).ok_or(Fault::Message(seq, "malformed arguments")),
         b"ping" => {
-            reader.skip(STRUCT, 0).ok_or(Fault::Message(seq, "malformed arguments"))?;
+            reader
+                .skip(STRUCT, 0)
+                .ok_or(Fault::Message(seq, "malformed arguments"))?;
             Ok(Message::Ping { seq })
         }
         _ => Err(Fault::Message(seq, "unknown method")),
@@ -154,7 +166,11 @@
             _ => reader.skip(kind, 0)?,
         }
     }
-    Some(Message::Invoke { seq, fields: fields?, body: body? })
+    Some(Message::Invoke {
+        seq,
+        fields: fields?,
+        body: body?,
+    })
 }
 
 /// Writes one frame at the end of `out`.
@@ -206,7 +222,14 @@
 }
 
 /// `Answer` to the method `name`.
-pub fn answer(out: &mut Vec<u8>, name: &str, seq: i32, body: &[u8], fields: &[(&str, String)], good: bool) {
+pub fn answer(
+    out: &mut Vec<u8>,
+    name: &str,
+    seq: i32,
+    body: &[u8],
+    fields: &[(&str, String)],
+    good: bool,
+) {
     let mut writer = Writer::new(out, REPLY, name, seq);
     writer.field(STRUCT, 0);
     writer.field(STRING, 1);
--- a/crates/coralstep-server/src/callers/thrift/tests.rs
+++ b/crates/coralstep-server/src/callers/thrift/tests.rs
@@ -4,7 +4,10 @@
 fn call() -> Vec<u8> {
     let mut bytes = Vec::new();
     let mut writer = Writer::new(&mut bytes, CALL, "invoke", 7);
-    writer.texts(1, &[("service", "save".to_owned()), ("room", "24.5".to_owned())]);
+    writer.texts(
+        1,
+        &[("service", "save".to_owned()), ("room", "24.5".to_owned())],
+    );
     writer.field(STRUCT, 9);
     writer.field(I32, 1);
     writer.u32(5);
@@ -24,7 +27,14 @@
     let (inner, used) = frame(&bytes).unwrap().unwrap();
     assert_eq!(used, bytes.len());
     let fields = vec![("service", "save"), ("room", "24.5")];
-    assert_eq!(decode(inner), Ok(Message::Invoke { seq: 7, fields, body: b"\0\xff\r\n" }));
+    assert_eq!(
+        decode(inner),
+        Ok(Message::Invoke {
+            seq: 7,
+            fields,
+            body: b"\0\xff\r\n"
+        })
+    );
 }
 
 #[test]
@@ -52,10 +62,16 @@
 fn a_sequence_number_that_can_be_read_makes_an_answer_possible() {
     let mut bytes = Vec::new();
     Writer::new(&mut bytes, CALL, "novelty", 3).end();
-    assert_eq!(decode(&bytes[4..]), Err(Fault::Message(3, "unknown method")));
+    assert_eq!(
+        decode(&bytes[4..]),
+        Err(Fault::Message(3, "unknown method"))
+    );
     bytes.clear();
     Writer::new(&mut bytes, CALL, "invoke", 4).end();
-    assert_eq!(decode(&bytes[4..]), Err(Fault::Message(4, "malformed arguments")));
+    assert_eq!(
+        decode(&bytes[4..]),
+        Err(Fault::Message(4, "malformed arguments"))
+    );
     bytes.clear();
     Writer::new(&mut bytes, REPLY, "invoke", 5).end();
     assert_eq!(decode(&bytes[4..]), Err(Fault::Message(5, "not a call")));
@@ -69,13 +85,23 @@
         writer.field(STRUCT, 1);
     }
     writer.end();
-    assert_eq!(decode(&bytes[4..]), Err(Fault::Message(1, "malformed arguments")));
+    assert_eq!(
+        decode(&bytes[4..]),
+        Err(Fault::Message(1, "malformed arguments"))
+    );
 }
 
 #[test]
 fn answers_are_whole_frames() {
     let mut out = Vec::new();
-    answer(&mut out, "ping", 2, b"", &[("pressure", "0.5".to_owned())], true);
+    answer(
+        &mut out,
+        "ping",
+        2,
+        b"",
+        &[("pressure", "0.5".to_owned())],
+        true,
+    );
     let expected = b"\x80\x01\x00\x02\x00\x00\x00\x04ping\x00\x00\x00\x02\x0c\x00\x00\x0b\x00\x01\x00\x00\x00\x00\
             \x0d\x00\x02\x0b\x0b\x00\x00\x00\x01\x00\x00\x00\x08pressure\x00\x00\x00\x030.5\x02\x00\x03\x01\x00\x00";
     assert_eq!(frame(&out), Ok(Some((&expected[..], out.len()))));
@@ -87,5 +113,8 @@
     let (_, more) = frame(&out[first + used..]).unwrap().unwrap();
     let (last, end) = frame(&out[first + used + more..]).unwrap().unwrap();
     assert_eq!(first + used + more + end, out.len());
-    assert_eq!(last, b"\x80\x01\x00\x04\x00\x00\x00\x07closing\x00\x00\x00\x00\x00");
+    assert_eq!(
+        last,
+        b"\x80\x01\x00\x04\x00\x00\x00\x07closing\x00\x00\x00\x00\x00"
+    );
 }
--- a/crates/coralstep-server/src/cli/fleet.rs
+++ b/crates/coralstep-server/src/cli/fleet.rs
@@ -24,8 +24,19 @@
 
 pub enum Call {
     Help,
-    Ask { question: Question, at: Listen, json: bool },
-    Publish { file: PathBuf, must: bool, waves: Vec<f32>, pause_ms: u64, at: Listen, json: bool },
+    Ask {
+        question: Question,
+        at: Listen,
+        json: bool,
+    },
+    Publish {
+        file: PathBuf,
+        must: bool,
+        waves: Vec<f32>,
+        pause_ms: u64,
+        at: Listen,
+        json: bool,
+    },
 }
 
 /// Parts of the fleet, rising to all of it.
@@ -38,7 +49,9 @@
         || parts.first().is_none_or(|part| *part <= 0.0)
         || parts.last() != Some(&1.0)
     {
-        return Err(format!("--waves: {text}: parts rise from above 0 to 1, 16 at most"));
+        return Err(format!(
+            "--waves: {text}: parts rise from above 0 to 1, 16 at most"
+        ));
     }
     Ok(parts)
 }
@@ -46,12 +59,19 @@
 /// What stands behind `coralstep fleet`.
 pub fn call(parser: &mut lexopt::Parser) -> Result<Call, lexopt::Error> {
     let (mut words, mut at, mut json, mut must) = (Vec::new(), None, false, false);
-    let (mut parts, mut pause, mut version, mut server, mut time) = (Vec::new(), 30.0, None, None, None);
+    let (mut parts, mut pause, mut version, mut server, mut time) =
+        (Vec::new(), 30.0, None, None, None);
     while let Some(arg) = parser.next()? {
         match arg {
             Short('h') | Long("help") => return Ok(Call::Help),
             Long("at") => {
-                at = Some(parser.value()?.string()?.parse::<Listen>().map_err(|why| format!("--at: {why}"))?)
+                at = Some(
+                    parser
+                        .value()?
+                        .string()?
+                        .parse::<Listen>()
+                        .map_err(|why| format!("--at: {why}"))?,
+                )
             }
             Long("json") => json = true,
             Long("must") => must = true,
@@ -64,12 +84,20 @@
             other => return Err(other.unexpected()),
         }
     }
-    let word = |at: usize| words.get(at).map(|word: &std::ffi::OsString| word.to_string_lossy().into_owned());
+    let word = |at: usize| {
+        words
+            .get(at)
+            .map(|word: &std::ffi::OsString| word.to_string_lossy().into_owned())
+    };
     let at = at.ok_or_else(|| lexopt::Error::from("--at: missing"));
     let question = match (word(0).as_deref(), word(1)) {
         (Some("members"), None) => Question::FleetMembers,
         (Some("versions"), None) => Question::FleetVersions,
-        (Some("audit"), None) => Question::FleetAudit { version, server, at_ms: time },
+        (Some("audit"), None) => Question::FleetAudit {
+            version,
+            server,
+            at_ms: time,
+        },
         (Some("limits"), None) => Question::FleetLimits,
         (Some("verdicts"), None) => Question::FleetVerdicts,
         (Some("shut-out"), Some(server)) => Question::FleetShutOut { server },
@@ -79,14 +107,27 @@
                 return Err(format!("--pause: {pause} is not from 0 to 86400").into());
             }
             let pause_ms = (pause * 1000.0) as u64;
-            return Ok(Call::Publish { file: file.into(), must, waves: parts, pause_ms, at: at?, json });
+            return Ok(Call::Publish {
+                file: file.into(),
+                must,
+                waves: parts,
+                pause_ms,
+                at: at?,
+                json,
+            });
         }
         (None, _) => return Err("fleet: no sub-command; see coralstep fleet --help".into()),
         (Some(other), _) => {
-            return Err(format!("fleet: {other:?} is not understood; see coralstep fleet --help").into());
+            return Err(
+                format!("fleet: {other:?} is not understood; see coralstep fleet --help").into(),
+            );
         }
     };
-    Ok(Call::Ask { question, at: at?, json })
+    Ok(Call::Ask {
+        question,
+        at: at?,
+        json,
+    })
 }
 
 pub fn run(call: Call) -> Result<(), String> {
@@ -96,19 +137,36 @@
             return Ok(());
         }
         Call::Ask { question, at, json } => (question, at, json),
-        Call::Publish { file, must, waves, pause_ms, at, json } => {
+        Call::Publish {
+            file,
+            must,
+            waves,
+            pause_ms,
+            at,
+            json,
+        } => {
             let named = |why: String| format!("{}: {why}", file.display());
             let text = std::fs::read_to_string(&file).map_err(|why| named(why.to_string()))?;
             let content = serde_json::from_str(&text).map_err(|why| named(why.to_string()))?;
-            (Question::FleetPublish { content, must, waves, pause_ms }, at, json)
+            (
+                Question::FleetPublish {
+                    content,
+                    must,
+                    waves,
+                    pause_ms,
+                },
+                at,
+                json,
+            )
         }
     };
     let said = ask(&at, &question).map_err(|why| format!("{at}: {why}"))?;
     if let Some(why) = said["error"].as_str() {
         return Err(why.to_owned());
     }
-    let rows =
-        ["members", "versions", "audit", "limits", "verdicts"].iter().find_map(|key| said[key].as_array());
+    let rows = ["members", "versions", "audit", "limits", "verdicts"]
+        .iter()
+        .find_map(|key| said[key].as_array());
     match (rows, json) {
         (Some(rows), true) => rows.iter().for_each(|row| println!("{row}")),
         (Some(rows), false) => print!("{}", table(rows)),
@@ -119,7 +177,9 @@
 
 /// Words apart by tabs, a head above them.
 fn table(rows: &[Json]) -> String {
-    let Some(first) = rows.first().and_then(Json::as_object) else { return String::new() };
+    let Some(first) = rows.first().and_then(Json::as_object) else {
+        return String::new();
+    };
     let line = |cells: Vec<String>| cells.join("\t") + "\n";
     let cell = |value: &Json| match value {
         Json::Null => "-".to_owned(),
--- a/crates/coralstep-server/src/cli/levels.rs
+++ b/crates/coralstep-server/src/cli/levels.rs
@@ -32,18 +32,33 @@
 
 pub enum Call {
     Help,
-    Ask { question: Question, at: Listen, json: bool },
-    Replay { file: PathBuf, site: Option<PathBuf>, json: bool },
+    Ask {
+        question: Question,
+        at: Listen,
+        json: bool,
+    },
+    Replay {
+        file: PathBuf,
+        site: Option<PathBuf>,
+        json: bool,
+    },
 }
 
 /// What stands behind `coralstep levels`.
 pub fn call(parser: &mut lexopt::Parser) -> Result<Call, lexopt::Error> {
-    let (mut words, mut at, mut span, mut site, mut json) = (Vec::<OsString>::new(), None, None, None, false);
+    let (mut words, mut at, mut span, mut site, mut json) =
+        (Vec::<OsString>::new(), None, None, None, false);
     while let Some(arg) = parser.next()? {
         match arg {
             Short('h') | Long("help") => return Ok(Call::Help),
             Long("at") => {
-                at = Some(parser.value()?.string()?.parse::<Listen>().map_err(|why| format!("--at: {why}"))?)
+                at = Some(
+                    parser
+                        .value()?
+                        .string()?
+                        .parse::<Listen>()
+                        .map_err(|why| format!("--at: {why}"))?,
+                )
             }
             Long("for") => span = Some(parser.value()?.parse::<f64>()?),
             Long("site") => site = Some(PathBuf::from(parser.value()?)),
@@ -52,24 +67,48 @@
             other => return Err(other.unexpected()),
         }
     }
-    let word = |at: usize| words.get(at).map(|word| word.to_string_lossy().into_owned());
-    let at = || at.clone().ok_or_else(|| lexopt::Error::from("--at: missing"));
+    let word = |at: usize| {
+        words
+            .get(at)
+            .map(|word| word.to_string_lossy().into_owned())
+    };
+    let at = || {
+        at.clone()
+            .ok_or_else(|| lexopt::Error::from("--at: missing"))
+    };
     let question = match (word(0).as_deref(), word(1)) {
         (Some("show"), None) => Question::Levels,
         (Some("history"), None) => Question::History,
         (Some("release"), None) => Question::Release,
         (Some("hold"), Some(level)) => {
-            let seconds =
-                span.filter(|span| *span > 0.0 && *span < 1e6).ok_or("--for: seconds above 0 are missing")?;
-            Question::Hold { level, ms: (seconds * 1000.0) as u64 }
+            let seconds = span
+                .filter(|span| *span > 0.0 && *span < 1e6)
+                .ok_or("--for: seconds above 0 are missing")?;
+            Question::Hold {
+                level,
+                ms: (seconds * 1000.0) as u64,
+            }
+        }
+        (Some("replay"), Some(file)) => {
+            return Ok(Call::Replay {
+                file: file.into(),
+                site,
+                json,
+            });
         }
-        (Some("replay"), Some(file)) => return Ok(Call::Replay { file: file.into(), site, json }),
         (None, _) => return Err("levels: no sub-command; see coralstep levels --help".into()),
         (Some(other), _) => {
-            return Err(format!("levels: {other:?} is not understood; see coralstep levels --help").into());
+            return Err(format!(
+                "levels: {other:?} is not understood; see coralstep levels --help"
+            )
+            .into());
         }
     };
-    Ok(Call::Ask { question, at: at()?, json })
+    Ok(Call::Ask {
+        question,
+        at: at()?,
+        json,
+    })
 }
 
 pub fn run(call: Call) -> Result<(), String> {
@@ -128,7 +167,11 @@
         )
     };
     let all: Vec<String> = causes.as_array().into_iter().flatten().map(one).collect();
-    if all.is_empty() { "-".to_owned() } else { all.join(", ") }
+    if all.is_empty() {
+        "-".to_owned()
+    } else {
+        all.join(", ")
+    }
 }
 
 fn word(value: &Json) -> &str {
@@ -151,8 +194,13 @@
         }
         out += "condition\tsignal\tfigure\tenter\tleave\tmet s\tgone s\n";
         for one in view["conditions"].as_array().into_iter().flatten() {
-            let figure = one["figure"].as_f64().map_or("-".to_owned(), |figure| format!("{figure:.2}"));
-            let (enter, leave) = (one["enter"].as_f64().unwrap_or(0.0), one["leave"].as_f64().unwrap_or(0.0));
+            let figure = one["figure"]
+                .as_f64()
+                .map_or("-".to_owned(), |figure| format!("{figure:.2}"));
+            let (enter, leave) = (
+                one["enter"].as_f64().unwrap_or(0.0),
+                one["leave"].as_f64().unwrap_or(0.0),
+            );
             let (met, gone) = (seconds(&one["met_ms"]), seconds(&one["gone_ms"]));
             out += &format!(
                 "{}\t{}\t{figure}\t{enter:.2}\t{leave:.2}\t{met:.1}\t{gone:.1}\n",
@@ -174,7 +222,11 @@
     } else if let Some(level) = said.get("held") {
         out += &format!("held\t{}\t{:.1} s\n", word(level), seconds(&said["ms"]));
     } else if let Some(released) = said.get("released") {
-        out += if released.as_bool() == Some(true) { "released\n" } else { "nothing was held\n" };
+        out += if released.as_bool() == Some(true) {
+            "released\n"
+        } else {
+            "nothing was held\n"
+        };
     }
     out
 }
@@ -185,13 +237,18 @@
         Some(path) => {
             let named = |why: String| format!("{}: {why}", path.display());
             let text = std::fs::read_to_string(&path).map_err(|why| named(why.to_string()))?;
-            SiteTerms::read(&text).map_err(named)?.levels.unwrap_or_default()
+            SiteTerms::read(&text)
+                .map_err(named)?
+                .levels
+                .unwrap_or_default()
         }
     };
     let named = |why: String| format!("{}: {why}", file.display());
     let record: Box<dyn BufRead> = match file.to_str() {
         Some("-") => Box::new(BufReader::new(io::stdin())),
-        _ => Box::new(BufReader::new(File::open(file).map_err(|why| named(why.to_string()))?)),
+        _ => Box::new(BufReader::new(
+            File::open(file).map_err(|why| named(why.to_string()))?,
+        )),
     };
     let mut changes = 0u64;
     let count = replay(&terms, record, |at_ms, change| {
@@ -203,7 +260,10 @@
     })
     .map_err(named)?;
     match json {
-        true => println!("{}", serde_json::json!({"samples": count, "changes": changes})),
+        true => println!(
+            "{}",
+            serde_json::json!({"samples": count, "changes": changes})
+        ),
         false => println!("{count} samples, {changes} changes"),
     }
     Ok(())
--- a/crates/coralstep-server/src/cli/state.rs
+++ b/crates/coralstep-server/src/cli/state.rs
@@ -22,7 +22,11 @@
 
 pub enum Call {
     Help,
-    Look { what: What, folder: PathBuf, json: bool },
+    Look {
+        what: What,
+        folder: PathBuf,
+        json: bool,
+    },
 }
 
 pub fn call(parser: &mut lexopt::Parser) -> Result<Call, lexopt::Error> {
@@ -37,9 +41,10 @@
                     Some("verify") => What::Verify,
                     Some("export") => What::Export,
                     _ => {
-                        return Err(
-                            format!("state: {word:?} is not understood; see coralstep state --help").into()
-                        );
+                        return Err(format!(
+                            "state: {word:?} is not understood; see coralstep state --help"
+                        )
+                        .into());
                     }
                 });
             }
@@ -48,7 +53,11 @@
         }
     }
     let what = what.ok_or("state: show, verify or export; see coralstep state --help")?;
-    Ok(Call::Look { what, folder: folder.ok_or("state: no folder")?, json })
+    Ok(Call::Look {
+        what,
+        folder: folder.ok_or("state: no folder")?,
+        json,
+    })
 }
 
 fn line(view: &View) -> String {
@@ -72,13 +81,22 @@
     let views = snapshot::views(&look, now_s.map_or(0, |since| since.as_secs()));
     match what {
         What::Export => {
-            let newest = views.iter().filter(|view| view.number.is_some()).max_by_key(|view| view.number);
+            let newest = views
+                .iter()
+                .filter(|view| view.number.is_some())
+                .max_by_key(|view| view.number);
             let newest = newest.ok_or_else(|| format!("{}: no good snapshot", folder.display()))?;
-            println!("{}", snapshot::export(&look, &newest.name).unwrap_or_default());
+            println!(
+                "{}",
+                snapshot::export(&look, &newest.name).unwrap_or_default()
+            );
         }
         _ if json => {
             for view in &views {
-                println!("{}", serde_json::to_string(view).map_err(|why| why.to_string())?);
+                println!(
+                    "{}",
+                    serde_json::to_string(view).map_err(|why| why.to_string())?
+                );
             }
         }
         _ if views.is_empty() => println!("nothing is kept here"),
--- a/crates/coralstep-server/src/decisions/facade.rs
+++ b/crates/coralstep-server/src/decisions/facade.rs
@@ -201,7 +201,9 @@
     }
 
     fn free(&mut self, id: RpcId) {
-        let Some(entry) = self.entries.get_mut(id.0 as usize).and_then(Option::take) else { return };
+        let Some(entry) = self.entries.get_mut(id.0 as usize).and_then(Option::take) else {
+            return;
+        };
         // Guards against a late result that goes to whatever RPC has this index by then.
         if let Some(prior) = entry.prior.and_then(|prior| self.entry(prior)) {
             prior.waiting.retain(|waiting| *waiting != id);
@@ -209,7 +211,8 @@
         if let Some(Some(result)) = entry.result {
             self.kept -= result.len();
         }
-        self.settled.extend(entry.waiting.into_iter().map(|waiting| (waiting, None)));
+        self.settled
+            .extend(entry.waiting.into_iter().map(|waiting| (waiting, None)));
         self.free.push(id.0);
     }
 
@@ -217,7 +220,9 @@
     fn ended(&mut self, id: RpcId, end: &RunEnd) {
         let (kept, most) = (self.kept, self.most_kept);
         let first = |entry: &&mut Entry| entry.token.is_some() && entry.result.is_none();
-        let Some(entry) = self.entry(id).filter(first) else { return };
+        let Some(entry) = self.entry(id).filter(first) else {
+            return;
+        };
         let result = match end {
             RunEnd::Ok(result) if kept + result.len() <= most => Some(result.clone()),
             _ => None,
@@ -226,8 +231,13 @@
         let waiting = std::mem::take(&mut entry.waiting);
         self.kept += result.as_ref().map_or(0, |result| result.len());
         // Those that wait need no room.
-        let result = if let RunEnd::Ok(result) = end { Some(result.clone()) } else { None };
-        self.settled.extend(waiting.into_iter().map(|id| (id, result.clone())));
+        let result = if let RunEnd::Ok(result) = end {
+            Some(result.clone())
+        } else {
+            None
+        };
+        self.settled
+            .extend(waiting.into_iter().map(|id| (id, result.clone())));
     }
 }
 
@@ -242,7 +252,13 @@
     fn push_back(&mut self, rpc: RpcId, after: Span, last: bool) {
         // Guards against callers sent back to where nobody may try yet.
         let after = self.entry(rpc).map_or(after, |entry| after.max(entry.back));
-        self.tell(rpc, Verdict::PushBack { after_ms: clock::ms_up(after), last });
+        self.tell(
+            rpc,
+            Verdict::PushBack {
+                after_ms: clock::ms_up(after),
+                last,
+            },
+        );
     }
 
     fn abort(&mut self, rpc: RpcId) {
@@ -250,7 +266,12 @@
     }
 
     fn call(&mut self, rpc: RpcId, patience: Span) {
-        self.tell(rpc, Verdict::Call { patience: clock::duration(patience) });
+        self.tell(
+            rpc,
+            Verdict::Call {
+                patience: clock::duration(patience),
+            },
+        );
     }
 
     fn preempt(&mut self, rpc: RpcId) {
@@ -263,8 +284,9 @@
 
     fn keep_token(&mut self, rpc: RpcId, span: Span) {
         let until = self.clock.now() + span;
-        if let Some((token, mark)) =
-            self.entry(rpc).and_then(|entry| Some((entry.token.clone()?, entry.mark)))
+        if let Some((token, mark)) = self
+            .entry(rpc)
+            .and_then(|entry| Some((entry.token.clone()?, entry.mark)))
         {
             self.tokens.keep(token, mark, rpc, until);
         }
@@ -280,7 +302,10 @@
     fn replay(&mut self, rpc: RpcId) {
         let prior = self.entry(rpc).and_then(|entry| entry.prior);
         match prior.and_then(|prior| self.entry(prior)) {
-            Some(Entry { result: Some(result), .. }) => {
+            Some(Entry {
+                result: Some(result),
+                ..
+            }) => {
                 let result = result.clone();
                 self.settled.push_back((rpc, result));
             }
@@ -360,7 +385,10 @@
 impl Drop for Ticket {
     fn drop(&mut self) {
         let mut inner = self.facade.inner.borrow_mut();
-        let over = inner.desk.entry(self.id).is_some_and(|entry| entry.verdicts.contains(&Verdict::Over));
+        let over = inner
+            .desk
+            .entry(self.id)
+            .is_some_and(|entry| entry.verdicts.contains(&Verdict::Over));
         if over {
             inner.desk.free(self.id);
         } else if let Some(entry) = inner.desk.entry(self.id) {
@@ -418,7 +446,10 @@
 
     /// What answers carry of this server beside their own.
     pub fn about(&self) -> About {
-        About { value: self.value(), level: self.levels.as_ref().map(|levels| levels.name()) }
+        About {
+            value: self.value(),
+            level: self.levels.as_ref().map(|levels| levels.name()),
+        }
     }
 
     /// The engine is up since `ago`; `cold` where it is not yet warm.
@@ -426,7 +457,10 @@
         let mut inner = self.inner.borrow_mut();
         let Inner { server, desk } = &mut *inner;
         if server.is_none() {
-            let terms = Terms { cold: cold.unwrap_or(self.terms.cold), ..self.terms.clone() };
+            let terms = Terms {
+                cold: cold.unwrap_or(self.terms.cold),
+                ..self.terms.clone()
+            };
             let since = self.clock.now() - clock::span(ago);
             // Guards against a start long ago that looks like cores which have stood still ever since: time has passed, and
             // nothing ran.
@@ -453,17 +487,31 @@
     /// How much runs, as a part of the running limit.
     pub fn busy(&self) -> f64 {
         let inner = self.inner.borrow();
-        inner.server.as_ref().and_then(|server| server.signals().running).unwrap_or(0.0)
+        inner
+            .server
+            .as_ref()
+            .and_then(|server| server.signals().running)
+            .unwrap_or(0.0)
     }
 
     /// Lets something happen to the decisions, and all that follows from it.
     fn happen(&self, event: impl FnOnce(&mut Server, Time, &mut Desk)) {
         let mut inner = self.inner.borrow_mut();
-        let Inner { server: Some(server), desk } = &mut *inner else { return };
+        let Inner {
+            server: Some(server),
+            desk,
+        } = &mut *inner
+        else {
+            return;
+        };
         let (now, tick) = (self.clock.now(), desk.next_tick);
         event(server, now, desk);
         while let Some((id, result)) = desk.settled.pop_front() {
-            let outcome = if result.is_some() { Outcome::Ok } else { Outcome::Error };
+            let outcome = if result.is_some() {
+                Outcome::Ok
+            } else {
+                Outcome::Error
+            };
             desk.tell(id, result.map_or(Verdict::Abort, Verdict::Replay));
             server.settled(now, id, outcome, desk);
         }
@@ -514,9 +562,14 @@
         let (id, prior) = {
             let desk = &mut self.inner.borrow_mut().desk;
             let token = offer.token.map(|token| (offer.method, token));
-            let mark = Mark { content: offer.content, tenant: offer.tenant };
+            let mark = Mark {
+                content: offer.content,
+                tenant: offer.tenant,
+            };
             let arrived = self.clock.now() - offer.age;
-            let found = token.as_ref().map_or(Found::Nothing, |token| desk.tokens.find(token, mark, arrived));
+            let found = token.as_ref().map_or(Found::Nothing, |token| {
+                desk.tokens.find(token, mark, arrived)
+            });
             let prior = match found {
                 Found::Nothing => None,
                 Found::Of(prior) => Some(prior),
@@ -530,11 +583,18 @@
                     RpcId(desk.entries.len() as u32 - 1)
                 }
             };
-            desk.entries[id.0 as usize] = Some(Entry { token, mark, prior, ..Entry::default() });
+            desk.entries[id.0 as usize] = Some(Entry {
+                token,
+                mark,
+                prior,
+                ..Entry::default()
+            });
             (id, prior)
         };
         // A stated patience makes an RPC due sooner, never later: nobody may have kept what its method promises.
-        let patience = offer.patience.map(|patience| patience.min(self.terms.methods[offer.method].deadline));
+        let patience = offer
+            .patience
+            .map(|patience| patience.min(self.terms.methods[offer.method].deadline));
         let due = patience.map(|patience| self.clock.now() - offer.age + patience);
         let arrival = Arrival {
             id,
@@ -551,7 +611,10 @@
         self.obey();
         self.picked.set(self.picked.get() + 1);
         self.happen(|server, now, desk| server.rpc(now, arrival, desk));
-        Ok(Ticket { facade: self.clone(), id })
+        Ok(Ticket {
+            facade: self.clone(),
+            id,
+        })
     }
 
     /// Tells how a run or a call ended and waits for what is next.
@@ -577,11 +640,14 @@
                     }
                     called.push_back((Instant::now(), end != CallEnd::Ok));
                 }
-                self.happen(|server, now, desk| server.called(now, id, outcome, clock::span(took), desk));
+                self.happen(|server, now, desk| {
+                    server.called(now, id, outcome, clock::span(took), desk)
+                });
             }
             News::Gone => self.happen(|server, now, desk| server.gone(now, id, desk)),
             News::Ran(end) => {
-                self.ran.set(self.ran.get() + u64::from(matches!(end, RunEnd::Ok(_))));
+                self.ran
+                    .set(self.ran.get() + u64::from(matches!(end, RunEnd::Ok(_))));
                 let outcome = match end {
                     RunEnd::Ok(_) => Outcome::Ok,
                     RunEnd::Error => Outcome::Error,
@@ -603,7 +669,9 @@
         }
         poll_fn(|cx| {
             let mut inner = self.inner.borrow_mut();
-            let Some(entry) = inner.desk.entry(id) else { return Poll::Ready(Verdict::Over) };
+            let Some(entry) = inner.desk.entry(id) else {
+                return Poll::Ready(Verdict::Over);
+            };
             match entry.verdicts.front() {
                 // It stays in the queue: what it stands for is freed with the ticket.
                 Some(Verdict::Over) => Poll::Ready(Verdict::Over),
@@ -629,7 +697,9 @@
         }
         self.happen(|server, now, desk| server.timer(now, gauges, desk));
         self.obey();
-        let Some(levels) = self.levels.as_ref().filter(|_| !self.shut.get()) else { return };
+        let Some(levels) = self.levels.as_ref().filter(|_| !self.shut.get()) else {
+            return;
+        };
         // Guards against a fault among the levels that takes the tick along: without one the last level holds.
         let beat = AssertUnwindSafe(|| {
             self.happen(|server, now, desk| {
@@ -691,14 +761,25 @@
             return Ok(Taken(None));
         };
         if let Some(token) = &offer.token
-            && self.inner.borrow().desk.tokens.is_kept(&(offer.method, token.clone()))
+            && self
+                .inner
+                .borrow()
+                .desk
+                .tokens
+                .is_kept(&(offer.method, token.clone()))
         {
             return Ok(Taken(None));
         }
         let method = &self.terms.methods[offer.method];
-        let patience = offer.patience.map_or(method.deadline, |patience| patience.min(method.deadline));
+        let patience = offer
+            .patience
+            .map_or(method.deadline, |patience| patience.min(method.deadline));
         let covers_ms = (patience.0.saturating_sub(offer.age.0)).div_ceil(10);
-        let which = Which { tenant: offer.tenant, method: offer.method, calls: method.calls };
+        let which = Which {
+            tenant: offer.tenant,
+            method: offer.method,
+            calls: method.calls,
+        };
         match limiter.take(which, covers_ms) {
             Ok(pass) => Ok(Taken(Some((limiter, pass)))),
             Err(after_ms) => {
@@ -710,16 +791,26 @@
 
     /// Looks whether this server is shut out. Held RPCs are then answered at once, what has run goes on to its end.
     pub fn obey(&self) {
-        let Some(gate) = self.gate.borrow().clone() else { return };
+        let Some(gate) = self.gate.borrow().clone() else {
+            return;
+        };
         let back = gate();
         if back.is_none() && !self.shut.get() {
             return;
         }
         self.shut.set(back.is_some());
         // Let in, it goes back to the level that holds: guards against a moment of full service in between.
-        let open = || self.levels.as_ref().map_or_else(Level::default, |levels| levels.effect());
-        let level =
-            back.map_or_else(open, |back| Level { closed: true, out: true, back, ..Level::default() });
+        let open = || {
+            self.levels
+                .as_ref()
+                .map_or_else(Level::default, |levels| levels.effect())
+        };
+        let level = back.map_or_else(open, |back| Level {
+            closed: true,
+            out: true,
+            back,
+            ..Level::default()
+        });
         self.happen(|server, now, desk| server.level(now, level, desk));
     }
 
--- a/crates/coralstep-server/src/decisions/levels.rs
+++ b/crates/coralstep-server/src/decisions/levels.rs
@@ -52,10 +52,23 @@
 
     /// One beat; what the decisions are to do from now on.
     pub fn beat(&self, now: Time, signals: &Signals) -> Level {
-        if self.record.get().is_some_and(|every| now - self.recorded.get() >= every) {
+        if self
+            .record
+            .get()
+            .is_some_and(|every| now - self.recorded.get() >= every)
+        {
             self.recorded.set(now);
-            let Sample { at_ms, hold, pushed_back, running, breaker, slowness, memory, unread, cold } =
-                Sample::new(now.0 / 10, signals);
+            let Sample {
+                at_ms,
+                hold,
+                pushed_back,
+                running,
+                breaker,
+                slowness,
+                memory,
+                unread,
+                cold,
+            } = Sample::new(now.0 / 10, signals);
             tracing::info!(
                 target: "signals", at_ms, hold, pushed_back, running, breaker, slowness, memory, unread, cold, "signals"
             );
@@ -75,12 +88,17 @@
             target: "level", from = change.from, to = change.to, by_hand = change.by_hand, lasted_ms = change.lasted_ms,
             causes, does, "{change}"
         );
-        let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .unwrap_or_default();
         let mut history = self.history.borrow_mut();
         if history.len() == HISTORY_MOST {
             history.pop_front();
         }
-        history.push_back(Recorded { unix_ms: unix.as_millis() as u64, change });
+        history.push_back(Recorded {
+            unix_ms: unix.as_millis() as u64,
+            change,
+        });
     }
 
     /// What the level that holds asks of the decisions.
@@ -102,7 +120,9 @@
 
     pub fn hold(&self, level: &str, ms: u64) -> Result<(), String> {
         let span = Duration::from_millis(ms);
-        self.levels.borrow_mut().hold(self.clock.now(), level, crate::base::clock::span(span))
+        self.levels
+            .borrow_mut()
+            .hold(self.clock.now(), level, crate::base::clock::span(span))
     }
 
     pub fn release(&self) -> bool {
--- a/crates/coralstep-server/src/decisions/tokens.rs
+++ b/crates/coralstep-server/src/decisions/tokens.rs
@@ -18,7 +18,10 @@
 impl Mark {
     /// Whether both may be tries of one RPC. A front that knows no tenants says nothing of them.
     fn fits(self, other: Mark) -> bool {
-        let tenants = self.tenant.zip(other.tenant).is_none_or(|(one, other)| one == other);
+        let tenants = self
+            .tenant
+            .zip(other.tenant)
+            .is_none_or(|(one, other)| one == other);
         self.content == other.content && tenants
     }
 }
@@ -51,7 +54,10 @@
 
 impl Tokens {
     pub fn new(most: usize) -> Tokens {
-        Tokens { most, ..Tokens::default() }
+        Tokens {
+            most,
+            ..Tokens::default()
+        }
     }
 
     pub fn is_kept(&self, token: &Token) -> bool {
@@ -71,7 +77,15 @@
     }
 
     pub fn keep(&mut self, token: Token, mark: Mark, rpc: RpcId, until: Time) {
-        self.kept.insert(token, Kept { rpc, mark, until, ran: false });
+        self.kept.insert(
+            token,
+            Kept {
+                rpc,
+                mark,
+                until,
+                ran: false,
+            },
+        );
     }
 
     /// `rpc` runs, or provably never did.
@@ -83,14 +97,24 @@
 
     /// It need not be kept any more. A try of it may lie unread for `unread` at the most.
     pub fn release(&mut self, now: Time, token: &Token, rpc: RpcId, unread: Span) {
-        while self.forget.front().is_some_and(|(at, _)| *at <= now) || self.forget.len() >= self.most.max(1) {
-            let Some((at, old)) = self.forget.pop_front() else { break };
-            if self.past.get(&old).is_some_and(|until| *until + unread <= at) {
+        while self.forget.front().is_some_and(|(at, _)| *at <= now)
+            || self.forget.len() >= self.most.max(1)
+        {
+            let Some((at, old)) = self.forget.pop_front() else {
+                break;
+            };
+            if self
+                .past
+                .get(&old)
+                .is_some_and(|until| *until + unread <= at)
+            {
                 self.past.remove(&old);
             }
         }
         if self.kept.get(token).is_some_and(|kept| kept.rpc == rpc)
-            && let Some(Kept { until, ran: true, .. }) = self.kept.remove(token)
+            && let Some(Kept {
+                until, ran: true, ..
+            }) = self.kept.remove(token)
         {
             self.past.insert(token.clone(), until);
             self.forget.push_back((until + unread, token.clone()));
--- a/crates/coralstep-server/src/decisions/tokens/tests.rs
+++ b/crates/coralstep-server/src/decisions/tokens/tests.rs
@@ -24,9 +24,15 @@
         (2, Some(2), Found::Barred),
         (1, Some(1), Found::Barred),
     ] {
-        assert_eq!(tokens.find(&token("a"), mark(content, tenant), at(1)), found);
+        assert_eq!(
+            tokens.find(&token("a"), mark(content, tenant), at(1)),
+            found
+        );
     }
-    assert_eq!(tokens.find(&(1, token("a").1), mark(1, None), at(1)), Found::Nothing);
+    assert_eq!(
+        tokens.find(&(1, token("a").1), mark(1, None), at(1)),
+        Found::Nothing
+    );
 }
 
 #[test]
@@ -59,7 +65,11 @@
     tokens.keep(token("b"), mark(1, None), RpcId(5), at(60_100));
     tokens.runs(&token("b"), RpcId(5), true);
     tokens.release(at(60_101), &token("b"), RpcId(5), UNREAD);
-    assert_eq!(find(&tokens, "ran", 250), Found::Barred, "the earlier one was to be forgotten, not this one");
+    assert_eq!(
+        find(&tokens, "ran", 250),
+        Found::Barred,
+        "the earlier one was to be forgotten, not this one"
+    );
 }
 
 #[test]
@@ -71,5 +81,8 @@
         tokens.release(at(100), &token(name), RpcId(1), UNREAD);
     }
     assert_eq!((tokens.past.len(), tokens.forget.len()), (2, 2));
-    assert_eq!(tokens.find(&token("c"), mark(1, None), at(50)), Found::Barred);
+    assert_eq!(
+        tokens.find(&token("c"), mark(1, None), at(50)),
+        Found::Barred
+    );
 }
--- a/crates/coralstep-server/src/dependency/store.rs
+++ b/crates/coralstep-server/src/dependency/store.rs
@@ -48,7 +48,9 @@
         let mut bytes = Vec::with_capacity(body.len() + 64);
         let ms = patience.as_micros().div_ceil(1000);
         lines::put(&mut bytes, format_args!("CALL {id} {ms}"), Some(body));
-        Call { talk: Box::pin(call(self.0.clone(), id, patience, bytes)) }
+        Call {
+            talk: Box::pin(call(self.0.clone(), id, patience, bytes)),
+        }
     }
 }
 
@@ -76,7 +78,11 @@
         };
         (end, None)
     });
-    Ended { end, answer, took: began.elapsed() }
+    Ended {
+        end,
+        answer,
+        took: began.elapsed(),
+    }
 }
 
 async fn talk(
@@ -85,7 +91,10 @@
     bytes: &[u8],
     left: &Cell<bool>,
 ) -> io::Result<(CallEnd, Option<Vec<u8>>)> {
-    let address = endpoints.store.get().ok_or_else(|| io::Error::other("no address is configured"))?;
+    let address = endpoints
+        .store
+        .get()
+        .ok_or_else(|| io::Error::other("no address is configured"))?;
     let stream = endpoints.descriptors.dial(address).await?;
     let _ = stream.get_ref().set_nodelay(true);
     let mut rest = bytes;
--- a/crates/coralstep-server/src/fleet/carrier.rs
+++ b/crates/coralstep-server/src/fleet/carrier.rs
@@ -89,7 +89,11 @@
         Event::Member(member, state) => format!("{} is {}", named(member), state.name()),
         Event::Back => "the others took this server for gone; it is back".to_owned(),
         Event::NameHeld(one, other) => {
-            format!("one name, two processes: {} and {}", named(one), named(other))
+            format!(
+                "one name, two processes: {} and {}",
+                named(one),
+                named(other)
+            )
         }
         Event::Held(id) => format!("version {id} is here"),
         Event::ActsOn(id) => format!("acts on version {id}"),
@@ -101,15 +105,19 @@
         Event::Shut(why) => format!("shut out: {why:?}"),
         Event::LetIn => "let in".to_owned(),
         Event::TooMany(id) => {
-            format!("too many would be shut out for version {id}: the version or the network is at fault")
+            format!(
+                "too many would be shut out for version {id}: the version or the network is at fault"
+            )
         }
         Event::RecordChanged(name) => format!("the record of {name} is not what it was"),
         Event::ClockOff(name) => format!("the clock of {name} is too far ahead to be believed"),
         Event::Paused(ms) => format!("this process was paused for {ms} ms"),
     };
     // Guards against members that come and go without end, and talk all other lines away: their lines are a peer's.
-    if matches!(event, Event::Member(..) | Event::NameHeld(..) | Event::ClockOff(_))
-        && log::admitted(Instant::now(), true).is_none()
+    if matches!(
+        event,
+        Event::Member(..) | Event::NameHeld(..) | Event::ClockOff(_)
+    ) && log::admitted(Instant::now(), true).is_none()
     {
         return;
     }
@@ -127,7 +135,10 @@
     ) -> Result<Carrier, String> {
         let socket = UdpSocket::bind(terms.listen).and_then(Async::new);
         let socket = socket.map_err(|why| format!("fleet.listen: {}: {why}", terms.listen))?;
-        let bound = socket.get_ref().local_addr().map_err(|why| format!("fleet.listen: {why}"))?;
+        let bound = socket
+            .get_ref()
+            .local_addr()
+            .map_err(|why| format!("fleet.listen: {why}"))?;
         let start = Instant::now();
         let own = Member::new(name, terms.advertise.unwrap_or(bound), unix_ms());
         if !own.is_sound() {
@@ -225,7 +236,9 @@
                 Some(Ok((count, from))) => {
                     self.heard(&buffer[..count], from);
                     for _ in 1..AT_ONCE {
-                        let Ok((count, from)) = self.socket.get_ref().recv_from(&mut buffer) else { break };
+                        let Ok((count, from)) = self.socket.get_ref().recv_from(&mut buffer) else {
+                            break;
+                        };
                         self.heard(&buffer[..count], from);
                     }
                     yield_now().await;
@@ -245,16 +258,26 @@
     }
 
     fn heard(&self, bytes: &[u8], from: SocketAddr) {
-        let listed = self.networks.iter().any(|network| network.contains(&from.ip()));
+        let listed = self
+            .networks
+            .iter()
+            .any(|network| network.contains(&from.ip()));
         // Guards against a peer's bytes that end the process by a fault in what reads them.
-        let read = || self.fleet.borrow_mut().heard(self.now(), self.wall_ms(), bytes).is_ok();
+        let read = || {
+            self.fleet
+                .borrow_mut()
+                .heard(self.now(), self.wall_ms(), bytes)
+                .is_ok()
+        };
         let heard = listed && catch_unwind(AssertUnwindSafe(read)).unwrap_or(false);
         self.faults.set(self.faults.get() + u64::from(!heard));
     }
 
     fn tick(&self, facade: &Facade, take: &Take, watch: &Watch) {
         let now = self.now();
-        self.fleet.borrow_mut().tick(now, self.wall_ms(), facade.counts());
+        self.fleet
+            .borrow_mut()
+            .tick(now, self.wall_ms(), facade.counts());
         let pending = self.fleet.borrow_mut().pending(now);
         if let Some((id, version)) = pending {
             // Taken up without a hold on the fleet: what it changes may ask.
@@ -275,18 +298,36 @@
             && let Some(recorder) = &self.recorder
         {
             let (acts_on, entries) = self.fleet.borrow().record();
-            self.changed.set(!recorder.save(Record { acts_on, entries }));
+            self.changed
+                .set(!recorder.save(Record { acts_on, entries }));
         }
         facade.obey();
     }
 
     /// What this server's breakers see is said; what the others say is passed to the decisions, and to who chooses among applications.
     fn see(&self, now: Ms, facade: &Facade, watch: &Watch) {
-        let Some(verdicts) = &self.verdicts else { return };
-        let all = [BreakerState::Closed, BreakerState::Open, BreakerState::HalfOpen];
+        let Some(verdicts) = &self.verdicts else {
+            return;
+        };
+        let all = [
+            BreakerState::Closed,
+            BreakerState::Open,
+            BreakerState::HalfOpen,
+        ];
         let see = |name: &str, state: &str, failures: u32, calls: u32| {
-            let state = all.into_iter().find(|one| one.name() == state).unwrap_or_default();
-            let advice = verdicts.borrow_mut().see(now, name, Own { state, failures, calls });
+            let state = all
+                .into_iter()
+                .find(|one| one.name() == state)
+                .unwrap_or_default();
+            let advice = verdicts.borrow_mut().see(
+                now,
+                name,
+                Own {
+                    state,
+                    failures,
+                    calls,
+                },
+            );
             (advice.need, advice.left.map(Duration::from_millis))
         };
         if let Some((state, failures, calls)) = facade.breaker() {
@@ -306,7 +347,10 @@
         if self.hold.replace(Some(hold)) == Some(hold) {
             return;
         }
-        let content = fleet.versions().held(acts_on).map(|version| version.content.as_str());
+        let content = fleet
+            .versions()
+            .held(acts_on)
+            .map(|version| version.content.as_str());
         let mut all = (self.limits_of)(content);
         if let Some((_, version)) = to_come {
             all = terms::lower(&all, &(self.limits_of)(Some(&version.content)));
@@ -317,11 +361,15 @@
     fn flush(&self) {
         if let Some(limits) = &self.limits {
             let events = limits.borrow_mut().events();
-            events.iter().for_each(|event| tracing::info!(target: "limits", "limits: {event}"));
+            events
+                .iter()
+                .for_each(|event| tracing::info!(target: "limits", "limits: {event}"));
         }
         if let Some(verdicts) = &self.verdicts {
             let events = verdicts.borrow_mut().events();
-            events.iter().for_each(|event| tracing::info!(target: "verdicts", "verdicts: {event}"));
+            events
+                .iter()
+                .for_each(|event| tracing::info!(target: "verdicts", "verdicts: {event}"));
         }
         let (events, send) = {
             let mut fleet = self.fleet.borrow_mut();
@@ -332,7 +380,10 @@
             let (left, since) = self.budget.get();
             let left = (left + since.elapsed().as_secs_f64() * BYTES_A_SECOND).min(BYTES_A_SECOND);
             let may = left >= bytes.len() as f64;
-            self.budget.set((left - if may { bytes.len() as f64 } else { 0.0 }, Instant::now()));
+            self.budget.set((
+                left - if may { bytes.len() as f64 } else { 0.0 },
+                Instant::now(),
+            ));
             if !may || self.socket.get_ref().send_to(&bytes, to).is_err() {
                 self.held_back.set(self.held_back.get() + 1);
             }
@@ -361,7 +412,11 @@
     /// Servers of the fleet that are not known to have gone, this one among them.
     pub fn count(&self) -> usize {
         let members = self.fleet.borrow().members(self.now());
-        members.iter().filter(|(_, state, ..)| !matches!(state, State::Gone)).count().max(1)
+        members
+            .iter()
+            .filter(|(_, state, ..)| !matches!(state, State::Gone))
+            .count()
+            .max(1)
     }
 
     pub fn versions(&self) -> Value {
@@ -374,8 +429,11 @@
                 "acts_on": fleet.acts_on() == id, "turned_down": versions.why_not(id),
             })
         };
-        let forks: Vec<[String; 2]> =
-            versions.forks().iter().map(|(one, other)| [one.to_string(), other.to_string()]).collect();
+        let forks: Vec<[String; 2]> = versions
+            .forks()
+            .iter()
+            .map(|(one, other)| [one.to_string(), other.to_string()])
+            .collect();
         json!({ "versions": versions.all().map(one).collect::<Vec<Value>>(), "forks": forks })
     }
 
@@ -390,9 +448,21 @@
         json!({ "audit": rows.into_iter().map(one).collect::<Vec<Value>>() })
     }
 
-    pub fn publish(&self, content: String, must: bool, waves: Vec<f32>, pause_ms: u64) -> Result<Id, String> {
-        let id =
-            self.fleet.borrow_mut().publish(self.now(), self.wall_ms(), content, must, waves, pause_ms)?;
+    pub fn publish(
+        &self,
+        content: String,
+        must: bool,
+        waves: Vec<f32>,
+        pause_ms: u64,
+    ) -> Result<Id, String> {
+        let id = self.fleet.borrow_mut().publish(
+            self.now(),
+            self.wall_ms(),
+            content,
+            must,
+            waves,
+            pause_ms,
+        )?;
         self.flush();
         Ok(id)
     }
@@ -406,16 +476,24 @@
 
     /// Shares of the limits by server.
     pub fn limits(&self) -> Value {
-        let rows = self.limits.as_ref().map(|limits| limits.borrow().rows(self.now())).unwrap_or_default();
+        let rows = self
+            .limits
+            .as_ref()
+            .map(|limits| limits.borrow().rows(self.now()))
+            .unwrap_or_default();
         json!({ "limits": rows })
     }
 
     /// What each server says of each dependency, and whose trouble it is as far as this one can tell.
     pub fn verdicts(&self) -> Value {
-        let Some(verdicts) = &self.verdicts else { return json!({ "verdicts": [] }) };
+        let Some(verdicts) = &self.verdicts else {
+            return json!({ "verdicts": [] });
+        };
         let verdicts = verdicts.borrow();
-        let whose: std::collections::BTreeMap<&str, String> =
-            verdicts.whose().map(|(name, whose)| (name, format!("{whose:?}"))).collect();
+        let whose: std::collections::BTreeMap<&str, String> = verdicts
+            .whose()
+            .map(|(name, whose)| (name, format!("{whose:?}")))
+            .collect();
         json!({ "verdicts": verdicts.rows(self.now()), "whose": whose })
     }
 
@@ -431,7 +509,9 @@
 
 impl Limiter for Carrier {
     fn take(&self, which: Which, covers_ms: u64) -> Result<Pass, u64> {
-        let Some(limits) = &self.limits else { return Ok(Pass::default()) };
+        let Some(limits) = &self.limits else {
+            return Ok(Pass::default());
+        };
         limits.borrow_mut().admit(self.now(), which, covers_ms)
     }
 
--- a/crates/coralstep-server/src/fleet/record.rs
+++ b/crates/coralstep-server/src/fleet/record.rs
@@ -17,7 +17,8 @@
     /// Opens the folder; with what was kept there. None where it can't be had, which is told.
     pub fn start(folder: &Path) -> Option<(Recorder, Record)> {
         let path = folder.join(FOLDER);
-        let told = |why: std::io::Error| note!("fleet: {}: {why}; no record is kept", path.display());
+        let told =
+            |why: std::io::Error| note!("fleet: {}: {why}; no record is kept", path.display());
         let mut files = Folder::open(&path).map_err(told).ok()?;
         let found = match record::load(&files).map_err(told).ok()? {
             Some((found, 0)) => found,
@@ -35,12 +36,16 @@
                     Err(why) if !std::mem::replace(&mut failed, true) => {
                         note!("fleet: no record: {why}; tried again at the next change")
                     }
-                    Ok(()) if std::mem::take(&mut failed) => note!("fleet: the record is written again"),
+                    Ok(()) if std::mem::take(&mut failed) => {
+                        note!("fleet: the record is written again")
+                    }
                     _ => {}
                 }
             }
         };
-        let thread = std::thread::Builder::new().name("record".to_owned()).spawn(write);
+        let thread = std::thread::Builder::new()
+            .name("record".to_owned())
+            .spawn(write);
         thread.map_err(told).ok()?;
         Some((Recorder(works), found))
     }
