--- a/crates/coralstep-state/src/frame/tests.rs
+++ b/crates/coralstep-state/src/frame/tests.rs
@@ -44,7 +44,11 @@
 fn a_head_tells_kind_and_version() {
     let bytes = head(Kind::Tokens, 7);
     assert_eq!(
-        (bytes.len(), version(&bytes, Kind::Tokens), version(&bytes, Kind::Learned)),
+        (
+            bytes.len(),
+            version(&bytes, Kind::Tokens),
+            version(&bytes, Kind::Learned)
+        ),
         (HEAD, Some(7), None)
     );
     assert!((0..HEAD).all(|cut| version(&bytes[..cut], Kind::Tokens).is_none()));
--- a/crates/coralstep-state/src/journal.rs
+++ b/crates/coralstep-state/src/journal.rs
@@ -130,8 +130,9 @@
     pub fn open(files: F, most: usize) -> io::Result<Journal<F>> {
         let mut left: Vec<(u64, String)> = Vec::new();
         for file in files.list()? {
-            if let Some(number) =
-                file.strip_prefix("tokens.").and_then(|hex| u64::from_str_radix(hex, 16).ok())
+            if let Some(number) = file
+                .strip_prefix("tokens.")
+                .and_then(|hex| u64::from_str_radix(hex, 16).ok())
             {
                 left.push((number, file));
             }
@@ -155,7 +156,9 @@
 
     /// Reads the next segment; whether there are more.
     pub fn recover(&mut self, now_ms: u64) -> bool {
-        let Some((number, file)) = self.recovery.left.pop_front() else { return false };
+        let Some((number, file)) = self.recovery.left.pop_front() else {
+            return false;
+        };
         let bytes = match self.files.read(&file, SEGMENT * 2) {
             Ok(bytes) => bytes,
             Err(why) => {
@@ -164,7 +167,11 @@
                 return !self.recovery.left.is_empty();
             }
         };
-        let mut segment = Segment { number, bytes: bytes.len(), until_ms: 0 };
+        let mut segment = Segment {
+            number,
+            bytes: bytes.len(),
+            until_ms: 0,
+        };
         match frame::version(&bytes, Kind::Tokens) {
             Some(VERSION) => {
                 let (records, lost) = frame::records(&bytes[HEAD..]);
@@ -203,21 +210,44 @@
         match record {
             Record::Began { token, until_ms } => {
                 if until_ms > now_ms {
-                    self.known.insert(token, Known { until_ms, state: State::Begun });
+                    self.known.insert(
+                        token,
+                        Known {
+                            until_ms,
+                            state: State::Begun,
+                        },
+                    );
                 }
                 until_ms
             }
-            Record::Ended { token, good, result } => {
-                let Some(known) = self.known.get_mut(&token) else { return 0 };
-                known.state = if good { State::Good(result) } else { State::Bad };
+            Record::Ended {
+                token,
+                good,
+                result,
+            } => {
+                let Some(known) = self.known.get_mut(&token) else {
+                    return 0;
+                };
+                known.state = if good {
+                    State::Good(result)
+                } else {
+                    State::Bad
+                };
                 known.until_ms
             }
-            Record::NeverRan { token } => self.known.remove(&token).map_or(0, |known| known.until_ms),
+            Record::NeverRan { token } => {
+                self.known.remove(&token).map_or(0, |known| known.until_ms)
+            }
         }
     }
 
     pub fn verdict(&self, token: &[u8], now_ms: u64) -> Verdict {
-        match self.known.get(token).filter(|known| known.until_ms > now_ms).map(|known| &known.state) {
+        match self
+            .known
+            .get(token)
+            .filter(|known| known.until_ms > now_ms)
+            .map(|known| &known.state)
+        {
             Some(State::Good(Some(result))) => Verdict::Replay(result.clone()),
             Some(_) => Verdict::Aborted,
             None if !self.recovered() => Verdict::Wait,
@@ -226,7 +256,9 @@
     }
 
     fn put(&mut self, record: &Record, now_ms: u64) {
-        let Ok(payload) = postcard::to_stdvec(record) else { return };
+        let Ok(payload) = postcard::to_stdvec(record) else {
+            return;
+        };
         if self.count == 0 {
             self.since_ms = now_ms;
         }
@@ -240,9 +272,21 @@
         if self.unprotected || token.len() > TOKEN || !self.recovered() {
             return false;
         }
-        self.put(&Record::Began { token: token.to_vec(), until_ms }, now_ms);
+        self.put(
+            &Record::Began {
+                token: token.to_vec(),
+                until_ms,
+            },
+            now_ms,
+        );
         self.until_ms = self.until_ms.max(until_ms);
-        self.known.insert(token.to_vec(), Known { until_ms, state: State::Begun });
+        self.known.insert(
+            token.to_vec(),
+            Known {
+                until_ms,
+                state: State::Begun,
+            },
+        );
         true
     }
 
@@ -253,10 +297,20 @@
         let record = match end {
             End::Good(result) => {
                 let result = Some(result).filter(|result| result.len() <= RESULT);
-                Record::Ended { token: token.to_vec(), good: true, result }
+                Record::Ended {
+                    token: token.to_vec(),
+                    good: true,
+                    result,
+                }
             }
-            End::Bad => Record::Ended { token: token.to_vec(), good: false, result: None },
-            End::NeverRan => Record::NeverRan { token: token.to_vec() },
+            End::Bad => Record::Ended {
+                token: token.to_vec(),
+                good: false,
+                result: None,
+            },
+            End::NeverRan => Record::NeverRan {
+                token: token.to_vec(),
+            },
         };
         if !self.unprotected {
             self.put(&record, now_ms);
@@ -297,19 +351,27 @@
                 "the journal has all the room that was agreed on",
             ));
         }
-        let full =
-            self.segments.back().is_none_or(|last| last.bytes + bytes.len() > SEGMENT || last.bytes < HEAD);
+        let full = self
+            .segments
+            .back()
+            .is_none_or(|last| last.bytes + bytes.len() > SEGMENT || last.bytes < HEAD);
         if full || self.again_ms > 0 {
             // Guards against records behind a torn one, which a failed write may have left.
             let number = self.segments.back().map_or(0, |last| last.number + 1);
             let head = frame::head(Kind::Tokens, VERSION);
             self.files.create(&name(number))?;
-            self.segments.push_back(Segment { number, bytes: head.len(), until_ms: 0 });
+            self.segments.push_back(Segment {
+                number,
+                bytes: head.len(),
+                until_ms: 0,
+            });
             self.files.append(&name(number), &head)?;
             self.files.sync_folder()?;
         }
         let until_ms = self.until_ms;
-        let Some(last) = self.segments.back_mut() else { return Ok(()) };
+        let Some(last) = self.segments.back_mut() else {
+            return Ok(());
+        };
         last.bytes += bytes.len();
         last.until_ms = last.until_ms.max(until_ms);
         let file = name(last.number);
@@ -335,7 +397,9 @@
                 .front()
                 .is_some_and(|segment| segment.until_ms <= now_ms && self.recovery.left.is_empty())
         {
-            let Some(segment) = self.segments.pop_front() else { return };
+            let Some(segment) = self.segments.pop_front() else {
+                return;
+            };
             if self.files.remove(&name(segment.number)).is_err() {
                 // It is read again after a restart, and its windows are over then, too.
                 break;
@@ -365,7 +429,10 @@
 
     /// Tokens known, and bytes of all segments.
     pub fn size(&self) -> (usize, usize) {
-        (self.known.len(), self.segments.iter().map(|segment| segment.bytes).sum())
+        (
+            self.known.len(),
+            self.segments.iter().map(|segment| segment.bytes).sum(),
+        )
     }
 
     pub fn into_files(self) -> F {
--- a/crates/coralstep-state/src/journal/tests.rs
+++ b/crates/coralstep-state/src/journal/tests.rs
@@ -27,13 +27,24 @@
 #[test]
 fn after_a_restart_a_repeat_hears_what_is_known() {
     let mut journal = fresh();
-    assert!(run(&mut journal, b"good", Some(End::Good(b"42".to_vec())), 10));
+    assert!(run(
+        &mut journal,
+        b"good",
+        Some(End::Good(b"42".to_vec())),
+        10
+    ));
     assert!(run(&mut journal, b"bad", Some(End::Bad), 10));
     assert!(run(&mut journal, b"never", Some(End::NeverRan), 10));
     assert!(run(&mut journal, b"doubt", None, 10));
-    assert!(run(&mut journal, b"long", Some(End::Good(vec![1; RESULT + 1])), 10));
+    assert!(run(
+        &mut journal,
+        b"long",
+        Some(End::Good(vec![1; RESULT + 1])),
+        10
+    ));
     let told = |journal: &Journal<Faulty>, now: u64| {
-        ["good", "bad", "never", "doubt", "long", "new"].map(|token| journal.verdict(token.as_bytes(), now))
+        ["good", "bad", "never", "doubt", "long", "new"]
+            .map(|token| journal.verdict(token.as_bytes(), now))
     };
     let all = [
         Verdict::Replay(b"42".to_vec()),
@@ -73,13 +84,20 @@
     assert!(steps > 15);
     for cut in 0..=steps {
         for seed in 0..60 {
-            let (files, ran, told) = play(Faults { cut: Some(cut), ..Faults::default() });
+            let (files, ran, told) = play(Faults {
+                cut: Some(cut),
+                ..Faults::default()
+            });
             let journal = open(files.after_cut(seed, Faults::default()), 10);
             for number in ran {
                 let verdict = journal.verdict(&[number], 10);
                 assert_ne!(verdict, Verdict::Fresh, "{cut} {seed} {number}");
                 if told.contains(&number) {
-                    assert_eq!(verdict, Verdict::Replay(vec![number]), "{cut} {seed} {number}");
+                    assert_eq!(
+                        verdict,
+                        Verdict::Replay(vec![number]),
+                        "{cut} {seed} {number}"
+                    );
                 }
             }
         }
@@ -105,7 +123,12 @@
     let mut journal = fresh();
     let result = vec![7; RESULT];
     for number in 0..2_500u32 {
-        assert!(run(&mut journal, &number.to_le_bytes(), Some(End::Good(result.clone())), u64::from(number)));
+        assert!(run(
+            &mut journal,
+            &number.to_le_bytes(),
+            Some(End::Good(result.clone())),
+            u64::from(number)
+        ));
     }
     let files = journal.files().list().unwrap();
     assert!(files.len() >= 3, "{files:?}");
@@ -113,13 +136,24 @@
     assert!(journal.begin(b"straddles", 200_000, 3_000));
     journal.commit(3_000).unwrap();
     for number in 0..1_200u32 {
-        assert!(run(&mut journal, &(number + 5_000).to_le_bytes(), Some(End::Good(result.clone())), 3_000));
+        assert!(run(
+            &mut journal,
+            &(number + 5_000).to_le_bytes(),
+            Some(End::Good(result.clone())),
+            3_000
+        ));
     }
     journal.ended(b"straddles", End::Good(b"here".to_vec()), 3_000);
     journal.commit(3_000).unwrap();
     let mut again = open(journal.into_files().after_cut(3, Faults::default()), 3_000);
-    assert_eq!(again.verdict(b"straddles", 3_000), Verdict::Replay(b"here".to_vec()));
-    assert_eq!(again.verdict(&7u32.to_le_bytes(), 3_000), Verdict::Replay(result));
+    assert_eq!(
+        again.verdict(b"straddles", 3_000),
+        Verdict::Replay(b"here".to_vec())
+    );
+    assert_eq!(
+        again.verdict(&7u32.to_le_bytes(), 3_000),
+        Verdict::Replay(result)
+    );
     let (known, bytes) = again.size();
     assert!(known > 3_000 && bytes > 3 * SEGMENT, "{known} {bytes}");
     again.expire(250_000);
@@ -134,7 +168,10 @@
     assert!(run(&mut journal, b"a", Some(End::Good(b"1".to_vec())), 0));
     let mut again = Journal::open(journal.into_files(), 64 << 20).unwrap();
     assert_eq!(again.verdict(b"a", 10), Verdict::Wait);
-    assert!(!again.begin(b"b", 1_000, 10), "nothing begins before all is known");
+    assert!(
+        !again.begin(b"b", 1_000, 10),
+        "nothing begins before all is known"
+    );
     assert!(!again.recover(10));
     assert_eq!(again.verdict(b"a", 10), Verdict::Replay(b"1".to_vec()));
 }
@@ -153,7 +190,12 @@
     assert!(!journal.protected(), "it is left alone for a while");
     journal.expire(10 + AGAIN_MS);
     assert!(journal.protected() && journal.events() == [Event::Protected]);
-    assert!(run(&mut journal, b"d", Some(End::Good(b"4".to_vec())), 6_000));
+    assert!(run(
+        &mut journal,
+        b"d",
+        Some(End::Good(b"4".to_vec())),
+        6_000
+    ));
     // What came behind a torn record is read all the same.
     let again = open(journal.into_files().after_cut(1, Faults::default()), 6_010);
     assert_eq!(again.verdict(b"d", 6_010), Verdict::Replay(b"4".to_vec()));
@@ -168,21 +210,33 @@
     let mut journal = fresh();
     let result = vec![7; RESULT];
     for number in 0..2_000u32 {
-        assert!(run(&mut journal, &number.to_le_bytes(), Some(End::Good(result.clone())), 0));
+        assert!(run(
+            &mut journal,
+            &number.to_le_bytes(),
+            Some(End::Good(result.clone())),
+            0
+        ));
     }
     let mut files = journal.into_files();
     let first = files.list().unwrap()[0].clone();
     files.spoil(&first, |bytes| bytes[40] ^= 1);
     let later = name(0xffff);
     files.create(&later).unwrap();
-    files.append(&later, &frame::head(Kind::Tokens, VERSION + 1)).unwrap();
+    files
+        .append(&later, &frame::head(Kind::Tokens, VERSION + 1))
+        .unwrap();
     let mut again = open(files, 10);
     let events = again.events();
     assert!(
-        events.iter().any(|event| matches!(event, Event::Spoilt(file, lost) if *file == first && *lost > 0))
+        events
+            .iter()
+            .any(|event| matches!(event, Event::Spoilt(file, lost) if *file == first && *lost > 0))
     );
     assert!(events.contains(&Event::Later(later.clone(), VERSION + 1)));
-    assert_eq!(again.verdict(&9u32.to_le_bytes(), 10), Verdict::Replay(result));
+    assert_eq!(
+        again.verdict(&9u32.to_le_bytes(), 10),
+        Verdict::Replay(result)
+    );
     again.expire(WINDOW * 2);
     assert!(again.files().list().unwrap().contains(&later));
 }
--- a/crates/coralstep-state/src/record.rs
+++ b/crates/coralstep-state/src/record.rs
@@ -22,7 +22,10 @@
 pub fn save(files: &mut impl Files, record: &Record) -> io::Result<()> {
     let mut bytes = head(Kind::Fleet, FORM);
     put(&mut bytes, &record.acts_on);
-    record.entries.iter().for_each(|entry| put(&mut bytes, entry));
+    record
+        .entries
+        .iter()
+        .for_each(|entry| put(&mut bytes, entry));
     files.create(NEW)?;
     files.append(NEW, &bytes)?;
     files.sync(NEW)?;
@@ -46,7 +49,13 @@
         return Ok(Some((Record::default(), lost.max(1))));
     }
     let acts_on = payloads.remove(0).to_vec();
-    Ok(Some((Record { acts_on, entries: payloads.into_iter().map(<[u8]>::to_vec).collect() }, 0)))
+    Ok(Some((
+        Record {
+            acts_on,
+            entries: payloads.into_iter().map(<[u8]>::to_vec).collect(),
+        },
+        0,
+    )))
 }
 
 #[cfg(test)]
--- a/crates/coralstep-state/src/schedule.rs
+++ b/crates/coralstep-state/src/schedule.rs
@@ -22,7 +22,11 @@
 impl Default for Budget {
     /// A twentieth of one core and 4 MB.
     fn default() -> Budget {
-        Budget { time_ms: 100.0, cpu_ms: 50.0, bytes: 4e6 }
+        Budget {
+            time_ms: 100.0,
+            cpu_ms: 50.0,
+            bytes: 4e6,
+        }
     }
 }
 
@@ -69,7 +73,12 @@
             idle: 0.0,
             next: Cost::default(),
         });
-        Scheduler { budget, left: Cost::default(), now_ms: 0.0, tasks: tasks.collect() }
+        Scheduler {
+            budget,
+            left: Cost::default(),
+            now_ms: 0.0,
+            tasks: tasks.collect(),
+        }
     }
 
     /// A task has a step to do that costs about so much.
@@ -104,10 +113,16 @@
         if self.left.time_ms <= 0.0 || self.left.cpu_ms <= 0.0 || self.left.bytes <= 0.0 {
             return None;
         }
-        let waiting = self.tasks.iter().filter_map(|task| Some((task, task.waits?)));
-        let starves = waiting.clone().filter(|(_, since)| now_ms - since >= STARVES_MS);
+        let waiting = self
+            .tasks
+            .iter()
+            .filter_map(|task| Some((task, task.waits?)));
+        let starves = waiting
+            .clone()
+            .filter(|(_, since)| now_ms - since >= STARVES_MS);
         let oldest = starves.min_by(|one, other| one.1.total_cmp(&other.1));
-        let next = oldest.or_else(|| waiting.min_by(|one, other| one.0.used.total_cmp(&other.0.used)));
+        let next =
+            oldest.or_else(|| waiting.min_by(|one, other| one.0.used.total_cmp(&other.0.used)));
         next.map(|(task, _)| task.name)
     }
 
@@ -117,7 +132,10 @@
         self.left.cpu_ms -= cost.cpu_ms;
         self.left.bytes -= cost.bytes;
         let part = |cost: f64, each: f64| cost / each.max(1e-9);
-        let (time, cpu) = (part(cost.time_ms, self.budget.time_ms), part(cost.cpu_ms, self.budget.cpu_ms));
+        let (time, cpu) = (
+            part(cost.time_ms, self.budget.time_ms),
+            part(cost.cpu_ms, self.budget.cpu_ms),
+        );
         let most = time.max(cpu).max(part(cost.bytes, self.budget.bytes));
         if let Some(task) = self.tasks.iter_mut().find(|task| task.name == name) {
             task.used += most / task.weight;
--- a/crates/coralstep-state/src/schedule/tests.rs
+++ b/crates/coralstep-state/src/schedule/tests.rs
@@ -6,7 +6,9 @@
     let mut got = vec![0.0; tasks.len()];
     for beat in 0..36_000u64 {
         let now = beat as f64 * 100.0;
-        tasks.iter().for_each(|(name, _)| scheduler.wants(name, cost, now));
+        tasks
+            .iter()
+            .for_each(|(name, _)| scheduler.wants(name, cost, now));
         while let Some(name) = scheduler.next(now, busy(beat)) {
             scheduler.done(name, cost);
             scheduler.wants(name, cost, now);
@@ -16,7 +18,11 @@
     got
 }
 
-const STEP: Cost = Cost { time_ms: 2.0, cpu_ms: 1.0, bytes: 10_000.0 };
+const STEP: Cost = Cost {
+    time_ms: 2.0,
+    cpu_ms: 1.0,
+    bytes: 10_000.0,
+};
 
 #[test]
 fn an_hour_of_idle_serving_gives_the_budget_by_weight_and_no_more() {
@@ -30,14 +36,21 @@
 fn busy_serving_goes_first_and_nothing_starves() {
     let got = hour(&[("snapshot", 3.0), ("report", 0.01)], |_| 1.0, STEP);
     let all: f64 = got.iter().sum();
-    assert!((all / (50.0 * 3_600.0 * LEAST) - 1.0).abs() < 0.05, "{got:?}");
+    assert!(
+        (all / (50.0 * 3_600.0 * LEAST) - 1.0).abs() < 0.05,
+        "{got:?}"
+    );
     // One in ten seconds at least for the least of them.
     assert!(got[1] >= 300.0, "{got:?}");
 }
 
 #[test]
 fn a_step_beyond_all_budget_comes_and_is_paid_off() {
-    let large = Cost { time_ms: 1_000.0, cpu_ms: 500.0, bytes: 10_000.0 };
+    let large = Cost {
+        time_ms: 1_000.0,
+        cpu_ms: 500.0,
+        bytes: 10_000.0,
+    };
     let got = hour(&[("compaction", 1.0)], |_| 0.0, large);
     assert!((got[0] / (50.0 * 3_600.0) - 1.0).abs() < 0.05, "{got:?}");
 }
--- a/crates/coralstep-state/src/snapshot.rs
+++ b/crates/coralstep-state/src/snapshot.rs
@@ -102,7 +102,9 @@
     }
     match version {
         2 => postcard::from_bytes(payload).map_err(|_| Refused::Spoilt),
-        1 => postcard::from_bytes::<StoredOne>(payload).map(Stored::from).map_err(|_| Refused::Spoilt),
+        1 => postcard::from_bytes::<StoredOne>(payload)
+            .map(Stored::from)
+            .map_err(|_| Refused::Spoilt),
         _ => Err(Refused::Spoilt),
     }
 }
@@ -117,7 +119,11 @@
 
 impl Stored {
     fn new(learned: &Learned, of: &Fingerprint, number: u64, now_s: u64) -> Stored {
-        let tenants = of.tenants.iter().cloned().zip(learned.tenants.iter().copied());
+        let tenants = of
+            .tenants
+            .iter()
+            .cloned()
+            .zip(learned.tenants.iter().copied());
         Stored {
             number,
             written_s: now_s,
@@ -166,7 +172,9 @@
                 found.number = found.number.max(stored.number);
                 let age = now_s as i64 - stored.written_s as i64;
                 if stored.server != now.server {
-                    found.refused.push((name.to_owned(), Refused::OtherServer(stored.server)));
+                    found
+                        .refused
+                        .push((name.to_owned(), Refused::OtherServer(stored.server)));
                 } else if trust::by_age(age as f64) == 0.0 {
                     found.refused.push((name.to_owned(), Refused::Age(age)));
                 } else if best.as_ref().is_none_or(|best| stored.number > best.number) {
@@ -179,7 +187,8 @@
     }
     found.learned = best.and_then(|stored| {
         let trust = trust::by_age(now_s as f64 - stored.written_s as f64);
-        trust::applies(&stored.learned(), &stored.fingerprint(), now).map(|learned| (learned, trust))
+        trust::applies(&stored.learned(), &stored.fingerprint(), now)
+            .map(|learned| (learned, trust))
     });
     found
 }
@@ -260,7 +269,13 @@
                     Refused::Unreadable(why) => why,
                     _ => "spoilt".to_owned(),
                 };
-                View { name: name.to_owned(), number: None, server: String::new(), age_s: 0, told }
+                View {
+                    name: name.to_owned(),
+                    number: None,
+                    server: String::new(),
+                    age_s: 0,
+                    told,
+                }
             }
         })
     };
--- a/crates/coralstep-state/src/snapshot/tests.rs
+++ b/crates/coralstep-state/src/snapshot/tests.rs
@@ -32,24 +32,43 @@
 }
 
 fn limit(found: &Found) -> Option<u32> {
-    found.learned.as_ref().and_then(|(learned, _)| learned.limit)
+    found
+        .learned
+        .as_ref()
+        .and_then(|(learned, _)| learned.limit)
 }
 
 #[test]
 fn the_newest_is_believed_as_far_as_its_age_allows() {
     let files = saved(&[(5, 100), (6, 160), (7, 220)]);
     let found = load(&files, &of(), 230);
-    assert_eq!((found.learned.clone(), found.number), (Some((learned(7), 1.0)), 3));
+    assert_eq!(
+        (found.learned.clone(), found.number),
+        (Some((learned(7), 1.0)), 3)
+    );
     assert_eq!(files.list().unwrap(), ["learned.0", "learned.1"]);
     let (_, trust) = load(&files, &of(), 220 + 3_600).learned.unwrap();
     assert!((0.5..0.6).contains(&trust), "{trust}");
     // A week old, and from the future: the clock was set back.
     let old = load(&files, &of(), 220 + 8 * 86_400);
-    assert!(old.learned.is_none() && old.refused.iter().all(|(_, why)| matches!(why, Refused::Age(_))));
+    assert!(
+        old.learned.is_none()
+            && old
+                .refused
+                .iter()
+                .all(|(_, why)| matches!(why, Refused::Age(_)))
+    );
     assert_eq!(limit(&load(&files, &of(), 95)), None);
     assert_eq!(limit(&load(&files, &of(), 165)), Some(7));
     // Of another server.
-    let other = load(&files, &Fingerprint { server: "n2".to_owned(), ..of() }, 230);
+    let other = load(
+        &files,
+        &Fingerprint {
+            server: "n2".to_owned(),
+            ..of()
+        },
+        230,
+    );
     assert!(other.learned.is_none() && other.refused.len() == 2);
 }
 
@@ -59,7 +78,10 @@
     assert_eq!(whole.steps, 15);
     for cut in 0..whole.steps {
         for seed in 0..40 {
-            let mut files = Faulty::with(Faults { cut: Some(cut), ..Faults::default() });
+            let mut files = Faulty::with(Faults {
+                cut: Some(cut),
+                ..Faults::default()
+            });
             let (mut number, mut done) = (0, 0);
             for (limit, at) in [(5, 100), (6, 110), (7, 120)] {
                 number += 1;
@@ -75,7 +97,11 @@
                 last == done || last == done + 1 || (done == 0 && last == 5),
                 "{cut} {seed}: {last} {done}"
             );
-            assert!(found.refused.iter().all(|(_, why)| *why == Refused::Spoilt), "{:?}", found.refused);
+            assert!(
+                found.refused.iter().all(|(_, why)| *why == Refused::Spoilt),
+                "{:?}",
+                found.refused
+            );
             // And a later snapshot goes on from there.
             let mut after = after;
             save(&mut after, &learned(8), &of(), found.number + 1, 140).unwrap();
@@ -87,12 +113,19 @@
 #[test]
 fn syncs_that_lie_may_lose_snapshots_but_no_spoilt_one_is_believed() {
     for seed in 0..300 {
-        let mut files = Faulty::with(Faults { lies: true, ..Faults::default() });
+        let mut files = Faulty::with(Faults {
+            lies: true,
+            ..Faults::default()
+        });
         for (number, last) in [(1, 5), (2, 6), (3, 7)] {
             save(&mut files, &learned(last), &of(), number, 100).unwrap();
         }
         let found = load(&files.after_cut(seed, Faults::default()), &of(), 110);
-        assert!(found.learned.is_none_or(|(found, _)| (5..=7).any(|limit| found == learned(limit))));
+        assert!(
+            found
+                .learned
+                .is_none_or(|(found, _)| (5..=7).any(|limit| found == learned(limit)))
+        );
     }
 }
 
@@ -103,7 +136,11 @@
     for cut in 0..length {
         let mut files = whole.clone();
         files.spoil("learned.0", |bytes| bytes.truncate(cut));
-        assert_eq!(load(&files, &of(), 110).refused, [("learned.0".to_owned(), Refused::Spoilt)], "{cut}");
+        assert_eq!(
+            load(&files, &of(), 110).refused,
+            [("learned.0".to_owned(), Refused::Spoilt)],
+            "{cut}"
+        );
     }
     for bit in 0..length * 8 {
         let mut files = whole.clone();
@@ -152,12 +189,18 @@
     files.create("learned.0").unwrap();
     files.append("learned.0", &bytes).unwrap();
     let (read, _) = load(&files, &of(), 110).learned.unwrap();
-    assert_eq!((read.limit, read.runs, read.tenants), (Some(5), vec![[7; 12]], vec![[0.0; 2]]));
+    assert_eq!(
+        (read.limit, read.runs, read.tenants),
+        (Some(5), vec![[7; 12]], vec![[0.0; 2]])
+    );
     let mut later = frame::head(Kind::Learned, VERSION + 1);
     later.extend_from_slice(b"whatever it is");
     files.create("learned.1").unwrap();
     files.append("learned.1", &later).unwrap();
-    assert_eq!(load(&files, &of(), 110).refused, [("learned.1".to_owned(), Refused::Later(VERSION + 1))]);
+    assert_eq!(
+        load(&files, &of(), 110).refused,
+        [("learned.1".to_owned(), Refused::Later(VERSION + 1))]
+    );
     for number in 10..14 {
         save(&mut files, &learned(6), &of(), number, 120).unwrap();
     }
@@ -166,7 +209,9 @@
     // With both of a later version nothing is written, and that is told.
     files.spoil("learned.0", |bytes| bytes.clone_from(&later));
     assert_eq!(
-        save(&mut files, &learned(6), &of(), 20, 140).unwrap_err().kind(),
+        save(&mut files, &learned(6), &of(), 20, 140)
+            .unwrap_err()
+            .kind(),
         io::ErrorKind::AlreadyExists
     );
 }
@@ -181,6 +226,11 @@
     }
     let mut full = saved(&[(5, 100)]);
     full.faults.room = Some(full.read("learned.0", MOST).unwrap().len() + 20);
-    assert_eq!(save(&mut full, &learned(6), &of(), 2, 110).unwrap_err().kind(), io::ErrorKind::StorageFull);
+    assert_eq!(
+        save(&mut full, &learned(6), &of(), 2, 110)
+            .unwrap_err()
+            .kind(),
+        io::ErrorKind::StorageFull
+    );
     assert_eq!(limit(&load(&full, &of(), 120)), Some(5));
 }
--- a/crates/coralstep-state/src/trust/tests.rs
+++ b/crates/coralstep-state/src/trust/tests.rs
@@ -3,10 +3,20 @@
 #[test]
 fn trust_falls_with_age_and_there_is_none_for_the_future() {
     assert_eq!((by_age(0.0), by_age(60.0), by_age(-30.0)), (1.0, 1.0, 1.0));
-    assert_eq!((by_age(-61.0), by_age(STALE_S), by_age(f64::NAN)), (0.0, 0.0, 0.0));
+    assert_eq!(
+        (by_age(-61.0), by_age(STALE_S), by_age(f64::NAN)),
+        (0.0, 0.0, 0.0)
+    );
     let (ten_minutes, day) = (by_age(600.0), by_age(86_400.0));
-    assert!((0.7..0.8).contains(&ten_minutes) && (0.2..0.25).contains(&day), "{ten_minutes} {day}");
-    assert!((1..200).map(|step| by_age(f64::from(step) * 3_000.0)).is_sorted_by(|one, other| one >= other));
+    assert!(
+        (0.7..0.8).contains(&ten_minutes) && (0.2..0.25).contains(&day),
+        "{ten_minutes} {day}"
+    );
+    assert!(
+        (1..200)
+            .map(|step| by_age(f64::from(step) * 3_000.0))
+            .is_sorted_by(|one, other| one >= other)
+    );
 }
 
 #[test]
@@ -27,11 +37,46 @@
         tenants: vec!["north".to_owned()],
     };
     assert_eq!(applies(&learned, &then, &then).as_ref(), Some(&learned));
-    let renamed = Fingerprint { methods: vec!["pay".to_owned(), "new".to_owned()], ..then.clone() };
-    assert_eq!(applies(&learned, &then, &renamed).unwrap().runs, [[2; 12], [0; 12]]);
-    let half = applies(&learned, &then, &Fingerprint { cores: 2, ..then.clone() }).unwrap();
+    let renamed = Fingerprint {
+        methods: vec!["pay".to_owned(), "new".to_owned()],
+        ..then.clone()
+    };
+    assert_eq!(
+        applies(&learned, &then, &renamed).unwrap().runs,
+        [[2; 12], [0; 12]]
+    );
+    let half = applies(
+        &learned,
+        &then,
+        &Fingerprint {
+            cores: 2,
+            ..then.clone()
+        },
+    )
+    .unwrap();
     assert_eq!((half.limit, half.permits), (None, Some(4.0)));
-    let other = applies(&learned, &then, &Fingerprint { dependency: Some(9.0), ..then.clone() }).unwrap();
-    assert_eq!((other.limit, other.permits, other.best, other.calls), (Some(5), None, None, [0; 12]));
-    assert_eq!(applies(&learned, &then, &Fingerprint { server: "n2".to_owned(), ..then.clone() }), None);
+    let other = applies(
+        &learned,
+        &then,
+        &Fingerprint {
+            dependency: Some(9.0),
+            ..then.clone()
+        },
+    )
+    .unwrap();
+    assert_eq!(
+        (other.limit, other.permits, other.best, other.calls),
+        (Some(5), None, None, [0; 12])
+    );
+    assert_eq!(
+        applies(
+            &learned,
+            &then,
+            &Fingerprint {
+                server: "n2".to_owned(),
+                ..then.clone()
+            }
+        ),
+        None
+    );
 }
--- a/crates/coralstep-terms/src/check.rs
+++ b/crates/coralstep-terms/src/check.rs
@@ -24,7 +24,11 @@
 
 /// The same, where it is there.
 fn within_if_there(conf: &Conf, path: &str, least: f64, most: f64) -> Result<(), String> {
-    if !conf.has(path) { Ok(()) } else { within(conf, path, least, most) }
+    if !conf.has(path) {
+        Ok(())
+    } else {
+        within(conf, path, least, most)
+    }
 }
 
 /// Each is there, is text, and is there once.
@@ -66,7 +70,10 @@
             within(conf, &at("window"), 1.0, f64::MAX)?;
         }
         if method.skip > 1.0 {
-            return Err(format!("domain.class_skip_worth={} is not from 0 to 1", method.skip));
+            return Err(format!(
+                "domain.class_skip_worth={} is not from 0 to 1",
+                method.skip
+            ));
         }
     }
     for index in 0..names.tenants.len() {
@@ -78,9 +85,13 @@
     if conf.text("domain.depends_on") == "shared" {
         within(conf, "domain.call_share", f64::MIN_POSITIVE, f64::MAX)?;
     }
-    for path in
-        ["over_share_worth", "safety.cold_from", "goal.whole", "goal.worst_class", "goal.worst_tenant"]
-    {
+    for path in [
+        "over_share_worth",
+        "safety.cold_from",
+        "goal.whole",
+        "goal.worst_class",
+        "goal.worst_tenant",
+    ] {
         within_if_there(conf, path, 0.0, 1.0)?;
     }
     within_if_there(conf, "safety.fall_multiple", 1.0, f64::MAX)
--- a/crates/coralstep-terms/src/check/tests.rs
+++ b/crates/coralstep-terms/src/check/tests.rs
@@ -15,7 +15,10 @@
 #[test]
 fn good_settings_are_taken() {
     let (terms, names) = from_json(&good()).unwrap();
-    assert_eq!((terms.cores, terms.methods.len(), names.tenants.len()), (6, 2, 1));
+    assert_eq!(
+        (terms.cores, terms.methods.len(), names.tenants.len()),
+        (6, 2, 1)
+    );
 }
 
 /// Every setting that decisions can't do without: missing, of the wrong type, out of range.
@@ -24,29 +27,101 @@
     for (path, value, why) in [
         ("/classes/0/name", Value::Null, "classes.0.name: missing"),
         ("/classes/0/name", json!(5), "classes.0.name=5 is no text"),
-        ("/classes/1/name", json!("read"), "classes.1.name=read is there twice"),
-        ("/classes/0/promise", Value::Null, "classes.0.promise: missing"),
-        ("/classes/0/promise", json!(0), "classes.0.promise=0 is not from 100000 to"),
-        ("/classes/0/promise", json!("2300000000"), "classes.0.promise=2300000000 is text"),
-        ("/classes/0/deadline", json!(-5), "classes.0.deadline=-5 is no proper value"),
-        ("/classes/0/deadline", json!(true), "classes.0.deadline=true is no proper value"),
+        (
+            "/classes/1/name",
+            json!("read"),
+            "classes.1.name=read is there twice",
+        ),
+        (
+            "/classes/0/promise",
+            Value::Null,
+            "classes.0.promise: missing",
+        ),
+        (
+            "/classes/0/promise",
+            json!(0),
+            "classes.0.promise=0 is not from 100000 to",
+        ),
+        (
+            "/classes/0/promise",
+            json!("2300000000"),
+            "classes.0.promise=2300000000 is text",
+        ),
+        (
+            "/classes/0/deadline",
+            json!(-5),
+            "classes.0.deadline=-5 is no proper value",
+        ),
+        (
+            "/classes/0/deadline",
+            json!(true),
+            "classes.0.deadline=true is no proper value",
+        ),
         ("/classes/0/worth", Value::Null, "classes.0.worth: missing"),
-        ("/classes/1/late_worth", json!(1.5), "classes.1.late_worth=1.5 is not from 0 to 1"),
-        ("/classes/1/window", Value::Null, "classes.1.window: missing"),
-        ("/classes/1/idempotency", json!("maybe"), "classes.1.idempotency=maybe is unknown"),
+        (
+            "/classes/1/late_worth",
+            json!(1.5),
+            "classes.1.late_worth=1.5 is not from 0 to 1",
+        ),
+        (
+            "/classes/1/window",
+            Value::Null,
+            "classes.1.window: missing",
+        ),
+        (
+            "/classes/1/idempotency",
+            json!("maybe"),
+            "classes.1.idempotency=maybe is unknown",
+        ),
         ("/classes/1", json!(7), "classes.1.name: missing"),
-        ("/realms/0/quota_rps", Value::Null, "realms.0.quota_rps: missing"),
-        ("/realms/0/quota_rps", json!(-1), "realms.0.quota_rps=-1 is no amount"),
-        ("/realms", json!("north"), "realms=north is no list of objects"),
+        (
+            "/realms/0/quota_rps",
+            Value::Null,
+            "realms.0.quota_rps: missing",
+        ),
+        (
+            "/realms/0/quota_rps",
+            json!(-1),
+            "realms.0.quota_rps=-1 is no amount",
+        ),
+        (
+            "/realms",
+            json!("north"),
+            "realms=north is no list of objects",
+        ),
         ("/domain/cores", Value::Null, "domain.cores: missing"),
-        ("/domain/cores", json!(0), "domain.cores=0 is not from 1 to 65536"),
+        (
+            "/domain/cores",
+            json!(0),
+            "domain.cores=0 is not from 1 to 65536",
+        ),
         ("/domain/cores", json!("6"), "domain.cores=6 is text"),
-        ("/domain/memory_kb", json!(0), "domain.memory_kb=0 is not from 1 to"),
-        ("/domain/run_factor", json!(0.5), "domain.run_factor=0.5 is not from 1 to"),
-        ("/domain/call_share", Value::Null, "domain.call_share: missing"),
+        (
+            "/domain/memory_kb",
+            json!(0),
+            "domain.memory_kb=0 is not from 1 to",
+        ),
+        (
+            "/domain/run_factor",
+            json!(0.5),
+            "domain.run_factor=0.5 is not from 1 to",
+        ),
+        (
+            "/domain/call_share",
+            Value::Null,
+            "domain.call_share: missing",
+        ),
         ("/domain", json!(5), "domain.cores: missing"),
-        ("/safety/cold_from", json!(22), "safety.cold_from=22 is not from 0 to 1"),
-        ("/safety/fall_multiple", json!(0), "safety.fall_multiple=0 is not from 1 to"),
+        (
+            "/safety/cold_from",
+            json!(22),
+            "safety.cold_from=22 is not from 0 to 1",
+        ),
+        (
+            "/safety/fall_multiple",
+            json!(0),
+            "safety.fall_multiple=0 is not from 1 to",
+        ),
     ] {
         let mut settings = good();
         *settings.pointer_mut(path).unwrap() = value.clone();
--- a/crates/coralstep-terms/src/lib.rs
+++ b/crates/coralstep-terms/src/lib.rs
@@ -53,9 +53,15 @@
         absent: T,
         read: impl Fn(&str, &str) -> Result<T, String>,
     ) -> Result<T, String> {
-        let Some(value) = self.values.get(path) else { return Ok(absent) };
+        let Some(value) = self.values.get(path) else {
+            return Ok(absent);
+        };
         let read = read(path, value)?;
-        if self.texts.contains(path) { Err(format!("{path}={value} is text")) } else { Ok(read) }
+        if self.texts.contains(path) {
+            Err(format!("{path}={value} is text"))
+        } else {
+            Ok(read)
+        }
     }
 
     fn amount(&self, path: &str) -> Result<f64, String> {
@@ -80,7 +86,10 @@
 
     /// The value that a comma list states for one class.
     fn of_class(&self, path: &str, index: usize) -> Option<&str> {
-        self.text(path).split(',').nth(index).filter(|value| !value.is_empty())
+        self.text(path)
+            .split(',')
+            .nth(index)
+            .filter(|value| !value.is_empty())
     }
 
     fn method(&self, index: usize, calls_below: bool) -> Result<Method, String> {
@@ -113,9 +122,16 @@
 }
 
 /// From the paths and values of a line.
-pub fn from_pairs<'a>(pairs: impl Iterator<Item = (&'a str, &'a str)>) -> Result<(Terms, Names), String> {
-    let values = pairs.map(|(path, value)| (path.into(), value.into())).collect();
-    read(&Conf { values, texts: HashSet::new() })
+pub fn from_pairs<'a>(
+    pairs: impl Iterator<Item = (&'a str, &'a str)>,
+) -> Result<(Terms, Names), String> {
+    let values = pairs
+        .map(|(path, value)| (path.into(), value.into()))
+        .collect();
+    read(&Conf {
+        values,
+        texts: HashSet::new(),
+    })
 }
 
 /// From nested JSON of the same names and units. Guards against settings that are missing, of the wrong type or out of range, without
@@ -124,7 +140,10 @@
     if !settings.is_object() {
         return Err("settings: not an object".to_owned());
     }
-    let mut conf = Conf { values: HashMap::new(), texts: HashSet::new() };
+    let mut conf = Conf {
+        values: HashMap::new(),
+        texts: HashSet::new(),
+    };
     flatten(String::new(), settings, &mut conf);
     let (terms, names) = read(&conf)?;
     check::check(&conf, &terms, &names)?;
@@ -132,21 +151,33 @@
 }
 
 fn flatten(path: String, value: &Value, conf: &mut Conf<'static>) {
-    let below = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
+    let below = |key: &str| {
+        if path.is_empty() {
+            key.to_owned()
+        } else {
+            format!("{path}.{key}")
+        }
+    };
     let plain = |value: &Value| match value {
         Value::String(text) => text.clone(),
         Value::Null => String::new(),
         other => other.to_string(),
     };
     match value {
-        Value::Object(members) => members.iter().for_each(|(key, value)| flatten(below(key), value, conf)),
+        Value::Object(members) => members
+            .iter()
+            .for_each(|(key, value)| flatten(below(key), value, conf)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            conf.values.insert(below("count").into(), items.len().to_string().into());
+            conf.values
+                .insert(below("count").into(), items.len().to_string().into());
             let each = items.iter().enumerate();
             each.for_each(|(index, value)| flatten(below(&index.to_string()), value, conf));
         }
         Value::Array(items) => {
-            let items: Vec<String> = items.iter().map(|item| plain(item).replace([',', ' '], "_")).collect();
+            let items: Vec<String> = items
+                .iter()
+                .map(|item| plain(item).replace([',', ' '], "_"))
+                .collect();
             conf.values.insert(path.into(), items.join(",").into());
         }
         Value::Null => {}
@@ -182,11 +213,21 @@
     // Each RPC that carries its due time is decided by it, each other by its method's deadline, whatever is said here.
     conf.flag("domain.passes_deadline")?;
     // It goes to callers alone; what is unknown there is a setting of another program.
-    if !matches!(conf.text("feedback.how"), "inline" | "on_probe" | "off" | "") {
-        return Err(format!("feedback.how={} is unknown", conf.text("feedback.how")));
+    if !matches!(
+        conf.text("feedback.how"),
+        "inline" | "on_probe" | "off" | ""
+    ) {
+        return Err(format!(
+            "feedback.how={} is unknown",
+            conf.text("feedback.how")
+        ));
     }
     let mut names = Names {
-        gauges: conf.text("domain.gauges").split(',').map(str::to_owned).collect(),
+        gauges: conf
+            .text("domain.gauges")
+            .split(',')
+            .map(str::to_owned)
+            .collect(),
         ..Names::default()
     };
     let mut terms = Terms {
@@ -216,15 +257,21 @@
         ..Terms::default()
     };
     for index in 0..conf.ns("classes.count")? as usize {
-        names.methods.push(conf.text(&format!("classes.{index}.name")).to_owned());
+        names
+            .methods
+            .push(conf.text(&format!("classes.{index}.name")).to_owned());
         let method = conf.method(index, below != Below::Nothing)?;
         names.calls.push(method.calls);
         names.deadlines_ms.push(method.deadline.0.div_ceil(10));
         terms.methods.push(method);
     }
     for index in 0..conf.ns("realms.count")? as usize {
-        names.tenants.push(conf.text(&format!("realms.{index}.name")).to_owned());
-        terms.tenant_rates.push(conf.amount(&format!("realms.{index}.quota_rps"))?);
+        names
+            .tenants
+            .push(conf.text(&format!("realms.{index}.name")).to_owned());
+        terms
+            .tenant_rates
+            .push(conf.amount(&format!("realms.{index}.quota_rps"))?);
     }
     Ok((terms, names))
 }
--- a/crates/coralstep-terms/src/site.rs
+++ b/crates/coralstep-terms/src/site.rs
@@ -122,7 +122,10 @@
 }
 
 fn loopback() -> Vec<IpNet> {
-    ["127.0.0.0/8", "::1/128"].iter().filter_map(|net| net.parse().ok()).collect()
+    ["127.0.0.0/8", "::1/128"]
+        .iter()
+        .filter_map(|net| net.parse().ok())
+        .collect()
 }
 
 fn lease() -> u32 {
@@ -152,7 +155,11 @@
         within("fleet.silent_s", self.silent_s, 1, 3_600)?;
         within("fleet.lease_ms", self.lease_ms, 2_000, 600_000)?;
         within("fleet.keepers", self.keepers.len(), 0, KEEPERS_MOST)?;
-        if let Some(name) = self.keepers.iter().find(|name| name.is_empty() || name.len() > 64) {
+        if let Some(name) = self
+            .keepers
+            .iter()
+            .find(|name| name.is_empty() || name.len() > 64)
+        {
             return Err(format!("fleet.keepers: {name:?} is no name"));
         }
         let different: HashSet<&String> = self.keepers.iter().collect();
@@ -190,8 +197,9 @@
         if let Some(path) = text.strip_prefix("unix:").filter(|path| !path.is_empty()) {
             return Ok(Listen::Path(path.into()));
         }
-        let address: SocketAddr =
-            text.parse().map_err(|_| format!("{text:?} is neither an address and port nor unix:PATH"))?;
+        let address: SocketAddr = text
+            .parse()
+            .map_err(|_| format!("{text:?} is neither an address and port nor unix:PATH"))?;
         // Guards against a door for operators that anybody can knock at.
         if address.ip().is_loopback() {
             Ok(Listen::Address(address))
@@ -228,7 +236,10 @@
 
 impl Default for LogTerms {
     fn default() -> LogTerms {
-        LogTerms { format: LogFormat::Text, levels: "info".to_owned() }
+        LogTerms {
+            format: LogFormat::Text,
+            levels: "info".to_owned(),
+        }
     }
 }
 
@@ -404,7 +415,12 @@
 }
 
 /// A figure that must lie in a range; the message names its key.
-fn within<T: PartialOrd + std::fmt::Display>(key: &str, value: T, least: T, most: T) -> Result<(), String> {
+fn within<T: PartialOrd + std::fmt::Display>(
+    key: &str,
+    value: T,
+    least: T,
+    most: T,
+) -> Result<(), String> {
     if value >= least && value <= most {
         Ok(())
     } else {
@@ -426,7 +442,11 @@
         let site: SiteTerms = serde_path_to_error::deserialize(&mut reader).map_err(|why| {
             let path = why.path().to_string();
             let (path, why) = (
-                if path == "." || path.starts_with('?') { "site file".to_owned() } else { path },
+                if path == "." || path.starts_with('?') {
+                    "site file".to_owned()
+                } else {
+                    path
+                },
                 why.into_inner(),
             );
             format!("{path}: {why}")
@@ -437,13 +457,17 @@
     }
 
     fn check(&self, names: &Names) -> Result<(), String> {
-        self.scgi.as_ref().map_or(Ok(()), |scgi| scgi.check(names))?;
+        self.scgi
+            .as_ref()
+            .map_or(Ok(()), |scgi| scgi.check(names))?;
         if let Some(state) = &self.state {
             within("state.every_s", state.every_s, 1, 3_600)?;
         }
         self.fleet.as_ref().map_or(Ok(()), FleetTerms::check)?;
         self.limits(names)?;
-        self.applications.as_ref().map_or(Ok(()), |applications| applications.check(names))
+        self.applications
+            .as_ref()
+            .map_or(Ok(()), |applications| applications.check(names))
     }
 
     /// What a version of the fleet's settings would make of this site: only the sections that may change live, and only those that this
@@ -457,7 +481,10 @@
             ("log", version.log != LogTerms::default()),
             ("levels", version.levels.is_some() && self.levels.is_none()),
             ("scgi", version.scgi.is_some() && self.scgi.is_none()),
-            ("applications", version.applications.is_some() && self.applications.is_none()),
+            (
+                "applications",
+                version.applications.is_some() && self.applications.is_none(),
+            ),
         ];
         if let Some((key, _)) = fixed.iter().find(|(_, named)| *named) {
             return Err(format!("{key}: changes only with a restart"));
@@ -480,7 +507,10 @@
         let Some(terms) = self.limits.as_ref().filter(|terms| !terms.is_empty()) else {
             return Ok(Vec::new());
         };
-        let fleet = self.fleet.as_ref().ok_or("limits: without a fleet there is nobody to share them")?;
+        let fleet = self
+            .fleet
+            .as_ref()
+            .ok_or("limits: without a fleet there is nobody to share them")?;
         if fleet.keepers.is_empty() {
             return Err("limits: fleet.keepers names nobody who could give shares".to_owned());
         }
@@ -505,8 +535,8 @@
                 .filter(|(method, _)| limit.method.is_none_or(|of| of == *method))
                 .map(|(_, ms)| *ms)
                 .max();
-            let lease =
-                coralstep_limits::bounds::shrunk(u64::from(fleet.lease_ms)) - fleet_round(fleet.lease_ms);
+            let lease = coralstep_limits::bounds::shrunk(u64::from(fleet.lease_ms))
+                - fleet_round(fleet.lease_ms);
             if let Some(longest) = longest.filter(|longest| *longest > lease) {
                 return Err(format!(
                     "limits[{at}].in_hand: unreachable, a deadline of {longest} ms is longer than fleet.lease_ms less two rounds, {lease}"
@@ -534,7 +564,9 @@
         let mut seen = HashSet::from(["CONTENT_LENGTH", "SCGI", "REQUEST_METHOD", "PATH_INFO"]);
         for (key, name) in self.headers.all() {
             if name.is_empty() || !name.bytes().all(|byte| byte.is_ascii_graphic()) {
-                return Err(format!("scgi.headers.{key}: {name:?} is no name of a header"));
+                return Err(format!(
+                    "scgi.headers.{key}: {name:?} is no name of a header"
+                ));
             }
             if !seen.insert(name) {
                 return Err(format!("scgi.headers.{key}: {name} is taken"));
@@ -550,9 +582,13 @@
             return Err("scgi.routes: none".to_owned());
         }
         for (at, route) in self.routes.iter().enumerate() {
-            let method = names.methods.iter().position(|method| *method == route.method);
-            let method =
-                method.ok_or_else(|| format!("scgi.routes[{at}].method: {:?} is unknown", route.method))?;
+            let method = names
+                .methods
+                .iter()
+                .position(|method| *method == route.method);
+            let method = method.ok_or_else(|| {
+                format!("scgi.routes[{at}].method: {:?} is unknown", route.method)
+            })?;
             let taken = routes.insert(&route.verb, &route.path, Target::Method(method));
             taken.map_err(|why| format!("scgi.routes[{at}]: {why}"))?;
         }
@@ -573,11 +609,18 @@
 
 impl ApplicationTerms {
     fn check(&self, names: &Names) -> Result<(), String> {
-        within("applications.addresses", self.addresses.len(), 1, APPLICATIONS_MOST)?;
+        within(
+            "applications.addresses",
+            self.addresses.len(),
+            1,
+            APPLICATIONS_MOST,
+        )?;
         let mut seen = HashSet::new();
         for (at, address) in self.addresses.iter().enumerate() {
             if !seen.insert(address) {
-                return Err(format!("applications.addresses[{at}]: {address} comes twice"));
+                return Err(format!(
+                    "applications.addresses[{at}]: {address} comes twice"
+                ));
             }
         }
         for (method, path) in &self.paths {
--- a/crates/coralstep-terms/src/site/tests.rs
+++ b/crates/coralstep-terms/src/site/tests.rs
@@ -4,7 +4,10 @@
 
 fn names() -> Names {
     let methods = ["read", "book", "pay"].map(str::to_owned).to_vec();
-    Names { methods, ..Names::default() }
+    Names {
+        methods,
+        ..Names::default()
+    }
 }
 
 #[test]
@@ -13,9 +16,16 @@
     let scgi = site.scgi.unwrap();
     assert_eq!(scgi.headers, HeaderTerms::default());
     assert_eq!((scgi.health.as_str(), scgi.body_kb), ("/health", 8));
-    assert_eq!(site.applications.unwrap().connect(), Duration::from_millis(500));
+    assert_eq!(
+        site.applications.unwrap().connect(),
+        Duration::from_millis(500)
+    );
     let schema = include_str!("../../../../deploy/site.schema.json");
-    assert_eq!(schema, SiteTerms::schema(), "deploy/site.schema.json is not what `coralstep schema` prints");
+    assert_eq!(
+        schema,
+        SiteTerms::schema(),
+        "deploy/site.schema.json is not what `coralstep schema` prints"
+    );
     let schema: serde_json::Value = serde_json::from_str(schema).unwrap();
     let validator = jsonschema::validator_for(&schema).unwrap();
     assert!(validator.is_valid(&serde_json::from_str(EXAMPLE).unwrap()));
@@ -27,29 +37,93 @@
 fn a_message_names_the_faulty_key_by_its_path() {
     for (good, bad, why) in [
         ("\"scgi\"", "\"scgl\"", "scgl: unknown field `scgl`"),
-        ("\"127.0.0.1:6570\"", "\"here\"", "scgi.listen[0]: invalid socket address syntax"),
+        (
+            "\"127.0.0.1:6570\"",
+            "\"here\"",
+            "scgi.listen[0]: invalid socket address syntax",
+        ),
         ("127.0.0.0/8", "127.0.0.0/99", "scgi.trusted[0]: "),
-        ("\"method\": \"pay\"", "\"method\": \"fly\"", "scgi.routes[1].method: \"fly\" is unknown"),
-        ("\"/save\"", "\"save\"", "scgi.routes[1]: a path begins with /"),
-        ("\"POST\"", "\"post\"", "scgi.routes[1]: a verb is capital letters"),
+        (
+            "\"method\": \"pay\"",
+            "\"method\": \"fly\"",
+            "scgi.routes[1].method: \"fly\" is unknown",
+        ),
+        (
+            "\"/save\"",
+            "\"save\"",
+            "scgi.routes[1]: a path begins with /",
+        ),
+        (
+            "\"POST\"",
+            "\"post\"",
+            "scgi.routes[1]: a verb is capital letters",
+        ),
         ("\"/save\"", "\"/route/{id}\"", "scgi.routes[2]: "),
-        ("\"room_kb\": 32.0", "\"room_kb\": 0", "scgi.room_kb: 0 is not from 0.1 to 2000"),
-        ("\"room_kb\": 32.0", "\"room_kb\": \"big\"", "scgi.room_kb: invalid type"),
-        ("\"body_kb\": 8", "\"body_kb\": 65", "scgi.body_kb: 65 is not from 1 to 64"),
-        ("\"HTTP_X_TENANT\"", "\"SCGI\"", "scgi.headers.tenant: SCGI is taken"),
-        ("\"HTTP_X_TENANT\"", "\"a b\"", "scgi.headers.tenant: \"a b\" is no name"),
-        ("127.0.0.1:7002", "127.0.0.1:7001", "applications.addresses[1]: 127.0.0.1:7001 comes twice"),
-        ("\"read\": \"/plan\"", "\"fly\": \"/plan\"", "applications.paths.fly: no such method"),
-        ("\"repeats\": 0.1", "\"repeats\": 1.5", "applications.repeats: 1.5 is not from 0 to 1"),
-        ("\"connect_ms\": 500", "\"connect_ms\": -5", "applications.connect_ms: invalid value"),
-        ("\"levels\": {}", "\"levels\": {\"stay_ms\": 5}", "levels.stay_ms: 5 is not from 1000"),
+        (
+            "\"room_kb\": 32.0",
+            "\"room_kb\": 0",
+            "scgi.room_kb: 0 is not from 0.1 to 2000",
+        ),
+        (
+            "\"room_kb\": 32.0",
+            "\"room_kb\": \"big\"",
+            "scgi.room_kb: invalid type",
+        ),
+        (
+            "\"body_kb\": 8",
+            "\"body_kb\": 65",
+            "scgi.body_kb: 65 is not from 1 to 64",
+        ),
+        (
+            "\"HTTP_X_TENANT\"",
+            "\"SCGI\"",
+            "scgi.headers.tenant: SCGI is taken",
+        ),
+        (
+            "\"HTTP_X_TENANT\"",
+            "\"a b\"",
+            "scgi.headers.tenant: \"a b\" is no name",
+        ),
+        (
+            "127.0.0.1:7002",
+            "127.0.0.1:7001",
+            "applications.addresses[1]: 127.0.0.1:7001 comes twice",
+        ),
+        (
+            "\"read\": \"/plan\"",
+            "\"fly\": \"/plan\"",
+            "applications.paths.fly: no such method",
+        ),
+        (
+            "\"repeats\": 0.1",
+            "\"repeats\": 1.5",
+            "applications.repeats: 1.5 is not from 0 to 1",
+        ),
+        (
+            "\"connect_ms\": 500",
+            "\"connect_ms\": -5",
+            "applications.connect_ms: invalid value",
+        ),
+        (
+            "\"levels\": {}",
+            "\"levels\": {\"stay_ms\": 5}",
+            "levels.stay_ms: 5 is not from 1000",
+        ),
         (
             "\"levels\": {}",
             "\"levels\": {\"list\": [{\"when\": []}]}",
             "levels.list[0]: missing field `name`",
         ),
-        ("127.0.0.1:6580", "10.0.0.1:6580", "operator.listen: 10.0.0.1:6580 is not on loopback"),
-        ("127.0.0.1:6580", "here", "operator.listen: \"here\" is neither"),
+        (
+            "127.0.0.1:6580",
+            "10.0.0.1:6580",
+            "operator.listen: 10.0.0.1:6580 is not on loopback",
+        ),
+        (
+            "127.0.0.1:6580",
+            "here",
+            "operator.listen: \"here\" is neither",
+        ),
         ("\"text\"", "\"loud\"", "log.format: unknown variant"),
     ] {
         assert!(EXAMPLE.contains(good), "{good}");
@@ -57,6 +131,14 @@
         assert!(told.starts_with(why), "{told}");
         assert_eq!(told.lines().count(), 1, "{told}");
     }
-    assert!(SiteTerms::parse("{", &names()).unwrap_err().starts_with("site file: "));
-    assert!(SiteTerms::parse("{} x", &names()).unwrap_err().starts_with("site file: "));
+    assert!(
+        SiteTerms::parse("{", &names())
+            .unwrap_err()
+            .starts_with("site file: ")
+    );
+    assert!(
+        SiteTerms::parse("{} x", &names())
+            .unwrap_err()
+            .starts_with("site file: ")
+    );
 }
--- a/crates/coralstep-terms/src/starves.rs
+++ b/crates/coralstep-terms/src/starves.rs
@@ -15,7 +15,12 @@
     terms: &Terms,
 ) -> Result<(), String> {
     // The first level holds while no condition is met, so what it turns away is turned away always.
-    if let Some(does) = site.levels.as_ref().and_then(|levels| levels.list.first()).map(|level| &level.does) {
+    if let Some(does) = site
+        .levels
+        .as_ref()
+        .and_then(|levels| levels.list.first())
+        .map(|level| &level.does)
+    {
         for (name, method) in names.methods.iter().zip(&terms.methods) {
             let why = match () {
                 () if does.closed => "closed",
@@ -29,10 +34,13 @@
             ));
         }
         if does.value <= 0.0 {
-            return Err("levels.list[0].does.value: starves all, for nothing is ever asked for".to_owned());
+            return Err(
+                "levels.list[0].does.value: starves all, for nothing is ever asked for".to_owned(),
+            );
         }
     }
-    let (Some(new), Some(old)) = (&site.scgi, before.and_then(|before| before.scgi.as_ref())) else {
+    let (Some(new), Some(old)) = (&site.scgi, before.and_then(|before| before.scgi.as_ref()))
+    else {
         return Ok(());
     };
     let (new, old) = (new.routes(names)?, old.routes(names)?);
@@ -40,9 +48,10 @@
         routes.all().any(|target| *target == Target::Method(method))
     };
     match (0..names.methods.len()).find(|method| led(&old, *method) && !led(&new, *method)) {
-        Some(method) => {
-            Err(format!("scgi.routes: starves {:?}: no route leads to it", names.methods[method]))
-        }
+        Some(method) => Err(format!(
+            "scgi.routes: starves {:?}: no route leads to it",
+            names.methods[method]
+        )),
         None => Ok(()),
     }
 }
--- a/crates/coralstep-terms/src/starves/tests.rs
+++ b/crates/coralstep-terms/src/starves/tests.rs
@@ -4,10 +4,23 @@
 
 #[test]
 fn what_turns_a_method_away_for_good_is_named_and_what_does_so_for_a_while_is_not() {
-    let names = Names { methods: vec!["read".to_owned(), "save".to_owned()], ..Names::default() };
-    let method = |effect, criticality| Method { effect, criticality, ..Method::default() };
-    let methods = vec![method(Effect::Idempotent, 1.0), method(Effect::Tokened, 3.0)];
-    let terms = Terms { methods, ..Terms::default() };
+    let names = Names {
+        methods: vec!["read".to_owned(), "save".to_owned()],
+        ..Names::default()
+    };
+    let method = |effect, criticality| Method {
+        effect,
+        criticality,
+        ..Method::default()
+    };
+    let methods = vec![
+        method(Effect::Idempotent, 1.0),
+        method(Effect::Tokened, 3.0),
+    ];
+    let terms = Terms {
+        methods,
+        ..Terms::default()
+    };
     let site = |does: serde_json::Value, routes: &[&str]| {
         let routes: Vec<_> = routes
             .iter()
@@ -29,10 +42,17 @@
         (json!({"value": 0.0}), "value"),
     ] {
         let why = check(&site(does, &both), None, &names, &terms).unwrap_err();
-        assert!(why.starts_with(&format!("levels.list[0].does.{key}: starves")), "{why}");
+        assert!(
+            why.starts_with(&format!("levels.list[0].does.{key}: starves")),
+            "{why}"
+        );
     }
     let without = site(all, &["read"]);
-    assert_eq!(check(&without, None, &names, &terms), Ok(()), "it never had one");
+    assert_eq!(
+        check(&without, None, &names, &terms),
+        Ok(()),
+        "it never had one"
+    );
     let why = check(&without, Some(&good), &names, &terms).unwrap_err();
     assert_eq!(why, "scgi.routes: starves \"save\": no route leads to it");
 }
--- a/crates/coralstep-terms/src/tests.rs
+++ b/crates/coralstep-terms/src/tests.rs
@@ -16,12 +16,23 @@
                    "gauges": ["cpu_busy", "sockets"], "unheard": null},
         "realms": [{"name": "north", "quota_rps": 65.0}], "goal": {"whole": 0.4}, "stages": [[1], [2]]
     });
-    let pairs = line.split_whitespace().filter_map(|pair| pair.split_once('='));
+    let pairs = line
+        .split_whitespace()
+        .filter_map(|pair| pair.split_once('='));
     let (wire, wire_names) = from_pairs(pairs).unwrap();
     let (terms, names) = from_json(&json).unwrap();
-    assert_eq!(format!("{terms:?} {names:?}"), format!("{wire:?} {wire_names:?}"));
-    assert_eq!((terms.methods[0].target, terms.linger), (Span(23_000), Span(1)));
-    assert_eq!((terms.methods[1].calls, terms.methods[0].skip), (false, 0.5));
+    assert_eq!(
+        format!("{terms:?} {names:?}"),
+        format!("{wire:?} {wire_names:?}")
+    );
+    assert_eq!(
+        (terms.methods[0].target, terms.linger),
+        (Span(23_000), Span(1))
+    );
+    assert_eq!(
+        (terms.methods[1].calls, terms.methods[0].skip),
+        (false, 0.5)
+    );
     assert_eq!(names.tenants, ["north"]);
 }
 
@@ -29,32 +40,74 @@
 fn a_faulty_setting_is_named() {
     for (path, value, why) in [
         ("domain.advert", "loud", "domain.advert=loud is unknown"),
-        ("domain.preemption", "kill", "domain.preemption=kill is unknown"),
+        (
+            "domain.preemption",
+            "kill",
+            "domain.preemption=kill is unknown",
+        ),
         ("domain.memory_kb", "-1", "domain.memory_kb=-1 is no amount"),
-        ("domain.fresh_start", "yes", "domain.fresh_start=yes is neither 1 nor 0"),
-        ("safety.drain_grace", "2s", "safety.drain_grace=2s is no proper value"),
-        ("domain.passes_deadline", "soon", "domain.passes_deadline=soon is neither 1 nor 0"),
+        (
+            "domain.fresh_start",
+            "yes",
+            "domain.fresh_start=yes is neither 1 nor 0",
+        ),
+        (
+            "safety.drain_grace",
+            "2s",
+            "safety.drain_grace=2s is no proper value",
+        ),
+        (
+            "domain.passes_deadline",
+            "soon",
+            "domain.passes_deadline=soon is neither 1 nor 0",
+        ),
         ("feedback.how", "probe", "feedback.how=probe is unknown"),
         ("realms.count", "few", "realms.count=few is no proper value"),
     ] {
-        assert_eq!(from_pairs([(path, value)].into_iter()).err().as_deref(), Some(why));
+        assert_eq!(
+            from_pairs([(path, value)].into_iter()).err().as_deref(),
+            Some(why)
+        );
     }
-    assert_eq!(from_json(&Value::Null).err().as_deref(), Some("settings: not an object"));
+    assert_eq!(
+        from_json(&Value::Null).err().as_deref(),
+        Some("settings: not an object")
+    );
 }
 
 /// What further operators set: without it and with it; out of range is above.
 #[test]
 fn each_setting_is_read_where_it_is_there() {
-    let read = |path: &str, value: &str| from_pairs([(path, value)].into_iter()).map(|(terms, _)| terms);
+    let read =
+        |path: &str, value: &str| from_pairs([(path, value)].into_iter()).map(|(terms, _)| terms);
     let without = read("unheard", "1").unwrap();
-    assert_eq!((without.advert, without.preemption), (Advert::Off, Preemption::Off));
+    assert_eq!(
+        (without.advert, without.preemption),
+        (Advert::Off, Preemption::Off)
+    );
     assert!(without.tenant_rates.is_empty() && without.methods.is_empty());
-    assert_eq!(read("domain.advert", "level").unwrap().advert, Advert::Level);
-    assert_eq!(read("domain.preemption", "pause").unwrap().preemption, Preemption::Pause);
-    assert_eq!(read("domain.preemption", "off").unwrap().preemption, Preemption::Off);
+    assert_eq!(
+        read("domain.advert", "level").unwrap().advert,
+        Advert::Level
+    );
+    assert_eq!(
+        read("domain.preemption", "pause").unwrap().preemption,
+        Preemption::Pause
+    );
+    assert_eq!(
+        read("domain.preemption", "off").unwrap().preemption,
+        Preemption::Off
+    );
     // How callers hear of the load, and whether they say how long they wait, changes no term.
-    let plain = [("feedback.how", "on_probe"), ("feedback.how", "off"), ("domain.passes_deadline", "true")];
+    let plain = [
+        ("feedback.how", "on_probe"),
+        ("feedback.how", "off"),
+        ("domain.passes_deadline", "true"),
+    ];
     for (path, value) in plain {
-        assert_eq!(format!("{:?}", read(path, value).unwrap()), format!("{without:?}"));
+        assert_eq!(
+            format!("{:?}", read(path, value).unwrap()),
+            format!("{without:?}")
+        );
     }
 }
--- a/crates/coralstep-verdicts/src/part.rs
+++ b/crates/coralstep-verdicts/src/part.rs
@@ -53,9 +53,17 @@
 
 impl std::fmt::Display for Event {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Event { dependency, whose, known, fails } = self;
+        let Event {
+            dependency,
+            whose,
+            known,
+            fails,
+        } = self;
         match whose {
-            Whose::Nobodys => write!(f, "{dependency} serves: {fails} of {known} others say that it fails"),
+            Whose::Nobodys => write!(
+                f,
+                "{dependency} serves: {fails} of {known} others say that it fails"
+            ),
             Whose::Dependencys => write!(f, "{dependency} fails: {fails} of {known} others say so"),
             Whose::OwnWays => {
                 write!(
@@ -63,7 +71,10 @@
                     "this server's way to {dependency} fails: {fails} of {known} others say that it does"
                 )
             }
-            Whose::Unknown => write!(f, "{dependency} fails here; no other server has called it of late"),
+            Whose::Unknown => write!(
+                f,
+                "{dependency} fails here; no other server has called it of late"
+            ),
         }
     }
 }
@@ -114,7 +125,11 @@
         });
         counts
             .filter_map(|heard| {
-                let said = heard.word.said.iter().find(|said| said.dependency == dependency)?;
+                let said = heard
+                    .word
+                    .said
+                    .iter()
+                    .find(|said| said.dependency == dependency)?;
                 let age = now.saturating_sub(heard.at);
                 Some(Other {
                     who: who(&heard.word.of),
@@ -137,13 +152,20 @@
             let mut hasher = DefaultHasher::new();
             (dependency, self.seed, self.own.started).hash(&mut hasher);
             let weigh = Weigh::new(hasher.finish());
-            let fresh =
-                Dependency { own: Own::default(), called: 0, healed: None, weigh, whose: Whose::Nobodys };
+            let fresh = Dependency {
+                own: Own::default(),
+                called: 0,
+                healed: None,
+                weigh,
+                whose: Whose::Nobodys,
+            };
             self.dependencies.insert(dependency.to_owned(), fresh);
         }
         let others = self.others(now, dependency);
         let parts = self.parts;
-        let Some(of) = self.dependencies.get_mut(dependency) else { return Advice::default() };
+        let Some(of) = self.dependencies.get_mut(dependency) else {
+            return Advice::default();
+        };
         if own != of.own {
             if own.state != of.own.state || (own.failures > 0 && own.calls > 0) {
                 // An ordinary call that went well is no news.
@@ -165,9 +187,17 @@
         if whose != of.whose {
             of.whose = whose;
             let known = others.iter().filter(|other| other.knows()).count();
-            let fails = others.iter().filter(|other| other.knows() && other.fails()).count();
+            let fails = others
+                .iter()
+                .filter(|other| other.knows() && other.fails())
+                .count();
             if self.events.len() < 64 {
-                self.events.push(Event { dependency: dependency.to_owned(), whose, known, fails });
+                self.events.push(Event {
+                    dependency: dependency.to_owned(),
+                    whose,
+                    known,
+                    fails,
+                });
             }
         }
         of.weigh.advise(now, parts, own.state, &others)
@@ -207,7 +237,9 @@
 
     /// Whose trouble each dependency's is.
     pub fn whose(&self) -> impl Iterator<Item = (&str, Whose)> {
-        self.dependencies.iter().map(|(name, of)| (name.as_str(), of.whose))
+        self.dependencies
+            .iter()
+            .map(|(name, of)| (name.as_str(), of.whose))
     }
 
     fn say(&mut self, now: Ms) {
@@ -225,7 +257,11 @@
                 healed_ms: of.healed.map(age),
             })
             .collect();
-        self.spread.own(Word { of: self.own.clone(), number: self.number, said });
+        self.spread.own(Word {
+            of: self.own.clone(),
+            number: self.number,
+            said,
+        });
     }
 
     fn hears(&mut self, now: Ms, own: &Member, bytes: &[u8]) {
@@ -242,7 +278,9 @@
 
 impl Rider for Verdicts {
     fn said(&mut self, now: Ms, room: usize) -> Option<Vec<u8>> {
-        (!self.dependencies.is_empty()).then(|| self.spread.said(now, room)).flatten()
+        (!self.dependencies.is_empty())
+            .then(|| self.spread.said(now, room))
+            .flatten()
     }
 
     fn heard(&mut self, now: Ms, own: &Member, bytes: &[u8]) {
@@ -257,7 +295,11 @@
 
     fn tick(&mut self, now: Ms, view: &View<'_>) -> Vec<Letter> {
         self.own = view.own.clone();
-        self.current = view.current.iter().map(|member| (*member).clone()).collect();
+        self.current = view
+            .current
+            .iter()
+            .map(|member| (*member).clone())
+            .collect();
         if self.dependencies.is_empty() {
             return Vec::new();
         }
--- a/crates/coralstep-verdicts/src/said.rs
+++ b/crates/coralstep-verdicts/src/said.rs
@@ -10,7 +10,9 @@
 pub const DEPENDENCIES_MOST: usize = 8;
 
 /// Of a breaker.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
+)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
     #[default]
@@ -70,7 +72,9 @@
 
     fn is_sound(&self) -> bool {
         let sound = |said: &Said| {
-            !said.dependency.is_empty() && said.dependency.len() <= NAME_MOST && said.failures <= said.calls
+            !said.dependency.is_empty()
+                && said.dependency.len() <= NAME_MOST
+                && said.failures <= said.calls
         };
         self.of.is_sound() && self.said.len() <= DEPENDENCIES_MOST && self.said.iter().all(sound)
     }
--- a/crates/coralstep-verdicts/src/weigh.rs
+++ b/crates/coralstep-verdicts/src/weigh.rs
@@ -44,7 +44,11 @@
 
 impl Default for Parts {
     fn default() -> Parts {
-        Parts { trials: true, serves: true, fails: true }
+        Parts {
+            trials: true,
+            serves: true,
+            fails: true,
+        }
     }
 }
 
@@ -83,7 +87,10 @@
 
 impl Default for Advice {
     fn default() -> Advice {
-        Advice { need: WINDOW, left: None }
+        Advice {
+            need: WINDOW,
+            left: None,
+        }
     }
 }
 
@@ -134,7 +141,10 @@
     /// Whose trouble it is.
     pub fn whose(own_fails: bool, others: &[Other]) -> Whose {
         let known = others.iter().filter(|other| other.knows()).count();
-        let fails = others.iter().filter(|other| other.knows() && other.fails()).count();
+        let fails = others
+            .iter()
+            .filter(|other| other.knows() && other.fails())
+            .count();
         match () {
             () if known == 0 && own_fails => Whose::Unknown,
             () if fails * 2 >= known && fails > 0 => Whose::Dependencys,
@@ -150,12 +160,19 @@
         self.learn(now, own);
         let mut advice = Advice::default();
         let known = others.iter().filter(|other| other.knows()).count();
-        let fails = others.iter().filter(|other| other.knows() && other.fails()).count();
+        let fails = others
+            .iter()
+            .filter(|other| other.knows() && other.fails())
+            .count();
         let part = fails as f64 / known.max(1) as f64;
         if parts.fails && known >= OTHERS_LEAST && part >= FAILS {
-            advice.need = ((f64::from(WINDOW) * (1.0 - part)).round() as u32).clamp(NEED_LEAST, WINDOW);
+            advice.need =
+                ((f64::from(WINDOW) * (1.0 - part)).round() as u32).clamp(NEED_LEAST, WINDOW);
         }
-        let open = others.iter().filter(|other| other.state != State::Closed).count();
+        let open = others
+            .iter()
+            .filter(|other| other.state != State::Closed)
+            .count();
         // Once its turn has come it is left alone until its trial has shown something.
         if own != State::Open || self.turn {
             return advice;
@@ -202,7 +219,8 @@
                 let believed = std::mem::take(&mut self.believed);
                 // Of several some may have told the truth of a moment: each of few is doubted, all of many are not.
                 if believed.len() <= OTHERS_LEAST {
-                    self.doubted.extend(believed.into_iter().map(|who| (who, now + DOUBTED)));
+                    self.doubted
+                        .extend(believed.into_iter().map(|who| (who, now + DOUBTED)));
                 }
             }
             State::Closed => self.believed.clear(),
--- a/crates/coralstep-verdicts/src/weigh/tests.rs
+++ b/crates/coralstep-verdicts/src/weigh/tests.rs
@@ -1,19 +1,36 @@
 use super::*;
 
 fn other(who: u64, state: State, failures: u32, calls: u32) -> Other {
-    Other { who, state, failures, calls, called: 100, healed: None }
+    Other {
+        who,
+        state,
+        failures,
+        calls,
+        called: 100,
+        healed: None,
+    }
 }
 
 fn all(count: u64, state: State, failures: u32, calls: u32) -> Vec<Other> {
-    (0..count).map(|who| other(who, state, failures, calls)).collect()
+    (0..count)
+        .map(|who| other(who, state, failures, calls))
+        .collect()
 }
 
 #[test]
 fn less_evidence_does_where_most_say_that_it_fails_and_one_that_lies_moves_nothing() {
     let mut weigh = Weigh::new(1);
-    let mut need = |others: &[Other]| weigh.advise(0, Parts::default(), State::Closed, others).need;
+    let mut need = |others: &[Other]| {
+        weigh
+            .advise(0, Parts::default(), State::Closed, others)
+            .need
+    };
     assert_eq!(need(&[]), WINDOW);
-    assert_eq!(need(&all(1, State::Open, 1, 1)), WINDOW, "one alone says nothing");
+    assert_eq!(
+        need(&all(1, State::Open, 1, 1)),
+        WINDOW,
+        "one alone says nothing"
+    );
     assert_eq!(need(&all(10, State::Closed, 0, 5)), WINDOW);
     assert_eq!(need(&all(10, State::Closed, 2, 2)), NEED_LEAST);
     let mut mixed = all(10, State::Closed, 0, 5);
@@ -22,10 +39,19 @@
     mixed[1..6].iter_mut().for_each(|other| other.failures = 5);
     assert_eq!(need(&mixed), 8, "six of ten");
     let mut old = all(10, State::Closed, 2, 2);
-    old.iter_mut().for_each(|other| other.called = crate::said::AGE_MOST + 1);
+    old.iter_mut()
+        .for_each(|other| other.called = crate::said::AGE_MOST + 1);
     assert_eq!(need(&old), WINDOW, "what they saw is too old");
-    let off = Parts { fails: false, ..Parts::default() };
-    assert_eq!(Weigh::new(1).advise(0, off, State::Closed, &all(9, State::Open, 2, 2)).need, WINDOW);
+    let off = Parts {
+        fails: false,
+        ..Parts::default()
+    };
+    assert_eq!(
+        Weigh::new(1)
+            .advise(0, off, State::Closed, &all(9, State::Open, 2, 2))
+            .need,
+        WINDOW
+    );
 }
 
 #[test]
@@ -36,7 +62,10 @@
         let mut trials = 0;
         for now in (0..lasts).step_by(50) {
             for weigh in &mut fleet {
-                let left = weigh.advise(now, Parts::default(), State::Open, &others).left.unwrap();
+                let left = weigh
+                    .advise(now, Parts::default(), State::Open, &others)
+                    .left
+                    .unwrap();
                 if left > 0 {
                     assert!((HOLDS..HOLDS * 2).contains(&left), "{left}");
                     continue;
@@ -47,34 +76,63 @@
             }
         }
         let rate = f64::from(trials) * 1000.0 / lasts as f64;
-        assert!(rate < TRIALS * 1.4 && rate > TRIALS * 0.6, "{open}: {rate} a second");
+        assert!(
+            rate < TRIALS * 1.4 && rate > TRIALS * 0.6,
+            "{open}: {rate} a second"
+        );
     }
     // Where the others are closed, or silent, its own cooldown holds.
     let mut alone = Weigh::new(1);
     assert_eq!(
-        alone.advise(0, Parts::default(), State::Open, &all(5, State::Closed, 0, 5)),
+        alone.advise(
+            0,
+            Parts::default(),
+            State::Open,
+            &all(5, State::Closed, 0, 5)
+        ),
+        Advice::default()
+    );
+    assert_eq!(
+        alone.advise(50, Parts::default(), State::Open, &[]),
         Advice::default()
     );
-    assert_eq!(alone.advise(50, Parts::default(), State::Open, &[]), Advice::default());
 }
 
 #[test]
 fn news_that_it_serves_ends_a_few_cooldowns_at_a_time_and_a_liar_is_found_out() {
-    let news = Parts { trials: false, ..Parts::default() };
+    let news = Parts {
+        trials: false,
+        ..Parts::default()
+    };
     let healed = |count: u64, open: u64| {
         let mut others = all(open, State::Open, 1, 1);
-        others.extend(
-            (open..open + count).map(|who| Other { healed: Some(500), ..other(who, State::Closed, 0, 1) }),
-        );
+        others.extend((open..open + count).map(|who| Other {
+            healed: Some(500),
+            ..other(who, State::Closed, 0, 1)
+        }));
         others
     };
     // Of sixty servers, how many try in one step.
     let tries = |others: &[Other]| {
-        let step = |seed: u64| Weigh::new(seed).advise(1_000, news, State::Open, others).left;
-        (0..60).filter_map(step).inspect(|left| assert!(*left < STEP)).count()
+        let step = |seed: u64| {
+            Weigh::new(seed)
+                .advise(1_000, news, State::Open, others)
+                .left
+        };
+        (0..60)
+            .filter_map(step)
+            .inspect(|left| assert!(*left < STEP))
+            .count()
     };
-    let (one, ten, most) = (tries(&healed(1, 58)), tries(&healed(10, 49)), tries(&healed(40, 19)));
-    assert!(one <= 6 && ten > one && ten <= 40 && most == 60, "{one}, {ten}, {most}");
+    let (one, ten, most) = (
+        tries(&healed(1, 58)),
+        tries(&healed(10, 49)),
+        tries(&healed(40, 19)),
+    );
+    assert!(
+        one <= 6 && ten > one && ten <= 40 && most == 60,
+        "{one}, {ten}, {most}"
+    );
     assert_eq!(tries(&all(58, State::Open, 1, 1)), 0);
     // Who never failed is no news: it says nothing of this server's way.
     assert_eq!(tries(&all(58, State::Closed, 0, 20)), 0);
@@ -95,8 +153,17 @@
 
 #[test]
 fn a_dependency_that_fails_and_a_way_that_does_are_told_apart() {
-    assert_eq!(Weigh::whose(true, &all(9, State::Closed, 0, 5)), Whose::OwnWays);
-    assert_eq!(Weigh::whose(true, &all(9, State::Open, 1, 1)), Whose::Dependencys);
+    assert_eq!(
+        Weigh::whose(true, &all(9, State::Closed, 0, 5)),
+        Whose::OwnWays
+    );
+    assert_eq!(
+        Weigh::whose(true, &all(9, State::Open, 1, 1)),
+        Whose::Dependencys
+    );
     assert_eq!(Weigh::whose(true, &[]), Whose::Unknown);
-    assert_eq!(Weigh::whose(false, &all(9, State::Closed, 0, 5)), Whose::Nobodys);
+    assert_eq!(
+        Weigh::whose(false, &all(9, State::Closed, 0, 5)),
+        Whose::Nobodys
+    );
 }
--- a/crates/coralstep/src/breaker.rs
+++ b/crates/coralstep/src/breaker.rs
@@ -18,7 +18,11 @@
 
 impl Breaker {
     fn turn(&mut self, now: Time, to: State) -> Turn {
-        let turn = Turn { from: self.state.name(), to: to.name(), rate: self.rate() };
+        let turn = Turn {
+            from: self.state.name(),
+            to: to.name(),
+            rate: self.rate(),
+        };
         (self.state, self.since) = (to, now);
         if to == State::Closed {
             (self.window, self.seen, self.cooldown) = (0, 0, COOLDOWN);
@@ -33,12 +37,18 @@
 
     /// The end of the cooldown, while open.
     pub fn until(&self) -> Option<Time> {
-        if let State::Open { until } = self.state { Some(until) } else { None }
+        if let State::Open { until } = self.state {
+            Some(until)
+        } else {
+            None
+        }
     }
 
     /// The cooldown left, while open.
     pub fn shut(&self, now: Time) -> Option<Span> {
-        self.until().filter(|until| *until > now).map(|until| until - now)
+        self.until()
+            .filter(|until| *until > now)
+            .map(|until| until - now)
     }
 
     /// Whether a trial is out.
@@ -116,6 +126,11 @@
     /// Cooldowns vary by a quarter, so that servers which opened together don't try together.
     fn open(&mut self, now: Time, chance: &mut WyRand) -> Turn {
         let part = 0.75 + 0.25 * f64::from(chance.generate::<u32>()) / f64::from(u32::MAX);
-        self.turn(now, State::Open { until: now + self.cooldown.share(part) })
+        self.turn(
+            now,
+            State::Open {
+                until: now + self.cooldown.share(part),
+            },
+        )
     }
 }
--- a/crates/coralstep/src/choice.rs
+++ b/crates/coralstep/src/choice.rs
@@ -50,7 +50,11 @@
     /// for nobody; on idle cores it is tried, so that a slow method is seen to be quick again.
     fn vain(&self, rpc: &Rpc) -> bool {
         let idle = self.count(Place::Running) < self.cores;
-        let takes = if idle { Span::ZERO } else { self.runs[rpc.method].middle(Span::ZERO) };
+        let takes = if idle {
+            Span::ZERO
+        } else {
+            self.runs[rpc.method].middle(Span::ZERO)
+        };
         self.now + EARLY.max(takes) >= rpc.due
     }
 
@@ -63,7 +67,11 @@
     /// the method that is served worst weighs more.
     fn value(&self, rpc: &Rpc) -> f64 {
         let criticality = self.method(rpc).criticality;
-        let weights = self.asked.iter().zip(&self.methods).map(|(t, m)| (t.asked + 0.1) * m.criticality);
+        let weights = self
+            .asked
+            .iter()
+            .zip(&self.methods)
+            .map(|(t, m)| (t.asked + 0.1) * m.criticality);
         let asked: f64 = self.asked.iter().map(|tally| tally.asked + 0.1).sum();
         let each = criticality * asked / weights.sum::<f64>().max(1e-9);
         let mut worth = self.goal[0] * each + self.goal[1] * lag(&self.asked, rpc.method);
@@ -71,14 +79,23 @@
             worth *= self.within(tenant);
         }
         worth *= if rpc.retry { RETRIED } else { 1.0 };
-        if self.by_work { worth } else { worth / self.run_time(rpc).0.max(1) as f64 }
+        if self.by_work {
+            worth
+        } else {
+            worth / self.run_time(rpc).0.max(1) as f64
+        }
     }
 
     /// The part of a tenant's present traffic that counts; its share is taken to be spread evenly.
     fn within(&self, tenant: usize) -> f64 {
-        let rate = self.tenants[tenant].asked / ((self.now - self.tallied).0 as f64 / 10_000.0).max(2.0);
+        let rate =
+            self.tenants[tenant].asked / ((self.now - self.tallied).0 as f64 / 10_000.0).max(2.0);
         let share = self.tenant_rates[tenant] / self.fleet;
-        if rate <= share { 1.0 } else { (share + self.over_share * (rate - share)) / rate }
+        if rate <= share {
+            1.0
+        } else {
+            (share + self.over_share * (rate - share)) / rate
+        }
     }
 }
 
@@ -90,7 +107,9 @@
 
 impl Repeats {
     fn enter(&mut self, site: &mut Site, id: RpcId, prior: Prior, out: &mut dyn Outlet) -> Step {
-        let Some(rpc) = site.get(id) else { return Step::End };
+        let Some(rpc) = site.get(id) else {
+            return Step::End;
+        };
         if site.method(rpc).effect != Effect::Tokened {
             return Step::Pass;
         }
@@ -105,7 +124,10 @@
                 return Step::Keep;
             }
         };
-        if never_ran.and_then(|old| site.get_mut(old)?.token_until.take()).is_none() {
+        if never_ran
+            .and_then(|old| site.get_mut(old)?.token_until.take())
+            .is_none()
+        {
             if site.used_kb + self.key_kb > site.memory_kb * MEMORY_RUN
                 || (self.kept + 1) as f64 * self.key_kb > site.memory_kb * MEMORY_TOKENS
             {
@@ -127,7 +149,11 @@
 
     /// Forgets a token that is no longer needed: it never ran, or its window is over.
     fn leave(&mut self, site: &mut Site, id: RpcId, out: &mut dyn Outlet) {
-        if site.get_mut(id).and_then(|rpc| rpc.token_until.take()).is_some() {
+        if site
+            .get_mut(id)
+            .and_then(|rpc| rpc.token_until.take())
+            .is_some()
+        {
             out.drop_token(id);
             self.kept -= 1;
             site.used_kb -= self.key_kb;
@@ -146,12 +172,25 @@
     fn enter(&mut self, site: &mut Site, id: RpcId, stalled: bool, out: &mut dyn Outlet) {
         let Some(rpc) = site.get(id) else { return };
         // A beat of margin, for the notice itself was rounded.
-        let late = self.noticed.is_some_and(|noticed| rpc.arrived + BEAT > noticed + self.grace);
+        let late = self
+            .noticed
+            .is_some_and(|noticed| rpc.arrived + BEAT > noticed + self.grace);
         let leaving = late || stalled || self.stopping(site.now);
-        let shed = site.level.sheds(&site.method(rpc)).then_some(site.level.back.max(ADVICE));
+        let shed = site
+            .level
+            .sheds(&site.method(rpc))
+            .then_some(site.level.back.max(ADVICE));
         let vain = site.get(id).is_some_and(|rpc| site.vain(rpc));
         if leaving || vain || shed.is_some() || site.used_kb > site.memory_kb * MEMORY_HOLD {
-            site.push_back(id, if leaving { AWAY_ADVICE } else { shed.unwrap_or(ADVICE) }, out);
+            site.push_back(
+                id,
+                if leaving {
+                    AWAY_ADVICE
+                } else {
+                    shed.unwrap_or(ADVICE)
+                },
+                out,
+            );
         }
     }
 
@@ -174,16 +213,24 @@
 
     fn of_limit(site: &Site, rpc: &Rpc, span: Span) -> f64 {
         span.0 as f64
-            / (site.method(rpc).target.0.max(1) as f64 * HOLD_SHARE * site.under(rpc).hold.max(0.01))
+            / (site.method(rpc).target.0.max(1) as f64
+                * HOLD_SHARE
+                * site.under(rpc).hold.max(0.01))
     }
 
     /// The most valuable of those that `may` start.
     fn best(site: &Site, may: impl Fn(&Rpc) -> bool) -> Option<RpcId> {
-        greatest(site.at(Place::Held).filter(|(_, rpc)| may(rpc)).map(|(id, rpc)| (site.value(rpc), id)))
+        greatest(
+            site.at(Place::Held)
+                .filter(|(_, rpc)| may(rpc))
+                .map(|(id, rpc)| (site.value(rpc), id)),
+        )
     }
 
     fn waited(site: &Site) -> f64 {
-        site.at(Place::Held).map(|(_, rpc)| Hold::part(site, rpc)).fold(0.0, f64::max)
+        site.at(Place::Held)
+            .map(|(_, rpc)| Hold::part(site, rpc))
+            .fold(0.0, f64::max)
     }
 }
 
@@ -208,7 +255,9 @@
     }
 
     fn room(&self, site: &Site) -> bool {
-        !self.stalled && site.count(Place::Running) < self.limit && site.started() < self.ceiling(site)
+        !self.stalled
+            && site.count(Place::Running) < self.limit
+            && site.started() < self.ceiling(site)
     }
 
     /// Grows while cores idle and work waits, shrinks back when they don't. Guards against runs that share so
@@ -217,7 +266,8 @@
         if unread > 1.0 {
             // Guards against runs that leave reading too little of the cores: all would be read too late.
             self.limit = (self.limit - 1).max(1);
-        } else if self.limit < site.cores || (waits && busy < 0.9 && site.count(Place::Running) >= self.limit)
+        } else if self.limit < site.cores
+            || (waits && busy < 0.9 && site.count(Place::Running) >= self.limit)
         {
             self.limit = (self.limit + 1).min(site.cores * 2 - 1);
         } else if busy > 0.97 && self.limit > site.cores {
@@ -242,11 +292,15 @@
     /// A part of a permit is a whole one for that part of the time.
     fn room(&mut self, site: &Site) -> bool {
         let next = self.hand.count(site, self.permits) + 1.0;
-        next <= self.permits.floor() || (next <= self.share.unwrap_or(0.0).ceil() && self.hand.credit >= 0.0)
+        next <= self.permits.floor()
+            || (next <= self.share.unwrap_or(0.0).ceil() && self.hand.credit >= 0.0)
     }
 
     fn next(site: &Site) -> Option<RpcId> {
-        greatest(site.at(Place::Waiting).map(|(id, rpc)| (site.method(rpc).criticality, id)))
+        greatest(
+            site.at(Place::Waiting)
+                .map(|(id, rpc)| (site.method(rpc).criticality, id)),
+        )
     }
 
     /// Guards against work that would only end in a line for permits; what runs towards a call stands in it.
@@ -260,9 +314,17 @@
         site.calls.fade(CALLS_KNOWN);
         self.hand.count(site, self.permits);
         let usual = self.usual(site);
-        self.best = if self.best == 0 { usual } else { self.best.min(usual) };
+        self.best = if self.best == 0 {
+            usual
+        } else {
+            self.best.min(usual)
+        };
         let crowded = usual as f64 > self.best as f64 * CROWDED;
-        let next = if crowded { self.permits * 0.95 } else { self.permits + self.range.1 * 0.01 };
+        let next = if crowded {
+            self.permits * 0.95
+        } else {
+            self.permits + self.range.1 * 0.01
+        };
         self.permits = next.clamp(self.range.0, self.range.1);
     }
 }
@@ -302,7 +364,9 @@
         site.arrive(&arrival);
         // Guards against strangers whose stamps would take the server off the list.
         let known = site.get(id).filter(|_| !arrival.claimed);
-        self.unread = known.map_or(0.0, |rpc| Hold::of_limit(site, rpc, arrival.age)).max(self.unread);
+        self.unread = known
+            .map_or(0.0, |rpc| Hold::of_limit(site, rpc, arrival.age))
+            .max(self.unread);
         if matches!(self.repeats.enter(site, id, arrival.prior, out), Step::Pass) {
             self.guard.enter(site, id, self.cores.stalled, out);
         }
@@ -316,7 +380,9 @@
         let Some(rpc) = self.site.get(id) else { return };
         let (place, since, overran) = (rpc.place, rpc.since, rpc.overran);
         if place == Place::Calling {
-            self.bulkhead.hand.left(&self.site, self.bulkhead.permits, true);
+            self.bulkhead
+                .hand
+                .left(&self.site, self.bulkhead.permits, true);
             if overran && (self.breaker.is_trial(id) || now - since >= PATIENCE_LEAST) {
                 // Guards against a dependency that hangs until RPCs are due: such calls ran out of time too.
                 self.outcome(id, since, true, out);
@@ -344,7 +410,13 @@
     pub fn needs_call(&mut self, now: Time, id: RpcId, out: &mut dyn Outlet) {
         self.site.now = now;
         self.cores.moved = now;
-        let Some(rpc) = self.site.get_mut(id).filter(|rpc| rpc.place == Place::Running) else { return };
+        let Some(rpc) = self
+            .site
+            .get_mut(id)
+            .filter(|rpc| rpc.place == Place::Running)
+        else {
+            return;
+        };
         rpc.calls = 0;
         self.site.put(id, Place::Waiting);
         if self
@@ -359,17 +431,32 @@
     }
 
     /// A call ended; unless it went well the RPC still stands at it.
-    pub fn called(&mut self, now: Time, id: RpcId, outcome: Outcome, took: Span, out: &mut dyn Outlet) {
+    pub fn called(
+        &mut self,
+        now: Time,
+        id: RpcId,
+        outcome: Outcome,
+        took: Span,
+        out: &mut dyn Outlet,
+    ) {
         self.site.now = now;
-        let Some(rpc) = self.site.get(id).filter(|rpc| rpc.place == Place::Calling) else { return };
+        let Some(rpc) = self.site.get(id).filter(|rpc| rpc.place == Place::Calling) else {
+            return;
+        };
         let (calls, answered, ok) = (rpc.calls, rpc.answered, outcome == Outcome::Ok);
-        let again = self.site.method(rpc).effect == Effect::Idempotent || outcome.proves_it_never_ran();
+        let again =
+            self.site.method(rpc).effect == Effect::Idempotent || outcome.proves_it_never_ran();
         if !outcome.proves_it_never_ran() {
             self.site.call_took(took);
         }
         self.outcome(id, now - took, !ok, out);
-        self.bulkhead.hand.left(&self.site, self.bulkhead.permits, outcome == Outcome::TimedOut);
-        self.site.put(id, if ok { Place::Running } else { Place::Waiting });
+        self.bulkhead.hand.left(
+            &self.site,
+            self.bulkhead.permits,
+            outcome == Outcome::TimedOut,
+        );
+        self.site
+            .put(id, if ok { Place::Running } else { Place::Waiting });
         if !(ok || answered || again && calls < CALLS_EACH) {
             self.without_call(id, self.breaker.shut(now).unwrap_or(ADVICE), out);
         }
@@ -378,7 +465,10 @@
     }
 
     fn outcome(&mut self, id: RpcId, began: Time, failed: bool, out: &mut dyn Outlet) {
-        if let Some(turn) = self.breaker.result(self.site.now, id, began, failed, &mut self.site.chance) {
+        if let Some(turn) =
+            self.breaker
+                .result(self.site.now, id, began, failed, &mut self.site.chance)
+        {
             out.breaker(turn);
         }
     }
@@ -426,7 +516,11 @@
             self.make_room(gauges.connections.unwrap_or(0.0), out);
         }
         // Nothing is swept while nothing is due.
-        let next = if self.site.live.is_empty() { REVIEW } else { BEAT };
+        let next = if self.site.live.is_empty() {
+            REVIEW
+        } else {
+            BEAT
+        };
         self.beat = now + next;
         out.timer(next);
         self.pump(out);
@@ -435,20 +529,31 @@
     /// Guards against a server that reads and holds but gets nothing done, whatever stopped its cores.
     fn watch(&mut self, out: &mut dyn Outlet) {
         let idle = self.site.count(Place::Running) < self.site.cores;
-        self.cores.moved = if idle { self.site.now } else { self.cores.moved };
+        self.cores.moved = if idle {
+            self.site.now
+        } else {
+            self.cores.moved
+        };
         let stalled = self.site.now - self.cores.moved > STALL;
         // Guards against a server that reads too late for any answer in time: it leaves until it has read up.
         let drowned = self.unread > if self.drowned { 1.0 } else { 2.0 / HOLD_SHARE };
         // Guards against storms of further tries: elsewhere is better only if the trouble is its own.
         let away = self.site.now < self.cores.cold_until || self.guard.noticed.is_some();
-        let (lost, most) = (self.site.count(Place::Lost), lost::most(self.cores.ceiling(&self.site)));
+        let (lost, most) = (
+            self.site.count(Place::Lost),
+            lost::most(self.cores.ceiling(&self.site)),
+        );
         let worn = lost >= most;
         self.site.alone = stalled || drowned || worn || away;
         if worn != self.worn {
-            out.log(format_args!("places of lost runs used up: {worn}, {lost} of {most}"));
+            out.log(format_args!(
+                "places of lost runs used up: {worn}, {lost} of {most}"
+            ));
         }
         if (stalled, drowned) != (self.cores.stalled, self.drowned) {
-            out.log(format_args!("cores stand still: {stalled}, reading falls behind: {drowned}"));
+            out.log(format_args!(
+                "cores stand still: {stalled}, reading falls behind: {drowned}"
+            ));
         }
         if (stalled, drowned, worn) != (self.cores.stalled, self.drowned, self.worn) {
             (self.cores.stalled, self.drowned, self.worn) = (stalled, drowned, worn);
@@ -473,14 +578,18 @@
             return self.close(id, out);
         }
         let method = self.site.method(rpc);
-        let (leaving, back) =
-            (self.guard.stopping(now) || self.cores.stalled, self.site.level.back.max(ADVICE));
+        let (leaving, back) = (
+            self.guard.stopping(now) || self.cores.stalled,
+            self.site.level.back.max(ADVICE),
+        );
         let due = now + EARLY >= rpc.due || self.guard.stopping(now);
         let waited = now - rpc.since >= PERMIT_WAIT;
         let shut = self.breaker.shut(now);
         match rpc.place {
             Place::Held if leaving => self.site.push_back(id, AWAY_ADVICE, out),
-            Place::Held if self.site.under(rpc).sheds(&method) => self.site.push_back(id, back, out),
+            Place::Held if self.site.under(rpc).sheds(&method) => {
+                self.site.push_back(id, back, out)
+            }
             Place::Held if self.site.vain(rpc) || Hold::part(&self.site, rpc) >= 1.0 => {
                 // What must call is told when the breaker may let it through.
                 let must = method.calls && method.skip == 0.0;
@@ -524,7 +633,11 @@
         let left = (rpc.due - site.now) - EARLY;
         let useful = (rpc.arrived + method.target - site.run_time(rpc)) - site.now;
         let usual = site.calls.middle(GUESS) * PATIENCE;
-        let most = if method.effect == Effect::Idempotent { usual.min(useful) } else { usual.max(useful) };
+        let most = if method.effect == Effect::Idempotent {
+            usual.min(useful)
+        } else {
+            usual.max(useful)
+        };
         left.min(most.max(PATIENCE_LEAST))
     }
 
@@ -533,8 +646,17 @@
     fn calls_fill(&self) -> bool {
         let (site, ceiling) = (&self.site, self.cores.ceiling(&self.site));
         let few = site.count(Place::Stranded) < lost::most(ceiling);
-        let trial = if site.used_kb < site.memory_kb * MEMORY_STRANDED { 1.0 } else { 0.0 };
-        site.at_calls() as f64 >= if few { (ceiling as f64 * CALLS_MOST).max(1.0) } else { trial }
+        let trial = if site.used_kb < site.memory_kb * MEMORY_STRANDED {
+            1.0
+        } else {
+            0.0
+        };
+        site.at_calls() as f64
+            >= if few {
+                (ceiling as f64 * CALLS_MOST).max(1.0)
+            } else {
+                trial
+            }
     }
 
     /// Moves on whatever can move: calls first, for they hold memory, then new runs.
@@ -549,7 +671,10 @@
                 break;
             }
             self.site.put(id, Place::Calling);
-            let patience = self.site.get(id).map_or(Span::ZERO, |rpc| self.patience(rpc));
+            let patience = self
+                .site
+                .get(id)
+                .map_or(Span::ZERO, |rpc| self.patience(rpc));
             self.site.patience(id, patience);
             out.call(id, patience);
         }
@@ -563,7 +688,9 @@
                 let method = site.method(rpc);
                 rpc.held_kb * factor <= room_kb && !(shut && method.calls && method.skip == 0.0)
             };
-            let Some(id) = Hold::best(site, may) else { break };
+            let Some(id) = Hold::best(site, may) else {
+                break;
+            };
             self.site.put(id, Place::Running);
             self.site.tries.ok += 1.0;
             out.admit(id);
@@ -592,7 +719,11 @@
         self.unread *= 0.8;
         let step = if waited > 0.5 { 0.1 } else { -0.1 };
         self.shed = (self.shed + step).clamp(0.0, 0.95);
-        let open = if self.guard.noticed.is_some() || self.cores.stalled { 0.0 } else { 1.0 - self.shed };
+        let open = if self.guard.noticed.is_some() || self.cores.stalled {
+            0.0
+        } else {
+            1.0 - self.shed
+        };
         let open = open * self.site.level.value;
         let value = match self.advert {
             Advert::Off => return,
--- a/crates/coralstep/src/door.rs
+++ b/crates/coralstep/src/door.rs
@@ -214,7 +214,10 @@
 
 impl Outcome {
     pub fn proves_it_never_ran(self) -> bool {
-        matches!(self, Outcome::PushedBack | Outcome::Unreachable | Outcome::Moot)
+        matches!(
+            self,
+            Outcome::PushedBack | Outcome::Unreachable | Outcome::Moot
+        )
     }
 }
 
--- a/crates/coralstep/src/learned.rs
+++ b/crates/coralstep/src/learned.rs
@@ -39,14 +39,22 @@
             limit: Some(self.cores.limit as u32),
             permits: Some(self.bulkhead.permits),
             best: (self.bulkhead.best > 0).then_some(self.bulkhead.best),
-            tenants: site.tenants.iter().map(|tally| [tally.asked, tally.ok]).collect(),
+            tenants: site
+                .tenants
+                .iter()
+                .map(|tally| [tally.asked, tally.ok])
+                .collect(),
         }
     }
 
     /// Takes in what was learned before, as far as it is trusted: 0 leaves a cold start, 1 goes on as before. To be called before the
     /// first RPC. Breakers start closed, whatever they were: an open one's cooldown is over long before anybody could know.
     pub fn relearn(&mut self, learned: &Learned, trust: f64) {
-        let trust = if trust.is_finite() { trust.clamp(0.0, 1.0) } else { 0.0 };
+        let trust = if trust.is_finite() {
+            trust.clamp(0.0, 1.0)
+        } else {
+            0.0
+        };
         let sound = |figure: f64| figure.is_finite() && (0.0..1e9).contains(&figure);
         let site = &mut self.site;
         for (runs, bins) in site.runs.iter_mut().zip(&learned.runs) {
@@ -57,18 +65,28 @@
         if let Some(limit) = learned.limit {
             let most = site.cores * 2 - 1;
             let limit = (limit as usize).clamp(1, most);
-            self.cores.limit = (blend(site.cores as f64, limit as f64).round() as usize).clamp(1, most);
+            self.cores.limit =
+                (blend(site.cores as f64, limit as f64).round() as usize).clamp(1, most);
         }
         if let Some(permits) = learned.permits.filter(|permits| sound(*permits)) {
             let (least, most) = self.bulkhead.range;
-            let first = self.bulkhead.share.map_or(least.max(TIER_LEAST), |all| all * SHARE_FIRST);
+            let first = self
+                .bulkhead
+                .share
+                .map_or(least.max(TIER_LEAST), |all| all * SHARE_FIRST);
             self.bulkhead.permits = blend(first, permits).clamp(least, most.max(least));
         }
         // A best that is too good would look like a crowd for ever; half-believed it is none.
-        self.bulkhead.best = learned.best.filter(|best| trust > 0.5 && *best < 1 << 32).unwrap_or(0);
+        self.bulkhead.best = learned
+            .best
+            .filter(|best| trust > 0.5 && *best < 1 << 32)
+            .unwrap_or(0);
         for (tally, [asked, ok]) in site.tenants.iter_mut().zip(&learned.tenants) {
             if sound(*asked) && sound(*ok) {
-                *tally = Tally { asked: asked * trust, ok: ok.min(*asked) * trust };
+                *tally = Tally {
+                    asked: asked * trust,
+                    ok: ok.min(*asked) * trust,
+                };
             }
         }
     }
--- a/crates/coralstep/src/learned/tests.rs
+++ b/crates/coralstep/src/learned/tests.rs
@@ -4,8 +4,12 @@
 impl Outlet for Nobody {}
 
 fn server() -> Server {
-    let method =
-        Method { target: Span::ms(500), deadline: Span::ms(2_000), calls: true, ..Method::default() };
+    let method = Method {
+        target: Span::ms(500),
+        deadline: Span::ms(2_000),
+        calls: true,
+        ..Method::default()
+    };
     let terms = Terms {
         methods: vec![method],
         cores: 4,
@@ -39,7 +43,10 @@
     let mut half = server();
     half.relearn(&learned, 0.5);
     let half = half.learned();
-    assert_eq!((half.limit, half.permits, half.best, half.runs[0][4]), (Some(6), Some(12.0), None, 40));
+    assert_eq!(
+        (half.limit, half.permits, half.best, half.runs[0][4]),
+        (Some(6), Some(12.0), None, 40)
+    );
     // A NaN trusts nothing.
     let mut nan = server();
     nan.relearn(&learned, f64::NAN);
@@ -59,7 +66,17 @@
     let mut server = server();
     server.relearn(&wild, 1.0);
     let learned = server.learned();
-    assert_eq!((learned.limit, learned.permits, learned.best), (Some(7), Some(10.0), None));
-    assert_eq!((learned.runs.len(), learned.tenants.clone()), (1, vec![[0.0, 0.0]]));
-    assert!(learned.calls.iter().all(|bin| *bin <= 160), "{:?}", learned.calls);
+    assert_eq!(
+        (learned.limit, learned.permits, learned.best),
+        (Some(7), Some(10.0), None)
+    );
+    assert_eq!(
+        (learned.runs.len(), learned.tenants.clone()),
+        (1, vec![[0.0, 0.0]])
+    );
+    assert!(
+        learned.calls.iter().all(|bin| *bin <= 160),
+        "{:?}",
+        learned.calls
+    );
 }
--- a/crates/coralstep/src/lost.rs
+++ b/crates/coralstep/src/lost.rs
@@ -20,9 +20,14 @@
 /// Asks after the run of `id` where that is due, and counts it as lost or stranded where it is time.
 pub(crate) fn run(site: &mut Site, id: RpcId, ceiling: usize, out: &mut dyn Outlet) {
     let (now, lost) = (site.now, site.count(Place::Lost));
-    let Some(rpc) = site.get_mut(id).filter(|rpc| rpc.answered) else { return };
+    let Some(rpc) = site.get_mut(id).filter(|rpc| rpc.answered) else {
+        return;
+    };
     let (place, late) = (rpc.place, now - rpc.answered_at);
-    if !matches!(place, Place::Running | Place::Waiting | Place::Lost | Place::Stranded) {
+    if !matches!(
+        place,
+        Place::Running | Place::Waiting | Place::Lost | Place::Stranded
+    ) {
         return;
     }
     if now - rpc.asked_at >= ASK_AFTER {
@@ -40,6 +45,9 @@
     } else if place == Place::Running && late >= LOST_AFTER && lost < most {
         site.put(id, Place::Lost);
         let lost = lost + 1;
-        out.log(format_args!("a run is lost: no end {} ms after its answer, {lost} of {most}", late.0 / 10));
+        out.log(format_args!(
+            "a run is lost: no end {} ms after its answer, {lost} of {most}",
+            late.0 / 10
+        ));
     }
 }
--- a/crates/coralstep/src/observe.rs
+++ b/crates/coralstep/src/observe.rs
@@ -22,7 +22,11 @@
     /// The usual time of a call, in ticks.
     pub(super) fn usual(&self, site: &Site) -> u64 {
         let (calls, guess) = (&site.calls, Span(self.best));
-        if self.share.is_some() { calls.mean(guess).0 } else { calls.middle(guess).0 }
+        if self.share.is_some() {
+            calls.mean(guess).0
+        } else {
+            calls.middle(guess).0
+        }
     }
 
     /// The usual time of a call, as a multiple of the best that was usual.
@@ -38,7 +42,9 @@
         let sheds = level != self.site.level;
         self.site.level = level;
         let held: Vec<RpcId> = self.site.at(Place::Held).map(|(id, _)| id).collect();
-        held.into_iter().filter(|_| sheds).for_each(|id| self.check(id, out));
+        held.into_iter()
+            .filter(|_| sheds)
+            .for_each(|id| self.check(id, out));
     }
 
     /// Another version of the settings holds for what is read from now on; what was read before is decided under the one it was read under.
@@ -61,7 +67,11 @@
         let flag = |is: bool| Some(f64::from(u8::from(is)));
         let told = site.calls.count() > 0 && site.now - site.called <= CALLS_TOLD;
         // While nothing is asked for, nobody is pushed back.
-        let begun = if site.tries.asked < 1.0 { 1.0 } else { (site.tries.ok / site.tries.asked).min(1.0) };
+        let begun = if site.tries.asked < 1.0 {
+            1.0
+        } else {
+            (site.tries.ok / site.tries.asked).min(1.0)
+        };
         Signals {
             hold: Some(Hold::waited(site)),
             pushed_back: Some(1.0 - begun),
--- a/crates/coralstep/src/observe/tests.rs
+++ b/crates/coralstep/src/observe/tests.rs
@@ -11,10 +11,27 @@
 #[test]
 fn an_rpc_is_decided_under_the_version_it_was_read_under_and_a_server_shut_out_holds_nothing() {
     let target = Span::ms(60_000);
-    let method = Method { target, deadline: target, criticality: 1.0, ..Method::default() };
-    let terms = Terms { methods: vec![method], cores: 1, memory_kb: 1e6, ..Terms::default() };
-    let closes = Level { least_criticality: 2.0, ..Level::default() };
-    let arrival = |id: u32| Arrival { id: RpcId(id), held_kb: 1.0, ..Arrival::default() };
+    let method = Method {
+        target,
+        deadline: target,
+        criticality: 1.0,
+        ..Method::default()
+    };
+    let terms = Terms {
+        methods: vec![method],
+        cores: 1,
+        memory_kb: 1e6,
+        ..Terms::default()
+    };
+    let closes = Level {
+        least_criticality: 2.0,
+        ..Level::default()
+    };
+    let arrival = |id: u32| Arrival {
+        id: RpcId(id),
+        held_kb: 1.0,
+        ..Arrival::default()
+    };
     for out in [false, true] {
         let mut told = Told::default();
         let mut server = Server::start(&terms, 7, Time(0), &mut told);
--- a/crates/coralstep/src/site.rs
+++ b/crates/coralstep/src/site.rs
@@ -81,7 +81,9 @@
     }
 
     pub fn add(&mut self, span: Span) {
-        let bin = (span.0 >> 7).checked_ilog2().map_or(0, |log| log as usize + 1);
+        let bin = (span.0 >> 7)
+            .checked_ilog2()
+            .map_or(0, |log| log as usize + 1);
         self.0[bin.min(11)] += 8;
     }
 
@@ -150,7 +152,11 @@
 impl Hand {
     /// `linger`: how long the dependency may keep a call that was given up.
     pub fn new(linger: Span, now: Time) -> Hand {
-        Hand { linger, counted: now, ..Hand::default() }
+        Hand {
+            linger,
+            counted: now,
+            ..Hand::default()
+        }
     }
 
     /// Abandoned calls may still be in the hands of the dependency and count on.
@@ -231,7 +237,11 @@
             fleet: f64::from(terms.fleet.max(1)),
             tallied: now,
             over_share: terms.over_share,
-            goal: if terms.goal.iter().sum::<f64>() > 0.0 { terms.goal } else { [1.0, 0.0, 0.0] },
+            goal: if terms.goal.iter().sum::<f64>() > 0.0 {
+                terms.goal
+            } else {
+                [1.0, 0.0, 0.0]
+            },
             by_work: terms.worth_by_work,
             run_factor: terms.run_factor.max(1.0),
             alone: terms.cold,
@@ -241,7 +251,11 @@
             live: Vec::new(),
             count: [0; 8],
             used_kb: 0.0,
-            memory_kb: if terms.memory_kb > 0.0 { terms.memory_kb } else { f64::MAX },
+            memory_kb: if terms.memory_kb > 0.0 {
+                terms.memory_kb
+            } else {
+                f64::MAX
+            },
             chance: WyRand::new_seed(seed),
         }
     }
@@ -273,8 +287,11 @@
 
     /// Another version of the settings holds from now on.
     pub fn versioned(&mut self) {
-        self.before[self.version as usize % VERSIONS] =
-            if self.level.out { Level::default() } else { self.level };
+        self.before[self.version as usize % VERSIONS] = if self.level.out {
+            Level::default()
+        } else {
+            self.level
+        };
         self.version = self.version.wrapping_add(1);
     }
 
@@ -292,16 +309,24 @@
 
     /// All at `place` that nobody has answered, as they came.
     pub fn at(&self, place: Place) -> impl Iterator<Item = (RpcId, &Rpc)> {
-        let all = self.live.iter().filter_map(|id| Some((*id, self.get(*id)?)));
+        let all = self
+            .live
+            .iter()
+            .filter_map(|id| Some((*id, self.get(*id)?)));
         all.filter(move |(_, rpc)| rpc.place == place && !rpc.answered)
     }
 
     /// Begun RPCs that may have to call and have not done so. Those with an answer count on, for they still use the cores
     /// (without them the burst days lose 0.07); lost ones don't.
     pub fn before_calls(&self) -> usize {
-        let before = |rpc: &Rpc| rpc.calls == 0 && matches!(rpc.place, Place::Running | Place::Waiting);
+        let before =
+            |rpc: &Rpc| rpc.calls == 0 && matches!(rpc.place, Place::Running | Place::Waiting);
         let must = |rpc: &Rpc| self.method(rpc).calls && self.method(rpc).skip == 0.0;
-        self.live.iter().filter_map(|id| self.get(*id)).filter(|rpc| before(rpc) && must(rpc)).count()
+        self.live
+            .iter()
+            .filter_map(|id| self.get(*id))
+            .filter(|rpc| before(rpc) && must(rpc))
+            .count()
     }
 
     /// Begun RPCs that must call and stand before or at their call.
@@ -311,7 +336,12 @@
             Place::Running => rpc.calls == 0,
             place => matches!(place, Place::Waiting | Place::Calling),
         };
-        self.live.iter().filter_map(|id| self.get(*id)).filter(must).filter(at).count()
+        self.live
+            .iter()
+            .filter_map(|id| self.get(*id))
+            .filter(must)
+            .filter(at)
+            .count()
     }
 
     /// Begun and not over, on the cores or at a call; lost ones may still be on the cores, stranded ones can't.
@@ -329,7 +359,10 @@
             method: arrival.method,
             tenant: arrival.tenant.filter(|tenant| *tenant < self.tenants.len()),
             arrived,
-            due: arrival.due.unwrap_or(arrived + method.deadline).max(self.now),
+            due: arrival
+                .due
+                .unwrap_or(arrived + method.deadline)
+                .max(self.now),
             held_kb: arrival.held_kb,
             retry: arrival.retry,
             place: Place::Held,
@@ -348,7 +381,8 @@
         };
         if !arrival.retry {
             self.asked[rpc.method].asked += 1.0;
-            rpc.tenant.inspect(|tenant| self.tenants[*tenant].asked += 1.0);
+            rpc.tenant
+                .inspect(|tenant| self.tenants[*tenant].asked += 1.0);
         }
         self.tries.asked += 1.0;
         if !arrival.claimed {
@@ -440,7 +474,9 @@
 
     /// Counts an end at `place`, where it was a good one.
     pub fn record(&mut self, id: RpcId, place: Place, outcome: Outcome) {
-        let Some(rpc) = self.get(id).filter(|_| outcome == Outcome::Ok) else { return };
+        let Some(rpc) = self.get(id).filter(|_| outcome == Outcome::Ok) else {
+            return;
+        };
         let (method, tenant, took) = (rpc.method, rpc.tenant, rpc.on_cores);
         let in_time = !rpc.answered && self.now - rpc.arrived <= self.method(rpc).target;
         if place == Place::Running {
@@ -456,11 +492,16 @@
         self.tallied = self.now - (self.now - self.tallied).share(0.5);
         self.reads.halve();
         self.runs.iter_mut().for_each(Histogram::halve);
-        self.asked.iter_mut().chain(&mut self.tenants).for_each(Tally::halve);
+        self.asked
+            .iter_mut()
+            .chain(&mut self.tenants)
+            .for_each(Tally::halve);
     }
 }
 
 /// The one with the greatest value; the first of several.
 pub(crate) fn greatest(values: impl Iterator<Item = (f64, RpcId)>) -> Option<RpcId> {
-    values.reduce(|best, next| if next.0 > best.0 { next } else { best }).map(|(_, id)| id)
+    values
+        .reduce(|best, next| if next.0 > best.0 { next } else { best })
+        .map(|(_, id)| id)
 }
--- a/crates/coralstep/src/start.rs
+++ b/crates/coralstep/src/start.rs
@@ -8,7 +8,14 @@
 impl Breaker {
     /// Closed, and nothing seen or heard.
     pub fn new(now: Time) -> Breaker {
-        Breaker { state: State::Closed, window: 0, seen: 0, cooldown: COOLDOWN, since: now, need: WINDOW }
+        Breaker {
+            state: State::Closed,
+            window: 0,
+            seen: 0,
+            cooldown: COOLDOWN,
+            since: now,
+            need: WINDOW,
+        }
     }
 }
 
@@ -16,13 +23,26 @@
     pub fn start(terms: &Terms, seed: u64, now: Time, out: &mut dyn Outlet) -> Server {
         let least = f64::from(terms.cores).max(TIER_LEAST);
         let share = terms.below.share();
-        let range = share.map_or((least, least * TIER_MOST), |all| (all * SHARE_LEAST, all * SHARE_MOST));
-        let warm_after = if terms.cold { terms.warm_after } else { Span::ZERO };
+        let range = share.map_or((least, least * TIER_MOST), |all| {
+            (all * SHARE_LEAST, all * SHARE_MOST)
+        });
+        let warm_after = if terms.cold {
+            terms.warm_after
+        } else {
+            Span::ZERO
+        };
         out.timer(BEAT);
         Server {
             site: Site::new(terms, seed, now),
-            repeats: Repeats { key_kb: terms.key_kb, kept: 0 },
-            guard: Guard { grace: terms.drain_grace, noticed: None, stop: Time(u64::MAX) },
+            repeats: Repeats {
+                key_kb: terms.key_kb,
+                kept: 0,
+            },
+            guard: Guard {
+                grace: terms.drain_grace,
+                noticed: None,
+                stop: Time(u64::MAX),
+            },
             cores: Cores {
                 limit: terms.cores.max(1) as usize,
                 crowd: terms.survivable_crowd.max(1.0),
--- a/crates/coralstep/src/state.rs
+++ b/crates/coralstep/src/state.rs
@@ -21,21 +21,54 @@
         let mut sink = Sink(DefaultHasher::new());
         let (guard, cores, bulkhead) = (&self.guard, &self.cores, &self.bulkhead);
         // A sink takes all that it is given.
-        let _ = write!(sink, "{:?} {:?}", self.site, (self.repeats.key_kb, self.repeats.kept));
+        let _ = write!(
+            sink,
+            "{:?} {:?}",
+            self.site,
+            (self.repeats.key_kb, self.repeats.kept)
+        );
         let _ = write!(sink, "{:?}", (guard.grace, guard.noticed, guard.stop));
         let _ = write!(
             sink,
             "{:?}",
-            (cores.limit, cores.crowd, cores.cold_until, cores.lack, cores.moved, cores.stalled)
+            (
+                cores.limit,
+                cores.crowd,
+                cores.cold_until,
+                cores.lack,
+                cores.moved,
+                cores.stalled
+            )
+        );
+        let _ = write!(
+            sink,
+            "{:?}",
+            (bulkhead.permits, bulkhead.share, bulkhead.range)
         );
-        let _ = write!(sink, "{:?}", (bulkhead.permits, bulkhead.share, bulkhead.range));
         let _ = write!(sink, "{:?}", (&bulkhead.hand, bulkhead.best));
         let _ = write!(
             sink,
             "{:?}",
-            (&self.breaker, self.advert, self.callers, self.shed, self.idle, self.max_idle)
+            (
+                &self.breaker,
+                self.advert,
+                self.callers,
+                self.shed,
+                self.idle,
+                self.max_idle
+            )
+        );
+        let _ = write!(
+            sink,
+            "{:?}",
+            (
+                self.unread,
+                self.drowned,
+                self.worn,
+                self.beat,
+                self.reviewed
+            )
         );
-        let _ = write!(sink, "{:?}", (self.unread, self.drowned, self.worn, self.beat, self.reviewed));
         sink.0.finish()
     }
 }
--- a/crates/coralstep/tests/scenarios.rs
+++ b/crates/coralstep/tests/scenarios.rs
@@ -22,8 +22,16 @@
     fn push_back(&mut self, rpc: RpcId, after: Span, last: bool) {
         // The usual advice goes without saying.
         let usual = [0, 250, 5_000].map(Span::ms).contains(&after);
-        let after = if usual { String::new() } else { format!(" in {}", after.0 / 10) };
-        self.0.push(format!("push_back {}{}{after}", rpc.0, if last { "" } else { " elsewhere" }));
+        let after = if usual {
+            String::new()
+        } else {
+            format!(" in {}", after.0 / 10)
+        };
+        self.0.push(format!(
+            "push_back {}{}{after}",
+            rpc.0,
+            if last { "" } else { " elsewhere" }
+        ));
     }
     fn abort(&mut self, rpc: RpcId) {
         self.put("abort", rpc);
@@ -50,7 +58,8 @@
         self.put("replay", rpc);
     }
     fn health(&mut self, good: bool) {
-        self.0.push(format!("health {}", if good { "good" } else { "bad" }));
+        self.0
+            .push(format!("health {}", if good { "good" } else { "bad" }));
     }
     fn advertise(&mut self, value: f64) {
         self.0.push(format!("value {value:.2}"));
@@ -64,7 +73,8 @@
 }
 
 fn number(word: &str) -> f64 {
-    word.parse().unwrap_or_else(|_| panic!("{word} is no number"))
+    word.parse()
+        .unwrap_or_else(|_| panic!("{word} is no number"))
 }
 
 fn ms(word: &str) -> Span {
@@ -73,7 +83,10 @@
 
 /// The `name=value` words of a line.
 fn pairs<'a>(words: &[&'a str]) -> HashMap<&'a str, &'a str> {
-    words.iter().filter_map(|word| word.split_once('=')).collect()
+    words
+        .iter()
+        .filter_map(|word| word.split_once('='))
+        .collect()
 }
 
 fn method(words: &[&str]) -> Method {
@@ -124,10 +137,17 @@
             "idle" => terms.caller_idle = ms(value),
             "linger" => terms.linger = ms(value),
             "cold" => {
-                (terms.cold, terms.cold_speed, terms.warm_after) = (true, number(value), Span::ms(10_000))
+                (terms.cold, terms.cold_speed, terms.warm_after) =
+                    (true, number(value), Span::ms(10_000))
             }
             "share" => terms.below = Below::Shared(number(value)),
-            "below" => terms.below = if value == "tier" { Below::Tier } else { Below::Nothing },
+            "below" => {
+                terms.below = if value == "tier" {
+                    Below::Tier
+                } else {
+                    Below::Nothing
+                }
+            }
             other => panic!("no term {other}"),
         }
     }
@@ -179,7 +199,8 @@
             "method" => return self.terms.methods.push(method(&words[1..])),
             "=>" => {
                 let wanted = words[1..].join(" ");
-                let wanted: Vec<&str> = wanted.split("; ").filter(|one| *one != "nothing").collect();
+                let wanted: Vec<&str> =
+                    wanted.split("; ").filter(|one| *one != "nothing").collect();
                 assert_eq!(self.answers.0, wanted);
                 self.expected += 1;
                 return;
@@ -188,15 +209,20 @@
         }
         let (now, out) = (self.now, &mut self.answers);
         out.0.clear();
-        let server = self.server.get_or_insert_with(|| Server::start(&self.terms, 1, now, out));
+        let server = self
+            .server
+            .get_or_insert_with(|| Server::start(&self.terms, 1, now, out));
         let id = || RpcId(number(words[1]) as u32);
         match words[0] {
             "rpc" => {
                 let pairs = pairs(words);
                 let age = pairs.get("age").map_or(Span::ZERO, |age| ms(age));
-                let prior =
-                    pairs.get("prior").map_or(Prior::Nothing, |old| Prior::Of(RpcId(number(old) as u32)));
-                let method = pairs.get("method").map_or(0, |method| number(method) as usize);
+                let prior = pairs
+                    .get("prior")
+                    .map_or(Prior::Nothing, |old| Prior::Of(RpcId(number(old) as u32)));
+                let method = pairs
+                    .get("method")
+                    .map_or(0, |method| number(method) as usize);
                 let held_kb = pairs.get("kb").map_or(10.0, |kb| number(kb));
                 let retry = words.contains(&"retry");
                 let claimed = words.contains(&"claimed");
@@ -206,14 +232,25 @@
                     None => now - age + ms(due),
                 });
                 let id = id();
-                let arrival =
-                    Arrival { id, method, due, age, claimed, prior, held_kb, retry, ..Arrival::default() };
+                let arrival = Arrival {
+                    id,
+                    method,
+                    due,
+                    age,
+                    claimed,
+                    prior,
+                    held_kb,
+                    retry,
+                    ..Arrival::default()
+                };
                 server.rpc(now, arrival, out);
             }
             "settled" => server.settled(now, id(), outcome(words[2]), out),
             "needs_call" => server.needs_call(now, id(), out),
             "called" => {
-                let took = pairs(words).get("took").map_or(Span::ms(1), |took| ms(took));
+                let took = pairs(words)
+                    .get("took")
+                    .map_or(Span::ms(1), |took| ms(took));
                 server.called(now, id(), outcome(words[2]), took, out);
             }
             // So many calls of one RPC, as it asks for them and as they end.
@@ -272,9 +309,14 @@
 #[test]
 fn scenarios() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
-    let mut files: Vec<_> = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()).collect();
+    let mut files: Vec<_> = std::fs::read_dir(folder)
+        .unwrap()
+        .map(|entry| entry.unwrap().path())
+        .collect();
     files.sort();
-    let texts = files.iter().filter(|file| file.extension().is_some_and(|end| end == "txt"));
+    let texts = files
+        .iter()
+        .filter(|file| file.extension().is_some_and(|end| end == "txt"));
     for file in texts {
         assert!(play(file) > 0, "{} expects nothing", file.display());
     }
