--- a/crates/coralstep-lab/src/caller/scgi.rs
+++ b/crates/coralstep-lab/src/caller/scgi.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use async_io::Async;
-use coralstep_scgi::{Bounds, answer, request};
+use coralstep_scgi::{Limits, request, response};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 
 use super::{Ask, Said, reference};
@@ -13,11 +13,11 @@
 
 /// What an answer with these bytes, the whole of it, says.
 pub fn said(bytes: &[u8]) -> Said {
-    let bounds = Bounds {
-        body: ANSWER,
-        ..Bounds::default()
+    let limits = Limits {
+        max_body_bytes: ANSWER,
+        ..Limits::default()
     };
-    let Ok(Some((status, body))) = answer::read(bytes, true, &bounds) else {
+    let Ok(Some((status, body))) = response::decode(bytes, true, &limits) else {
         return Said::Broken;
     };
     let field = |name: &str| {
@@ -70,7 +70,7 @@
         headers.push(("HTTP_X_TENANT", ask.tenant.as_bytes()));
     }
     let mut out = Vec::new();
-    request::put(&mut out, &headers, &ask.body)
+    request::encode(&mut out, &headers, &ask.body)
         .ok()
         .map(|()| out)
 }
--- a/crates/coralstep-scgi/benches/codec.rs
+++ b/crates/coralstep-scgi/benches/codec.rs
@@ -1,36 +1,39 @@
 //! What reading and writing costs, beside the plainest reader of the same bytes: one that only looks for the NULs.
 use std::hint::black_box;
 
-use coralstep_scgi::{Bounds, answer, request};
+use coralstep_scgi::{Limits, request, response};
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
 
-fn codec(criterion: &mut Criterion) {
-    let headers: [(&str, &[u8]); 12] = [
-        ("REQUEST_METHOD", b"POST"),
-        ("REQUEST_URI", b"/route/plan?from=a&to=b"),
-        ("PATH_INFO", b"/route/plan"),
-        ("QUERY_STRING", b"from=a&to=b"),
-        ("SERVER_PROTOCOL", b"HTTP/1.1"),
-        ("REMOTE_ADDR", b"127.0.0.1"),
-        ("HTTP_HOST", b"planner.example"),
-        ("HTTP_IDEMPOTENCY_KEY", b"7f3a9c21e0b4d655"),
-        ("HTTP_X_TENANT", b"north"),
-        ("HTTP_X_REQUEST_ID", b"9b1f03aa5c7e2d41"),
-        ("HTTP_X_ARRIVED_MS", b"1764576000123"),
-        ("HTTP_USER_AGENT", b"planner/3"),
-    ];
-    let (body, bounds) = (vec![b'x'; 600], Bounds::default());
+const BODY: [u8; 600] = [b'x'; 600];
+
+const HEADERS: [request::Header<'static>; 12] = [
+    ("REQUEST_METHOD", b"POST"),
+    ("REQUEST_URI", b"/route/plan?from=a&to=b"),
+    ("PATH_INFO", b"/route/plan"),
+    ("QUERY_STRING", b"from=a&to=b"),
+    ("SERVER_PROTOCOL", b"HTTP/1.1"),
+    ("REMOTE_ADDR", b"127.0.0.1"),
+    ("HTTP_HOST", b"planner.example"),
+    ("HTTP_IDEMPOTENCY_KEY", b"7f3a9c21e0b4d655"),
+    ("HTTP_X_TENANT", b"north"),
+    ("HTTP_X_REQUEST_ID", b"9b1f03aa5c7e2d41"),
+    ("HTTP_X_ARRIVED_MS", b"1764576000123"),
+    ("HTTP_USER_AGENT", b"planner/3"),
+];
+
+fn requests(criterion: &mut Criterion) {
+    let limits = Limits::default();
     let mut bytes = Vec::new();
-    request::put(&mut bytes, &headers, &body).unwrap();
+    request::encode(&mut bytes, &HEADERS, &BODY).unwrap();
     let mut group = criterion.benchmark_group("scgi");
     group.throughput(Throughput::Bytes(bytes.len() as u64));
     group.bench_function("read a request", |b| {
         b.iter(|| {
-            request::read(black_box(&bytes), &bounds)
+            request::decode(black_box(&bytes), &limits)
                 .unwrap()
                 .unwrap()
                 .1
-        })
+        });
     });
     group.bench_function("baseline: split at the NULs", |b| {
         b.iter(|| {
@@ -38,36 +41,42 @@
                 .split(|byte| *byte == 0)
                 .map(<[u8]>::len)
                 .sum::<usize>()
-        })
+        });
     });
     let mut out = Vec::with_capacity(4096);
     group.bench_function("write a request", |b| {
         b.iter(|| {
             out.clear();
-            request::put(&mut out, black_box(&headers), &body).unwrap();
+            request::encode(&mut out, black_box(&HEADERS), &BODY).unwrap();
             out.len()
-        })
+        });
     });
     group.bench_function("baseline: copy its bytes", |b| {
         b.iter(|| {
             out.clear();
             out.extend_from_slice(black_box(&bytes));
             out.len()
-        })
+        });
     });
+    group.finish();
+}
+
+fn responses(criterion: &mut Criterion) {
+    let limits = Limits::default();
     let mut answered = Vec::new();
-    answer::put(&mut answered, 200, &[("X-Coralstep-Value", &0.5)], &body);
+    response::encode(&mut answered, 200, &[("X-Coralstep-Value", &0.5)], &BODY);
+    let mut group = criterion.benchmark_group("scgi");
     group.throughput(Throughput::Bytes(answered.len() as u64));
     group.bench_function("read an answer", |b| {
         b.iter(|| {
-            answer::read(black_box(&answered), false, &bounds)
+            response::decode(black_box(&answered), false, &limits)
                 .unwrap()
                 .unwrap()
                 .0
-        })
+        });
     });
     group.finish();
 }
 
-criterion_group!(benches, codec);
+criterion_group!(benches, requests, responses);
 criterion_main!(benches);
--- a/crates/coralstep-scgi/src/tests.rs
+++ b/crates/coralstep-scgi/src/decimal/tests.rs
@@ -1,9 +1,9 @@
-use super::whole;
+use super::parse;
 
 #[test]
-fn figures_are_plain_digits() {
+fn numbers_are_plain_digits() {
     assert_eq!(
-        (whole(b"0"), whole(b"10"), whole(b"999999999999999999")),
+        (parse(b"0"), parse(b"10"), parse(b"999999999999999999")),
         (Some(0), Some(10), Some(10u64.pow(18) - 1))
     );
     for bad in [
@@ -18,6 +18,6 @@
         "1000000000000000000",
         "99999999999999999999999",
     ] {
-        assert_eq!(whole(bad.as_bytes()), None, "{bad:?}");
+        assert_eq!(parse(bad.as_bytes()), None, "{bad:?}");
     }
 }
--- a/crates/coralstep-scgi/src/request.rs
+++ b/crates/coralstep-scgi/src/request.rs
@@ -1,19 +1,31 @@
-//! A request: a netstring of headers, each a name and a value ended by NUL, and a body as long as CONTENT_LENGTH, the
-//! first of them, says. `SCGI` is `1`.
-use crate::{Bounds, Fault, whole};
+//! SCGI requests: a netstring of headers, each a name and a value ended by NUL, then a body.
+//!
+//! `CONTENT_LENGTH` is the first header and states the length of the body; `SCGI` is `1`.
+use crate::{DecodeError, EncodeError, Limits, decimal};
+
+/// The header that states the length of the body.
+const CONTENT_LENGTH: &str = "CONTENT_LENGTH";
+/// The header that names the protocol's version.
+const PROTOCOL: Header<'static> = ("SCGI", b"1");
+/// Headers that most requests have at most.
+const USUAL_HEADERS: usize = 16;
+/// Bytes that the length of a netstring, its colon and its comma may take.
+const NETSTRING_OVERHEAD: usize = 8;
 
 /// A header's name and value.
 pub type Header<'a> = (&'a str, &'a [u8]);
 
-/// A request, where it was read.
+/// A request that borrows from the bytes it was decoded from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request<'a> {
-    /// All headers as they came, CONTENT_LENGTH and SCGI among them.
+    /// All headers in their order, `CONTENT_LENGTH` and `SCGI` among them.
     pub headers: Vec<Header<'a>>,
+    /// The body, of the stated length.
     pub body: &'a [u8],
 }
 
 impl<'a> Request<'a> {
+    /// The value of the header `name`.
     pub fn get(&self, name: &str) -> Option<&'a [u8]> {
         self.headers
             .iter()
@@ -21,126 +33,179 @@
             .map(|(_, value)| *value)
     }
 
-    /// The value of `name` where it is text.
+    /// The value of the header `name` if it is UTF-8.
     pub fn text(&self, name: &str) -> Option<&'a str> {
         std::str::from_utf8(self.get(name)?).ok()
     }
 }
 
-/// The headers' bytes at the start of `bytes`, and what the netstring takes; `None` while more must be read.
-fn netstring<'a>(bytes: &'a [u8], bounds: &Bounds) -> Result<Option<(&'a [u8], usize)>, Fault> {
-    // One digit more than the bound has: whatever comes after that is larger.
-    let most = bounds.head.checked_ilog10().unwrap_or(0) as usize + 2;
-    let Some(colon) = bytes.iter().take(most).position(|byte| *byte == b':') else {
-        return match bytes.iter().take(most).all(u8::is_ascii_digit) {
-            true if bytes.len() < most => Ok(None),
-            true => Err(Fault::TooLarge("headers too long")),
-            false => Err(Fault::Malformed("no netstring")),
+/// The size in bytes of the whole request that `bytes` begins with, or `None` until its headers are complete.
+///
+/// # Errors
+/// A header section that breaks the protocol or exceeds `limits`.
+pub fn encoded_len(bytes: &[u8], limits: &Limits) -> Result<Option<usize>, DecodeError> {
+    let Some(head) = split_head(bytes, limits)? else {
+        return Ok(None);
+    };
+    let headers = decode_headers(head.content, limits)?;
+    let body_len = body_length(&headers, limits)?;
+    Ok(Some(head.body_start + body_len))
+}
+
+/// The request that `bytes` begins with and its size in bytes, or `None` while more must be read.
+///
+/// Bytes behind it are ignored: a connection carries one request. Until the headers are complete a call looks at no more than
+/// the digits of their length.
+///
+/// # Errors
+/// A request that breaks the protocol or exceeds `limits`.
+pub fn decode<'a>(
+    bytes: &'a [u8],
+    limits: &Limits,
+) -> Result<Option<(Request<'a>, usize)>, DecodeError> {
+    let Some(head) = split_head(bytes, limits)? else {
+        return Ok(None);
+    };
+    let headers = decode_headers(head.content, limits)?;
+    let end = head.body_start + body_length(&headers, limits)?;
+    let body = bytes.get(head.body_start..end);
+    Ok(body.map(|body| (Request { headers, body }, end)))
+}
+
+/// Appends a request to `out`: `CONTENT_LENGTH`, `SCGI`, then `headers`, then `body`.
+///
+/// # Errors
+/// A header whose name or value SCGI cannot carry, or that occurs twice; `out` is unchanged then.
+pub fn encode(out: &mut Vec<u8>, headers: &[Header<'_>], body: &[u8]) -> Result<(), EncodeError> {
+    let length = body.len().to_string();
+    let own: [Header<'_>; 2] = [(CONTENT_LENGTH, length.as_bytes()), PROTOCOL];
+    for (index, header) in headers.iter().enumerate() {
+        let mut earlier = own.iter().chain(&headers[..index]);
+        check_header(header)?;
+        if earlier.any(|(known, _)| *known == header.0) {
+            return Err(EncodeError::DuplicateHeader);
+        }
+    }
+    let all = || own.iter().chain(headers);
+    let head_len: usize = all()
+        .map(|(name, value)| name.len() + value.len() + 2)
+        .sum();
+    out.reserve(head_len + body.len() + NETSTRING_OVERHEAD);
+    out.extend_from_slice(head_len.to_string().as_bytes());
+    out.push(b':');
+    for (name, value) in all() {
+        out.extend_from_slice(name.as_bytes());
+        out.push(0);
+        out.extend_from_slice(value);
+        out.push(0);
+    }
+    out.push(b',');
+    out.extend_from_slice(body);
+    Ok(())
+}
+
+fn check_header((name, value): &Header<'_>) -> Result<(), EncodeError> {
+    if !is_header_name(name.as_bytes()) {
+        return Err(EncodeError::HeaderName);
+    }
+    if value.contains(&0) {
+        return Err(EncodeError::HeaderValue);
+    }
+    Ok(())
+}
+
+fn is_header_name(name: &[u8]) -> bool {
+    !name.is_empty() && name.iter().all(u8::is_ascii_graphic)
+}
+
+/// The header section of a request.
+struct Head<'a> {
+    /// The netstring's content.
+    content: &'a [u8],
+    /// Index of the first byte of the body.
+    body_start: usize,
+}
+
+/// The netstring at the start of `bytes`, or `None` while more must be read.
+fn split_head<'a>(bytes: &'a [u8], limits: &Limits) -> Result<Option<Head<'a>>, DecodeError> {
+    // One digit more than the limit has: any number that long is larger.
+    let max_digits = limits.max_head_bytes.checked_ilog10().unwrap_or(0) as usize + 2;
+    let prefix = &bytes[..bytes.len().min(max_digits)];
+    let Some(colon) = prefix.iter().position(|byte| *byte == b':') else {
+        return match prefix.iter().all(u8::is_ascii_digit) {
+            true if bytes.len() < max_digits => Ok(None),
+            true => Err(DecodeError::TooLarge("headers too long")),
+            false => Err(DecodeError::Malformed("no netstring")),
         };
     };
-    let length =
-        whole(&bytes[..colon]).ok_or(Fault::Malformed("no length of the headers"))? as usize;
-    if length > bounds.head {
-        return Err(Fault::TooLarge("headers too long"));
+    let length = decimal::parse(&bytes[..colon])
+        .ok_or(DecodeError::Malformed("no length of the headers"))? as usize;
+    if length > limits.max_head_bytes {
+        return Err(DecodeError::TooLarge("headers too long"));
     }
     let start = colon + 1;
-    match bytes.get(start + length) {
+    let end = start + length;
+    match bytes.get(end) {
         None => Ok(None),
-        Some(b',') => Ok(Some((&bytes[start..start + length], start + length + 1))),
-        Some(_) => Err(Fault::Malformed("no comma behind the headers")),
+        Some(b',') => Ok(Some(Head {
+            content: &bytes[start..end],
+            body_start: end + 1,
+        })),
+        Some(_) => Err(DecodeError::Malformed("no comma behind the headers")),
     }
 }
 
-/// The headers in `bytes` and the length of the body.
-fn headers<'a>(mut bytes: &'a [u8], bounds: &Bounds) -> Result<(Vec<Header<'a>>, usize), Fault> {
-    let mut headers: Vec<Header<'a>> = Vec::with_capacity(16);
-    let mut next = || {
-        let end = bytes.iter().position(|byte| *byte == 0)?;
-        let (word, rest) = (&bytes[..end], &bytes[end + 1..]);
-        bytes = rest;
-        Some(word)
-    };
-    while let Some(name) = next() {
-        let value = next().ok_or(Fault::Malformed("a header without a value"))?;
-        let known = |byte: &u8| byte.is_ascii_graphic();
+/// The headers in `content`, each of which occurs once.
+fn decode_headers<'a>(
+    mut content: &'a [u8],
+    limits: &Limits,
+) -> Result<Vec<Header<'a>>, DecodeError> {
+    let mut headers: Vec<Header<'a>> = Vec::with_capacity(USUAL_HEADERS);
+    while let Some(name) = take_word(&mut content) {
+        let value =
+            take_word(&mut content).ok_or(DecodeError::Malformed("a header without a value"))?;
         let name = std::str::from_utf8(name)
             .ok()
-            .filter(|name| !name.is_empty() && name.bytes().all(|byte| known(&byte)));
-        let name = name.ok_or(Fault::Malformed("a header without a proper name"))?;
-        if headers.len() == bounds.headers {
-            return Err(Fault::TooLarge("too many headers"));
+            .filter(|name| is_header_name(name.as_bytes()))
+            .ok_or(DecodeError::Malformed("a header without a proper name"))?;
+        if headers.len() == limits.max_headers {
+            return Err(DecodeError::TooLarge("too many headers"));
         }
         // Guards against two readers of one request that each believe another value.
         if headers.iter().any(|(known, _)| *known == name) {
-            return Err(Fault::Malformed("a header twice"));
+            return Err(DecodeError::Malformed("a header twice"));
         }
         headers.push((name, value));
     }
-    if !bytes.is_empty() {
-        return Err(Fault::Malformed("a header without an end"));
+    if content.is_empty() {
+        Ok(headers)
+    } else {
+        Err(DecodeError::Malformed("a header without an end"))
     }
-    let Some(("CONTENT_LENGTH", length)) = headers.first() else {
-        return Err(Fault::Malformed("CONTENT_LENGTH is not the first header"));
-    };
-    let length = whole(length).ok_or(Fault::Malformed("CONTENT_LENGTH is no length"))?;
-    if !headers.contains(&("SCGI", b"1")) {
-        return Err(Fault::Malformed("SCGI is not 1"));
-    }
-    if length > bounds.body as u64 {
-        return Err(Fault::TooLarge("body too long"));
-    }
-    Ok((headers, length as usize))
 }
 
-/// How many bytes the request at the start of `bytes` takes in all; `None` until its headers are whole.
-pub fn need(bytes: &[u8], bounds: &Bounds) -> Result<Option<usize>, Fault> {
-    let Some((head, start)) = netstring(bytes, bounds)? else {
-        return Ok(None);
-    };
-    headers(head, bounds).map(|(_, length)| Some(start + length))
+/// Takes the bytes up to the next NUL off `content`.
+fn take_word<'a>(content: &mut &'a [u8]) -> Option<&'a [u8]> {
+    let end = content.iter().position(|byte| *byte == 0)?;
+    let word = &content[..end];
+    *content = &content[end + 1..];
+    Some(word)
 }
 
-/// The request at the start of `bytes` and what it takes; `None` while more must be read. Until the headers are whole a
-/// look costs no more than the digits of their length. What follows a request is nobody's: one comes on a connection.
-pub fn read<'a>(bytes: &'a [u8], bounds: &Bounds) -> Result<Option<(Request<'a>, usize)>, Fault> {
-    let Some((head, start)) = netstring(bytes, bounds)? else {
-        return Ok(None);
+/// The length of the body in bytes, as the first header states it.
+fn body_length(headers: &[Header<'_>], limits: &Limits) -> Result<usize, DecodeError> {
+    let Some((CONTENT_LENGTH, length)) = headers.first() else {
+        return Err(DecodeError::Malformed(
+            "CONTENT_LENGTH is not the first header",
+        ));
     };
-    let (headers, length) = headers(head, bounds)?;
-    let body = bytes.get(start..start + length);
-    Ok(body.map(|body| (Request { headers, body }, start + length)))
-}
-
-/// Why a request can't be written.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unwritable;
-
-/// Writes a request at the end of `out`: CONTENT_LENGTH, SCGI, then `headers`, none of which may be one of these two, come
-/// twice, or hold a NUL.
-pub fn put(out: &mut Vec<u8>, headers: &[Header<'_>], body: &[u8]) -> Result<(), Unwritable> {
-    let length = body.len().to_string();
-    let first: [Header<'_>; 2] = [("CONTENT_LENGTH", length.as_bytes()), ("SCGI", b"1")];
-    for (at, (name, value)) in headers.iter().enumerate() {
-        let before = first.iter().chain(&headers[..at]);
-        let named = !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_graphic());
-        if !named || value.contains(&0) || before.into_iter().any(|(known, _)| known == name) {
-            return Err(Unwritable);
-        }
+    let length =
+        decimal::parse(length).ok_or(DecodeError::Malformed("CONTENT_LENGTH is no length"))?;
+    if !headers.contains(&PROTOCOL) {
+        return Err(DecodeError::Malformed("SCGI is not 1"));
     }
-    let all = || first.iter().chain(headers);
-    let size: usize = all()
-        .map(|(name, value)| name.len() + value.len() + 2)
-        .sum();
-    out.reserve(size + body.len() + 8);
-    out.extend_from_slice(size.to_string().as_bytes());
-    out.push(b':');
-    for (name, value) in all() {
-        out.extend_from_slice(name.as_bytes());
-        out.push(0);
-        out.extend_from_slice(value);
-        out.push(0);
+    if length > limits.max_body_bytes as u64 {
+        return Err(DecodeError::TooLarge("body too long"));
     }
-    out.push(b',');
-    out.extend_from_slice(body);
-    Ok(())
+    Ok(length as usize)
 }
--- a/crates/coralstep-scgi/tests/codec.rs
+++ b/crates/coralstep-scgi/tests/codec.rs
@@ -1,11 +1,11 @@
 //! Both directions on bytes split everywhere and on garbled ones.
-use coralstep_scgi::{Bounds, Fault, answer, request};
+use coralstep_scgi::{DecodeError, Limits, request, response};
 use proptest::prelude::*;
 
-const BOUNDS: Bounds = Bounds {
-    head: 400,
-    headers: 12,
-    body: 200,
+const LIMITS: Limits = Limits {
+    max_head_bytes: 400,
+    max_headers: 12,
+    max_body_bytes: 200,
 };
 
 fn sample() -> Vec<u8> {
@@ -15,7 +15,7 @@
         ("PATH_INFO", b"/save"),
         ("HTTP_IDEMPOTENCY_KEY", b"\xff 1"),
     ];
-    request::put(&mut bytes, &headers, b"\0body\r\n").unwrap();
+    request::encode(&mut bytes, &headers, b"\0body\r\n").unwrap();
     bytes
 }
 
@@ -25,17 +25,20 @@
 }
 
 #[test]
-fn a_request_is_read_from_any_split_and_no_sooner_than_it_is_whole() {
+fn a_request_is_decoded_from_any_split_and_only_once_it_is_complete() {
     let bytes = sample();
     for cut in 0..bytes.len() {
-        assert_eq!(request::read(&bytes[..cut], &BOUNDS), Ok(None), "{cut}");
+        assert_eq!(request::decode(&bytes[..cut], &LIMITS), Ok(None), "{cut}");
     }
-    let (request, used) = request::read(&bytes, &BOUNDS).unwrap().unwrap();
+    let (request, used) = request::decode(&bytes, &LIMITS).unwrap().unwrap();
     assert_eq!((request.body, used), (&b"\0body\r\n"[..], bytes.len()));
     // What it takes is known with the last byte of the headers.
-    assert_eq!(request::need(&bytes[..bytes.len() - 8], &BOUNDS), Ok(None));
     assert_eq!(
-        request::need(&bytes[..bytes.len() - 7], &BOUNDS),
+        request::encoded_len(&bytes[..bytes.len() - 8], &LIMITS),
+        Ok(None)
+    );
+    assert_eq!(
+        request::encoded_len(&bytes[..bytes.len() - 7], &LIMITS),
         Ok(Some(bytes.len()))
     );
     assert_eq!(request.text("REQUEST_METHOD"), Some("POST"));
@@ -53,12 +56,20 @@
 }
 
 #[test]
-fn what_is_no_request_is_told_as_soon_as_it_shows() {
+#[allow(clippy::too_many_lines, reason = "a table of cases")]
+fn malformed_requests_are_refused_as_soon_as_it_shows() {
     let malformed = |bytes: Vec<u8>, why| {
-        assert_eq!(request::read(&bytes, &BOUNDS), Err(Fault::Malformed(why)))
+        assert_eq!(
+            request::decode(&bytes, &LIMITS),
+            Err(DecodeError::Malformed(why))
+        );
+    };
+    let large = |bytes: Vec<u8>, why| {
+        assert_eq!(
+            request::decode(&bytes, &LIMITS),
+            Err(DecodeError::TooLarge(why))
+        );
     };
-    let large =
-        |bytes: Vec<u8>, why| assert_eq!(request::read(&bytes, &BOUNDS), Err(Fault::TooLarge(why)));
     malformed(b"GET / HTTP".to_vec(), "no netstring");
     malformed(b"-5:".to_vec(), "no length of the headers");
     malformed(b"05:".to_vec(), "no length of the headers");
@@ -111,7 +122,7 @@
 }
 
 #[test]
-fn what_would_be_misread_is_not_written() {
+fn headers_that_would_be_misread_are_not_encoded() {
     for headers in [
         &[("A", &b"x\0y"[..])][..],
         &[("", b"x")],
@@ -121,15 +132,18 @@
         &[("A", b"1"), ("A", b"1")],
     ] {
         let mut out = b"before".to_vec();
-        assert!(request::put(&mut out, headers, b"").is_err(), "{headers:?}");
+        assert!(
+            request::encode(&mut out, headers, b"").is_err(),
+            "{headers:?}"
+        );
         assert_eq!(out, b"before");
     }
 }
 
 #[test]
-fn an_answer_is_read_from_any_split() {
+fn a_response_is_decoded_from_any_split() {
     let mut bytes = Vec::new();
-    answer::put(
+    response::encode(
         &mut bytes,
         503,
         &[("Retry-After", &1), ("X-Value", &"0.5")],
@@ -140,26 +154,27 @@
     ));
     for cut in 0..bytes.len() {
         assert_eq!(
-            answer::read(&bytes[..cut], false, &BOUNDS),
+            response::decode(&bytes[..cut], false, &LIMITS),
             Ok(None),
             "{cut}"
         );
         assert_eq!(
-            answer::read(&bytes[..cut], true, &BOUNDS),
-            Err(Fault::Malformed("cut short")),
+            response::decode(&bytes[..cut], true, &LIMITS),
+            Err(DecodeError::Malformed("cut short")),
             "{cut}"
         );
     }
     assert_eq!(
-        answer::read(&bytes, false, &BOUNDS),
+        response::decode(&bytes, false, &LIMITS),
         Ok(Some((503, &b"later\r\n"[..])))
     );
 }
 
 #[test]
-fn answers_of_any_application_end_in_one_true_outcome() {
+#[allow(clippy::too_many_lines, reason = "a table of cases")]
+fn responses_of_any_application_end_in_one_true_outcome() {
     let read = |text: &str, ended| {
-        answer::read(text.as_bytes(), ended, &BOUNDS)
+        response::decode(text.as_bytes(), ended, &LIMITS)
             .map(|read| read.map(|(status, body)| (status, body.len())))
     };
     // Without a length the end of the connection ends it, with LF as with CR LF.
@@ -195,23 +210,27 @@
         ),
         (": x\r\n\r\n", "a field without a proper name"),
     ] {
-        assert_eq!(read(text, true), Err(Fault::Malformed(why)), "{text:?}");
+        assert_eq!(
+            read(text, true),
+            Err(DecodeError::Malformed(why)),
+            "{text:?}"
+        );
     }
     assert_eq!(
         read(&"A".repeat(401), false),
-        Err(Fault::TooLarge("headers without end"))
+        Err(DecodeError::TooLarge("headers without end"))
     );
     assert_eq!(
         read(&"A: b\r\n".repeat(14), false),
-        Err(Fault::TooLarge("too many headers"))
+        Err(DecodeError::TooLarge("too many headers"))
     );
     assert_eq!(
         read("Status: 200\r\nContent-Length: 201\r\n\r\n", false),
-        Err(Fault::TooLarge("body too long"))
+        Err(DecodeError::TooLarge("body too long"))
     );
     assert_eq!(
         read(&format!("Status: 200\r\n\r\n{}", "x".repeat(201)), false),
-        Err(Fault::TooLarge("body too long"))
+        Err(DecodeError::TooLarge("body too long"))
     );
 }
 
@@ -219,7 +238,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(400) })]
 
     #[test]
-    fn whatever_is_written_is_read_back(
+    fn encoded_requests_decode_to_the_same_request(
         names in prop::collection::btree_set("[A-Z_]{1,8}", 0..6),
         value in prop::collection::vec(1u8.., 0..20),
         body in prop::collection::vec(any::<u8>(), 0..200),
@@ -227,33 +246,33 @@
     ) {
         let headers: Vec<(&str, &[u8])> = names.iter().filter(|name| *name != "SCGI").map(|name| (name.as_str(), &value[..])).collect();
         let mut bytes = Vec::new();
-        request::put(&mut bytes, &headers, &body).unwrap();
-        prop_assert_eq!(request::read(&bytes[..cut.index(bytes.len())], &BOUNDS), Ok(None));
+        request::encode(&mut bytes, &headers, &body).unwrap();
+        prop_assert_eq!(request::decode(&bytes[..cut.index(bytes.len())], &LIMITS), Ok(None));
         // What follows is not taken.
         bytes.extend_from_slice(b"more");
-        let (request, used) = request::read(&bytes, &BOUNDS).unwrap().unwrap();
+        let (request, used) = request::decode(&bytes, &LIMITS).unwrap().unwrap();
         prop_assert_eq!((request.body, used), (&body[..], bytes.len() - 4));
         prop_assert_eq!(&request.headers[2..], &headers[..]);
     }
 
     #[test]
-    fn garbled_requests_never_panic_nor_grow_beyond_the_bounds(
+    fn corrupt_requests_neither_panic_nor_exceed_the_limits(
         at in any::<prop::sample::Index>(), byte in any::<u8>(), cut in any::<prop::sample::Index>(),
     ) {
         let mut bytes = sample();
         let place = at.index(bytes.len());
         bytes[place] = byte;
         bytes.truncate(cut.index(bytes.len()) + 1);
-        if let Ok(Some((request, used))) = request::read(&bytes, &BOUNDS) {
-            prop_assert!(used <= bytes.len() && request.body.len() <= BOUNDS.body);
+        if let Ok(Some((request, used))) = request::decode(&bytes, &LIMITS) {
+            prop_assert!(used <= bytes.len() && request.body.len() <= LIMITS.max_body_bytes);
             prop_assert_eq!(request.headers[0].0, "CONTENT_LENGTH");
         }
     }
 
     #[test]
-    fn any_bytes_as_an_answer_end_in_an_answer_or_a_fault(bytes in prop::collection::vec(prop::sample::select(b"Status: 20Content-Lgh\r\n\0".to_vec()), 0..120)) {
-        prop_assert!(!matches!(answer::read(&bytes, true, &BOUNDS), Ok(None)));
-        if let Ok(Some((status, _))) = answer::read(&bytes, false, &BOUNDS) {
+    fn any_bytes_end_in_a_response_or_an_error(bytes in prop::collection::vec(prop::sample::select(b"Status: 20Content-Lgh\r\n\0".to_vec()), 0..120)) {
+        prop_assert!(!matches!(response::decode(&bytes, true, &LIMITS), Ok(None)));
+        if let Ok(Some((status, _))) = response::decode(&bytes, false, &LIMITS) {
             prop_assert!((100..600).contains(&status));
         }
     }
--- a/crates/coralstep-scgi/tests/golden.rs
+++ b/crates/coralstep-scgi/tests/golden.rs
@@ -3,12 +3,12 @@
 use std::fmt::Display;
 use std::path::Path;
 
-use coralstep_scgi::{Bounds, Fault, answer, request};
+use coralstep_scgi::{DecodeError, Limits, request, response};
 
-const BOUNDS: Bounds = Bounds {
-    head: 400,
-    headers: 4,
-    body: 20,
+const LIMITS: Limits = Limits {
+    max_head_bytes: 400,
+    max_headers: 4,
+    max_body_bytes: 20,
 };
 
 fn compare(name: &str, text: &str) {
@@ -26,10 +26,10 @@
     );
 }
 
-fn fault(fault: Fault) -> String {
+fn fault(fault: DecodeError) -> String {
     match fault {
-        Fault::Malformed(why) => format!("malformed, {why}"),
-        Fault::TooLarge(why) => format!("too large, {why}"),
+        DecodeError::Malformed(why) => format!("malformed, {why}"),
+        DecodeError::TooLarge(why) => format!("too large, {why}"),
     }
 }
 
@@ -49,9 +49,11 @@
     let mut text = String::new();
     for (headers, body) in cases {
         let mut bytes = Vec::new();
-        request::put(&mut bytes, headers, body).unwrap();
+        request::encode(&mut bytes, headers, body).unwrap();
         text += &format!("{}\n", bytes.escape_ascii());
-        let (read, used) = request::read(&bytes, &Bounds::default()).unwrap().unwrap();
+        let (read, used) = request::decode(&bytes, &Limits::default())
+            .unwrap()
+            .unwrap();
         assert_eq!(
             (&read.headers[2..], read.body, used),
             (headers, body, bytes.len())
@@ -69,10 +71,10 @@
             [("Content-Type", &"text/plain"), ("Retry-After", &7)];
         for (fields, body) in [(&fields[..], &b"a\r\n\xff"[..]), (&[], b"")] {
             let mut bytes = Vec::new();
-            answer::put(&mut bytes, status, fields, body);
+            response::encode(&mut bytes, status, fields, body);
             text += &format!("{}\n", bytes.escape_ascii());
             assert_eq!(
-                answer::read(&bytes, false, &Bounds::default()),
+                response::decode(&bytes, false, &Limits::default()),
                 Ok(Some((status, body)))
             );
         }
@@ -101,7 +103,7 @@
         head("CONTENT_LENGTH\x000\0"),
         head("CONTENT_LENGTH\x0021\0SCGI\x001\0"),
     ] {
-        let why = fault(request::read(bytes.as_bytes(), &BOUNDS).unwrap_err());
+        let why = fault(request::decode(bytes.as_bytes(), &LIMITS).unwrap_err());
         text += &format!("request {}: {why}\n", bytes.escape_default());
     }
     for bytes in [
@@ -120,7 +122,7 @@
         "",
         &"A".repeat(401),
     ] {
-        let why = fault(answer::read(bytes.as_bytes(), true, &BOUNDS).unwrap_err());
+        let why = fault(response::decode(bytes.as_bytes(), true, &LIMITS).unwrap_err());
         text += &format!("answer {}: {why}\n", bytes.escape_default());
     }
     compare("faults.txt", &text);
--- a/crates/coralstep-server/benches/front.rs
+++ b/crates/coralstep-server/benches/front.rs
@@ -204,7 +204,7 @@
         })
     });
     let mut bytes = Vec::new();
-    request::put(
+    request::encode(
         &mut bytes,
         &[("REQUEST_METHOD", b"POST"), ("REQUEST_URI", b"/read")],
         &body,
--- a/crates/coralstep-server/src/callers/scgi.rs
+++ b/crates/coralstep-server/src/callers/scgi.rs
@@ -10,7 +10,7 @@
 use coralstep_config::site::{ScgiTerms, Target};
 use coralstep_route::{Found, Routes};
 use coralstep_scgi::request::{self, Request};
-use coralstep_scgi::{Bounds, Fault, answer};
+use coralstep_scgi::{DecodeError, Limits, response};
 use futures_lite::AsyncReadExt;
 use futures_lite::future::yield_now;
 
@@ -43,20 +43,20 @@
 struct Known {
     terms: ScgiTerms,
     routes: Routes<Target>,
-    bounds: Bounds,
+    limits: Limits,
 }
 
 impl Known {
     fn new(terms: &ScgiTerms, names: &Names) -> Result<Known, String> {
-        let bounds = Bounds {
-            head: HEAD_MOST,
-            headers: HEADERS_MOST,
-            body: terms.body_kb as usize * 1024,
+        let limits = Limits {
+            max_head_bytes: HEAD_MOST,
+            max_headers: HEADERS_MOST,
+            max_body_bytes: terms.body_kb as usize * 1024,
         };
         Ok(Known {
             routes: terms.routes(names)?,
             terms: terms.clone(),
-            bounds,
+            limits,
         })
     }
 
@@ -202,12 +202,14 @@
         loop {
             let bytes = inbox.bytes();
             let whole = match need {
-                None => match request::need(bytes, &known.bounds) {
+                None => match request::encoded_len(bytes, &known.limits) {
                     Ok(known) => {
                         need = known;
                         need.is_some_and(|need| bytes.len() >= need)
                     }
-                    Err(fault) => return self.refuse(connection, status(fault), fault.why()),
+                    Err(fault) => {
+                        return self.refuse(connection, status(fault), fault.reason());
+                    }
                 },
                 Some(need) => bytes.len() >= need,
             };
@@ -223,10 +225,10 @@
             }
         }
         connection.heard();
-        let request = match request::read(inbox.bytes(), &known.bounds) {
+        let request = match request::decode(inbox.bytes(), &known.limits) {
             Ok(Some((request, _))) => request,
             Ok(None) => return Err("a request without an end".to_owned()),
-            Err(fault) => return self.refuse(connection, status(fault), fault.why()),
+            Err(fault) => return self.refuse(connection, status(fault), fault.reason()),
         };
         match self.asked(&known, &request, connection.from, connections) {
             Ok(Asked::Health) => {
@@ -293,10 +295,10 @@
     }
 }
 
-fn status(fault: Fault) -> u16 {
+fn status(fault: DecodeError) -> u16 {
     match fault {
-        Fault::Malformed(_) => 400,
-        Fault::TooLarge(_) => 413,
+        DecodeError::Malformed(_) => 400,
+        DecodeError::TooLarge(_) => 413,
     }
 }
 
@@ -314,7 +316,7 @@
     if let Some(level) = &about.level {
         all.push((LEVEL, level));
     }
-    answer::put(out, status, &all, body);
+    response::encode(out, status, &all, body);
 }
 
 /// The one RPC of a connection.
--- a/crates/coralstep-server/src/runs/applications.rs
+++ b/crates/coralstep-server/src/runs/applications.rs
@@ -22,7 +22,7 @@
 use coralstep::{Time, Turn};
 use coralstep_balancer::{End, Pick, Pool, PoolTerms, RampTerms};
 use coralstep_config::site::ApplicationTerms;
-use coralstep_scgi::{Bounds, answer, request};
+use coralstep_scgi::{Limits, request, response};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 
 use crate::base::clock::{self, Clock};
@@ -267,10 +267,10 @@
             left.set(true);
             rest = &rest[count..];
         }
-        let bounds = Bounds {
-            head: HEAD_MOST,
-            headers: HEADERS_MOST,
-            body: most,
+        let limits = Limits {
+            max_head_bytes: HEAD_MOST,
+            max_headers: HEADERS_MOST,
+            max_body_bytes: most,
         };
         let (mut buffer, mut filled, mut ended) = (vec![0; READ], 0, false);
         loop {
@@ -282,10 +282,10 @@
                 0 => ended = true,
                 count => filled += count,
             }
-            match answer::read(&buffer[..filled], ended, &bounds) {
+            match response::decode(&buffer[..filled], ended, &limits) {
                 Ok(Some((status, body))) => return Ok((status, body.to_vec())),
                 Ok(None) => {}
-                Err(fault) => return Err(io::Error::other(fault.why())),
+                Err(fault) => return Err(io::Error::other(fault)),
             }
         }
     }
@@ -329,7 +329,7 @@
                 .map(|token| (TOKEN, token)),
         );
         let mut bytes = Vec::new();
-        if request::put(&mut bytes, &headers, order.body).is_err() {
+        if request::encode(&mut bytes, &headers, order.body).is_err() {
             note!("{} of {} can't be written", self.id, order.method);
         }
         bytes
