--- a/crates/coralstep-server/tests/landing.rs
+++ b/crates/coralstep-server/tests/landing.rs
@@ -8,7 +8,7 @@
 }
 
 /// Lines of one decision file at most.
-const MAX_POLICY_FILE_LINES: usize = 760;
+const MAX_POLICY_FILE_LINES: usize = 320;
 /// Characters of a line at most: rustfmt leaves comments as they are.
 const MAX_POLICY_COLUMNS: usize = 110;
 
@@ -21,7 +21,7 @@
         .find(|line| line.starts_with("policy"))
         .unwrap();
     let files: Vec<&str> = policy.split('"').skip(1).step_by(2).collect();
-    assert!(files.len() >= 4, "{files:?}");
+    assert!(files.len() >= 20, "{files:?}");
     for file in files {
         let text = std::fs::read_to_string(root().join(file)).unwrap();
         let filled = text.lines().filter(|line| !line.trim().is_empty()).count();
--- a/crates/coralstep/src/actions.rs
+++ b/crates/coralstep/src/actions.rs
@@ -9,8 +9,8 @@
 pub trait Actions {
     /// Begins the run of a request.
     fn admit(&mut self, rpc: RpcId) {}
-    /// Answers a request that has not run with a rejection: the caller may come back after `retry_after`, and should not
-    /// try another server where the rejection is `is_final`.
+    /// Answers a request that has not run with a rejection: the caller may come back after `retry_after`,
+    /// and should not try another server where the rejection is `is_final`.
     fn reject(&mut self, rpc: RpcId, retry_after: Span, is_final: bool) {}
     /// Answers a request, whose run may have had an effect, with an error.
     fn fail(&mut self, rpc: RpcId) {}
@@ -27,7 +27,8 @@
     fn retain_key(&mut self, rpc: RpcId, span: Span) {}
     /// Forgets the idempotency key of a request.
     fn release_key(&mut self, rpc: RpcId) {}
-    /// Answers a request with the result of its earlier attempt, and reports [`crate::Scheduler::handle_completion`].
+    /// Answers a request with the result of its earlier attempt, and reports
+    /// [`crate::Scheduler::handle_completion`].
     fn replay(&mut self, rpc: RpcId) {}
     /// Sets what the health check answers.
     fn set_health(&mut self, healthy: bool) {}
--- a/crates/coralstep/src/circuit_breaker.rs
+++ b/crates/coralstep/src/circuit_breaker.rs
@@ -1,11 +1,23 @@
-//! The source's breaker, one a dependency: counts failures of own calls, cools down, lets one probe decide.
+//! The circuit breaker: stops calls to a dependency that fails, and lets one probe call decide when to go
+//! on.
 use nanorand::{Rng, WyRand};
 
 use crate::actions::Transition;
-use crate::constants::{COOLDOWN, COOLDOWN_MOST, HEARSAY_LEAST, TRIP, WINDOW};
 use crate::request::RpcId;
 use crate::time::{Span, Time};
 
+/// The last outcomes that are looked at.
+const WINDOW_OUTCOMES: u32 = 20;
+/// The part of them that opens the breaker when it failed.
+const MIN_FAILURE_RATE: f64 = 0.5;
+/// A breaker never opens on fewer outcomes of its own, whatever peers report: one failure may be anything.
+const MIN_LOCAL_OUTCOMES: u32 = 2;
+/// The first cooldown; each failed probe doubles it.
+const MIN_COOLDOWN: Span = Span::ms(1_000);
+const MAX_COOLDOWN: Span = Span::ms(30_000);
+/// The shortest part of a cooldown that jitter leaves.
+const MIN_COOLDOWN_PART: f64 = 0.75;
+
 /// What a stage does with a request or a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flow {
@@ -17,9 +29,8 @@
     Reject,
 }
 
-/// The state of a circuit breaker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum BreakerState {
+enum State {
     #[default]
     Closed,
     Open {
@@ -30,70 +41,77 @@
     },
 }
 
-impl BreakerState {
-    pub fn name(self) -> &'static str {
+impl State {
+    fn name(self) -> &'static str {
         match self {
-            BreakerState::Closed => "closed",
-            BreakerState::Open { .. } => "open",
-            BreakerState::HalfOpen { .. } => "half-open",
+            State::Closed => "closed",
+            State::Open { .. } => "open",
+            State::HalfOpen { .. } => "half-open",
         }
     }
 }
 
+/// A circuit breaker: counts the failures of one's own calls, cools down, and lets one probe call decide.
 #[derive(Clone, Debug)]
 pub struct CircuitBreaker {
-    pub(crate) state: BreakerState,
+    state: State,
     /// The last outcomes, a bit each, 1 for a failure.
-    pub(crate) window: u32,
-    pub(crate) outcomes: u32,
-    pub(crate) cooldown: Span,
-    pub(crate) since: Time,
-    /// Of the last outcomes so many are looked at: fewer where most others say that theirs fail.
-    pub(crate) min_outcomes: u32,
+    window: u32,
+    /// Outcomes in the window.
+    outcomes: u32,
+    cooldown: Span,
+    state_since: Time,
+    /// Of the last outcomes so many are looked at: fewer where most peers report that their calls fail.
+    min_outcomes: u32,
 }
 
 impl CircuitBreaker {
-    fn transition(&mut self, now: Time, to: BreakerState) -> Transition {
-        let transition = Transition {
-            from: self.state.name(),
-            to: to.name(),
-            failure_rate: self.failure_rate(),
-        };
-        (self.state, self.since) = (to, now);
-        if to == BreakerState::Closed {
-            (self.window, self.outcomes, self.cooldown) = (0, 0, COOLDOWN);
+    /// A closed breaker that has seen no call.
+    pub fn new(now: Time) -> CircuitBreaker {
+        CircuitBreaker {
+            state: State::Closed,
+            window: 0,
+            outcomes: 0,
+            cooldown: MIN_COOLDOWN,
+            state_since: now,
+            min_outcomes: WINDOW_OUTCOMES,
         }
-        transition
     }
 
-    fn failure_rate(&self) -> f64 {
-        let last = self.window & ((1 << self.min_outcomes) - 1);
-        f64::from(last.count_ones()) / f64::from(self.outcomes.clamp(1, self.min_outcomes))
+    /// The name of its state: `closed`, `open` or `half-open`.
+    pub fn state_name(&self) -> &'static str {
+        self.state.name()
+    }
+
+    /// Whether calls pass freely.
+    pub fn is_closed(&self) -> bool {
+        self.state == State::Closed
     }
 
     /// The end of the cooldown, while open.
     pub fn open_until(&self) -> Option<Time> {
-        if let BreakerState::Open { until } = self.state {
+        if let State::Open { until } = self.state {
             Some(until)
         } else {
             None
         }
     }
 
-    /// The cooldown left, while open.
+    /// The cooldown left, while open and not over.
     pub fn cooldown_left(&self, now: Time) -> Option<Span> {
         self.open_until()
             .filter(|until| *until > now)
             .map(|until| until - now)
     }
 
-    /// Whether a probe is out.
+    /// Whether the probe call is in flight.
     pub fn has_probe(&self) -> bool {
-        matches!(self.state, BreakerState::HalfOpen { probe: Some(_) })
+        matches!(self.state, State::HalfOpen { probe: Some(_) })
     }
 
+    /// Whether the call of this request is the probe.
     pub fn is_probe(&self, id: RpcId) -> bool {
-        self.state == BreakerState::HalfOpen { probe: Some(id) }
+        self.state == State::HalfOpen { probe: Some(id) }
     }
 
     /// Whether the next call would be the probe.
@@ -101,73 +119,97 @@
         !self.is_closed() && !self.has_probe() && self.cooldown_left(now).is_none()
     }
 
-    /// One probe at a time after the cooldown; others keep waiting meanwhile.
+    /// Lets a call pass or not: while open none, after the cooldown one probe at a time, for which the
+    /// others wait.
     pub fn admit_call(&mut self, now: Time, id: RpcId) -> (Flow, Option<Transition>) {
-        let probe = BreakerState::HalfOpen { probe: Some(id) };
+        let half_open = State::HalfOpen { probe: Some(id) };
         match self.state {
-            BreakerState::Closed => (Flow::Continue, None),
-            BreakerState::Open { until } if until > now => (Flow::Reject, None),
-            BreakerState::HalfOpen { probe: Some(_) } => (Flow::Wait, None),
-            BreakerState::HalfOpen { probe: None } => {
-                self.state = probe;
+            State::Closed => (Flow::Continue, None),
+            State::Open { until } if until > now => (Flow::Reject, None),
+            State::HalfOpen { probe: Some(_) } => (Flow::Wait, None),
+            State::HalfOpen { probe: None } => {
+                self.state = half_open;
                 (Flow::Continue, None)
             }
-            BreakerState::Open { .. } => (Flow::Continue, Some(self.transition(now, probe))),
+            State::Open { .. } => (Flow::Continue, Some(self.change_state(now, half_open))),
         }
     }
 
-    /// A probe whose RPC ended first decides nothing; the next call is the probe.
+    /// Notes that a request ended before its call; true where that was the probe, which then decides
+    /// nothing: the next call is the probe.
     pub fn abandon_probe(&mut self, id: RpcId) -> bool {
-        let left = self.is_probe(id);
-        if left {
-            self.state = BreakerState::HalfOpen { probe: None };
+        let was_probe = self.is_probe(id);
+        if was_probe {
+            self.state = State::HalfOpen { probe: None };
         }
-        left
+        was_probe
     }
 
-    /// `began`: calls from before the last change of state decide nothing.
+    /// Notes how a call that began at `began` ended; calls from before the last change of state decide
+    /// nothing.
     pub fn record_call(
         &mut self,
         now: Time,
         id: RpcId,
         began: Time,
         failed: bool,
-        chance: &mut WyRand,
+        rng: &mut WyRand,
     ) -> Option<Transition> {
         if self.is_probe(id) {
-            // The log tells the rate of this change: one call, good or failed.
-            (self.window, self.outcomes) = (u32::from(failed), 1);
-            if !failed {
-                return Some(self.transition(now, BreakerState::Closed));
-            }
-            self.cooldown = (self.cooldown * 2).min(COOLDOWN_MOST);
-            return Some(self.open(now, chance));
+            return Some(self.record_probe(now, failed, rng));
         }
-        if self.state != BreakerState::Closed || began < self.since {
+        if !self.is_closed() || began < self.state_since {
             return None;
         }
-        self.window = (self.window << 1 | u32::from(failed)) & ((1 << WINDOW) - 1);
-        self.outcomes = (self.outcomes + 1).min(WINDOW);
-        (self.outcomes >= self.min_outcomes && self.failure_rate() >= TRIP)
-            .then(|| self.open(now, chance))
+        self.window = (self.window << 1 | u32::from(failed)) & ((1 << WINDOW_OUTCOMES) - 1);
+        self.outcomes = (self.outcomes + 1).min(WINDOW_OUTCOMES);
+        let opens = self.outcomes >= self.min_outcomes && self.failure_rate() >= MIN_FAILURE_RATE;
+        opens.then(|| self.open(now, rng))
+    }
+
+    fn record_probe(&mut self, now: Time, failed: bool, rng: &mut WyRand) -> Transition {
+        // The failure rate of this transition is that of the probe alone.
+        (self.window, self.outcomes) = (u32::from(failed), 1);
+        if !failed {
+            return self.change_state(now, State::Closed);
+        }
+        self.cooldown = (self.cooldown * 2).min(MAX_COOLDOWN);
+        self.open(now, rng)
     }
 
-    /// What others saw: so much own evidence does, the cooldown ends at `until`. Own calls alone open it.
+    /// What peers saw: so many outcomes of one's own suffice, and a cooldown that runs ends at `until`.
+    /// Only own calls open the breaker.
     pub fn apply_peer_reports(&mut self, min_outcomes: u32, until: Option<Time>) {
-        self.min_outcomes = min_outcomes.clamp(HEARSAY_LEAST, WINDOW);
-        if let (BreakerState::Open { .. }, Some(until)) = (self.state, until) {
-            self.state = BreakerState::Open { until };
+        self.min_outcomes = min_outcomes.clamp(MIN_LOCAL_OUTCOMES, WINDOW_OUTCOMES);
+        if let (State::Open { .. }, Some(until)) = (self.state, until) {
+            self.state = State::Open { until };
         }
     }
 
-    /// Cooldowns vary by a quarter, so that servers which opened together don't try together.
-    fn open(&mut self, now: Time, chance: &mut WyRand) -> Transition {
-        let part = 0.75 + 0.25 * f64::from(chance.generate::<u32>()) / f64::from(u32::MAX);
-        self.transition(
-            now,
-            BreakerState::Open {
-                until: now + self.cooldown.scaled(part),
-            },
-        )
+    /// The part of the last outcomes that failed, from 0 to 1.
+    fn failure_rate(&self) -> f64 {
+        let last = self.window & ((1 << self.min_outcomes) - 1);
+        f64::from(last.count_ones()) / f64::from(self.outcomes.clamp(1, self.min_outcomes))
+    }
+
+    /// Jitter shortens cooldowns, so that servers which opened together don't probe together.
+    fn open(&mut self, now: Time, rng: &mut WyRand) -> Transition {
+        let jitter = (1.0 - MIN_COOLDOWN_PART) * f64::from(rng.generate::<u32>());
+        let part = MIN_COOLDOWN_PART + jitter / f64::from(u32::MAX);
+        let until = now + self.cooldown.scaled(part);
+        self.change_state(now, State::Open { until })
+    }
+
+    fn change_state(&mut self, now: Time, to: State) -> Transition {
+        let transition = Transition {
+            from: self.state.name(),
+            to: to.name(),
+            failure_rate: self.failure_rate(),
+        };
+        (self.state, self.state_since) = (to, now);
+        if to == State::Closed {
+            (self.window, self.outcomes, self.cooldown) = (0, 0, MIN_COOLDOWN);
+        }
+        transition
     }
 }
--- a/crates/coralstep/src/config.rs
+++ b/crates/coralstep/src/config.rs
@@ -7,7 +7,8 @@
     /// A second run does no harm.
     #[default]
     Idempotent,
-    /// Requests carry an idempotency key, by which a repeat of one that may have run is answered with its result.
+    /// Requests carry an idempotency key, by which a repeat of one that may have run is answered with its
+    /// result.
     Keyed,
     /// A second run does harm, and nothing tells a repeat from a new request.
     NonIdempotent,
@@ -28,7 +29,8 @@
     pub priority_weight: f64,
     /// The part of the priority weight that an answer past the latency objective still earns.
     pub late_value: f64,
-    /// The part of the priority weight that an answer without the dependency call earns; 0 where the call can't be skipped.
+    /// The part of the priority weight that an answer without the dependency call earns; 0 where the call
+    /// can't be skipped.
     pub skip_value: f64,
     /// Whether its runs call the dependency.
     pub calls: bool,
@@ -40,8 +42,8 @@
     /// Nothing.
     #[default]
     None,
-    /// One dependency that all servers share; the field is the part of the concurrent calls it survives that is this
-    /// server's, 0 where it is not known.
+    /// One dependency that all servers share; the field is the part of the concurrent calls it survives
+    /// that is this server's, 0 where it is not known.
     Shared(f64),
     /// Servers that run this code.
     Tier,
@@ -88,7 +90,8 @@
 pub struct SchedulerConfig {
     /// The methods, in the order of [`crate::Request::method`].
     pub methods: Vec<Method>,
-    /// The quota of each tenant over all servers, in requests a second, in the order of [`crate::Request::tenant`].
+    /// The quota of each tenant over all servers, in requests a second, in the order of
+    /// [`crate::Request::tenant`].
     pub tenant_quotas: Vec<f64>,
     /// How many servers share the traffic.
     pub fleet_size: u32,
--- a/crates/coralstep/src/degradation.rs
+++ b/crates/coralstep/src/degradation.rs
@@ -1,46 +1,32 @@
-//! Levels of reduced service, as far as the decisions know of them: what is observed here ([`Signals`]), and what a level asks
-//! ([`DegradationLevel`]). Which level holds is decided elsewhere (`coralstep-degradation`); the stages in `choice.rs` carry it out.
+//! Degradation levels: what a level asks of the decisions, and which level each request is decided under.
+//!
+//! Which level holds is decided elsewhere (`coralstep-degradation`).
 use crate::config::{Idempotency, Method};
 use crate::time::Span;
 
-/// What the decisions observe of themselves. Each is none while nothing can be said.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Signals {
-    /// The longest wait in the hold, as a part of its limit.
-    pub queue_wait: Option<f64>,
-    /// Part of what was read of late that was not begun.
-    pub rejected: Option<f64>,
-    /// What runs, as a part of the running limit.
-    pub concurrency: Option<f64>,
-    /// 1 while the breaker is open or half-open, else 0.
-    pub breaker_open: Option<f64>,
-    /// The usual time of a call, as a multiple of the best that was usual; none while no call ends.
-    pub call_slowness: Option<f64>,
-    /// Memory booked, as a part of all.
-    pub memory: Option<f64>,
-    /// The longest wait unread of late, as a part of its limit.
-    pub read_delay: Option<f64>,
-    /// 1 while the server is cold, else 0.
-    pub warming_up: Option<f64>,
-}
+/// Versions of the configuration that requests here may have been read under: more come only if several
+/// change within one deadline.
+const MAX_VERSIONS: usize = 8;
 
-/// What a level asks of the decisions, on top of what they do anyway.
+/// What a degradation level asks of the decisions, on top of what they do anyway.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DegradationLevel {
-    /// Methods under this criticality are pushed back at once.
+    /// Requests of methods with a lower priority weight are rejected.
     pub min_priority_weight: f64,
-    /// Only tokened and non-idempotent methods are let in.
+    /// Requests of idempotent methods are rejected.
     pub reject_idempotent: bool,
+    /// All requests are rejected.
     pub reject_all: bool,
-    /// The server is shut out: closed for all that it has read, under whatever version.
+    /// The server is fenced off: it rejects all that it has read, under whatever version of the
+    /// configuration.
     pub fenced: bool,
-    /// Calls that may be left out are.
+    /// Calls that can be skipped are.
     pub skip_calls: bool,
-    /// The hold limit, as a part of the usual one.
+    /// The queue limit, as a part of the usual one.
     pub queue_limit_factor: f64,
-    /// The free value, as a part of what it would be.
+    /// The accepted load that is reported, as a part of the usual one.
     pub load_report_factor: f64,
-    /// The level can't change sooner: advice for whom it turns away.
+    /// The level can't change sooner: the Retry-After of what it rejects.
     pub retry_after: Span,
 }
 
@@ -61,7 +47,7 @@
 }
 
 impl DegradationLevel {
-    /// Whether an RPC of `method` is turned away before it runs.
+    /// Whether a request of `method` is rejected before it runs.
     pub fn sheds(&self, method: &Method) -> bool {
         self.reject_all
             || self.fenced
@@ -69,3 +55,47 @@
             || method.priority_weight < self.min_priority_weight
     }
 }
+
+/// The level that holds, and the last level under each earlier version of the configuration.
+#[derive(Debug, Default)]
+pub(crate) struct VersionedDegradation {
+    current: DegradationLevel,
+    /// The version of the configuration.
+    version: u32,
+    previous: [DegradationLevel; MAX_VERSIONS],
+}
+
+impl VersionedDegradation {
+    pub(crate) fn current(&self) -> &DegradationLevel {
+        &self.current
+    }
+
+    pub(crate) fn version(&self) -> u32 {
+        self.version
+    }
+
+    /// Sets the level that holds; true where it is another one.
+    pub(crate) fn set(&mut self, level: DegradationLevel) -> bool {
+        let changed = level != self.current;
+        self.current = level;
+        changed
+    }
+
+    /// Begins another version of the configuration. A fence is no level of the version that ends.
+    pub(crate) fn begin_version(&mut self) {
+        self.previous[self.version as usize % MAX_VERSIONS] = if self.current.fenced {
+            DegradationLevel::default()
+        } else {
+            self.current
+        };
+        self.version = self.version.wrapping_add(1);
+    }
+
+    /// The level for what was read under `version`. A fence holds for all.
+    pub(crate) fn under(&self, version: u32) -> &DegradationLevel {
+        if version == self.version || self.current.fenced {
+            return &self.current;
+        }
+        &self.previous[version as usize % MAX_VERSIONS]
+    }
+}
--- a/crates/coralstep/src/lib.rs
+++ b/crates/coralstep/src/lib.rs
@@ -1,7 +1,8 @@
 //! Admission and scheduling decisions for one server behind balancers nobody can change.
 //!
-//! A [`Scheduler`] makes every decision. It is told what happens (`handle_request`, `handle_completion`, ...) with the
-//! time at which it happens, and its decisions go at once to the [`Actions`] it is given. It has no I/O, clock or threads.
+//! A [`Scheduler`] makes every decision. It is told what happens (`handle_request`, `handle_completion`, ...)
+//! with the time at which it happens, and its decisions go at once to the [`Actions`] it is given. It has no
+//! I/O, clock or threads. Each rule is a function in a module named for it; `scheduler` joins them.
 //!
 //! ```
 //! use coralstep::*;
@@ -27,22 +28,44 @@
 //! assert_eq!(log.0, ["admit 0"]);
 //! ```
 mod actions;
-mod choice;
+mod admission;
+mod answer;
+mod bulkhead;
+mod call_retry;
+mod call_timeout;
 mod circuit_breaker;
+mod concurrency_limit;
 mod config;
-mod constants;
+mod connection_limit;
+mod deadline;
+mod deduplication;
 mod degradation;
-mod lost;
+mod drain;
+mod health;
+mod learned_state;
+mod load_report;
+mod measurements;
+mod memory_limit;
+mod orphans;
+mod priority;
+mod queue;
 mod request;
-mod site;
+mod request_table;
+mod retry_after;
+mod scheduler;
+mod shared_state;
+mod signals;
 mod time;
+mod timer;
 
 pub use actions::{Actions, Transition};
-pub use choice::{LearnedState, Scheduler};
 pub use circuit_breaker::{CircuitBreaker, Flow};
 pub use config::{
     Dependency, GoalWeights, Idempotency, LoadReportKind, Method, Preemption, SchedulerConfig,
 };
-pub use degradation::{DegradationLevel, Signals};
+pub use degradation::DegradationLevel;
+pub use learned_state::LearnedState;
 pub use request::{EarlierAttempt, Gauges, Outcome, Request, RpcId};
+pub use scheduler::Scheduler;
+pub use signals::Signals;
 pub use time::{Span, Time};
--- /dev/null
+++ b/crates/coralstep/src/priority.rs
@@ -0,0 +1,81 @@
+//! Which queued request is served first.
+use crate::measurements::ServiceRatio;
+use crate::request_table::TrackedRequest;
+use crate::shared_state::SharedState;
+
+/// The weight of a retry beside a first attempt: its caller has waited already, nobody says for how long.
+const RETRY_WEIGHT: f64 = 0.25;
+/// How far behind the worst-served method another still gets part of its boost, as a part of all service.
+const UNDERSERVED_BAND: f64 = 0.1;
+/// The least part of all requests that a boosted method is taken to have.
+const MIN_REQUESTED_PART: f64 = 0.02;
+/// Added to the requests of each method, so that one that was not requested yet has a weight.
+const REQUESTED_OFFSET: f64 = 0.1;
+/// The least time over which a tenant's rate is measured, in seconds.
+const MIN_RATE_SECONDS: f64 = 2.0;
+const TICKS_PER_SECOND: f64 = 10_000.0;
+
+/// What is won by serving a request, for each tick of work unless weights are stated per work: its priority
+/// weight beside the mean of what is requested, and a boost for the method served worst. Traffic beyond a
+/// tenant's quota and retries count for less.
+pub(crate) fn priority(shared: &SharedState, request: &TrackedRequest) -> f64 {
+    let (settings, measured) = (&shared.settings, &shared.measurements);
+    let weights = measured
+        .methods
+        .iter()
+        .zip(&settings.methods)
+        .map(|(ratio, method)| (ratio.requested + REQUESTED_OFFSET) * method.priority_weight);
+    let requested: f64 = measured
+        .methods
+        .iter()
+        .map(|ratio| ratio.requested + REQUESTED_OFFSET)
+        .sum();
+    let weight = shared.method(request).priority_weight;
+    let relative_weight = weight * requested / weights.sum::<f64>().max(1e-9);
+    let boost = underserved_boost(&measured.methods, request.method);
+    let mut priority = settings.goal.overall * relative_weight + settings.goal.worst_method * boost;
+    if let Some(tenant) = request.tenant {
+        priority *= quota_weight(shared, tenant);
+    }
+    priority *= if request.is_retry { RETRY_WEIGHT } else { 1.0 };
+    if settings.weight_per_work {
+        priority
+    } else {
+        priority / measured.mean_run_time(request.method).0.max(1) as f64
+    }
+}
+
+/// How much the worst service is raised by serving one of `ratios`: most for the worst served, 0 beyond the
+/// band.
+fn underserved_boost(ratios: &[ServiceRatio], index: usize) -> f64 {
+    let worst = ratios.iter().map(ServiceRatio::ratio).fold(1.0, f64::min);
+    let requested: f64 = ratios.iter().map(|ratio| ratio.requested).sum();
+    let ahead = (ratios[index].ratio() - worst) / UNDERSERVED_BAND;
+    let nearness = (1.0 - ahead).max(0.0);
+    let own_requested = ratios[index]
+        .requested
+        .max(requested * MIN_REQUESTED_PART)
+        .max(1.0);
+    nearness * requested.max(1.0) / own_requested
+}
+
+/// The part of a tenant's present traffic that counts; its quota is taken to be spread evenly over the
+/// fleet.
+fn quota_weight(shared: &SharedState, tenant: usize) -> f64 {
+    let (settings, measured) = (&shared.settings, &shared.measurements);
+    let seconds = (shared.now - measured.counted_since).0 as f64 / TICKS_PER_SECOND;
+    let rate = measured.tenants[tenant].requested / seconds.max(MIN_RATE_SECONDS);
+    let quota = settings.tenant_quotas[tenant] / settings.fleet_size;
+    if rate <= quota {
+        1.0
+    } else {
+        (quota + settings.over_quota_weight * (rate - quota)) / rate
+    }
+}
+
+/// The id with the greatest value; the first of several.
+pub(crate) fn greatest<Id>(values: impl Iterator<Item = (f64, Id)>) -> Option<Id> {
+    values
+        .reduce(|best, next| if next.0 > best.0 { next } else { best })
+        .map(|(_, id)| id)
+}
--- a/crates/coralstep/src/request.rs
+++ b/crates/coralstep/src/request.rs
@@ -1,7 +1,8 @@
 //! What a [`crate::Scheduler`] is told of requests, their runs and their calls.
 use crate::time::{Span, Time};
 
-/// A request's small index. The caller may give it to another request once [`crate::Actions::release_id`] named it.
+/// A request's small index. The caller may give it to another request once [`crate::Actions::release_id`]
+/// named it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RpcId(pub u32);
 
@@ -24,7 +25,8 @@
     pub id: RpcId,
     /// The index of its method in [`crate::SchedulerConfig::methods`].
     pub method: usize,
-    /// The index of its tenant in [`crate::SchedulerConfig::tenant_quotas`]; one that is not there counts as none.
+    /// The index of its tenant in [`crate::SchedulerConfig::tenant_quotas`]; one that is not there counts
+    /// as none.
     pub tenant: Option<usize>,
     /// When its caller stops waiting, where that is stated.
     pub deadline: Option<Time>,
--- /dev/null
+++ b/crates/coralstep/tests/degradation.rs
@@ -0,0 +1,70 @@
+//! Which degradation level a request is decided under.
+use coralstep::*;
+
+/// The requests that were rejected.
+#[derive(Default)]
+struct Rejected(Vec<u32>);
+
+impl Actions for Rejected {
+    fn reject(&mut self, rpc: RpcId, _retry_after: Span, _is_final: bool) {
+        self.0.push(rpc.0);
+    }
+}
+
+fn config() -> SchedulerConfig {
+    let method = Method {
+        latency_objective: Span::ms(60_000),
+        deadline: Span::ms(60_000),
+        priority_weight: 1.0,
+        ..Method::default()
+    };
+    SchedulerConfig {
+        methods: vec![method],
+        cores: 1,
+        memory_kb: 1e6,
+        ..SchedulerConfig::default()
+    }
+}
+
+fn request(id: u32) -> Request {
+    Request {
+        id: RpcId(id),
+        queued_kb: 1.0,
+        ..Request::default()
+    }
+}
+
+#[test]
+fn a_request_is_decided_under_the_version_it_was_read_under_and_a_fenced_server_queues_nothing() {
+    let sheds_all = DegradationLevel {
+        min_priority_weight: 2.0,
+        ..DegradationLevel::default()
+    };
+    for fenced in [false, true] {
+        let mut rejected = Rejected::default();
+        let mut scheduler = Scheduler::start(&config(), 7, Time(0), &mut rejected);
+        // One runs, the others are queued.
+        (0..3).for_each(|id| scheduler.handle_request(Time(10), request(id), &mut rejected));
+        scheduler.begin_config_version();
+        scheduler.set_degradation(Time(20), sheds_all, &mut rejected);
+        assert_eq!(rejected.0, [], "they were read before");
+        scheduler.handle_request(Time(20), request(3), &mut rejected);
+        assert_eq!(rejected.0, [3]);
+        // The same level a second time, under no other version: it holds for what was read under this one.
+        scheduler.set_degradation(Time(30), DegradationLevel::default(), &mut rejected);
+        scheduler.handle_request(Time(30), request(4), &mut rejected);
+        scheduler.set_degradation(Time(40), sheds_all, &mut rejected);
+        assert_eq!(rejected.0, [3, 4]);
+        let level = DegradationLevel {
+            fenced,
+            ..sheds_all
+        };
+        scheduler.set_degradation(Time(50), level, &mut rejected);
+        assert_eq!(
+            rejected.0.len(),
+            if fenced { 4 } else { 2 },
+            "{:?}",
+            rejected.0
+        );
+    }
+}
--- a/crates/coralstep/src/learned/tests.rs
+++ b/crates/coralstep/tests/learned_state.rs
@@ -1,16 +1,17 @@
-use crate::*;
+//! What a scheduler learned is restored in a later one as far as it is believed.
+use coralstep::*;
 
-struct Nobody;
-impl Actions for Nobody {}
+struct NoActions;
+impl Actions for NoActions {}
 
-fn server() -> Scheduler {
+fn scheduler() -> Scheduler {
     let method = Method {
         latency_objective: Span::ms(500),
         deadline: Span::ms(2_000),
         calls: true,
         ..Method::default()
     };
-    let terms = SchedulerConfig {
+    let config = SchedulerConfig {
         methods: vec![method],
         cores: 4,
         memory_kb: 10_000.0,
@@ -18,11 +19,11 @@
         tenant_quotas: vec![5.0],
         ..SchedulerConfig::default()
     };
-    Scheduler::start(&terms, 7, Time(0), &mut Nobody)
+    Scheduler::start(&config, 7, Time(0), &mut NoActions)
 }
 
 #[test]
-fn what_is_given_out_is_taken_in_as_far_as_it_is_trusted() {
+fn learned_state_is_restored_as_far_as_it_is_believed() {
     let mut bins = [0; 12];
     bins[4] = 80;
     let learned = LearnedState {
@@ -33,14 +34,14 @@
         best_call_time: Some(700),
         tenants: vec![[10.0, 5.0]],
     };
-    let mut warm = server();
+    let mut warm = scheduler();
     warm.restore(&learned, 1.0);
     assert_eq!(warm.learned_state(), learned);
-    let cold = server().learned_state();
-    let mut untrusted = server();
+    let cold = scheduler().learned_state();
+    let mut untrusted = scheduler();
     untrusted.restore(&learned, 0.0);
     assert_eq!(untrusted.learned_state(), cold);
-    let mut half = server();
+    let mut half = scheduler();
     half.restore(&learned, 0.5);
     let half = half.learned_state();
     assert_eq!(
@@ -52,14 +53,14 @@
         ),
         (Some(6), Some(12.0), None, 40)
     );
-    // A NaN trusts nothing.
-    let mut nan = server();
+    // A confidence of NaN believes nothing.
+    let mut nan = scheduler();
     nan.restore(&learned, f64::NAN);
     assert_eq!(nan.learned_state(), cold);
 }
 
 #[test]
-fn a_record_that_nobody_could_have_written_does_no_harm() {
+fn a_learned_state_that_no_scheduler_could_have_written_does_no_harm() {
     let wild = LearnedState {
         run_times: vec![[u32::MAX; 12]; 9],
         call_times: [u32::MAX; 12],
@@ -68,9 +69,9 @@
         best_call_time: Some(u64::MAX),
         tenants: vec![[f64::NAN, 1e300]; 3],
     };
-    let mut server = server();
-    server.restore(&wild, 1.0);
-    let learned = server.learned_state();
+    let mut scheduler = scheduler();
+    scheduler.restore(&wild, 1.0);
+    let learned = scheduler.learned_state();
     assert_eq!(
         (
             learned.concurrency_limit,
--- a/crates/coralstep/tests/pinned.rs
+++ b/crates/coralstep/tests/pinned.rs
@@ -78,14 +78,14 @@
         self.record(1, rpc, 0);
         self.phases.insert(rpc.0, Phase::Running);
     }
-    fn reject(&mut self, rpc: RpcId, after: Span, last: bool) {
-        self.record(2, rpc, after.0 << 1 | u64::from(last));
+    fn reject(&mut self, rpc: RpcId, retry_after: Span, is_final: bool) {
+        self.record(2, rpc, retry_after.0 << 1 | u64::from(is_final));
     }
     fn fail(&mut self, rpc: RpcId) {
         self.record(3, rpc, 0);
     }
-    fn call(&mut self, rpc: RpcId, patience: Span) {
-        self.record(4, rpc, patience.0);
+    fn call(&mut self, rpc: RpcId, timeout: Span) {
+        self.record(4, rpc, timeout.0);
         self.phases.insert(rpc.0, Phase::Calling(self.now));
     }
     fn skip_call(&mut self, rpc: RpcId) {
@@ -108,8 +108,8 @@
         self.record(10, rpc, 0);
         self.phases.insert(rpc.0, Phase::Replaying);
     }
-    fn set_health(&mut self, good: bool) {
-        self.record(11, RpcId(0), u64::from(good));
+    fn set_health(&mut self, healthy: bool) {
+        self.record(11, RpcId(0), u64::from(healthy));
     }
     fn report_load(&mut self, value: f64) {
         self.record(12, RpcId(0), value.to_bits());
@@ -121,8 +121,12 @@
         self.record(14, RpcId(0), span.0);
         self.timer = self.now + span;
     }
-    fn breaker_transition(&mut self, turn: Transition) {
-        self.record(15, RpcId(turn.to.len() as u32), turn.failure_rate.to_bits());
+    fn breaker_transition(&mut self, transition: Transition) {
+        self.record(
+            15,
+            RpcId(transition.to.len() as u32),
+            transition.failure_rate.to_bits(),
+        );
     }
     fn release_id(&mut self, rpc: RpcId) {
         self.record(16, rpc, 0);
@@ -131,15 +135,15 @@
     }
 }
 
-fn terms(variant: u64) -> SchedulerConfig {
-    let method = |effect, calls, skip, criticality| Method {
-        idempotency: effect,
+fn config(variant: u64) -> SchedulerConfig {
+    let method = |idempotency, calls, skip_value, priority_weight| Method {
+        idempotency,
         latency_objective: Span::ms(400),
         deadline: Span::ms(1_200),
         retry_window: Span::ms(4_000),
-        priority_weight: criticality,
+        priority_weight,
         late_value: 0.2,
-        skip_value: skip,
+        skip_value,
         calls,
     };
     SchedulerConfig {
@@ -184,8 +188,8 @@
     }
 }
 
-fn arrival(rng: &mut Rng, out: &mut Recorder) -> Request {
-    let prior = match rng.below(8) {
+fn request(rng: &mut Rng, out: &mut Recorder) -> Request {
+    let earlier_attempt = match rng.below(8) {
         0 => out
             .pick(rng, |_| true)
             .map_or(EarlierAttempt::Forgotten, EarlierAttempt::Known),
@@ -199,10 +203,10 @@
         deadline: (rng.below(3) == 0).then_some(out.now + Span(rng.below(20_000))),
         work: None,
         queued_kb: 1.0 + rng.below(40) as f64,
-        is_retry: prior != EarlierAttempt::None || rng.below(6) == 0,
+        is_retry: earlier_attempt != EarlierAttempt::None || rng.below(6) == 0,
         age: Span(rng.below(400)),
         untrusted_age: rng.below(20) == 0,
-        earlier_attempt: prior,
+        earlier_attempt,
     }
 }
 
@@ -231,74 +235,79 @@
 }
 
 /// One event of the history; the dependency fails in every third stretch of 5,000 events.
-fn step(server: &mut Scheduler, rng: &mut Rng, out: &mut Recorder, event: u32) {
-    let now = out.now;
+fn step(scheduler: &mut Scheduler, rng: &mut Rng, out: &mut Recorder, event: u32) {
     match rng.below(20) {
         0..6 => {
-            let arrival = arrival(rng, out);
-            server.handle_request(now, arrival, out);
-        }
-        6..10 => {
-            let id = out.pick(rng, |phase| {
-                matches!(phase, Phase::Running | Phase::Replaying)
-            });
-            if let Some(id) = id {
-                server.handle_completion(now, id, run_result(rng), out);
-            }
-        }
-        10..13 => {
-            if let Some(id) = out.pick(rng, |phase| phase == Phase::Running) {
-                out.phases.insert(id.0, Phase::Waiting);
-                server.handle_call_needed(now, id, out);
-            }
-        }
-        13..17 => {
-            if let Some(id) = out.pick(rng, |phase| matches!(phase, Phase::Calling(_))) {
-                let Some(Phase::Calling(began)) = out.phases.insert(id.0, Phase::Waiting) else {
-                    return;
-                };
-                let outcome = call_result(rng, event / 5_000 % 3 == 1);
-                if outcome == Outcome::Ok {
-                    out.phases.insert(id.0, Phase::Running);
-                }
-                server.handle_call_result(now, id, outcome, now - began, out);
-            }
+            let request = request(rng, out);
+            scheduler.handle_request(out.now, request, out);
         }
+        6..10 => end_run(scheduler, rng, out),
+        10..13 => need_call(scheduler, rng, out),
+        13..17 => end_call(scheduler, rng, out, event / 5_000 % 3 == 1),
         17 if rng.below(4) == 0 => {
             if let Some(id) = out.pick(rng, |_| true) {
-                server.handle_cancellation(now, id, out);
+                scheduler.handle_cancellation(out.now, id, out);
             }
         }
-        18 if rng.below(200) == 0 => {
-            let level = DegradationLevel {
-                queue_limit_factor: 0.5,
-                skip_calls: rng.below(2) == 0,
-                load_report_factor: 0.7,
-                ..DegradationLevel::default()
-            };
-            server.set_degradation(
-                now,
-                if rng.below(2) == 0 {
-                    level
-                } else {
-                    DegradationLevel::default()
-                },
-                out,
-            );
-            server.begin_config_version();
+        18 if rng.below(200) == 0 => change_level(scheduler, rng, out),
+        19 if rng.below(50) == 0 => {
+            let min_outcomes = 2 + rng.below(19) as u32;
+            let cooldown_left = Some(Span::ms(rng.below(900)));
+            scheduler.apply_peer_reports(out.now, min_outcomes, cooldown_left);
         }
-        19 if rng.below(50) == 0 => server.apply_peer_reports(
-            now,
-            2 + rng.below(19) as u32,
-            Some(Span::ms(rng.below(900))),
-        ),
         _ => {}
     }
 }
 
+fn end_run(scheduler: &mut Scheduler, rng: &mut Rng, out: &mut Recorder) {
+    let id = out.pick(rng, |phase| {
+        matches!(phase, Phase::Running | Phase::Replaying)
+    });
+    if let Some(id) = id {
+        scheduler.handle_completion(out.now, id, run_result(rng), out);
+    }
+}
+
+fn need_call(scheduler: &mut Scheduler, rng: &mut Rng, out: &mut Recorder) {
+    if let Some(id) = out.pick(rng, |phase| phase == Phase::Running) {
+        out.phases.insert(id.0, Phase::Waiting);
+        scheduler.handle_call_needed(out.now, id, out);
+    }
+}
+
+fn end_call(scheduler: &mut Scheduler, rng: &mut Rng, out: &mut Recorder, failing: bool) {
+    let Some(id) = out.pick(rng, |phase| matches!(phase, Phase::Calling(_))) else {
+        return;
+    };
+    let Some(Phase::Calling(began)) = out.phases.insert(id.0, Phase::Waiting) else {
+        return;
+    };
+    let outcome = call_result(rng, failing);
+    if outcome == Outcome::Ok {
+        out.phases.insert(id.0, Phase::Running);
+    }
+    scheduler.handle_call_result(out.now, id, outcome, out.now - began, out);
+}
+
+fn change_level(scheduler: &mut Scheduler, rng: &mut Rng, out: &mut Recorder) {
+    let reduced = DegradationLevel {
+        queue_limit_factor: 0.5,
+        skip_calls: rng.below(2) == 0,
+        load_report_factor: 0.7,
+        ..DegradationLevel::default()
+    };
+    let level = if rng.below(2) == 0 {
+        reduced
+    } else {
+        DegradationLevel::default()
+    };
+    scheduler.set_degradation(out.now, level, out);
+    scheduler.begin_config_version();
+}
+
 /// The numbers and truth values of the whole state, sorted: the same whatever the fields are called and wherever they stand.
-fn state_digest(server: &Scheduler) -> u64 {
-    let text = server.state_text();
+fn state_digest(scheduler: &Scheduler) -> u64 {
+    let text = scheduler.state_text();
     let words = text.split(|at: char| !at.is_ascii_alphanumeric() && !matches!(at, '.' | '-'));
     let is_value = |word: &&str| {
         matches!(*word, "true" | "false")
@@ -325,7 +334,7 @@
         timer: Time(0),
     };
     let mut rng = Rng(seed);
-    let mut server = Scheduler::start(&terms(variant), seed, out.now, &mut out);
+    let mut scheduler = Scheduler::start(&config(variant), seed, out.now, &mut out);
     for event in 0..EVENTS {
         out.now = out.now + Span(rng.below(60));
         if out.now >= out.timer {
@@ -333,17 +342,17 @@
                 cpu_busy: Some(rng.below(101) as f64 / 100.0),
                 open_connections: Some(rng.below(60) as f64),
             };
-            server.handle_timeout(out.now, gauges, &mut out);
+            scheduler.handle_timeout(out.now, gauges, &mut out);
         }
         if event == EVENTS - 2_000 {
-            server.begin_drain(out.now, out.now + Span::ms(4_000), &mut out);
+            scheduler.begin_drain(out.now, out.now + Span::ms(4_000), &mut out);
         }
-        step(&mut server, &mut rng, &mut out, event);
+        step(&mut scheduler, &mut rng, &mut out, event);
         if event % 1_000 == 0 {
-            out.digest.add(state_digest(&server));
+            out.digest.add(state_digest(&scheduler));
         }
     }
-    (out.digest.0, state_digest(&server))
+    (out.digest.0, state_digest(&scheduler))
 }
 
 /// Guards against a change of names or files that changes a decision, the order of a sum or a random draw.
--- a/crates/coralstep/tests/scenarios.rs
+++ b/crates/coralstep/tests/scenarios.rs
@@ -1,71 +1,74 @@
 //! Plays the scenarios in `tests/scenarios/*.txt`; the notation is described in `tests/scenarios/NOTATION.md`.
 use std::collections::HashMap;
 use std::fmt::Arguments;
+use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::Path;
 
 use coralstep::*;
 
-/// Every answer of one step, as the scenarios write it.
+/// The Retry-After values that the notation leaves out, in milliseconds.
+const USUAL_RETRY_AFTER_MS: [u64; 3] = [0, 250, 5_000];
+/// Between two ticks.
+const TICK: Span = Span::ms(20);
+
+/// The actions of one event, as the scenarios write them.
 #[derive(Default)]
-struct Answers(Vec<String>);
+struct Recorder(Vec<String>);
 
-impl Answers {
-    fn put(&mut self, word: &str, rpc: RpcId) {
+impl Recorder {
+    fn record(&mut self, word: &str, rpc: RpcId) {
         self.0.push(format!("{word} {}", rpc.0));
     }
 }
 
-impl Actions for Answers {
+impl Actions for Recorder {
     fn admit(&mut self, rpc: RpcId) {
-        self.put("admit", rpc);
+        self.record("admit", rpc);
     }
-    fn reject(&mut self, rpc: RpcId, after: Span, last: bool) {
-        // The usual advice goes without saying.
-        let usual = [0, 250, 5_000].map(Span::ms).contains(&after);
-        let after = if usual {
+    fn reject(&mut self, rpc: RpcId, retry_after: Span, is_final: bool) {
+        let is_usual = USUAL_RETRY_AFTER_MS.map(Span::ms).contains(&retry_after);
+        let retry_after = if is_usual {
             String::new()
         } else {
-            format!(" in {}", after.0 / 10)
+            format!(" in {}", retry_after.0 / 10)
         };
-        self.0.push(format!(
-            "push_back {}{}{after}",
-            rpc.0,
-            if last { "" } else { " elsewhere" }
-        ));
+        let elsewhere = if is_final { "" } else { " elsewhere" };
+        self.0
+            .push(format!("reject {}{elsewhere}{retry_after}", rpc.0));
     }
     fn fail(&mut self, rpc: RpcId) {
-        self.put("abort", rpc);
+        self.record("fail", rpc);
     }
-    fn call(&mut self, rpc: RpcId, _patience: Span) {
-        self.put("call", rpc);
+    fn call(&mut self, rpc: RpcId, _timeout: Span) {
+        self.record("call", rpc);
     }
     fn skip_call(&mut self, rpc: RpcId) {
-        self.put("skip", rpc);
+        self.record("skip_call", rpc);
     }
     fn preempt(&mut self, rpc: RpcId) {
-        self.put("preempt", rpc);
+        self.record("preempt", rpc);
     }
     fn query_run(&mut self, rpc: RpcId) {
-        self.put("inquire", rpc);
+        self.record("query_run", rpc);
     }
     fn retain_key(&mut self, rpc: RpcId, _span: Span) {
-        self.put("keep", rpc);
+        self.record("retain_key", rpc);
     }
     fn release_key(&mut self, rpc: RpcId) {
-        self.put("forget", rpc);
+        self.record("release_key", rpc);
     }
     fn replay(&mut self, rpc: RpcId) {
-        self.put("replay", rpc);
+        self.record("replay", rpc);
     }
-    fn set_health(&mut self, good: bool) {
-        self.0
-            .push(format!("health {}", if good { "good" } else { "bad" }));
+    fn set_health(&mut self, healthy: bool) {
+        let health = if healthy { "good" } else { "bad" };
+        self.0.push(format!("health {health}"));
     }
     fn report_load(&mut self, value: f64) {
-        self.0.push(format!("value {value:.2}"));
+        self.0.push(format!("report_load {value:.2}"));
     }
     fn set_idle_timeout(&mut self, span: Span) {
-        self.0.push(format!("idle {}", span.0 / 10));
+        self.0.push(format!("idle_timeout {}", span.0 / 10));
     }
     fn log(&mut self, text: Arguments<'_>) {
         self.0.push(format!("log {text}"));
@@ -81,90 +84,119 @@
     Span::ms(number(word) as u64)
 }
 
-/// The `name=value` words of a line.
-fn pairs<'a>(words: &[&'a str]) -> HashMap<&'a str, &'a str> {
-    words
-        .iter()
-        .filter_map(|word| word.split_once('='))
-        .collect()
+/// The words of a line, and the values of those that are `name=value`.
+struct Line<'a> {
+    words: &'a [&'a str],
+    values: HashMap<&'a str, &'a str>,
 }
 
-fn method(words: &[&str]) -> Method {
-    let pairs = pairs(words);
-    let get = |name: &str| pairs.get(name).map_or(0.0, |value| number(value));
-    let span = |name: &str| Span::ms(get(name) as u64);
+impl<'a> Line<'a> {
+    fn new(words: &'a [&'a str]) -> Line<'a> {
+        let values = words
+            .iter()
+            .filter_map(|word| word.split_once('='))
+            .collect();
+        Line { words, values }
+    }
+
+    fn has(&self, word: &str) -> bool {
+        self.words.contains(&word)
+    }
+
+    fn number(&self, name: &str, otherwise: f64) -> f64 {
+        self.values
+            .get(name)
+            .map_or(otherwise, |value| number(value))
+    }
+
+    fn ms(&self, name: &str) -> Span {
+        Span::ms(self.number(name, 0.0) as u64)
+    }
+
+    /// The id after the first word.
+    fn id(&self) -> RpcId {
+        RpcId(number(self.words[1]) as u32)
+    }
+}
+
+fn method(line: &Line<'_>) -> Method {
     Method {
-        idempotency: match words[0] {
+        idempotency: match line.words[1] {
             "idempotent" => Idempotency::Idempotent,
-            "tokened" => Idempotency::Keyed,
+            "keyed" => Idempotency::Keyed,
             "non-idempotent" => Idempotency::NonIdempotent,
-            other => panic!("no effect {other}"),
+            other => panic!("no idempotency {other}"),
         },
-        latency_objective: span("target"),
-        deadline: span("deadline"),
-        retry_window: span("window"),
-        priority_weight: pairs.get("worth").map_or(1.0, |worth| number(worth)),
-        late_value: get("late"),
-        skip_value: get("skip"),
-        calls: words.contains(&"calls"),
+        latency_objective: line.ms("objective"),
+        deadline: line.ms("deadline"),
+        retry_window: line.ms("retry_window"),
+        priority_weight: line.number("weight", 1.0),
+        late_value: line.number("late_value", 0.0),
+        skip_value: line.number("skip_value", 0.0),
+        calls: line.has("calls"),
     }
 }
 
-fn set(terms: &mut SchedulerConfig, words: &[&str]) {
-    for (name, value) in pairs(words) {
-        match name {
-            "cores" => terms.cores = number(value) as u32,
-            "memory" => terms.memory_kb = number(value),
-            "factor" => terms.run_memory_factor = number(value),
-            "key" => terms.key_kb = number(value),
-            "crowd" => terms.max_started_per_core = number(value),
-            "grace" => terms.drain_grace = ms(value),
-            "advert" => {
-                terms.load_report = match value {
-                    "weight" => LoadReportKind::Weight,
-                    "level" => LoadReportKind::Threshold,
-                    "credit" => LoadReportKind::Credit,
-                    _ => LoadReportKind::Off,
-                }
-            }
-            "preemption" => {
-                terms.preemption = match value {
-                    "drop" => Preemption::Cancel,
-                    "pause" => Preemption::Pause,
-                    _ => Preemption::Off,
-                }
-            }
-            "idle" => terms.max_idle_time = ms(value),
-            "linger" => terms.abandoned_call_time = ms(value),
-            "cold" => {
-                (terms.warming_up, terms.cold_speed, terms.warm_up_time) =
-                    (true, number(value), Span::ms(10_000))
-            }
-            "share" => terms.dependency = Dependency::Shared(number(value)),
-            "below" => {
-                terms.dependency = if value == "tier" {
-                    Dependency::Tier
-                } else {
-                    Dependency::None
-                }
+fn configure(config: &mut SchedulerConfig, line: &Line<'_>) {
+    for (name, value) in &line.values {
+        match *name {
+            "cores" => config.cores = number(value) as u32,
+            "memory_kb" => config.memory_kb = number(value),
+            "run_memory_factor" => config.run_memory_factor = number(value),
+            "key_kb" => config.key_kb = number(value),
+            "max_started_per_core" => config.max_started_per_core = number(value),
+            "drain_grace" => config.drain_grace = ms(value),
+            "load_report" => config.load_report = load_report(value),
+            "preemption" => config.preemption = preemption(value),
+            "max_idle_time" => config.max_idle_time = ms(value),
+            "abandoned_call_time" => config.abandoned_call_time = ms(value),
+            "cold_speed" => {
+                config.warming_up = true;
+                config.cold_speed = number(value);
+                config.warm_up_time = Span::ms(10_000);
             }
-            other => panic!("no term {other}"),
+            "dependency_share" => config.dependency = Dependency::Shared(number(value)),
+            "dependency" => config.dependency = dependency(value),
+            other => panic!("no setting {other}"),
         }
     }
 }
 
-fn level(words: &[&str]) -> DegradationLevel {
-    let pairs = pairs(words);
-    let get = |name: &str, otherwise: f64| pairs.get(name).map_or(otherwise, |value| number(value));
+fn load_report(word: &str) -> LoadReportKind {
+    match word {
+        "weight" => LoadReportKind::Weight,
+        "threshold" => LoadReportKind::Threshold,
+        "credit" => LoadReportKind::Credit,
+        other => panic!("no load report {other}"),
+    }
+}
+
+fn preemption(word: &str) -> Preemption {
+    match word {
+        "cancel" => Preemption::Cancel,
+        "pause" => Preemption::Pause,
+        other => panic!("no preemption {other}"),
+    }
+}
+
+fn dependency(word: &str) -> Dependency {
+    match word {
+        "tier" => Dependency::Tier,
+        "none" => Dependency::None,
+        other => panic!("no dependency {other}"),
+    }
+}
+
+fn degradation(line: &Line<'_>) -> DegradationLevel {
     DegradationLevel {
-        min_priority_weight: get("least", 0.0),
-        reject_idempotent: words.contains(&"effects_only"),
-        reject_all: words.contains(&"closed"),
+        min_priority_weight: line.number("min_weight", 0.0),
+        reject_idempotent: line.has("reject_idempotent"),
+        reject_all: line.has("reject_all"),
         fenced: false,
-        skip_calls: words.contains(&"skip_calls"),
-        queue_limit_factor: get("hold", 1.0),
-        load_report_factor: get("value", 1.0),
-        retry_after: Span::ms(get("back", 0.0) as u64),
+        skip_calls: line.has("skip_calls"),
+        queue_limit_factor: line.number("queue_limit", 1.0),
+        load_report_factor: line.number("load_report", 1.0),
+        retry_after: line.ms("retry_after"),
     }
 }
 
@@ -172,142 +204,154 @@
     match word {
         "ok" => Outcome::Ok,
         "error" => Outcome::Error,
-        "pushed_back" => Outcome::Rejected,
+        "rejected" => Outcome::Rejected,
         "timed_out" => Outcome::TimedOut,
         "unreachable" => Outcome::Unreachable,
-        "broken" => Outcome::ConnectionLost,
+        "connection_lost" => Outcome::ConnectionLost,
         "cancelled" => Outcome::Cancelled,
         other => panic!("no outcome {other}"),
     }
 }
 
-struct Play {
-    terms: SchedulerConfig,
-    server: Option<Scheduler>,
+fn request(now: Time, line: &Line<'_>) -> Request {
+    let age = line.ms("age");
+    let arrived = now - age;
+    // From its arrival; before it where that is below 0.
+    let deadline = |text: &&str| match text.strip_prefix('-') {
+        Some(before) => arrived - ms(before),
+        None => arrived + ms(text),
+    };
+    let earlier = line.values.get("earlier");
+    Request {
+        id: line.id(),
+        method: line.number("method", 0.0) as usize,
+        deadline: line.values.get("deadline").map(deadline),
+        age,
+        untrusted_age: line.has("untrusted_age"),
+        earlier_attempt: earlier.map_or(EarlierAttempt::None, |id| {
+            EarlierAttempt::Known(RpcId(number(id) as u32))
+        }),
+        queued_kb: line.number("queued_kb", 10.0),
+        is_retry: line.has("retry"),
+        ..Request::default()
+    }
+}
+
+/// A scenario that is being played.
+struct Scenario {
+    config: SchedulerConfig,
+    scheduler: Option<Scheduler>,
     now: Time,
     gauges: Gauges,
-    answers: Answers,
-    expected: usize,
+    actions: Recorder,
+    /// Expectations that were met.
+    expectations: usize,
 }
 
-impl Play {
+impl Scenario {
+    fn new() -> Scenario {
+        Scenario {
+            config: SchedulerConfig::default(),
+            scheduler: None,
+            now: Time(1_000_000),
+            gauges: Gauges::default(),
+            actions: Recorder::default(),
+            expectations: 0,
+        }
+    }
+
     fn line(&mut self, words: &[&str]) {
+        let line = Line::new(words);
         match words[0] {
-            "terms" => return set(&mut self.terms, &words[1..]),
-            "busy" => return self.gauges.cpu_busy = Some(number(words[1])),
-            "open" => return self.gauges.open_connections = Some(number(words[1])),
-            "method" => return self.terms.methods.push(method(&words[1..])),
-            "=>" => {
-                let wanted = words[1..].join(" ");
-                let wanted: Vec<&str> =
-                    wanted.split("; ").filter(|one| *one != "nothing").collect();
-                assert_eq!(self.answers.0, wanted);
-                self.expected += 1;
-                return;
-            }
-            _ => {}
+            "config" => configure(&mut self.config, &line),
+            "method" => self.config.methods.push(method(&line)),
+            "busy" => self.gauges.cpu_busy = Some(number(words[1])),
+            "open" => self.gauges.open_connections = Some(number(words[1])),
+            "=>" => self.expect(&words[1..].join(" ")),
+            _ => self.event(&line),
         }
-        let (now, out) = (self.now, &mut self.answers);
+    }
+
+    fn expect(&mut self, actions: &str) {
+        let expected: Vec<&str> = actions
+            .split("; ")
+            .filter(|action| *action != "nothing")
+            .collect();
+        assert_eq!(self.actions.0, expected);
+        self.expectations += 1;
+    }
+
+    fn event(&mut self, line: &Line<'_>) {
+        let (now, out, words) = (self.now, &mut self.actions, line.words);
         out.0.clear();
-        let server = self
-            .server
-            .get_or_insert_with(|| Scheduler::start(&self.terms, 1, now, out));
-        let id = || RpcId(number(words[1]) as u32);
+        let scheduler = self
+            .scheduler
+            .get_or_insert_with(|| Scheduler::start(&self.config, 1, now, out));
         match words[0] {
-            "rpc" => {
-                let pairs = pairs(words);
-                let age = pairs.get("age").map_or(Span::ZERO, |age| ms(age));
-                let prior = pairs.get("prior").map_or(EarlierAttempt::None, |old| {
-                    EarlierAttempt::Known(RpcId(number(old) as u32))
-                });
-                let method = pairs
-                    .get("method")
-                    .map_or(0, |method| number(method) as usize);
-                let held_kb = pairs.get("kb").map_or(10.0, |kb| number(kb));
-                let retry = words.contains(&"retry");
-                let claimed = words.contains(&"claimed");
-                // From its arrival; before it where that is below 0.
-                let due = pairs.get("due").map(|due| match due.strip_prefix('-') {
-                    Some(ago) => now - age - ms(ago),
-                    None => now - age + ms(due),
-                });
-                let id = id();
-                let arrival = Request {
-                    id,
-                    method,
-                    deadline: due,
-                    age,
-                    untrusted_age: claimed,
-                    earlier_attempt: prior,
-                    queued_kb: held_kb,
-                    is_retry: retry,
-                    ..Request::default()
-                };
-                server.handle_request(now, arrival, out);
-            }
-            "settled" => server.handle_completion(now, id(), outcome(words[2]), out),
-            "needs_call" => server.handle_call_needed(now, id(), out),
-            "called" => {
-                let took = pairs(words)
-                    .get("took")
-                    .map_or(Span::ms(1), |took| ms(took));
-                server.handle_call_result(now, id(), outcome(words[2]), took, out);
+            "request" => scheduler.handle_request(now, request(now, line), out),
+            "completion" => scheduler.handle_completion(now, line.id(), outcome(words[2]), out),
+            "call_needed" => scheduler.handle_call_needed(now, line.id(), out),
+            "call_result" => {
+                let duration = Span::ms(line.number("duration", 1.0) as u64);
+                scheduler.handle_call_result(now, line.id(), outcome(words[2]), duration, out);
             }
-            // So many calls of one RPC, as it asks for them and as they end.
-            "calls" => {
-                for call in 0..number(words[2]) as u32 {
-                    if call % 2 == 0 || words[3] == "ok" {
-                        server.handle_call_needed(now, id(), out);
-                    }
-                    server.handle_call_result(now, id(), outcome(words[3]), Span::ms(1), out);
-                }
-                out.0.retain(|answer| answer.starts_with("log"));
-            }
-            "gone" => server.handle_cancellation(now, id(), out),
-            "level" => server.set_degradation(now, level(&words[1..]), out),
-            "wind_down" => server.begin_drain(now, now + ms(words[1]), out),
-            // Time passes, in beats.
-            "wait" => {
-                let until = now + ms(words[1]);
-                while self.now < until {
-                    self.now = (self.now + Span::ms(20)).min(until);
-                    server.handle_timeout(self.now, self.gauges, out);
-                }
+            "call_results" => self.call_results(line),
+            "cancellation" => scheduler.handle_cancellation(now, line.id(), out),
+            "degradation" => scheduler.set_degradation(now, degradation(line), out),
+            "drain" => scheduler.begin_drain(now, now + ms(words[1]), out),
+            "wait" => self.wait(ms(words[1])),
+            other => panic!("no event {other}"),
+        }
+    }
+
+    /// So many calls of one request, as it needs them and as they end.
+    fn call_results(&mut self, line: &Line<'_>) {
+        let (now, id, out) = (self.now, line.id(), &mut self.actions);
+        let Some(scheduler) = &mut self.scheduler else {
+            return;
+        };
+        let (calls, word) = (number(line.words[2]) as u32, line.words[3]);
+        for call in 0..calls {
+            if call % 2 == 0 || word == "ok" {
+                scheduler.handle_call_needed(now, id, out);
             }
-            other => panic!("no step {other}"),
+            scheduler.handle_call_result(now, id, outcome(word), Span::ms(1), out);
+        }
+        out.0.retain(|action| action.starts_with("log"));
+    }
+
+    fn wait(&mut self, span: Span) {
+        let until = self.now + span;
+        let Some(scheduler) = &mut self.scheduler else {
+            return;
+        };
+        while self.now < until {
+            self.now = (self.now + TICK).min(until);
+            scheduler.handle_timeout(self.now, self.gauges, &mut self.actions);
         }
     }
 }
 
+/// Plays all scenarios of a file; how many expectations were met.
 fn play(path: &Path) -> usize {
     let text = std::fs::read_to_string(path).unwrap();
-    let start = || Play {
-        terms: SchedulerConfig::default(),
-        server: None,
-        now: Time(1_000_000),
-        gauges: Gauges::default(),
-        answers: Answers::default(),
-        expected: 0,
-    };
-    let (mut play, mut expected) = (start(), 0);
+    let (mut scenario, mut expectations) = (Scenario::new(), 0);
     for (number, line) in text.lines().enumerate() {
         let line = line.split('#').next().unwrap_or("").trim();
         if line.starts_with("scenario") {
-            expected += play.expected;
-            play = start();
+            expectations += scenario.expectations;
+            scenario = Scenario::new();
         } else if !line.is_empty() {
             let words: Vec<&str> = line.split_whitespace().collect();
-            let step = std::panic::AssertUnwindSafe(|| play.line(&words));
-            if std::panic::catch_unwind(step).is_err() {
-                panic!("{}:{}: {line}", path.display(), number + 1);
-            }
+            let played = catch_unwind(AssertUnwindSafe(|| scenario.line(&words)));
+            assert!(played.is_ok(), "{}:{}: {line}", path.display(), number + 1);
         }
     }
-    expected + play.expected
+    expectations + scenario.expectations
 }
 
 #[test]
-fn scenarios() {
+fn each_event_of_the_scenarios_leads_to_the_expected_actions() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
     let mut files: Vec<_> = std::fs::read_dir(folder)
         .unwrap()
