--- a/crates/coralstep-config/src/site.rs
+++ b/crates/coralstep-config/src/site.rs
@@ -9,7 +9,7 @@
 use coralstep_degradation::LevelTerms;
 use coralstep_quota::terms::look_up;
 use coralstep_quota::{Limit, LimitTerms};
-use coralstep_route::Routes;
+use coralstep_route::RouteTable;
 use coralstep_shared_health::Parts;
 use ipnet::IpNet;
 use schemars::JsonSchema;
@@ -576,8 +576,8 @@
     }
 
     /// The routes, each to a method's index.
-    pub fn routes(&self, names: &Names) -> Result<Routes<Target>, String> {
-        let mut routes = Routes::default();
+    pub fn routes(&self, names: &Names) -> Result<RouteTable<Target>, String> {
+        let mut routes = RouteTable::default();
         if self.routes.is_empty() {
             return Err("scgi.routes: none".to_owned());
         }
--- a/crates/coralstep-config/src/starves.rs
+++ b/crates/coralstep-config/src/starves.rs
@@ -44,8 +44,10 @@
         return Ok(());
     };
     let (new, old) = (new.routes(names)?, old.routes(names)?);
-    let led = |routes: &coralstep_route::Routes<Target>, method: usize| {
-        routes.all().any(|target| *target == Target::Method(method))
+    let led = |routes: &coralstep_route::RouteTable<Target>, method: usize| {
+        routes
+            .targets()
+            .any(|target| *target == Target::Method(method))
     };
     match (0..names.methods.len()).find(|method| led(&old, *method) && !led(&new, *method)) {
         Some(method) => Err(format!(
--- a/crates/coralstep-route/benches/find.rs
+++ b/crates/coralstep-route/benches/find.rs
@@ -1,7 +1,7 @@
 //! A look into the trie beside a list of patterns tried one by one.
 use std::hint::black_box;
 
-use coralstep_route::{Found, Routes};
+use coralstep_route::{RouteMatch, RouteTable};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 
 fn find(criterion: &mut Criterion) {
@@ -10,16 +10,16 @@
         let patterns: Vec<String> = (0..count)
             .map(|at| format!("/v1/area{}/ride/{{id}}/part{at}", at % 8))
             .collect();
-        let mut routes = Routes::default();
+        let mut routes = RouteTable::default();
         for (at, pattern) in patterns.iter().enumerate() {
             routes.insert("GET", pattern, at).expect("a proper route");
         }
         let path = format!("/v1/area{}/ride/4711/part{}", (count - 1) % 8, count - 1);
         group.bench_function(BenchmarkId::new("trie", count), |b| {
             b.iter(|| match routes.find("GET", black_box(&path)) {
-                Found::Route(at) => *at,
+                RouteMatch::Found(at) => *at,
                 _ => unreachable!("it is there"),
-            })
+            });
         });
         let list: Vec<Vec<&str>> = patterns
             .iter()
@@ -36,7 +36,7 @@
                             .all(|(part, segment)| part.starts_with('{') || part == segment)
                 };
                 list.iter().position(|pattern| fits(&pattern))
-            })
+            });
         });
     }
     group.finish();
--- a/crates/coralstep-route/tests/model.rs
+++ b/crates/coralstep-route/tests/model.rs
@@ -1,5 +1,5 @@
 //! The trie against the plainest thing that does the same: a list of patterns, tried one by one in order of exactness.
-use coralstep_route::{Found, Routes};
+use coralstep_route::{RouteMatch, RouteTable};
 use proptest::prelude::*;
 
 /// How exact a pattern's fit is, segment by segment: 0 for a word, 1 for any, 2 for the rest; `None` where it doesn't fit.
@@ -27,11 +27,11 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(500) })]
 
     #[test]
-    fn the_trie_finds_what_the_list_finds(
+    fn the_trie_finds_the_same_as_a_list(
         patterns in prop::collection::vec((prop::collection::vec("[ab]|\\{x\\}", 0..4), any::<bool>()), 1..12),
         path in prop::collection::vec("[abc]", 0..5),
     ) {
-        let mut routes = Routes::default();
+        let mut routes = RouteTable::default();
         let mut list = Vec::new();
         for (at, (mut pattern, rest)) in patterns.into_iter().enumerate() {
             pattern.extend(rest.then(|| "*".to_owned()));
@@ -40,7 +40,7 @@
             }
         }
         let best = list.iter().filter_map(|(pattern, at)| Some((fit(pattern, &path)?, at))).min();
-        let expected = best.map_or(Found::Nothing, |(_, at)| Found::Route(at));
+        let expected = best.map_or(RouteMatch::NotFound, |(_, at)| RouteMatch::Found(at));
         prop_assert_eq!(routes.find("GET", &text(&path)), expected);
     }
 }
--- a/crates/coralstep-server/src/callers/scgi.rs
+++ b/crates/coralstep-server/src/callers/scgi.rs
@@ -8,7 +8,7 @@
 use coralstep::Span;
 use coralstep_config::Names;
 use coralstep_config::site::{ScgiTerms, Target};
-use coralstep_route::{Found, Routes};
+use coralstep_route::{RouteMatch, RouteTable};
 use coralstep_scgi::request::{self, Request};
 use coralstep_scgi::{DecodeError, Limits, response};
 use futures_lite::AsyncReadExt;
@@ -42,7 +42,7 @@
 /// What is known from the operator's file.
 struct Known {
     terms: ScgiTerms,
-    routes: Routes<Target>,
+    routes: RouteTable<Target>,
     limits: Limits,
 }
 
@@ -119,10 +119,10 @@
             .routes
             .find(verb, path.ok_or(Refusal(400, "no path"))?)
         {
-            Found::Route(Target::Health) => return Ok(Asked::Health),
-            Found::Route(Target::Method(method)) => *method,
-            Found::WrongVerb => return Err(Refusal(405, "not with this verb")),
-            Found::Nothing => return Err(Refusal(404, "no such path")),
+            RouteMatch::Found(Target::Health) => return Ok(Asked::Health),
+            RouteMatch::Found(Target::Method(method)) => *method,
+            RouteMatch::MethodNotAllowed => return Err(Refusal(405, "not with this verb")),
+            RouteMatch::NotFound => return Err(Refusal(404, "no such path")),
         };
         let (names, trusted) = (&known.terms.headers, known.trusts(from));
         let text = |name: &str| match request.get(name) {
