--- a/crates/coralstep-fleet/benches/fleet.rs
+++ b/crates/coralstep-fleet/benches/fleet.rs
@@ -3,7 +3,7 @@
 use std::hint::black_box;
 use std::net::SocketAddr;
 
-use coralstep_fleet::{Fleet, FleetTerms, Member};
+use coralstep_fleet::{Fleet, FleetConfig, Member};
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 
 fn at(server: usize) -> SocketAddr {
@@ -16,13 +16,13 @@
 fn one(server: usize) -> Fleet {
     let own = Member::new(&format!("n{server}"), at(server), 1);
     let peers = vec![at(0), at(1)];
-    let terms = FleetTerms {
+    let terms = FleetConfig {
         name: "alps".to_owned(),
         own,
         peers,
-        behind: 8_000,
-        silent: 8_000,
-        silent_shuts: false,
+        max_lag: 8_000,
+        max_silence: 8_000,
+        exclude_when_isolated: false,
         seed: server as u64 + 1,
     };
     Fleet::new(terms, 0, 1)
@@ -37,14 +37,14 @@
         let mut other = one(other);
         now += 1;
         other.tick(now, now, (0, 0));
-        for (_, bytes) in other.send() {
-            let _ = hub.heard(now, now, &bytes);
+        for (_, bytes) in other.take_datagrams() {
+            let _ = hub.handle_datagram(now, now, &bytes);
             last = bytes;
         }
-        hub.send();
+        hub.take_datagrams();
     }
     hub.tick(now, now, (0, 0));
-    hub.send();
+    hub.take_datagrams();
     (hub, last, now)
 }
 
@@ -53,16 +53,16 @@
         let (mut hub, last, start) = known(count);
         let mut group = criterion.benchmark_group(format!("{count} others"));
         group.bench_function("look before an RPC", |bencher| {
-            bencher.iter(|| black_box(hub.back(start)))
+            bencher.iter(|| black_box(hub.retry_after(start)))
         });
         if count > 0 {
             group.bench_function("a datagram", |bencher| {
                 bencher.iter_batched(
                     || last.clone(),
-                    |bytes| hub.heard(start, start, &bytes),
+                    |bytes| hub.handle_datagram(start, start, &bytes),
                     BatchSize::SmallInput,
                 );
-                hub.send();
+                hub.take_datagrams();
             });
         }
         group.finish();
--- a/crates/coralstep-fleet/src/audit.rs
+++ b/crates/coralstep-fleet/src/audit.rs
@@ -5,31 +5,31 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::Ms;
-use crate::versions::{Id, hash};
-use crate::words::{Past, Word};
+use crate::Millis;
+use crate::status::{NodeStatus, PastVersion};
+use crate::versions::{VersionId, hash};
 
 /// Entries that are kept: the last of this server's, and of each other one.
-pub const OWN_KEPT: usize = 256;
-pub const OTHERS_KEPT: usize = 16;
+pub const MAX_OWN_ENTRIES: usize = 256;
+pub const MAX_PEER_ENTRIES: usize = 16;
 /// Servers whose rows are kept.
-pub const SERVERS_MOST: usize = 8_192;
+pub const MAX_SERVERS: usize = 8_192;
 /// Who was not heard of for so long may act on anything.
-pub const KNOWN: Ms = 10_000;
+pub const KNOWN: Millis = 10_000;
 
 /// It acted on a version from when to when (hybrid clock, Unix milliseconds).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct AuditEntry {
     pub number: u32,
-    pub version: Id,
+    pub version: VersionId,
     pub from_ms: u64,
     pub to_ms: u64,
     pub rpcs: u64,
     /// The hash of the entry before.
-    pub before: [u8; 12],
+    pub previous: [u8; 12],
 }
 
-impl Entry {
+impl AuditEntry {
     fn sum(&self) -> [u8; 12] {
         hash(&postcard::to_allocvec(self).unwrap_or_default())
     }
@@ -37,60 +37,60 @@
 
 /// A server's own record.
 #[derive(Default)]
-pub struct Chain {
-    entries: VecDeque<Entry>,
+pub struct AuditChain {
+    entries: VecDeque<AuditEntry>,
     last: [u8; 12],
     count: u32,
 }
 
 /// What is wrong with a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum ChainError {
     /// An entry is missing before this one.
-    Gap(u32),
+    MissingEntry(u32),
     /// The entry before this one is not what it was.
-    Changed(u32),
+    ModifiedEntry(u32),
 }
 
-impl Chain {
-    pub fn add(&mut self, version: Id, from_ms: u64, to_ms: u64, rpcs: u64) {
-        let entry = Entry {
+impl AuditChain {
+    pub fn add(&mut self, version: VersionId, from_ms: u64, to_ms: u64, rpcs: u64) {
+        let entry = AuditEntry {
             number: self.count,
             version,
             from_ms,
             to_ms,
             rpcs,
-            before: self.last,
+            previous: self.last,
         };
         self.last = entry.sum();
         self.count += 1;
-        if self.entries.len() == OWN_KEPT {
+        if self.entries.len() == MAX_OWN_ENTRIES {
             self.entries.pop_front();
         }
         self.entries.push_back(entry);
     }
 
     /// Goes on where a record left off.
-    pub fn resume(entries: Vec<Entry>) -> Result<Chain, Broken> {
+    pub fn resume(entries: Vec<AuditEntry>) -> Result<AuditChain, ChainError> {
         verify(entries.iter())?;
-        let last = entries.last().map_or([0; 12], Entry::sum);
+        let last = entries.last().map_or([0; 12], AuditEntry::sum);
         let count = entries
             .last()
             .map_or(0, |entry| entry.number.wrapping_add(1));
-        Ok(Chain {
+        Ok(AuditChain {
             entries: entries.into(),
             last,
             count,
         })
     }
 
-    pub fn entries(&self) -> impl Iterator<Item = &Entry> {
+    pub fn entries(&self) -> impl Iterator<Item = &AuditEntry> {
         self.entries.iter()
     }
 
     /// The last entry, as others are told of it.
-    pub fn last(&self) -> Option<Past> {
-        let of = |entry: &Entry| Past {
+    pub fn last(&self) -> Option<PastVersion> {
+        let of = |entry: &AuditEntry| PastVersion {
             version: entry.version,
             from_ms: entry.from_ms,
             to_ms: entry.to_ms,
@@ -106,15 +106,15 @@
 }
 
 /// Whether what is left of a record hangs together.
-pub fn verify<'a>(entries: impl Iterator<Item = &'a Entry>) -> Result<(), Broken> {
-    let mut before: Option<&Entry> = None;
+pub fn verify<'a>(entries: impl Iterator<Item = &'a AuditEntry>) -> Result<(), ChainError> {
+    let mut before: Option<&AuditEntry> = None;
     for entry in entries {
         if let Some(before) = before {
             if entry.number != before.number + 1 {
-                return Err(Broken::Gap(entry.number));
+                return Err(ChainError::MissingEntry(entry.number));
             }
-            if entry.before != before.sum() {
-                return Err(Broken::Changed(entry.number));
+            if entry.previous != before.sum() {
+                return Err(ChainError::ModifiedEntry(entry.number));
             }
         }
         before = Some(entry);
@@ -124,9 +124,9 @@
 
 /// A row of the audit.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Row {
+pub struct AuditRow {
     pub server: String,
-    pub version: Id,
+    pub version: VersionId,
     pub from_ms: u64,
     /// None while it acts on it.
     pub to_ms: Option<u64>,
@@ -138,7 +138,7 @@
 }
 
 struct Seen {
-    version: Id,
+    version: VersionId,
     from_ms: u64,
     to_ms: Option<u64>,
     rpcs: u64,
@@ -148,21 +148,25 @@
 #[derive(Default)]
 struct Server {
     rows: VecDeque<Seen>,
-    heard: Ms,
+    heard: Millis,
     head: ([u8; 8], u32),
 }
 
 /// What the others said of themselves.
 #[derive(Default)]
-pub struct Others {
+pub struct PeerAudits {
     servers: BTreeMap<(String, SocketAddr, u64), Server>,
 }
 
-impl Others {
+impl PeerAudits {
     /// False where a server's record is shorter than it was, or another of the same length: it was changed.
-    pub fn heard(&mut self, at: Ms, word: &Word) -> bool {
-        let key = (word.of.name.clone(), word.of.at, word.of.started);
-        if !self.servers.contains_key(&key) && self.servers.len() >= SERVERS_MOST {
+    pub fn observe(&mut self, at: Millis, status: &NodeStatus) -> bool {
+        let key = (
+            status.member.name.clone(),
+            status.member.address,
+            status.member.incarnation,
+        );
+        if !self.servers.contains_key(&key) && self.servers.len() >= MAX_SERVERS {
             // Whoever was heard of last the longest ago makes room.
             let oldest = self
                 .servers
@@ -173,16 +177,18 @@
         }
         let server = self.servers.entry(key).or_default();
         server.heard = server.heard.max(at);
-        let head = (word.chain, word.entries);
+        let head = (status.audit_head, status.audit_length);
         let sound = head.1 > server.head.1 || head == server.head;
         server.head = head;
-        let known = |row: &&mut Seen| row.version == word.acts_on && row.from_ms == word.since_ms;
+        let known = |row: &&mut Seen| {
+            row.version == status.active_version && row.from_ms == status.active_since_ms
+        };
         if let Some(row) = server.rows.back_mut().filter(known) {
-            row.rpcs = word.rpcs;
+            row.rpcs = status.rpcs;
             return sound;
         }
         // What it acted on before, with its last figures: the words in between may have been lost, or were never said.
-        let past = word.before.map(|past| Seen {
+        let past = status.previous.map(|past| Seen {
             version: past.version,
             from_ms: past.from_ms,
             to_ms: Some(past.to_ms),
@@ -200,24 +206,24 @@
         }
         // One whose end nobody told ended before this one began.
         for row in server.rows.iter_mut().filter(|row| row.to_ms.is_none()) {
-            row.to_ms = Some(word.since_ms);
+            row.to_ms = Some(status.active_since_ms);
         }
         server.rows.push_back(Seen {
-            version: word.acts_on,
-            from_ms: word.since_ms,
+            version: status.active_version,
+            from_ms: status.active_since_ms,
             to_ms: None,
-            rpcs: word.rpcs,
+            rpcs: status.rpcs,
         });
-        while server.rows.len() > OTHERS_KEPT {
+        while server.rows.len() > MAX_PEER_ENTRIES {
             server.rows.pop_front();
         }
         sound
     }
 
-    pub fn rows(&self, now: Ms) -> impl Iterator<Item = Row> {
+    pub fn rows(&self, now: Millis) -> impl Iterator<Item = AuditRow> {
         self.servers.iter().flat_map(move |((name, _, _), server)| {
             let age_ms = now.saturating_sub(server.heard);
-            server.rows.iter().map(move |seen| Row {
+            server.rows.iter().map(move |seen| AuditRow {
                 server: name.clone(),
                 version: seen.version,
                 from_ms: seen.from_ms,
@@ -232,18 +238,19 @@
 
 /// What an audit is asked for.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Filter {
-    pub version: Option<Id>,
+pub struct AuditFilter {
+    pub version: Option<VersionId>,
     pub server: Option<String>,
     /// Unix milliseconds.
     pub at_ms: Option<u64>,
 }
 
-impl Filter {
-    pub fn takes(&self, row: &Row) -> bool {
+impl AuditFilter {
+    pub fn matches(&self, row: &AuditRow) -> bool {
         // A version may be named by its number alone.
-        let version =
-            |id: Id| row.version == id || (id.hash == [0; 12] && id.number == row.version.number);
+        let version = |id: VersionId| {
+            row.version == id || (id.hash == [0; 12] && id.number == row.version.number)
+        };
         self.version.is_none_or(version)
             && self
                 .server
@@ -256,8 +263,8 @@
 }
 
 /// The latest of what is known of a server that was heard of.
-pub fn is_known(now: Ms, heard: &crate::spread::Heard<Word>) -> bool {
-    now.saturating_sub(heard.at) <= KNOWN
+pub fn is_known(now: Millis, received: &crate::gossip::Received<NodeStatus>) -> bool {
+    now.saturating_sub(received.sent_at) <= KNOWN
 }
 
 #[cfg(test)]
--- a/crates/coralstep-fleet/src/clock.rs
+++ b/crates/coralstep-fleet/src/clock.rs
@@ -5,22 +5,22 @@
 use uhlc::{HLC, HLCBuilder, ID, NTP64, Timestamp};
 
 /// A stamp further ahead of this server's own wall time than that doesn't move its clock: one clock an hour off drags nobody along.
-pub const AHEAD_MOST: Duration = Duration::from_secs(2);
+pub const MAX_CLOCK_LEAD: Duration = Duration::from_secs(2);
 
 thread_local! {
     /// Wall time as it was passed in: the library asks a function for it.
     static WALL: Cell<u64> = const { Cell::new(0) };
 }
 
-pub struct Clock(HLC);
+pub struct HybridClock(HLC);
 
-impl Clock {
+impl HybridClock {
     /// `seed`: any figure that no other server has.
-    pub fn new(seed: u64) -> Clock {
+    pub fn new(seed: u64) -> HybridClock {
         let id =
             ID::try_from(seed.max(1).to_le_bytes()).expect("eight bytes that are not all nought");
-        let builder = HLCBuilder::new().with_id(id).with_max_delta(AHEAD_MOST);
-        Clock(
+        let builder = HLCBuilder::new().with_id(id).with_max_delta(MAX_CLOCK_LEAD);
+        HybridClock(
             builder
                 .with_clock(|| NTP64::from(Duration::from_millis(WALL.get())))
                 .build(),
@@ -28,13 +28,13 @@
     }
 
     /// The next stamp, in Unix milliseconds: never less than one given or heard before.
-    pub fn stamp(&self, wall_ms: u64) -> u64 {
+    pub fn timestamp(&self, wall_ms: u64) -> u64 {
         WALL.set(wall_ms);
         ms(self.0.new_timestamp().get_time())
     }
 
     /// Another server's stamp was heard; false where it is too far ahead to be believed.
-    pub fn heard(&self, wall_ms: u64, stamp_ms: u64) -> bool {
+    pub fn observe(&self, wall_ms: u64, stamp_ms: u64) -> bool {
         WALL.set(wall_ms);
         let stamp = Timestamp::new(
             NTP64::from(Duration::from_millis(stamp_ms)),
--- a/crates/coralstep-fleet/src/clock/tests.rs
+++ b/crates/coralstep-fleet/src/clock/tests.rs
@@ -1,16 +1,16 @@
-use super::Clock;
+use super::HybridClock;
 
 #[test]
 fn it_never_runs_back_and_no_clock_an_hour_off_drags_it_along() {
-    let clock = Clock::new(7);
-    let first = clock.stamp(1_000_000);
+    let clock = HybridClock::new(7);
+    let first = clock.timestamp(1_000_000);
     assert!(first.abs_diff(1_000_000) <= 1, "{first}");
-    assert!(clock.stamp(400_000) >= first, "wall time was set back");
-    assert!(clock.heard(1_000_000, 1_001_500));
+    assert!(clock.timestamp(400_000) >= first, "wall time was set back");
+    assert!(clock.observe(1_000_000, 1_001_500));
     assert!(
-        clock.stamp(1_000_000) >= 1_001_500 - 1,
+        clock.timestamp(1_000_000) >= 1_001_500 - 1,
         "what was heard came before"
     );
-    assert!(!clock.heard(1_000_000, 4_600_000));
-    assert!(clock.stamp(1_000_100) < 1_003_000);
+    assert!(!clock.observe(1_000_000, 4_600_000));
+    assert!(clock.timestamp(1_000_100) < 1_003_000);
 }
--- a/crates/coralstep-fleet/src/envelope.rs
+++ b/crates/coralstep-fleet/src/datagram.rs
@@ -1,27 +1,27 @@
 //! A datagram: what travels between two servers, checked before anything of it is believed.
 use serde::{Deserialize, Serialize};
 
-use crate::members::Member;
+use crate::membership::Member;
 
 /// The format of what follows; another one is not read.
 const FORMAT: u8 = 2;
 /// The longest datagram that is sent: fits the usual Ethernet frame.
-pub const SENT_MOST: usize = 1_400;
+pub const MAX_SENT_BYTES: usize = 1_400;
 /// The longest that is read.
-pub const READ_MOST: usize = 2_048;
+pub const MAX_RECEIVED_BYTES: usize = 2_048;
 /// Parts of one datagram.
-const PARTS_MOST: usize = 8;
+const MAX_PARTS: usize = 8;
 
 /// Who a part is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Rider {
-    Members,
-    Words,
+pub enum PayloadKind {
+    Membership,
+    Statuses,
     Versions,
-    Limits,
-    LimitLetter,
-    Verdicts,
-    VerdictLetter,
+    QuotaGossip,
+    QuotaMessage,
+    HealthGossip,
+    HealthMessage,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -35,19 +35,19 @@
     /// Rises with each datagram of the sender's; and the last of the addressee's that it has heard: proof of when this was said.
     pub number: u64,
     pub echo: u64,
-    pub parts: Vec<(Rider, Vec<u8>)>,
+    pub parts: Vec<(PayloadKind, Vec<u8>)>,
 }
 
 /// Why a datagram is not believed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum DecodeError {
     /// Cut short, changed on the way, or never one.
-    Garbled,
-    OtherFormat,
+    Corrupt,
+    UnsupportedFormat,
     OtherFleet,
 }
 
-pub fn fleet(name: &str) -> u32 {
+pub fn fleet_id(name: &str) -> u32 {
     crc32fast::hash(name.as_bytes())
 }
 
@@ -65,30 +65,30 @@
     }
 
     /// Bytes with their checksum behind them.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         let mut bytes = postcard::to_allocvec(self).unwrap_or_default();
         let sum = crc32fast::hash(&bytes);
         bytes.extend_from_slice(&sum.to_le_bytes());
         bytes
     }
 
-    pub fn read(bytes: &[u8], fleet: u32) -> Result<Datagram, Fault> {
-        if bytes.len() > READ_MOST {
-            return Err(Fault::Garbled);
+    pub fn decode(bytes: &[u8], fleet: u32) -> Result<Datagram, DecodeError> {
+        if bytes.len() > MAX_RECEIVED_BYTES {
+            return Err(DecodeError::Corrupt);
         }
-        let (rest, sum) = bytes.split_last_chunk::<4>().ok_or(Fault::Garbled)?;
+        let (rest, sum) = bytes.split_last_chunk::<4>().ok_or(DecodeError::Corrupt)?;
         if crc32fast::hash(rest) != u32::from_le_bytes(*sum) {
-            return Err(Fault::Garbled);
+            return Err(DecodeError::Corrupt);
         }
         // Looked at first: of another format nothing else can be read.
         if rest.first() != Some(&FORMAT) {
-            return Err(Fault::OtherFormat);
+            return Err(DecodeError::UnsupportedFormat);
         }
-        let datagram: Datagram = postcard::from_bytes(rest).map_err(|_| Fault::Garbled)?;
+        let datagram: Datagram = postcard::from_bytes(rest).map_err(|_| DecodeError::Corrupt)?;
         match () {
-            () if datagram.fleet != fleet => Err(Fault::OtherFleet),
-            () if datagram.parts.len() > PARTS_MOST || !datagram.from.is_sound() => {
-                Err(Fault::Garbled)
+            () if datagram.fleet != fleet => Err(DecodeError::OtherFleet),
+            () if datagram.parts.len() > MAX_PARTS || !datagram.from.is_valid() => {
+                Err(DecodeError::Corrupt)
             }
             () => Ok(datagram),
         }
--- a/crates/coralstep-fleet/src/lib.rs
+++ b/crates/coralstep-fleet/src/lib.rs
@@ -1,5 +1,5 @@
 //! How servers of a fleet hear each other. No I/O and no clock here: datagrams and the time are passed in, datagrams and events come out.
-//! The same events in the same order lead to the same answers. Times are milliseconds of the process's own monotonic clock ([`Ms`]);
+//! The same events in the same order lead to the same answers. Times are milliseconds of the process's own monotonic clock ([`Millis`]);
 //! what orders acts of several servers is the hybrid logical clock in [`clock`].
 //!
 //! [`Fleet`] is the whole: [`members`] (who is there) carries [`words`] (what each server says of itself, which may be stale),
@@ -7,19 +7,19 @@
 //! on what, [`straggler`] decides when this server admits nothing.
 pub mod audit;
 pub mod clock;
-pub mod envelope;
+pub mod datagram;
+pub mod exclusion;
+pub mod extension;
 pub mod fleet;
-pub mod members;
-pub mod rider;
-pub mod spread;
-pub mod straggler;
+pub mod gossip;
+pub mod membership;
+pub mod status;
 pub mod versions;
-pub mod words;
 
-pub use fleet::{Event, Fleet, FleetTerms};
-pub use members::{Member, State};
-pub use straggler::Shut;
-pub use versions::Id;
+pub use exclusion::ExclusionReason;
+pub use fleet::{Event, Fleet, FleetConfig};
+pub use membership::{Member, MemberState};
+pub use versions::VersionId;
 
 /// Milliseconds of a monotonic clock.
-pub type Ms = u64;
+pub type Millis = u64;
--- a/crates/coralstep-fleet/src/members.rs
+++ b/crates/coralstep-fleet/src/membership.rs
@@ -10,50 +10,50 @@
 use rand::rngs::SmallRng;
 use serde::{Deserialize, Serialize};
 
-use crate::Ms;
+use crate::Millis;
 
 /// One member is probed each period, and has so long to answer before others are asked to try.
-pub const PROBE: Duration = Duration::from_millis(1_000);
-pub const PROBE_RTT: Duration = Duration::from_millis(400);
+pub const PROBE_PERIOD: Duration = Duration::from_millis(1_000);
+pub const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 /// A suspect has so long to speak up: a busy server is late, not dead.
-pub const SUSPECT: Duration = Duration::from_millis(5_000);
+pub const SUSPICION_TIMEOUT: Duration = Duration::from_millis(5_000);
 /// Who is gone is remembered so long.
-pub const FORGET: Duration = Duration::from_secs(60);
+pub const DOWN_MEMBER_RETENTION: Duration = Duration::from_secs(60);
 /// Bytes of a message of foca's; the rest of a datagram is the riders'.
-pub const PACKET: usize = 600;
+pub const MAX_MESSAGE_BYTES: usize = 600;
 /// Between two looks for the listed peers: at first and while nobody is known, and else (two halves that forgot each other meet so).
-const SEEDS_FIRST: Ms = 1_000;
-const SEEDS: Ms = 10_000;
+const SEEDS_FIRST: Millis = 1_000;
+const SEEDS: Millis = 10_000;
 /// Looks at first: those who start together meet in pairs, and the pairs have to meet, too.
 const FIRST: usize = 15;
-/// Members that are known, gone ones among them; beyond that nobody is heard. Guards against a peer that invents them without end.
-pub const MEMBERS_MOST: usize = 8_192;
+/// Membership that are known, gone ones among them; beyond that nobody is heard. Guards against a peer that invents them without end.
+pub const MAX_MEMBERS: usize = 8_192;
 /// Letters of a name.
-pub const NAME_MOST: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// Timers that may wait; foca has a few for itself and two for each suspect.
-const TIMERS_MOST: usize = 16_384;
+const MAX_TIMERS: usize = 16_384;
 
 /// A process: its name, where it is reached, and when it was started. The same name and place with another start is a restart; the same
 /// name at two places at once is two processes with one name.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
     pub name: String,
-    pub at: SocketAddr,
-    pub started: u64,
+    pub address: SocketAddr,
+    pub incarnation: u64,
 }
 
 impl Member {
-    pub fn new(name: &str, at: SocketAddr, started: u64) -> Member {
+    pub fn new(name: &str, address: SocketAddr, incarnation: u64) -> Member {
         Member {
             name: name.to_owned(),
-            at,
-            started,
+            address,
+            incarnation,
         }
     }
 
     /// Whether a peer may have said so.
-    pub fn is_sound(&self) -> bool {
-        !self.name.is_empty() && self.name.len() <= NAME_MOST && self.at.port() != 0
+    pub fn is_valid(&self) -> bool {
+        !self.name.is_empty() && self.name.len() <= MAX_NAME_BYTES && self.address.port() != 0
     }
 }
 
@@ -63,55 +63,56 @@
     /// Who was taken for gone and is not comes back as if started anew.
     fn renew(&self) -> Option<Member> {
         Some(Member {
-            started: self.started + 1,
+            incarnation: self.incarnation + 1,
             ..self.clone()
         })
     }
 
     fn addr(&self) -> SocketAddr {
-        self.at
+        self.address
     }
 
     fn win_addr_conflict(&self, other: &Member) -> bool {
-        (self.started, &self.name) > (other.started, &other.name)
+        (self.incarnation, &self.name) > (other.incarnation, &other.name)
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum MemberState {
     /// Knows nobody yet.
     Joining,
     Alive,
     Suspect,
-    Gone,
+    #[serde(rename = "gone")]
+    Down,
     /// Said that it leaves.
     Leaving,
 }
 
-impl State {
+impl MemberState {
     pub fn name(self) -> &'static str {
         match self {
-            State::Joining => "joining",
-            State::Alive => "alive",
-            State::Suspect => "suspect",
-            State::Gone => "gone",
-            State::Leaving => "leaving",
+            MemberState::Joining => "joining",
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspect",
+            MemberState::Down => "gone",
+            MemberState::Leaving => "leaving",
         }
     }
 }
 
 /// What changed among the members.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Change {
+pub enum MembershipChange {
     Up(Member),
     Down(Member),
     /// The others took this server for gone; it is back under this identity.
-    Back(Member),
+    Rejoined(Member),
 }
 
 /// By time, then as they were asked for.
-struct Waits(Ms, u64, Timer<Member>);
+struct Waits(Millis, u64, Timer<Member>);
 
 impl PartialEq for Waits {
     fn eq(&self, other: &Waits) -> bool {
@@ -133,23 +134,29 @@
 /// What foca asks for, until it is done.
 #[derive(Default)]
 struct Outside {
-    now: Ms,
+    now: Millis,
     number: u64,
     timers: BinaryHeap<Reverse<Waits>>,
     send: Vec<(Member, Vec<u8>)>,
-    changes: Vec<Change>,
+    changes: Vec<MembershipChange>,
 }
 
 impl Runtime<Member> for Outside {
     fn notify(&mut self, notification: Notification<'_, Member>) {
         match notification {
-            Notification::MemberUp(member) => self.changes.push(Change::Up(member.clone())),
-            Notification::MemberDown(member) => self.changes.push(Change::Down(member.clone())),
+            Notification::MemberUp(member) => {
+                self.changes.push(MembershipChange::Up(member.clone()))
+            }
+            Notification::MemberDown(member) => {
+                self.changes.push(MembershipChange::Down(member.clone()))
+            }
             Notification::Rename(before, member) => {
-                self.changes.push(Change::Down(before.clone()));
-                self.changes.push(Change::Up(member.clone()));
+                self.changes.push(MembershipChange::Down(before.clone()));
+                self.changes.push(MembershipChange::Up(member.clone()));
             }
-            Notification::Rejoin(member) => self.changes.push(Change::Back(member.clone())),
+            Notification::Rejoin(member) => self
+                .changes
+                .push(MembershipChange::Rejoined(member.clone())),
             _ => {}
         }
     }
@@ -159,7 +166,7 @@
     }
 
     fn submit_after(&mut self, event: Timer<Member>, after: Duration) {
-        if self.timers.len() < TIMERS_MOST {
+        if self.timers.len() < MAX_TIMERS {
             self.number += 1;
             self.timers.push(Reverse(Waits(
                 self.now + after.as_millis() as u64,
@@ -170,12 +177,12 @@
     }
 }
 
-pub struct Members {
+pub struct Membership {
     foca: Foca<Member, PostcardCodec, SmallRng, foca::NoCustomBroadcast>,
     outside: Outside,
     seeds: Vec<SocketAddr>,
     next_seed: usize,
-    sought: Option<Ms>,
+    sought: Option<Millis>,
 }
 
 fn some(count: usize) -> NonZeroUsize {
@@ -190,13 +197,13 @@
         })
     };
     Config {
-        probe_period: PROBE,
-        probe_rtt: PROBE_RTT,
+        probe_period: PROBE_PERIOD,
+        probe_rtt: PROBE_TIMEOUT,
         num_indirect_probes: some(3),
         max_transmissions: NonZeroU8::new(10).unwrap_or(NonZeroU8::MIN),
-        suspect_to_down_after: SUSPECT,
-        remove_down_after: Some(FORGET),
-        max_packet_size: some(PACKET),
+        suspect_to_down_after: SUSPICION_TIMEOUT,
+        remove_down_after: Some(DOWN_MEMBER_RETENTION),
+        max_packet_size: some(MAX_MESSAGE_BYTES),
         notify_down_members: true,
         periodic_announce: every(10_000, 1),
         periodic_announce_to_down_members: every(3_000, 2),
@@ -204,15 +211,15 @@
     }
 }
 
-impl Members {
-    pub fn new(own: Member, seeds: &[SocketAddr], seed: u64) -> Members {
+impl Membership {
+    pub fn new(own: Member, seeds: &[SocketAddr], seed: u64) -> Membership {
         let seeds = seeds
             .iter()
             .copied()
-            .filter(|seed| *seed != own.at)
+            .filter(|seed| *seed != own.address)
             .collect();
         let foca = Foca::new(own, config(), SmallRng::seed_from_u64(seed), PostcardCodec);
-        Members {
+        Membership {
             foca,
             outside: Outside::default(),
             seeds,
@@ -226,9 +233,9 @@
     }
 
     /// A message of foca's came.
-    pub fn heard(&mut self, now: Ms, bytes: &[u8]) {
+    pub fn receive(&mut self, now: Millis, bytes: &[u8]) {
         self.outside.now = now;
-        if self.foca.iter_membership_state().len() >= MEMBERS_MOST {
+        if self.foca.iter_membership_state().len() >= MAX_MEMBERS {
             return;
         }
         // What foca can't make sense of says nothing about the members.
@@ -236,7 +243,7 @@
     }
 
     /// Lets time pass.
-    pub fn tick(&mut self, now: Ms) {
+    pub fn tick(&mut self, now: Millis) {
         self.outside.now = now;
         while self
             .outside
@@ -253,14 +260,14 @@
         let every = if first { SEEDS_FIRST } else { SEEDS };
         if !self.seeds.is_empty() && self.sought.is_none_or(|sought| now >= sought + every) {
             self.sought = Some(now);
-            let at = self.seeds[self.next_seed % self.seeds.len()];
+            let address = self.seeds[self.next_seed % self.seeds.len()];
             self.next_seed += 1;
             // Nobody knows its name yet: it is asked by its place alone.
             let _ = self.foca.announce(
                 Member {
                     name: "?".to_owned(),
-                    at,
-                    started: 0,
+                    address,
+                    incarnation: 0,
                 },
                 &mut self.outside,
             );
@@ -268,27 +275,27 @@
     }
 
     /// Tells the others that this server leaves.
-    pub fn leave(&mut self, now: Ms) {
+    pub fn leave(&mut self, now: Millis) {
         self.outside.now = now;
         let _ = self.foca.leave_cluster(&mut self.outside);
     }
 
     /// Messages to be sent.
-    pub fn send(&mut self) -> Vec<(Member, Vec<u8>)> {
+    pub fn take_messages(&mut self) -> Vec<(Member, Vec<u8>)> {
         std::mem::take(&mut self.outside.send)
     }
 
-    pub fn changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<MembershipChange> {
         std::mem::take(&mut self.outside.changes)
     }
 
     /// All that are known, but for this server.
-    pub fn all(&self) -> impl Iterator<Item = (&Member, State)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&Member, MemberState)> {
         self.foca.iter_membership_state().map(|member| {
             let state = match member.state() {
-                foca::State::Alive => State::Alive,
-                foca::State::Suspect => State::Suspect,
-                foca::State::Down => State::Gone,
+                foca::State::Alive => MemberState::Alive,
+                foca::State::Suspect => MemberState::Suspect,
+                foca::State::Down => MemberState::Down,
             };
             (member.id(), state)
         })
--- a/crates/coralstep-fleet/src/versions/tests.rs
+++ b/crates/coralstep-fleet/src/versions/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-fn version(number: u64, replaces: Id, content: &str) -> Version {
+fn version(number: u64, replaces: VersionId, content: &str) -> Version {
     Version {
         number,
         replaces,
-        must: false,
-        by: "n1".to_owned(),
-        at_ms: 5,
-        waves: Vec::new(),
-        pause_ms: 0,
+        mandatory: false,
+        publisher: "n1".to_owned(),
+        published_at_ms: 5,
+        stages: Vec::new(),
+        stage_pause_ms: 0,
         content: content.to_owned(),
     }
 }
@@ -19,16 +19,16 @@
 
 /// Fetches what `from` holds; `spoil` may change or take letters on the way.
 fn fetch(
-    from: &mut Versions,
-    to: &mut Versions,
-    mut spoil: impl FnMut(usize, Letter) -> Option<Letter>,
-) -> Option<Id> {
+    from: &mut VersionStore,
+    to: &mut VersionStore,
+    mut spoil: impl FnMut(usize, VersionMessage) -> Option<VersionMessage>,
+) -> Option<VersionId> {
     let mut count = 0;
     for now in (0..200_000).step_by(100) {
-        for (_, want) in to.ask(now, |_| vec![holder("a"), holder("b")], 0.5) {
-            for piece in from.heard(now, want).0 {
+        for (_, want) in to.poll_fetch(now, |_| vec![holder("a"), holder("b")], 0.5) {
+            for piece in from.handle_message(now, want).0 {
                 count += 1;
-                let whole = spoil(count, piece).and_then(|piece| to.heard(now, piece).1);
+                let whole = spoil(count, piece).and_then(|piece| to.handle_message(now, piece).1);
                 if whole.is_some() {
                     return whole;
                 }
@@ -43,68 +43,72 @@
     let content: String = (0..9_000)
         .map(|at| char::from(b'a' + (at % 23) as u8))
         .collect();
-    let mut publisher = Versions::default();
+    let mut publisher = VersionStore::default();
     let id = publisher
-        .publish(0, version(1, Id::default(), &content))
+        .publish(0, version(1, VersionId::default(), &content))
         .unwrap();
     // Every third letter is lost; at first one in seven is changed, as by a holder that is at fault.
-    let mut other = Versions::default();
-    other.heard_of(id);
+    let mut other = VersionStore::default();
+    other.learn_of(id);
     let spoilt = |count: usize, letter| match letter {
         _ if count.is_multiple_of(3) => None,
-        Letter::Piece {
+        VersionMessage::Chunk {
             id,
-            bytes,
-            at,
-            mut piece,
+            version_bytes,
+            index,
+            mut data,
         } if count.is_multiple_of(7) && count < 40 => {
-            piece[0] ^= 1;
-            Some(Letter::Piece {
+            data[0] ^= 1;
+            Some(VersionMessage::Chunk {
                 id,
-                bytes,
-                at,
-                piece,
+                version_bytes,
+                index,
+                data,
             })
         }
         letter => Some(letter),
     };
     assert_eq!(fetch(&mut publisher, &mut other, spoilt), Some(id));
-    assert_eq!(other.held(id), publisher.held(id));
+    assert_eq!(other.get(id), publisher.get(id));
     // One that is always changed is never taken.
-    let mut third = Versions::default();
-    third.heard_of(id);
+    let mut third = VersionStore::default();
+    third.learn_of(id);
     let always = |_, letter| match letter {
-        Letter::Piece {
+        VersionMessage::Chunk {
             id,
-            bytes,
-            at,
-            mut piece,
+            version_bytes,
+            index,
+            mut data,
         } => {
-            piece[0] ^= 1;
-            Some(Letter::Piece {
+            data[0] ^= 1;
+            Some(VersionMessage::Chunk {
                 id,
-                bytes,
-                at,
-                piece,
+                version_bytes,
+                index,
+                data,
             })
         }
         letter => Some(letter),
     };
     assert_eq!(fetch(&mut publisher, &mut third, always), None);
-    assert!(third.held(id).is_none());
+    assert!(third.get(id).is_none());
 }
 
 #[test]
 fn a_fork_is_resolved_alike_and_told() {
-    let (mut left, mut right) = (Versions::default(), Versions::default());
-    let root = left.publish(0, version(1, Id::default(), "{}")).unwrap();
-    right.publish(0, version(1, Id::default(), "{}")).unwrap();
+    let (mut left, mut right) = (VersionStore::default(), VersionStore::default());
+    let root = left
+        .publish(0, version(1, VersionId::default(), "{}"))
+        .unwrap();
+    right
+        .publish(0, version(1, VersionId::default(), "{}"))
+        .unwrap();
     let a = left.publish(0, version(2, root, "{\"a\":1}")).unwrap();
     let b = right.publish(0, version(2, root, "{\"b\":1}")).unwrap();
     assert!(a != b && a.number == b.number);
-    left.heard_of(b);
-    right.heard_of(a);
-    let (mut left2, mut right2) = (Versions::default(), Versions::default());
+    left.learn_of(b);
+    right.learn_of(a);
+    let (mut left2, mut right2) = (VersionStore::default(), VersionStore::default());
     left2.publish(0, version(2, root, "{\"a\":1}")).unwrap();
     right2.publish(0, version(2, root, "{\"b\":1}")).unwrap();
     fetch(&mut right2, &mut left, |_, letter| Some(letter));
@@ -113,50 +117,59 @@
     assert_eq!(left.newest(), right.newest());
     assert_eq!(left.newest(), a.max(b));
     let loser = if a < b { &left } else { &right };
-    assert_eq!(loser.wanted().unwrap().0, a.max(b));
+    assert_eq!(loser.newest_accepted().unwrap().0, a.max(b));
     assert_eq!(loser.forks(), [(a.min(b), a.max(b))]);
 }
 
 #[test]
 fn what_was_turned_down_is_not_wanted_again_and_the_one_before_stays() {
-    let mut versions = Versions::default();
+    let mut versions = VersionStore::default();
     let first = versions
-        .publish(0, version(1, Id::default(), "{}"))
+        .publish(0, version(1, VersionId::default(), "{}"))
         .unwrap();
     let second = versions.publish(0, version(2, first, "{\"x\":1}")).unwrap();
-    versions.turn_down(second, &"é".repeat(REASON_MOST));
-    assert_eq!(versions.wanted().unwrap().0, first);
-    assert!(versions.why_not(second).unwrap().len() <= REASON_MOST);
+    versions.reject(second, &"é".repeat(MAX_REASON_BYTES));
+    assert_eq!(versions.newest_accepted().unwrap().0, first);
+    assert!(versions.rejection_reason(second).unwrap().len() <= MAX_REASON_BYTES);
 }
 
 #[test]
 fn waves_take_stated_parts_one_after_another() {
-    let mut waved = version(1, Id::default(), "{}");
-    (waved.waves, waved.pause_ms) = (vec![0.05, 0.3, 1.0], 10_000);
+    let mut waved = version(1, VersionId::default(), "{}");
+    (waved.stages, waved.stage_pause_ms) = (vec![0.05, 0.3, 1.0], 10_000);
     let mut counts = [0; 3];
-    (0..1_000).for_each(|at| counts[waved.wave(&format!("n{at}")).unwrap()] += 1);
+    (0..1_000).for_each(|at| counts[waved.stage(&format!("n{at}")).unwrap()] += 1);
     assert!(
         (20..90).contains(&counts[0]) && (200..300).contains(&counts[1]),
         "{counts:?}"
     );
-    assert!((0..1_000).all(|at| waved.due_ms(&format!("n{at}")).unwrap() <= 20_000));
+    assert!((0..1_000).all(|at| waved.stage_delay_ms(&format!("n{at}")).unwrap() <= 20_000));
 }
 
 #[test]
 fn a_wave_is_worse_only_where_chance_is_no_excuse() {
-    assert!(!worse((90, 100), (950, 1_000)), "a few more by chance");
-    assert!(worse((500, 1_000), (950, 1_000)));
-    assert!(!worse((0, 50), (1_000, 1_000)), "too few to say");
-    assert!(!worse((1_000, 1_000), (1_000, 1_000)) && !worse((1_000, 1_000), (900, 1_000)));
+    assert!(
+        !is_significantly_worse((90, 100), (950, 1_000)),
+        "a few more by chance"
+    );
+    assert!(is_significantly_worse((500, 1_000), (950, 1_000)));
+    assert!(
+        !is_significantly_worse((0, 50), (1_000, 1_000)),
+        "too few to say"
+    );
+    assert!(
+        !is_significantly_worse((1_000, 1_000), (1_000, 1_000))
+            && !is_significantly_worse((1_000, 1_000), (900, 1_000))
+    );
 }
 
 #[test]
 fn ids_are_written_and_read() {
-    let id = Id {
+    let id = VersionId {
         number: 7,
         hash: hash(b"x"),
     };
     assert_eq!(id.to_string().parse(), Ok(id));
-    assert_eq!("0".parse(), Ok(Id::default()));
-    assert!("7-12".parse::<Id>().is_err() && "x".parse::<Id>().is_err());
+    assert_eq!("0".parse(), Ok(VersionId::default()));
+    assert!("7-12".parse::<VersionId>().is_err() && "x".parse::<VersionId>().is_err());
 }
--- a/crates/coralstep-fleet/tests/golden.rs
+++ b/crates/coralstep-fleet/tests/golden.rs
@@ -3,12 +3,12 @@
 use std::fmt::Debug;
 use std::net::SocketAddr;
 
-use coralstep_fleet::audit::{Chain, Entry, verify};
-use coralstep_fleet::envelope::{self, Datagram, Rider};
-use coralstep_fleet::members::{Change, Members};
-use coralstep_fleet::versions::{Letter, Version, hash};
-use coralstep_fleet::words::{Order, Past, Word, Words};
-use coralstep_fleet::{Fleet, FleetTerms, Id, Member};
+use coralstep_fleet::audit::{AuditChain, AuditEntry, verify};
+use coralstep_fleet::datagram::{Datagram, PayloadKind, fleet_id};
+use coralstep_fleet::membership::{Membership, MembershipChange};
+use coralstep_fleet::status::{MembershipOrder, NodeStatus, NodeStatuses, PastVersion};
+use coralstep_fleet::versions::{Version, VersionMessage, hash};
+use coralstep_fleet::{Fleet, FleetConfig, Member, VersionId};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -87,15 +87,15 @@
     )
 }
 
-fn id(number: u64) -> Id {
-    Id {
+fn id(number: u64) -> VersionId {
+    VersionId {
         number,
         hash: std::array::from_fn(|at| 0xf0 + at as u8),
     }
 }
 
-fn past() -> Past {
-    Past {
+fn past() -> PastVersion {
+    PastVersion {
         version: id(299),
         from_ms: 1_789_999_000_000,
         to_ms: 1_790_000_000_001,
@@ -103,11 +103,11 @@
     }
 }
 
-fn orders() -> Vec<Order> {
-    let order = |server: &str, number, shut| Order {
-        server: server.to_owned(),
-        number,
-        shut,
+fn orders() -> Vec<MembershipOrder> {
+    let order = |server: &str, number, shut| MembershipOrder {
+        member: server.to_owned(),
+        sequence: number,
+        exclude: shut,
     };
     vec![
         order("server-17.alps", 1 << 41, true),
@@ -116,36 +116,36 @@
 }
 
 /// What a server says of itself at its start, with every field set, and with each flag alone.
-fn words() -> Vec<(&'static str, Word)> {
-    let first = Word {
-        of: far(),
-        number: 1,
+fn words() -> Vec<(&'static str, NodeStatus)> {
+    let first = NodeStatus {
+        member: far(),
+        sequence: 1,
         leaving: false,
-        shut: false,
-        wants_out: false,
-        acts_on: Id::default(),
-        since_ms: 1_790_000_000_000,
+        excluded: false,
+        wants_exclusion: false,
+        active_version: VersionId::default(),
+        active_since_ms: 1_790_000_000_000,
         rpcs: 0,
-        ok: 0,
-        before: None,
-        knows: Id::default(),
-        turned_down: None,
-        chain: [0; 8],
-        entries: 0,
+        succeeded: 0,
+        previous: None,
+        newest_held: VersionId::default(),
+        rejected: None,
+        audit_head: [0; 8],
+        audit_length: 0,
         orders: Vec::new(),
     };
-    let full = Word {
-        of: near(),
-        number: 300,
-        acts_on: id(300),
-        since_ms: 1_790_000_000_002,
+    let full = NodeStatus {
+        member: near(),
+        sequence: 300,
+        active_version: id(300),
+        active_since_ms: 1_790_000_000_002,
         rpcs: (1 << 33) + 2,
-        ok: (1 << 33) + 1,
-        before: Some(past()),
-        knows: id(1 << 36),
-        turned_down: Some((id(301), "limits[0].rps: −1 is not from 0.01".to_owned())),
-        chain: std::array::from_fn(|at| 0x80 + at as u8),
-        entries: 70_000,
+        succeeded: (1 << 33) + 1,
+        previous: Some(past()),
+        newest_held: id(1 << 36),
+        rejected: Some((id(301), "limits[0].rps: −1 is not from 0.01".to_owned())),
+        audit_head: std::array::from_fn(|at| 0x80 + at as u8),
+        audit_length: 70_000,
         orders: orders(),
         ..first.clone()
     };
@@ -154,22 +154,22 @@
         ("full", full),
         (
             "leaving",
-            Word {
+            NodeStatus {
                 leaving: true,
                 ..first.clone()
             },
         ),
         (
             "shut",
-            Word {
-                shut: true,
+            NodeStatus {
+                excluded: true,
                 ..first.clone()
             },
         ),
         (
             "wants_out",
-            Word {
-                wants_out: true,
+            NodeStatus {
+                wants_exclusion: true,
                 ..first
             },
         ),
@@ -180,18 +180,23 @@
     Version {
         number: 300,
         replaces: id(299),
-        must: true,
-        by: "server-17.alps".to_owned(),
-        at_ms: 1_790_000_000_123,
-        waves: vec![0.05, 0.3, 1.0],
-        pause_ms: (1 << 32) + 600,
+        mandatory: true,
+        publisher: "server-17.alps".to_owned(),
+        published_at_ms: 1_790_000_000_123,
+        stages: vec![0.05, 0.3, 1.0],
+        stage_pause_ms: (1 << 32) + 600,
         content: "{\"limits\":[{\"name\":\"größte\",\"rps\":200.5}]}".to_owned(),
     }
 }
 
-fn chain() -> Chain {
-    let mut chain = Chain::default();
-    chain.add(Id::default(), 1_789_000_000_000, 1_789_999_000_000, 0);
+fn chain() -> AuditChain {
+    let mut chain = AuditChain::default();
+    chain.add(
+        VersionId::default(),
+        1_789_000_000_000,
+        1_789_999_000_000,
+        0,
+    );
     chain.add(id(299), 1_789_999_000_000, 1_790_000_000_001, (1 << 34) + 9);
     chain.add(id(300), 1_790_000_000_001, 1_790_000_000_002, 130);
     chain
@@ -199,13 +204,13 @@
 
 fn server(own: Member, peers: Vec<SocketAddr>) -> Fleet {
     let name = "alps".to_owned();
-    let terms = FleetTerms {
+    let terms = FleetConfig {
         name,
         own,
         peers,
-        behind: 10_000,
-        silent: 10_000,
-        silent_shuts: false,
+        max_lag: 10_000,
+        max_silence: 10_000,
+        exclude_when_isolated: false,
         seed: 7,
     };
     Fleet::new(terms, 0, WALL_MS)
@@ -215,20 +220,20 @@
 #[test]
 fn a_datagram_keeps_its_bytes() {
     let all = [
-        Rider::Members,
-        Rider::Words,
-        Rider::Versions,
-        Rider::Limits,
-        Rider::LimitLetter,
-        Rider::Verdicts,
-        Rider::VerdictLetter,
+        PayloadKind::Membership,
+        PayloadKind::Statuses,
+        PayloadKind::Versions,
+        PayloadKind::QuotaGossip,
+        PayloadKind::QuotaMessage,
+        PayloadKind::HealthGossip,
+        PayloadKind::HealthMessage,
     ];
     let datagram = |from: Member, number, echo| {
         let parts = all
             .iter()
             .enumerate()
             .map(|(at, rider)| (*rider, vec![0xf0 + at as u8; at * 30]));
-        let mut datagram = Datagram::new(envelope::fleet("alps"), from, 1_790_000_000_456);
+        let mut datagram = Datagram::new(fleet_id("alps"), from, 1_790_000_000_456);
         (datagram.number, datagram.echo, datagram.parts) = (number, echo, parts.collect());
         datagram
     };
@@ -238,10 +243,10 @@
     ];
     let written = values
         .clone()
-        .map(|(name, value)| (name.to_owned(), value.bytes()));
+        .map(|(name, value)| (name.to_owned(), value.encode()));
     for (bytes, (name, value)) in golden("datagrams", &written).iter().zip(values) {
         assert_eq!(
-            Datagram::read(bytes, envelope::fleet("alps")),
+            Datagram::decode(bytes, fleet_id("alps")),
             Ok(value),
             "{name}"
         );
@@ -256,18 +261,18 @@
     let letters = [
         (
             "want",
-            Letter::Want {
+            VersionMessage::Request {
                 id: id(300),
-                pieces: vec![0, 127, 128, 262],
+                chunks: vec![0, 127, 128, 262],
             },
         ),
         (
             "piece",
-            Letter::Piece {
+            VersionMessage::Chunk {
                 id: id(1 << 40),
-                bytes: 262_144,
-                at: 200,
-                piece,
+                version_bytes: 262_144,
+                index: 200,
+                data: piece,
             },
         ),
     ];
@@ -279,23 +284,26 @@
 fn words_on_their_way_keep_their_bytes() {
     let mut all = words().into_iter().map(|(_, word)| word);
     let (passed, own) = (all.next().unwrap(), all.next().unwrap());
-    let mut spread = Words::default();
+    let mut spread = NodeStatuses::default();
     let told = postcard::to_allocvec(&vec![(passed.clone(), 5_000u32)]).unwrap();
-    spread.heard(100_000, &own.of, &told);
-    spread.own(own.clone());
+    spread.receive(100_000, &own.member, &told);
+    spread.set_own(own.clone());
     let written = [(
         "own_and_passed".to_owned(),
-        spread.said(165_535, 1_000).unwrap(),
+        spread.next_payload(165_535, 1_000).unwrap(),
     )];
     let bytes = golden("spread", &written).remove(0);
-    let mut other = Words::default();
+    let mut other = NodeStatuses::default();
     assert_eq!(
-        other.heard(200_000, &Member::new("x", near().at, 1), &bytes),
+        other.receive(200_000, &Member::new("x", near().address, 1), &bytes),
         [own.clone(), passed.clone()]
     );
-    assert_eq!(other.of(&own.of).map(|heard| heard.at), Some(200_000));
     assert_eq!(
-        other.of(&passed.of).map(|heard| heard.at),
+        other.get(&own.member).map(|heard| heard.sent_at),
+        Some(200_000)
+    );
+    assert_eq!(
+        other.get(&passed.member).map(|heard| heard.sent_at),
         Some(200_000 - 70_535)
     );
 }
@@ -304,21 +312,21 @@
 #[test]
 fn a_version_keeps_its_bytes_id_and_waves() {
     let plain = Version {
-        must: false,
-        waves: Vec::new(),
-        pause_ms: 0,
-        replaces: Id::default(),
+        mandatory: false,
+        stages: Vec::new(),
+        stage_pause_ms: 0,
+        replaces: VersionId::default(),
         ..version()
     };
     let all = [("waved", version()), ("plain", plain)];
     let mut written: Vec<_> = all
         .iter()
-        .map(|(name, one)| ((*name).to_owned(), one.blob()))
+        .map(|(name, one)| ((*name).to_owned(), one.encode()))
         .collect();
     for (name, one) in &all {
-        let (id, _) = Version::of(&one.blob()).unwrap();
+        let (id, _) = Version::decode(&one.encode()).unwrap();
         let waves = (0..64)
-            .map(|at| one.wave(&format!("n{at}")).unwrap() as u8)
+            .map(|at| one.stage(&format!("n{at}")).unwrap() as u8)
             .collect();
         written.push((format!("{name}_id"), id.to_string().into_bytes()));
         written.push((format!("{name}_waves"), waves));
@@ -326,7 +334,7 @@
     let bytes = golden("versions", &written);
     for (blob, (_, one)) in bytes.iter().zip(&all) {
         assert_eq!(
-            Version::of(blob).map(|(_, version)| version).as_ref(),
+            Version::decode(blob).map(|(_, version)| version).as_ref(),
             Some(one)
         );
     }
@@ -336,7 +344,7 @@
 #[test]
 fn a_fleet_record_keeps_its_bytes_and_is_believed() {
     let chain = chain();
-    let entries: Vec<Entry> = chain.entries().cloned().collect();
+    let entries: Vec<AuditEntry> = chain.entries().cloned().collect();
     let names = ["none", "older", "newer"];
     both_ways(
         "entries",
@@ -360,60 +368,65 @@
         .iter()
         .map(|entry| postcard::to_allocvec(entry).unwrap())
         .collect();
-    let (id, _) = Version::of(&version().blob()).unwrap();
-    assert_eq!(fleet.restore(&version().blob(), &kept), Some(id));
-    assert_eq!((fleet.events(), fleet.record().1), (Vec::new(), kept));
+    let (id, _) = Version::decode(&version().encode()).unwrap();
+    assert_eq!(fleet.restore(&version().encode(), &kept), Some(id));
+    assert_eq!(
+        (fleet.take_events(), fleet.snapshot().1),
+        (Vec::new(), kept)
+    );
 }
 
 /// Guards against members of two releases that don't find each other: an identity or message in other bytes.
 #[test]
 fn membership_messages_keep_their_bytes() {
     let mut all = [
-        Members::new(near(), &[far().at], 7),
-        Members::new(far(), &[], 8),
+        Membership::new(near(), &[far().address], 7),
+        Membership::new(far(), &[], 8),
     ];
     let mut written = Vec::new();
     for now in (0..2_500).step_by(100) {
         for from in 0..2 {
             all[from].tick(now);
-            for (_, bytes) in all[from].send() {
-                all[1 - from].heard(now, &bytes);
+            for (_, bytes) in all[from].take_messages() {
+                all[1 - from].receive(now, &bytes);
                 written.push((format!("{now}_from_{from}"), bytes));
             }
         }
     }
     assert!(
-        all[1].changes().contains(&Change::Up(near()))
-            && all[0].changes().contains(&Change::Up(far()))
+        all[1]
+            .take_changes()
+            .contains(&MembershipChange::Up(near()))
+            && all[0].take_changes().contains(&MembershipChange::Up(far()))
     );
     all[0].leave(2_500);
     let gone = all[0]
-        .send()
+        .take_messages()
         .into_iter()
         .map(|(_, bytes)| ("leaves".to_owned(), bytes));
     written.extend(gone);
     let bytes = golden("members", &written);
     // Another process in the second one's place hears the golden bytes.
-    let mut other = Members::new(far(), &[], 9);
-    let heard = |other: &mut Members, from: &str| {
+    let mut other = Membership::new(far(), &[], 9);
+    let heard = |other: &mut Membership, from: &str| {
         let to_it = bytes
             .iter()
             .zip(&written)
             .filter(|(_, (name, _))| name.ends_with(from));
-        to_it.for_each(|(bytes, _)| other.heard(0, bytes));
+        to_it.for_each(|(bytes, _)| other.receive(0, bytes));
     };
     heard(&mut other, "from_0");
-    assert_eq!(other.changes(), [Change::Up(near())]);
+    assert_eq!(other.take_changes(), [MembershipChange::Up(near())]);
     heard(&mut other, "leaves");
-    assert_eq!(other.changes(), [Change::Down(near())]);
+    assert_eq!(other.take_changes(), [MembershipChange::Down(near())]);
 }
 
 /// What two servers of a fleet send each other within five seconds: one publishes two versions, the other takes
 /// the first and turns down the second, is shut out and let in; then the first leaves.
 fn play() -> Vec<(String, Vec<u8>)> {
     let mut all = [
-        server(near(), vec![far().at]),
-        server(far(), vec![near().at]),
+        server(near(), vec![far().address]),
+        server(far(), vec![near().address]),
     ];
     let mut sent = Vec::new();
     for now in (0..5_000).step_by(100) {
@@ -424,23 +437,23 @@
                 let id = all[0]
                     .publish(now, wall_ms, content, now > 2_000, Vec::new(), 0)
                     .unwrap();
-                all[0].took(now, wall_ms, id);
+                all[0].activate(now, wall_ms, id);
             }
-            3_000 => all[0].by_hand(now, &far().name, true).unwrap(),
-            3_500 => all[0].by_hand(now, &far().name, false).unwrap(),
+            3_000 => all[0].set_excluded(now, &far().name, true).unwrap(),
+            3_500 => all[0].set_excluded(now, &far().name, false).unwrap(),
             4_500 => all[0].leave(now, wall_ms),
             _ => {}
         }
-        if let Some((id, _)) = all[1].pending(now) {
+        if let Some((id, _)) = all[1].pending_version(now) {
             match now < 2_500 {
-                true => all[1].took(now, wall_ms, id),
-                false => all[1].turned_down(now, id, "limits: unknown"),
+                true => all[1].activate(now, wall_ms, id),
+                false => all[1].reject(now, id, "limits: unknown"),
             }
         }
         for from in 0..2 {
             all[from].tick(now, wall_ms, (now * 3, now * 2));
-            for (_, bytes) in all[from].send() {
-                all[1 - from].heard(now, wall_ms, &bytes).unwrap();
+            for (_, bytes) in all[from].take_datagrams() {
+                all[1 - from].handle_datagram(now, wall_ms, &bytes).unwrap();
                 sent.push((format!("{now}_from_{from}"), bytes));
             }
         }
@@ -453,11 +466,11 @@
 fn all_datagrams_of_a_play_keep_their_bytes() {
     let sent = play();
     let letters = |(_, bytes): &&(String, Vec<u8>)| {
-        let datagram = Datagram::read(bytes, envelope::fleet("alps")).unwrap();
+        let datagram = Datagram::decode(bytes, fleet_id("alps")).unwrap();
         datagram
             .parts
             .iter()
-            .any(|(rider, _)| *rider == Rider::Versions)
+            .any(|(rider, _)| *rider == PayloadKind::Versions)
     };
     // Two versions are asked for, and come in a piece each.
     assert_eq!(sent.iter().filter(letters).count(), 4);
--- a/crates/coralstep-fleet/tests/virtual_time.rs
+++ b/crates/coralstep-fleet/tests/virtual_time.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use coralstep_fleet::audit::Filter;
-use coralstep_fleet::members::State;
-use coralstep_fleet::{Event, Fleet, FleetTerms, Id, Member, Shut};
+use coralstep_fleet::audit::AuditFilter;
+use coralstep_fleet::membership::MemberState;
+use coralstep_fleet::{Event, ExclusionReason, Fleet, FleetConfig, Member, VersionId};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rand::rngs::SmallRng;
@@ -92,16 +92,16 @@
 
     fn start(&mut self, server: usize) {
         let own = Member::new(&format!("n{server}"), at(server), WALL + self.now);
-        let (behind, silent, silent_shuts) = self.terms;
+        let (max_lag, max_silence, exclude_when_isolated) = self.terms;
         let seed = self.chance.random();
         let peers = self.seeds.clone();
-        let terms = FleetTerms {
+        let terms = FleetConfig {
             name: "alps".to_owned(),
             own,
             peers,
-            behind,
-            silent,
-            silent_shuts,
+            max_lag,
+            max_silence,
+            exclude_when_isolated,
             seed,
         };
         let fleet = Fleet::new(terms, self.now, WALL + self.now);
@@ -143,32 +143,32 @@
                 let (to, bytes) = entry.remove();
                 if let Some(server) = self.servers.get_mut(&to).filter(|server| !server.paused) {
                     let wall = World::wall(self.now, server);
-                    let _ = server.fleet.heard(self.now, wall, &bytes);
+                    let _ = server.fleet.handle_datagram(self.now, wall, &bytes);
                 }
             }
             let mut out = Vec::new();
             for (number, server) in self.servers.iter_mut().filter(|(_, server)| !server.paused) {
                 let wall = World::wall(self.now, server);
                 server.fleet.tick(self.now, wall, server.counts);
-                if let Some((id, version)) = server.fleet.pending(self.now) {
+                if let Some((id, version)) = server.fleet.pending_version(self.now) {
                     match server.rejects || version.content.contains("bad") {
                         true => server
                             .fleet
-                            .turned_down(self.now, id, "it would starve a method"),
-                        false => server.fleet.took(self.now, wall, id),
+                            .reject(self.now, id, "it would starve a method"),
+                        false => server.fleet.activate(self.now, wall, id),
                     }
                 }
                 server.events.extend(
                     server
                         .fleet
-                        .events()
+                        .take_events()
                         .into_iter()
                         .map(|event| (self.now, event)),
                 );
                 out.extend(
                     server
                         .fleet
-                        .send()
+                        .take_datagrams()
                         .into_iter()
                         .map(|(to, bytes)| (*number, to, bytes)),
                 );
@@ -213,7 +213,7 @@
         must: bool,
         waves: Vec<f32>,
         pause_ms: u64,
-    ) -> Id {
+    ) -> VersionId {
         let (now, wall) = (self.now, World::wall(self.now, &self.servers[&server]));
         let fleet = &mut self.servers.get_mut(&server).unwrap().fleet;
         fleet
@@ -221,21 +221,21 @@
             .unwrap()
     }
 
-    fn on(&self, id: Id) -> usize {
+    fn on(&self, id: VersionId) -> usize {
         self.servers
             .values()
-            .filter(|server| server.fleet.acts_on() == id)
+            .filter(|server| server.fleet.active_version() == id)
             .count()
     }
 
     /// Time until all act on `id`, at most so long.
-    fn until_all_on(&mut self, id: Id, most: u64) -> u64 {
+    fn until_all_on(&mut self, id: VersionId, most: u64) -> u64 {
         let start = self.now;
         while self.on(id) < self.servers.len() {
             let on: Vec<_> = self
                 .servers
                 .iter()
-                .map(|(at, server)| (at, server.fleet.acts_on().number))
+                .map(|(at, server)| (at, server.fleet.active_version().number))
                 .collect();
             assert!(
                 self.now - start < most,
@@ -252,7 +252,7 @@
         let members = self.servers[&server].fleet.members(self.now);
         members
             .iter()
-            .filter(|(_, state, ..)| matches!(state, State::Alive))
+            .filter(|(_, state, ..)| matches!(state, MemberState::Alive))
             .count()
     }
 
@@ -277,9 +277,9 @@
     for server in world.servers.values() {
         let rows = server.fleet.audit(
             world.now,
-            &Filter {
+            &AuditFilter {
                 version: Some(id),
-                ..Filter::default()
+                ..AuditFilter::default()
             },
         );
         assert_eq!(
@@ -290,13 +290,13 @@
         );
         let before = server.fleet.audit(
             world.now,
-            &Filter {
+            &AuditFilter {
                 at_ms: Some(WALL + 1_500),
-                ..Filter::default()
+                ..AuditFilter::default()
             },
         );
         assert!(
-            before.iter().all(|row| row.version == Id::default()),
+            before.iter().all(|row| row.version == VersionId::default()),
             "{before:?}"
         );
     }
@@ -328,14 +328,14 @@
     assert_eq!((world.on(left), world.on(right)), (3, 3));
     world.cut.clear();
     world.until_all_on(left.max(right), 60_000);
-    let forked = |event: &Event| *event == Event::Fork(left.min(right), left.max(right));
+    let forked = |event: &Event| *event == Event::VersionFork(left.min(right), left.max(right));
     assert!((0..6).any(|server| world.has(server, forked)));
     // The audit shows for good who acted on which.
     let rows = world.servers[&0].fleet.audit(
         world.now,
-        &Filter {
+        &AuditFilter {
             version: Some(left.min(right)),
-            ..Filter::default()
+            ..AuditFilter::default()
         },
     );
     assert!(rows.len() >= 3, "{rows:?}");
@@ -358,7 +358,7 @@
             world
                 .servers
                 .values()
-                .all(|server| server.fleet.shut().is_none()),
+                .all(|server| server.fleet.exclusion().is_none()),
             "nobody is behind"
         );
         // And it goes on.
@@ -382,13 +382,13 @@
     world.servers.get_mut(&4).unwrap().paused = false;
     world.pass(TICK);
     assert_eq!(
-        world.servers[&4].fleet.shut(),
-        Some(&Shut::Paused),
+        world.servers[&4].fleet.exclusion(),
+        Some(&ExclusionReason::Paused),
         "with its first tick, before anything is admitted"
     );
     world.until_all_on(third, 15_000);
     world.pass(RESUMED);
-    assert_eq!(world.servers[&4].fleet.shut(), None);
+    assert_eq!(world.servers[&4].fleet.exclusion(), None);
 }
 
 const RESUMED: u64 = 4_000;
@@ -401,11 +401,14 @@
     let id = world.publish(0, "{}", true, Vec::new(), 0);
     world.pass(6_000);
     assert_eq!(world.on(id), 4);
-    assert_eq!(world.servers[&2].fleet.shut(), Some(&Shut::TurnedDown(id)));
+    assert_eq!(
+        world.servers[&2].fleet.exclusion(),
+        Some(&ExclusionReason::RejectedVersion(id))
+    );
     assert!(
         world.servers[&0]
             .fleet
-            .current()
+            .current_members()
             .all(|member| member.name != "n2"),
         "others take nothing from it"
     );
@@ -414,7 +417,7 @@
     let back = world.publish(0, "{\"back\":1}", true, Vec::new(), 0);
     world.until_all_on(back, 10_000);
     world.pass(1_000);
-    assert_eq!(world.servers[&2].fleet.shut(), None);
+    assert_eq!(world.servers[&2].fleet.exclusion(), None);
     // All turn it down: the version is at fault, not the fleet.
     let bad = world.publish(0, "bad", true, vec![0.4, 1.0], 3_000);
     world.pass(20_000);
@@ -422,12 +425,12 @@
     let shut = world
         .servers
         .values()
-        .filter(|server| server.fleet.shut().is_some())
+        .filter(|server| server.fleet.exclusion().is_some())
         .count();
     assert!(shut <= 1, "{shut} of 5 are shut out");
     assert!((0..5).any(|server| world.has(
         server,
-        |event| matches!(event, Event::Stopped(id, _) if *id == bad)
+        |event| matches!(event, Event::RolloutHalted(id, _) if *id == bad)
     )));
 }
 
@@ -447,7 +450,7 @@
     for _ in 0..60 {
         world.pass(100);
         let on: Vec<usize> = (0..8)
-            .filter(|at| world.servers[at].fleet.acts_on() == waved)
+            .filter(|at| world.servers[at].fleet.active_version() == waved)
             .collect();
         early = on.len();
         for at in on {
@@ -458,7 +461,7 @@
         for server in world
             .servers
             .values_mut()
-            .filter(|server| server.fleet.acts_on() != waved)
+            .filter(|server| server.fleet.active_version() != waved)
         {
             server.counts = (server.counts.0 + 20, server.counts.1 + 20);
         }
@@ -466,13 +469,13 @@
     assert!((1..8).contains(&early), "{early} in the first wave");
     world.pass(20_000);
     assert_eq!(world.on(waved), early);
-    let stopped = |event: &Event| matches!(event, Event::Stopped(id, why) if *id == waved && why.contains("ok"));
+    let stopped = |event: &Event| matches!(event, Event::RolloutHalted(id, why) if *id == waved && why.contains("ok"));
     assert!((0..8).any(|server| world.has(server, stopped)));
     assert!(
         world
             .servers
             .values()
-            .all(|server| server.fleet.shut().is_none()),
+            .all(|server| server.fleet.exclusion().is_none()),
         "who waits for its wave is not behind"
     );
 }
@@ -485,13 +488,13 @@
     world.pass(4_000);
     let first = world.publish(0, "{}", false, Vec::new(), 0);
     world.until_all_on(first, 8_000);
-    assert!(world.has(0, |event| *event == Event::ClockOff("n1".to_owned())));
+    assert!(world.has(0, |event| *event == Event::ClockSkewed("n1".to_owned())));
     world.servers.get_mut(&0).unwrap().off = -600_000;
     let second = world.publish(3, "{\"two\":1}", false, Vec::new(), 0);
     world.until_all_on(second, 8_000);
     world.pass(2_000);
     for server in world.servers.values() {
-        for row in server.fleet.audit(world.now, &Filter::default()) {
+        for row in server.fleet.audit(world.now, &AuditFilter::default()) {
             assert!(row.to_ms.is_none_or(|to| to >= row.from_ms), "{row:?}");
         }
     }
@@ -509,13 +512,13 @@
     assert_eq!(world.alive(0), 5);
     // A second process under a name that another holds.
     let own = Member::new("n1", at(7), WALL + world.now);
-    let terms = FleetTerms {
+    let terms = FleetConfig {
         name: "alps".to_owned(),
         own,
         peers: vec![at(0)],
-        behind: 8_000,
-        silent: 8_000,
-        silent_shuts: false,
+        max_lag: 8_000,
+        max_silence: 8_000,
+        exclude_when_isolated: false,
         seed: 77,
     };
     let fleet = Fleet::new(terms, world.now, WALL + world.now);
@@ -529,7 +532,9 @@
     };
     world.servers.insert(7, twin);
     world.pass(6_000);
-    assert!((0..5).any(|server| world.has(server, |event| matches!(event, Event::NameHeld(..)))));
+    assert!(
+        (0..5).any(|server| world.has(server, |event| matches!(event, Event::DuplicateName(..))))
+    );
     // One that leaves says so.
     let now = world.now;
     world
@@ -545,7 +550,7 @@
     assert!(
         members
             .iter()
-            .any(|(member, state, ..)| member.name == "n3" && *state == State::Leaving),
+            .any(|(member, state, ..)| member.name == "n3" && *state == MemberState::Leaving),
         "{members:?}"
     );
 }
@@ -561,15 +566,15 @@
         world.cut(0..3, [3]);
         world.pass(40_000);
         assert_eq!(
-            world.servers[&3].fleet.shut(),
-            shuts.then_some(&Shut::Silent)
+            world.servers[&3].fleet.exclusion(),
+            shuts.then_some(&ExclusionReason::Isolated)
         );
-        assert_eq!(world.servers[&0].fleet.shut(), None);
+        assert_eq!(world.servers[&0].fleet.exclusion(), None);
         let rows = world.servers[&0].fleet.audit(
             world.now,
-            &Filter {
+            &AuditFilter {
                 server: Some("n3".to_owned()),
-                ..Filter::default()
+                ..AuditFilter::default()
             },
         );
         assert!(
@@ -578,7 +583,7 @@
         );
         world.cut.clear();
         world.pass(20_000);
-        assert_eq!(world.servers[&3].fleet.shut(), None);
+        assert_eq!(world.servers[&3].fleet.exclusion(), None);
         assert_eq!(world.alive(0), 4);
     }
 }
@@ -649,7 +654,7 @@
     Pause(usize),
     Restart(usize),
     Publish(usize),
-    Order(usize, usize, bool),
+    MembershipOrder(usize, usize, bool),
 }
 
 fn acts() -> impl Strategy<Value = Vec<(Act, u64)>> {
@@ -659,7 +664,8 @@
         (0..7usize).prop_map(Act::Pause),
         (0..7usize).prop_map(Act::Restart),
         (0..7usize).prop_map(Act::Publish),
-        (0..7usize, 0..7usize, any::<bool>()).prop_map(|(at, of, shut)| Act::Order(at, of, shut)),
+        (0..7usize, 0..7usize, any::<bool>())
+            .prop_map(|(at, of, shut)| Act::MembershipOrder(at, of, shut)),
     ];
     proptest::collection::vec((act, 500..6_000u64), 1..8)
 }
@@ -680,11 +686,11 @@
             Act::Publish(one) => {
                 _ = world.publish(*one, &format!("{{\"{number}\":1}}"), false, Vec::new(), 0)
             }
-            Act::Order(at, of, shut) => {
+            Act::MembershipOrder(at, of, shut) => {
                 let now = world.now;
                 let fleet = &mut world.servers.get_mut(at).unwrap().fleet;
                 // Who doesn't know the other says so.
-                let _ = fleet.by_hand(now, &format!("n{of}"), *shut);
+                let _ = fleet.set_excluded(now, &format!("n{of}"), *shut);
             }
         }
         world.pass(*pause);
@@ -713,8 +719,11 @@
     }
     world.pass(10_000);
     for server in world.servers.values() {
-        let shut = server.fleet.shut();
-        prop_assert!(matches!(shut, None | Some(Shut::ByHand)), "{shut:?}");
+        let shut = server.fleet.exclusion();
+        prop_assert!(
+            matches!(shut, None | Some(ExclusionReason::ByOperator)),
+            "{shut:?}"
+        );
     }
     Ok(())
 }
@@ -756,8 +765,8 @@
     // One of the second wave is away meanwhile.
     let waved = world.publish(0, "{\"two\":1}", false, vec![0.3, 1.0], 5_000);
     let second = (1..6).find(|at| {
-        let version = world.servers[&0].fleet.versions().held(waved).unwrap();
-        version.wave(&format!("n{at}")) == Some(1)
+        let version = world.servers[&0].fleet.versions().get(waved).unwrap();
+        version.stage(&format!("n{at}")) == Some(1)
     });
     let second = second.unwrap();
     world.servers.get_mut(&second).unwrap().paused = true;
@@ -769,10 +778,10 @@
         world.pass(TICK);
         let fleet = &world.servers[&second].fleet;
         assert!(
-            fleet.acts_on() == waved || fleet.shut().is_some(),
+            fleet.active_version() == waved || fleet.exclusion().is_some(),
             "let in under {}",
-            fleet.acts_on()
+            fleet.active_version()
         );
     }
-    assert_eq!(world.servers[&second].fleet.acts_on(), waved);
+    assert_eq!(world.servers[&second].fleet.active_version(), waved);
 }
--- a/crates/coralstep-lab/src/explore/fleet.rs
+++ b/crates/coralstep-lab/src/explore/fleet.rs
@@ -1,18 +1,18 @@
-//! Versions in a small scope: three servers on the real `Versions`, two of which may publish, with letters that are lost, doubled or spoilt,
+//! VersionStore in a small scope: three servers on the real `VersionStore`, two of which may publish, with letters that are lost, doubled or spoilt,
 //! and servers that are killed and start with nothing. Whatever happens, two contents never pass under one id, an RPC is counted under
 //! the version it was read under, and when the trouble is over all who are there act on one version.
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use coralstep_fleet::versions::{Letter, Version, Versions};
-use coralstep_fleet::{Id, Member};
+use coralstep_fleet::versions::{Version, VersionMessage, VersionStore};
+use coralstep_fleet::{Member, VersionId};
 
 use super::Play;
 
 const SERVERS: usize = 3;
 /// Letters under way to one server; more are lost.
 const WAY_MOST: usize = 2;
-/// Versions of one history.
+/// VersionStore of one history.
 const PUBLISHED_MOST: u8 = 2;
 /// Between two moves, in milliseconds: every question is due.
 const STEP: u64 = 10_000;
@@ -38,12 +38,12 @@
 
 #[derive(Debug, Default)]
 struct Server {
-    versions: Versions,
-    acts_on: Id,
+    versions: VersionStore,
+    acts_on: VersionId,
     /// The version that the open RPC was read under.
-    open: Option<Id>,
+    open: Option<VersionId>,
     /// Letters on their way to it, and from whom.
-    way: Vec<(usize, Letter)>,
+    way: Vec<(usize, VersionMessage)>,
 }
 
 pub struct Fleet {
@@ -51,7 +51,7 @@
     servers: Vec<Server>,
     published: u8,
     now: u64,
-    contents: BTreeMap<Id, String>,
+    contents: BTreeMap<VersionId, String>,
     broken: Option<String>,
 }
 
@@ -82,7 +82,7 @@
     }
 
     /// Who holds a version must hold what all others hold under its id.
-    fn holds(&mut self, id: Id, content: String) {
+    fn holds(&mut self, id: VersionId, content: String) {
         match self.contents.get(&id) {
             Some(known) if *known != content => {
                 self.breaks(format!("two contents under version {id}"))
@@ -99,24 +99,24 @@
             .map(|server| server.versions.newest_held())
             .max()
             .unwrap_or_default();
-        self.servers[at].versions.heard_of(known);
+        self.servers[at].versions.learn_of(known);
     }
 
     fn asks(&mut self, at: usize) {
-        let holds: Vec<Vec<Id>> = self
+        let holds: Vec<Vec<VersionId>> = self
             .servers
             .iter()
-            .map(|server| server.versions.all().map(|(id, _)| id).collect())
+            .map(|server| server.versions.iter().map(|(id, _)| id).collect())
             .collect();
-        let holders = |id: Id| {
+        let holders = |id: VersionId| {
             (0..SERVERS)
                 .filter(|other| *other != at && holds[*other].contains(&id))
                 .map(member)
                 .collect()
         };
         let now = self.now;
-        for (of, letter) in self.servers[at].versions.ask(now, holders, 0.0) {
-            let to = usize::from(of.at.port()) - 1;
+        for (of, letter) in self.servers[at].versions.poll_fetch(now, holders, 0.0) {
+            let to = usize::from(of.address.port()) - 1;
             if self.servers[to].way.len() < WAY_MOST {
                 self.servers[to].way.push((at, letter));
             }
@@ -128,15 +128,17 @@
             return;
         }
         let (from, mut letter) = self.servers[at].way.remove(0);
-        if spoilt && let Letter::Piece { piece, .. } = &mut letter {
+        if spoilt && let VersionMessage::Chunk { data: piece, .. } = &mut letter {
             piece.iter_mut().rev().take(1).for_each(|byte| *byte ^= 1);
         }
         if self.cheat == Cheat::Unchecked
-            && let Letter::Piece { id, piece, .. } = &letter
+            && let VersionMessage::Chunk {
+                id, data: piece, ..
+            } = &letter
         {
             self.holds(*id, format!("{piece:?}"));
         }
-        let (answers, whole) = self.servers[at].versions.heard(self.now, letter);
+        let (answers, whole) = self.servers[at].versions.handle_message(self.now, letter);
         for answer in answers {
             if self.servers[from].way.len() < WAY_MOST {
                 self.servers[from].way.push((at, answer));
@@ -147,7 +149,7 @@
         {
             let content = self.servers[at]
                 .versions
-                .held(id)
+                .get(id)
                 .map(|version| version.content.clone());
             content
                 .into_iter()
@@ -158,7 +160,7 @@
     fn takes(&mut self, at: usize) {
         let server = &mut self.servers[at];
         if self.cheat != Cheat::Sticks
-            && let Some((id, _)) = server.versions.wanted()
+            && let Some((id, _)) = server.versions.newest_accepted()
         {
             server.acts_on = server.acts_on.max(id);
         }
@@ -225,11 +227,11 @@
                 let version = Version {
                     number: replaces.number + 1,
                     replaces,
-                    must: false,
-                    by: format!("n{at}"),
-                    at_ms: 0,
-                    waves: Vec::new(),
-                    pause_ms: 0,
+                    mandatory: false,
+                    publisher: format!("n{at}"),
+                    published_at_ms: 0,
+                    stages: Vec::new(),
+                    stage_pause_ms: 0,
                     content: format!("{{\"{at}\":{}}}", self.published),
                 };
                 let content = version.content.clone();
@@ -253,7 +255,7 @@
         let mut hasher = DefaultHasher::new();
         // Times are left out: every question is due at every move.
         let told = |server: &Server| {
-            let held: Vec<Id> = server.versions.all().map(|(id, _)| id).collect();
+            let held: Vec<VersionId> = server.versions.iter().map(|(id, _)| id).collect();
             format!(
                 "{held:?} {:?} {:?} {:?} {:?}",
                 server.versions.newest(),
@@ -292,7 +294,7 @@
             .map(|server| server.versions.newest_held())
             .max()
             .unwrap_or_default();
-        let on: Vec<Id> = self.servers.iter().map(|server| server.acts_on).collect();
+        let on: Vec<VersionId> = self.servers.iter().map(|server| server.acts_on).collect();
         let apart = on.iter().any(|on| *on != newest);
         self.broken
             .or_else(|| apart.then(|| format!("they act on {on:?}, and {newest} is there")))
--- a/crates/coralstep-lab/src/explore/straggler.rs
+++ b/crates/coralstep-lab/src/explore/straggler.rs
@@ -2,8 +2,11 @@
 //! from before and after a stop, silence, and an operator. What it may admit and when is reckoned here a second time, from what happened.
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use coralstep_fleet::Id;
-use coralstep_fleet::straggler::{Bounds, Facts, PAUSE, RESUME, SAID, Straggler};
+use coralstep_fleet::VersionId;
+use coralstep_fleet::exclusion::{
+    ANNOUNCE_DELAY_MS, ExclusionInputs, ExclusionLimits, ExclusionState, MAX_RESUME_MS,
+    MIN_PAUSE_MS,
+};
 
 use super::Play;
 
@@ -54,8 +57,8 @@
 pub struct Lag {
     scope: Scope,
     now: u64,
-    straggler: Straggler,
-    facts: Facts,
+    straggler: ExclusionState,
+    facts: ExclusionInputs,
     spoken: u64,
     truth: Truth,
     broken: Option<String>,
@@ -90,30 +93,30 @@
     }
 
     fn hears(&mut self) {
-        self.straggler.heard(self.now);
+        self.straggler.datagram_received(self.now);
         self.truth.heard = self.now;
     }
 
     fn look(&mut self) {
         self.spoken += 1;
-        self.straggler.judge(self.now, &self.facts);
-        let admits = self.straggler.back(self.now).is_none();
+        self.straggler.evaluate(self.now, &self.facts);
+        let admits = self.straggler.retry_after(self.now).is_none();
         let over =
             |since: Option<u64>, bound: u64| since.is_some_and(|since| self.now > since + bound);
         let truth = &self.truth;
         // Room among those who may be out has to be there for as long as it waits to hear of it.
-        let may = truth.crowded.is_none() && self.now > truth.roomy + SAID + LOOK;
+        let may = truth.crowded.is_none() && self.now > truth.roomy + ANNOUNCE_DELAY_MS + LOOK;
         let fresh = truth
             .unanswered
-            .is_some_and(|since| self.now < since + RESUME);
+            .is_some_and(|since| self.now < since + MAX_RESUME_MS);
         let why = match () {
             () if !admits => return,
             () if truth.by_hand => "though an operator shut it out",
             () if fresh => "after a stop, before any answer",
-            () if may && over(truth.lags, BEHIND + SAID + LOOK) => {
+            () if may && over(truth.lags, BEHIND + ANNOUNCE_DELAY_MS + LOOK) => {
                 "behind for longer than its bound"
             }
-            () if may && over(truth.refuses, SAID + LOOK) => {
+            () if may && over(truth.refuses, ANNOUNCE_DELAY_MS + LOOK) => {
                 "though it turned down what must be acted on"
             }
             () if self.scope.silent_shuts && self.now > truth.heard + SILENT + LOOK => {
@@ -125,18 +128,18 @@
     }
 
     /// The version of this number, as all know it.
-    fn id(number: u64) -> Id {
-        Id {
+    fn id(number: u64) -> VersionId {
+        VersionId {
             number,
-            ..Id::default()
+            ..VersionId::default()
         }
     }
 
     fn learn(&mut self) {
         let target = self.facts.target();
-        let lags = target > self.facts.acts_on;
+        let lags = target > self.facts.active_version;
         self.truth.lags = lags.then(|| self.truth.lags.unwrap_or(self.now));
-        let refuses = self.facts.must && self.facts.turned_down;
+        let refuses = self.facts.mandatory && self.facts.rejected;
         self.truth.refuses = refuses.then(|| self.truth.refuses.unwrap_or(self.now));
     }
 }
@@ -150,17 +153,17 @@
         } else {
             BEHIND
         };
-        let bounds = Bounds {
-            behind,
-            silent: SILENT,
-            silent_shuts: scope.silent_shuts,
+        let bounds = ExclusionLimits {
+            max_lag: behind,
+            max_silence: SILENT,
+            exclude_when_isolated: scope.silent_shuts,
         };
         let now = 60_000;
-        let facts = Facts {
+        let facts = ExclusionInputs {
             others: 4,
             held: true,
-            is_due: true,
-            ..Facts::default()
+            stage_due: true,
+            ..ExclusionInputs::default()
         };
         let truth = Truth {
             heard: now,
@@ -169,7 +172,7 @@
         Lag {
             scope: *scope,
             now,
-            straggler: Straggler::new(bounds, now),
+            straggler: ExclusionState::new(bounds, now),
             facts,
             spoken: 0,
             truth,
@@ -179,7 +182,7 @@
 
     fn moves(&self) -> Vec<u8> {
         let (facts, truth) = (&self.facts, &self.truth);
-        let lags = facts.newest > facts.acts_on && !facts.turned_down;
+        let lags = facts.newest > facts.active_version && !facts.rejected;
         let possible = |what: &u8| match what {
             2 => facts.newest.number < VERSIONS_MOST,
             3 => lags && !facts.held,
@@ -200,24 +203,26 @@
             1 => self.pass(5_000, true),
             2 => {
                 self.facts.newest = Lag::id(self.facts.newest.number + 1);
-                (self.facts.held, self.facts.must, self.facts.turned_down) = (false, false, false);
+                (self.facts.held, self.facts.mandatory, self.facts.rejected) =
+                    (false, false, false);
                 // A newer one is another thing to be behind of.
                 self.truth.lags = None;
             }
-            3 => (self.facts.held, self.facts.must) = (true, true),
+            3 => (self.facts.held, self.facts.mandatory) = (true, true),
             4 => {
-                (self.facts.acts_on, self.facts.wanted) = (self.facts.newest, self.facts.newest);
+                (self.facts.active_version, self.facts.newest_accepted) =
+                    (self.facts.newest, self.facts.newest);
             }
             5 => {
-                self.facts.turned_down = true;
-                self.facts.wanted = self.facts.acts_on;
+                self.facts.rejected = true;
+                self.facts.newest_accepted = self.facts.active_version;
             }
             6 => {
-                self.now += PAUSE + 1_000;
+                self.now += MIN_PAUSE_MS + 1_000;
                 if self.scope.cheat != Cheat::Sleeps
-                    && self.straggler.paused(
+                    && self.straggler.detect_pause(
                         self.now,
-                        PAUSE + 1_000,
+                        MIN_PAUSE_MS + 1_000,
                         self.spoken + 1,
                         self.facts.others,
                     )
@@ -230,7 +235,7 @@
             }
             7 => {
                 self.spoken += 1;
-                self.straggler.answered(self.now, self.spoken);
+                self.straggler.answer_received(self.now, self.spoken);
                 self.hears();
                 self.truth.unanswered = None;
             }
@@ -240,29 +245,30 @@
                 } else {
                     0
                 };
-                self.straggler.answered(self.now, echo);
+                self.straggler.answer_received(self.now, echo);
                 self.hears();
             }
             9 => self.pass(5_000, false),
             10 => {
-                self.straggler.by_hand(true);
+                self.straggler.set_by_operator(true);
                 self.truth.by_hand = true;
             }
             11 => {
-                self.straggler.by_hand(self.scope.cheat == Cheat::Deaf);
+                self.straggler
+                    .set_by_operator(self.scope.cheat == Cheat::Deaf);
                 self.truth.by_hand = false;
             }
             _ => {
-                self.facts.before = 1 - self.facts.before;
-                self.truth.crowded = (self.facts.before > 0).then_some(self.now);
+                self.facts.ahead = 1 - self.facts.ahead;
+                self.truth.crowded = (self.facts.ahead > 0).then_some(self.now);
                 self.truth.roomy = self.now;
             }
         }
         if self.scope.cheat == Cheat::Stubborn {
-            self.facts.must = false;
+            self.facts.mandatory = false;
         }
         self.learn();
-        if self.scope.cheat == Cheat::Stubborn && self.facts.turned_down {
+        if self.scope.cheat == Cheat::Stubborn && self.facts.rejected {
             self.truth.refuses.get_or_insert(self.now);
         }
         self.look();
@@ -299,17 +305,18 @@
         if self.truth.by_hand {
             self.step(11);
         }
-        if self.facts.before > 0 {
+        if self.facts.ahead > 0 {
             self.step(12);
         }
         // Going back is a new version, which it takes up.
         self.facts.newest = Lag::id(self.facts.newest.number + 1);
-        (self.facts.held, self.facts.turned_down, self.facts.must) = (true, false, false);
-        (self.facts.acts_on, self.facts.wanted) = (self.facts.newest, self.facts.newest);
+        (self.facts.held, self.facts.rejected, self.facts.mandatory) = (true, false, false);
+        (self.facts.active_version, self.facts.newest_accepted) =
+            (self.facts.newest, self.facts.newest);
         self.learn();
         self.step(7);
-        self.pass(RESUME + 2 * LOOK, true);
-        let shut = self.straggler.shut().cloned();
+        self.pass(MAX_RESUME_MS + 2 * LOOK, true);
+        let shut = self.straggler.reason().cloned();
         self.broken
             .or_else(|| shut.map(|shut| format!("it stays shut out: {shut:?}")))
     }
--- a/crates/coralstep-lab/src/fleet/guest.rs
+++ b/crates/coralstep-lab/src/fleet/guest.rs
@@ -6,8 +6,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime};
 
-use coralstep_fleet::rider::Riding;
-use coralstep_fleet::{Fleet as Part, FleetTerms, Member};
+use coralstep_fleet::extension::Registration;
+use coralstep_fleet::{Fleet as Part, FleetConfig, Member};
 
 use super::Fleet;
 
@@ -30,7 +30,7 @@
     pub fn join(
         fleet: &Fleet,
         name: &str,
-        rides: impl FnOnce(&Member) -> Riding + Send + 'static,
+        rides: impl FnOnce(&Member) -> Registration + Send + 'static,
     ) -> std::io::Result<Guest> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         socket.set_read_timeout(Some(TICK / 5))?;
@@ -42,13 +42,13 @@
             .unwrap_or_default()
             .as_millis() as u64;
         let own = Member::new(name, at, unix);
-        let terms = FleetTerms {
+        let terms = FleetConfig {
             name: super::processes::NAME.to_owned(),
             own: own.clone(),
             peers,
-            behind: 3_600_000,
-            silent: 3_600_000,
-            silent_shuts: false,
+            max_lag: 3_600_000,
+            max_silence: 3_600_000,
+            exclude_when_isolated: false,
             seed: unix,
         };
         let stop = Arc::new(AtomicBool::new(false));
@@ -57,22 +57,22 @@
             let start = Instant::now();
             let now = || start.elapsed().as_millis() as u64;
             let mut part = Part::new(terms, 0, unix);
-            part.ride(rides(&own));
+            part.register(rides(&own));
             let (mut buffer, mut ticked) = ([0; 4096], Instant::now());
             while !end.load(Ordering::SeqCst) {
                 if let Ok((count, _)) = socket.recv_from(&mut buffer) {
-                    let _ = part.heard(now(), unix + now(), &buffer[..count]);
+                    let _ = part.handle_datagram(now(), unix + now(), &buffer[..count]);
                 }
                 if ticked.elapsed() >= TICK {
                     ticked = Instant::now();
                     part.tick(now(), unix + now(), (0, 0));
                     // It acts on whatever is there: nobody shuts it out for that.
-                    if let Some((id, _)) = part.pending(now()) {
-                        part.took(now(), unix + now(), id);
+                    if let Some((id, _)) = part.pending_version(now()) {
+                        part.activate(now(), unix + now(), id);
                     }
                 }
-                part.events();
-                for (to, bytes) in part.send() {
+                part.take_events();
+                for (to, bytes) in part.take_datagrams() {
                     let _ = socket.send_to(&bytes, to);
                 }
             }
--- a/crates/coralstep-lab/src/shares.rs
+++ b/crates/coralstep-lab/src/shares.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use coralstep_fleet::Member;
-use coralstep_fleet::rider::{Rider, View};
+use coralstep_fleet::extension::{GossipExtension, MembershipView};
 use coralstep_quota::bounds::{DRIFT, most_in};
 use coralstep_quota::holder::{Pass, Which};
 use coralstep_quota::terms::CutOff;
@@ -303,10 +303,12 @@
                 self.way.insert((now + TICK, self.sent), (from, to, bytes));
                 continue;
             }
-            let letters = server.part.letter(server.local(now), &member, &bytes);
+            let letters = server
+                .part
+                .handle_message(server.local(now), &member, &bytes);
             letters
                 .into_iter()
-                .for_each(|(at, bytes)| self.post(to, at, bytes));
+                .for_each(|message| self.post(to, message.to, message.payload));
         }
         let all: Vec<(usize, Member)> = self
             .servers
@@ -337,11 +339,11 @@
                 .map(|(_, member)| member)
                 .collect();
             let own = server.member.clone();
-            let view = View {
+            let view = MembershipView {
                 own: &own,
                 current: present.clone(),
                 present,
-                shut: Vec::new(),
+                excluded: Vec::new(),
                 leaving: server.leaving,
             };
             out.extend(
@@ -349,7 +351,7 @@
                     .part
                     .tick(local, &view)
                     .into_iter()
-                    .map(|(to, bytes)| (*at, to, bytes)),
+                    .map(|message| (*at, message.to, message.payload)),
             );
         }
         for (from, to, bytes) in out {
--- a/crates/coralstep-quota/src/letters.rs
+++ b/crates/coralstep-quota/src/letters.rs
@@ -72,7 +72,7 @@
             Letter::Asks { entries, .. } => entries.len(),
             Letter::Gives { entries, .. } => entries.len(),
             Letter::Elsewhere { keeper } => {
-                usize::from(keeper.as_ref().is_some_and(|keeper| !keeper.is_sound())) * ENTRIES * 2
+                usize::from(keeper.as_ref().is_some_and(|keeper| !keeper.is_valid())) * ENTRIES * 2
             }
             _ => 0,
         };
--- a/crates/coralstep-quota/src/lib.rs
+++ b/crates/coralstep-quota/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod tenure;
 pub mod terms;
 
-pub use coralstep_fleet::Ms;
+pub use coralstep_fleet::Millis as Ms;
 
 pub use part::Limits;
 pub use terms::{Kind, Limit, LimitTerms};
--- a/crates/coralstep-quota/src/part.rs
+++ b/crates/coralstep-quota/src/part.rs
@@ -4,8 +4,8 @@
 use std::fmt;
 
 use coralstep_fleet::Member;
-use coralstep_fleet::rider::{Letter as Sent, Rider, View};
-use coralstep_fleet::spread::{Saying, Spread};
+use coralstep_fleet::extension::{GossipExtension, MembershipView, Message as Sent};
+use coralstep_fleet::gossip::{Disseminator, Gossip};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use serde::{Deserialize, Serialize};
@@ -34,19 +34,19 @@
     shares: Vec<(u64, u32, u32, u32)>,
 }
 
-impl Saying for Holding {
-    const FORGET: Ms = 30_000;
+impl Gossip for Holding {
+    const MAX_AGE_MS: Ms = 30_000;
 
-    fn of(&self) -> &Member {
+    fn origin(&self) -> &Member {
         &self.of
     }
 
-    fn number(&self) -> u64 {
+    fn sequence(&self) -> u64 {
         self.number
     }
 
-    fn is_sound(&self) -> bool {
-        self.of.is_sound() && self.shares.len() <= SAID
+    fn is_valid(&self) -> bool {
+        self.of.is_valid() && self.shares.len() <= SAID
     }
 }
 
@@ -108,7 +108,7 @@
     /// Servers that are shut out get nothing.
     shut: HashSet<Member>,
     named: BTreeMap<String, Member>,
-    spread: Spread<Holding>,
+    spread: Disseminator<Holding>,
     number: u64,
     own_due: Ms,
     /// Since when nobody answers, and when somebody last did.
@@ -132,14 +132,14 @@
             known: None,
             shut: HashSet::new(),
             named: BTreeMap::new(),
-            spread: Spread::default(),
+            spread: Disseminator::default(),
             number: 0,
             own_due: now,
             asked: None,
             answered: now,
             cut_off: false,
             lease,
-            chance: SmallRng::seed_from_u64(seed ^ own.started ^ 2),
+            chance: SmallRng::seed_from_u64(seed ^ own.incarnation ^ 2),
             events: Vec::new(),
         }
     }
@@ -300,8 +300,8 @@
                 over: have.over,
             });
         }
-        for heard in self.spread.all() {
-            let (word, age_ms) = (&heard.word, now.saturating_sub(heard.at));
+        for heard in self.spread.iter() {
+            let (word, age_ms) = (&heard.value, now.saturating_sub(heard.sent_at));
             for (key, share, used, over) in &word.shares {
                 let Some(limit) = name(*key) else { continue };
                 let lease_ms = lease(*key, &word.of.name);
@@ -337,7 +337,7 @@
                 )
             })
             .collect();
-        self.spread.own(Holding {
+        self.spread.set_own(Holding {
             of: self.own.clone(),
             number: self.number,
             shares,
@@ -371,18 +371,18 @@
     }
 }
 
-impl Rider for Limits {
-    fn said(&mut self, now: Ms, room: usize) -> Option<Vec<u8>> {
+impl GossipExtension for Limits {
+    fn next_gossip(&mut self, now: Ms, room: usize) -> Option<Vec<u8>> {
         (!self.limits.is_empty())
-            .then(|| self.spread.said(now, room))
+            .then(|| self.spread.next_payload(now, room))
             .flatten()
     }
 
-    fn heard(&mut self, now: Ms, own: &Member, bytes: &[u8]) {
-        self.spread.heard(now, own, bytes);
+    fn handle_gossip(&mut self, now: Ms, own: &Member, bytes: &[u8]) {
+        self.spread.receive(now, own, bytes);
     }
 
-    fn letter(&mut self, now: Ms, from: &Member, bytes: &[u8]) -> Vec<Sent> {
+    fn handle_message(&mut self, now: Ms, from: &Member, bytes: &[u8]) -> Vec<Sent> {
         let Some(letter) = Letter::read(bytes) else {
             return Vec::new();
         };
@@ -427,17 +427,21 @@
         };
         answer
             .into_iter()
-            .map(|letter| (from.at, letter.bytes()))
+            .map(|letter| Sent::new(from.address, letter.bytes()))
             .collect()
     }
 
-    fn tick(&mut self, now: Ms, view: &View<'_>) -> Vec<Sent> {
+    fn tick(&mut self, now: Ms, view: &MembershipView<'_>) -> Vec<Sent> {
         if self.tenure.named().is_empty() {
             return Vec::new();
         }
         self.own = view.own.clone();
         self.holder.members(view.present.len() + 1);
-        self.shut = view.shut.iter().map(|member| (*member).clone()).collect();
+        self.shut = view
+            .excluded
+            .iter()
+            .map(|member| (*member).clone())
+            .collect();
         let named = view
             .present
             .iter()
@@ -450,7 +454,7 @@
         sent.extend(
             letters
                 .into_iter()
-                .map(|(to, letter)| (to.at, letter.bytes())),
+                .map(|(to, letter)| Sent::new(to.address, letter.bytes())),
         );
         if begins {
             self.begins(now);
@@ -467,8 +471,8 @@
                 continue;
             }
             self.asked.get_or_insert(now);
-            sent.push((
-                whom.at,
+            sent.push(Sent::new(
+                whom.address,
                 Letter::Asks {
                     tenure,
                     number,
@@ -487,7 +491,7 @@
         }
         if now >= self.own_due && !self.limits.is_empty() {
             self.own_due = now + OWN;
-            self.spread.forget(now);
+            self.spread.expire(now);
             self.say(now);
         }
         sent
--- a/crates/coralstep-quota/src/tenure.rs
+++ b/crates/coralstep-quota/src/tenure.rs
@@ -43,7 +43,7 @@
             own: own.clone(),
             named,
             lease,
-            chance: SmallRng::seed_from_u64(seed ^ own.started),
+            chance: SmallRng::seed_from_u64(seed ^ own.incarnation),
             promised: None,
             abstains: now + stretched(TENURE),
             number: 0,
--- a/crates/coralstep-quota/tests/golden.rs
+++ b/crates/coralstep-quota/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The bytes between servers about shares and votes, held still by the tables under `tests/golden`.
 //! `GOLDEN_WRITE=1` writes these anew.
 use coralstep_fleet::Member;
-use coralstep_fleet::rider::{Rider, View};
+use coralstep_fleet::extension::{GossipExtension, MembershipView};
 use coralstep_quota::holder::Which;
 use coralstep_quota::letters::{Ask, Give, Letter};
 use coralstep_quota::terms::{CutOff, Limit, LimitTerms, Names, look_up};
@@ -236,11 +236,11 @@
 }
 
 fn tick(part: &mut Limits, own: &Member, now: u64) {
-    let view = View {
+    let view = MembershipView {
         own,
         present: Vec::new(),
         current: Vec::new(),
-        shut: Vec::new(),
+        excluded: Vec::new(),
         leaving: false,
     };
     part.tick(now, &view);
@@ -269,12 +269,12 @@
     let now = start + RUN_MS;
     let bytes = golden(
         "shares",
-        &[("shares".to_owned(), part.said(now, 1_000).unwrap())],
+        &[("shares".to_owned(), part.next_gossip(now, 1_000).unwrap())],
     )
     .remove(0);
     let mut other = Limits::new(&far(), &[], 10_000, 8, 0);
     other.set(0, &limits());
-    other.heard(now + 70_000, &far(), &bytes);
+    other.handle_gossip(now + 70_000, &far(), &bytes);
     same_text(
         "rows.json",
         &serde_json::to_string_pretty(&other.rows(now + 70_000)).unwrap(),
--- a/crates/coralstep-server/src/fleet/carrier.rs
+++ b/crates/coralstep-server/src/fleet/carrier.rs
@@ -10,10 +10,10 @@
 use async_io::{Async, Timer};
 use coralstep::Span;
 use coralstep_config::site::{FleetTerms, Silent};
-use coralstep_fleet::audit::Filter;
-use coralstep_fleet::envelope::READ_MOST;
-use coralstep_fleet::rider::Seat;
-use coralstep_fleet::{Event, Fleet, Id, Member, Ms, State};
+use coralstep_fleet::audit::AuditFilter;
+use coralstep_fleet::datagram::MAX_RECEIVED_BYTES;
+use coralstep_fleet::extension::{ExtensionId, Registration};
+use coralstep_fleet::{Event, Fleet, Member, MemberState, Millis, VersionId};
 use coralstep_quota::holder::{Pass, Which};
 use coralstep_quota::{Limit, Limits, terms};
 use coralstep_shared_health::{Own, State as BreakerState, Verdicts};
@@ -69,7 +69,7 @@
     limits_of: LimitsOf,
     /// What is said of dependencies, where that is gone by.
     verdicts: Option<Rc<RefCell<Verdicts>>>,
-    hold: Cell<Option<(Id, Id)>>,
+    hold: Cell<Option<(VersionId, VersionId)>>,
     /// For tests: whether the wall clock may be stepped, and by how much it is.
     steps: bool,
     offset_ms: Cell<i64>,
@@ -81,42 +81,44 @@
 }
 
 fn named(member: &Member) -> String {
-    format!("{} at {}", member.name, member.at)
+    format!("{} at {}", member.name, member.address)
 }
 
 fn tell(event: &Event) {
     let said = match event {
-        Event::Member(member, state) => format!("{} is {}", named(member), state.name()),
-        Event::Back => "the others took this server for gone; it is back".to_owned(),
-        Event::NameHeld(one, other) => {
+        Event::MemberStateChanged(member, state) => {
+            format!("{} is {}", named(member), state.name())
+        }
+        Event::Rejoined => "the others took this server for gone; it is back".to_owned(),
+        Event::DuplicateName(one, other) => {
             format!(
                 "one name, two processes: {} and {}",
                 named(one),
                 named(other)
             )
         }
-        Event::Held(id) => format!("version {id} is here"),
-        Event::ActsOn(id) => format!("acts on version {id}"),
-        Event::TurnedDown(id, why) => format!("turned version {id} down: {why}"),
-        Event::Fork(one, other) => {
+        Event::VersionReceived(id) => format!("version {id} is here"),
+        Event::VersionActivated(id) => format!("acts on version {id}"),
+        Event::VersionRejected(id, why) => format!("turned version {id} down: {why}"),
+        Event::VersionFork(one, other) => {
             format!("a fork: {one} and {other} replace the same version; {other} holds")
         }
-        Event::Stopped(id, why) => format!("the wave of version {id} goes no further: {why}"),
-        Event::Shut(why) => format!("shut out: {why:?}"),
-        Event::LetIn => "let in".to_owned(),
-        Event::TooMany(id) => {
+        Event::RolloutHalted(id, why) => format!("the wave of version {id} goes no further: {why}"),
+        Event::Excluded(why) => format!("shut out: {why:?}"),
+        Event::Readmitted => "let in".to_owned(),
+        Event::ExclusionLimitReached(id) => {
             format!(
                 "too many would be shut out for version {id}: the version or the network is at fault"
             )
         }
-        Event::RecordChanged(name) => format!("the record of {name} is not what it was"),
-        Event::ClockOff(name) => format!("the clock of {name} is too far ahead to be believed"),
-        Event::Paused(ms) => format!("this process was paused for {ms} ms"),
+        Event::AuditRecordAltered(name) => format!("the record of {name} is not what it was"),
+        Event::ClockSkewed(name) => format!("the clock of {name} is too far ahead to be believed"),
+        Event::ProcessPaused(ms) => format!("this process was paused for {ms} ms"),
     };
     // Guards against members that come and go without end, and talk all other lines away: their lines are a peer's.
     if matches!(
         event,
-        Event::Member(..) | Event::NameHeld(..) | Event::ClockOff(_)
+        Event::MemberStateChanged(..) | Event::DuplicateName(..) | Event::ClockSkewed(_)
     ) && log::admitted(Instant::now(), true).is_none()
     {
         return;
@@ -141,29 +143,36 @@
             .map_err(|why| format!("fleet.listen: {why}"))?;
         let start = Instant::now();
         let own = Member::new(name, terms.advertise.unwrap_or(bound), unix_ms());
-        if !own.is_sound() {
+        if !own.is_valid() {
             return Err(format!("name: {name:?} is none that a fleet can hear"));
         }
-        let terms_ = coralstep_fleet::FleetTerms {
+        let config = coralstep_fleet::FleetConfig {
             name: terms.name.clone(),
             own,
             peers: terms.peers.clone(),
-            behind: u64::from(terms.behind_s) * 1_000,
-            silent: u64::from(terms.silent_s) * 1_000,
-            silent_shuts: terms.silent == Silent::ShutOut,
+            max_lag: u64::from(terms.behind_s) * 1_000,
+            max_silence: u64::from(terms.silent_s) * 1_000,
+            exclude_when_isolated: terms.silent == Silent::ShutOut,
             seed,
         };
-        let mut fleet = Fleet::new(terms_, 0, unix_ms());
+        let mut fleet = Fleet::new(config, 0, unix_ms());
         let limits = (!terms.keepers.is_empty()).then(|| {
             let lease = u64::from(terms.lease_ms);
-            let limits = Limits::new(fleet.own(), &terms.keepers, lease, seed, 0);
+            let limits = Limits::new(fleet.local_member(), &terms.keepers, lease, seed, 0);
             let limits = Rc::new(RefCell::new(limits));
-            fleet.ride((Seat::Limits, limits.clone()));
+            fleet.register(Registration::new(ExtensionId::Quota, limits.clone()));
             limits
         });
         let verdicts = terms.verdicts.map(|parts| {
-            let verdicts = Rc::new(RefCell::new(Verdicts::new(fleet.own(), parts, seed)));
-            fleet.ride((Seat::Verdicts, verdicts.clone()));
+            let verdicts = Rc::new(RefCell::new(Verdicts::new(
+                fleet.local_member(),
+                parts,
+                seed,
+            )));
+            fleet.register(Registration::new(
+                ExtensionId::SharedHealth,
+                verdicts.clone(),
+            ));
             verdicts
         });
         let recorder = folder.and_then(Recorder::start).map(|(recorder, found)| {
@@ -202,8 +211,8 @@
         unix_ms().saturating_add_signed(self.offset_ms.get())
     }
 
-    fn now(&self) -> Ms {
-        self.start.elapsed().as_millis() as Ms
+    fn now(&self) -> Millis {
+        self.start.elapsed().as_millis() as Millis
     }
 
     /// From here on each RPC is preceded by a look at whether this server is shut out.
@@ -218,13 +227,13 @@
     fn back(&self) -> Option<Span> {
         // Never while something of the fleet's own is under way.
         let mut fleet = self.fleet.try_borrow_mut().ok()?;
-        fleet.back(self.now()).map(Span::ms)
+        fleet.retry_after(self.now()).map(Span::ms)
     }
 
     /// Hears and speaks for good.
     pub async fn run(&self, facade: &Facade, take: &Take, watch: &Watch) {
         let mut next = Instant::now();
-        let mut buffer = vec![0; READ_MOST + 1];
+        let mut buffer = vec![0; MAX_RECEIVED_BYTES + 1];
         loop {
             let beat = async {
                 Timer::at(next).await;
@@ -266,7 +275,7 @@
         let read = || {
             self.fleet
                 .borrow_mut()
-                .heard(self.now(), self.wall_ms(), bytes)
+                .handle_datagram(self.now(), self.wall_ms(), bytes)
                 .is_ok()
         };
         let heard = listed && catch_unwind(AssertUnwindSafe(read)).unwrap_or(false);
@@ -278,7 +287,7 @@
         self.fleet
             .borrow_mut()
             .tick(now, self.wall_ms(), facade.counts());
-        let pending = self.fleet.borrow_mut().pending(now);
+        let pending = self.fleet.borrow_mut().pending_version(now);
         if let Some((id, version)) = pending {
             // Taken up without a hold on the fleet: what it changes may ask.
             let taken = take(&version.content);
@@ -286,10 +295,10 @@
             match taken {
                 Ok(()) => {
                     facade.versioned();
-                    fleet.took(now, self.wall_ms(), id);
+                    fleet.activate(now, self.wall_ms(), id);
                     self.changed.set(true);
                 }
-                Err(why) => fleet.turned_down(now, id, &why),
+                Err(why) => fleet.reject(now, id, &why),
             }
         }
         self.set_limits(now);
@@ -297,7 +306,7 @@
         if self.changed.get()
             && let Some(recorder) = &self.recorder
         {
-            let (acts_on, entries) = self.fleet.borrow().record();
+            let (acts_on, entries) = self.fleet.borrow().snapshot();
             self.changed
                 .set(!recorder.save(Record { acts_on, entries }));
         }
@@ -305,7 +314,7 @@
     }
 
     /// What this server's breakers see is said; what the others say is passed to the decisions, and to who chooses among applications.
-    fn see(&self, now: Ms, facade: &Facade, watch: &Watch) {
+    fn see(&self, now: Millis, facade: &Facade, watch: &Watch) {
         let Some(verdicts) = &self.verdicts else {
             return;
         };
@@ -338,10 +347,10 @@
     }
 
     /// Of the version that is acted on and the one that is to be acted on the lower limits hold: during a wave both are in use.
-    fn set_limits(&self, now: Ms) {
+    fn set_limits(&self, now: Millis) {
         let Some(limits) = &self.limits else { return };
         let fleet = self.fleet.borrow();
-        let (acts_on, wanted) = (fleet.acts_on(), fleet.versions().wanted());
+        let (acts_on, wanted) = (fleet.active_version(), fleet.versions().newest_accepted());
         let to_come = wanted.filter(|(id, _)| *id > acts_on);
         let hold = (acts_on, to_come.map(|(id, _)| id).unwrap_or_default());
         if self.hold.replace(Some(hold)) == Some(hold) {
@@ -349,7 +358,7 @@
         }
         let content = fleet
             .versions()
-            .held(acts_on)
+            .get(acts_on)
             .map(|version| version.content.as_str());
         let mut all = (self.limits_of)(content);
         if let Some((_, version)) = to_come {
@@ -373,7 +382,7 @@
         }
         let (events, send) = {
             let mut fleet = self.fleet.borrow_mut();
-            (fleet.events(), fleet.send())
+            (fleet.take_events(), fleet.take_datagrams())
         };
         events.iter().for_each(tell);
         for (to, bytes) in send {
@@ -399,14 +408,14 @@
     /// Members, an object each.
     pub fn members(&self) -> Value {
         let fleet = self.fleet.borrow();
-        let one = |(member, state, version, age): (Member, State, Option<Id>, u64)| {
+        let one = |(member, state, version, age): (Member, MemberState, Option<VersionId>, u64)| {
             json!({
-                "server": member.name, "address": member.at.to_string(), "state": state.name(),
+                "server": member.name, "address": member.address.to_string(), "state": state.name(),
                 "version": version.map(|id| id.to_string()), "age_ms": (age < u64::MAX).then_some(age),
             })
         };
         let members: Vec<Value> = fleet.members(self.now()).into_iter().map(one).collect();
-        json!({ "members": members, "shut": fleet.shut(), "not_believed": self.faults.get(), "held_back": self.held_back.get() })
+        json!({ "members": members, "shut": fleet.exclusion(), "not_believed": self.faults.get(), "held_back": self.held_back.get() })
     }
 
     /// Servers of the fleet that are not known to have gone, this one among them.
@@ -414,7 +423,7 @@
         let members = self.fleet.borrow().members(self.now());
         members
             .iter()
-            .filter(|(_, state, ..)| !matches!(state, State::Gone))
+            .filter(|(_, state, ..)| !matches!(state, MemberState::Down))
             .count()
             .max(1)
     }
@@ -422,11 +431,11 @@
     pub fn versions(&self) -> Value {
         let fleet = self.fleet.borrow();
         let versions = fleet.versions();
-        let one = |(id, version): (Id, &coralstep_fleet::versions::Version)| {
+        let one = |(id, version): (VersionId, &coralstep_fleet::versions::Version)| {
             json!({
-                "version": id.to_string(), "replaces": version.replaces.to_string(), "by": version.by, "at_ms": version.at_ms,
-                "must": version.must, "waves": version.waves, "pause_ms": version.pause_ms, "bytes": version.content.len(),
-                "acts_on": fleet.acts_on() == id, "turned_down": versions.why_not(id),
+                "version": id.to_string(), "replaces": version.replaces.to_string(), "by": version.publisher, "at_ms": version.published_at_ms,
+                "must": version.mandatory, "waves": version.stages, "pause_ms": version.stage_pause_ms, "bytes": version.content.len(),
+                "acts_on": fleet.active_version() == id, "turned_down": versions.rejection_reason(id),
             })
         };
         let forks: Vec<[String; 2]> = versions
@@ -434,11 +443,11 @@
             .iter()
             .map(|(one, other)| [one.to_string(), other.to_string()])
             .collect();
-        json!({ "versions": versions.all().map(one).collect::<Vec<Value>>(), "forks": forks })
+        json!({ "versions": versions.iter().map(one).collect::<Vec<Value>>(), "forks": forks })
     }
 
-    pub fn audit(&self, filter: &Filter) -> Value {
-        let one = |row: coralstep_fleet::audit::Row| {
+    pub fn audit(&self, filter: &AuditFilter) -> Value {
+        let one = |row: coralstep_fleet::audit::AuditRow| {
             json!({
                 "server": row.server, "version": row.version.to_string(), "from_ms": row.from_ms, "to_ms": row.to_ms,
                 "rpcs": row.rpcs, "age_ms": row.age_ms, "known": row.known,
@@ -454,7 +463,7 @@
         must: bool,
         waves: Vec<f32>,
         pause_ms: u64,
-    ) -> Result<Id, String> {
+    ) -> Result<VersionId, String> {
         let id = self.fleet.borrow_mut().publish(
             self.now(),
             self.wall_ms(),
@@ -469,7 +478,9 @@
 
     /// Shuts a server out or lets it in, by hand: this one, or any that is known here.
     pub fn by_hand(&self, server: &str, shut: bool) -> Result<(), String> {
-        self.fleet.borrow_mut().by_hand(self.now(), server, shut)?;
+        self.fleet
+            .borrow_mut()
+            .set_excluded(self.now(), server, shut)?;
         self.flush();
         Ok(())
     }
--- a/crates/coralstep-server/src/operators/ops.rs
+++ b/crates/coralstep-server/src/operators/ops.rs
@@ -10,7 +10,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use coralstep_config::site::Listen;
-use coralstep_fleet::audit::Filter;
+use coralstep_fleet::audit::AuditFilter;
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, FutureExt};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -237,7 +237,7 @@
                 .as_ref()
                 .map(|version| version.parse())
                 .transpose()?;
-            Ok(carrier.audit(&Filter {
+            Ok(carrier.audit(&AuditFilter {
                 version,
                 server: server.clone(),
                 at_ms: *at_ms,
--- a/crates/coralstep-server/tests/fleet.rs
+++ b/crates/coralstep-server/tests/fleet.rs
@@ -213,7 +213,7 @@
     let told = |fleet: &Fleet| (0..5).any(|at| fleet.logged(at, "too many would be shut out"));
     assert!(fleet.until(LIMIT, told).is_some());
     let shut: Vec<usize> = (0..5)
-        .filter(|at| fleet.logged(*at, "shut out: TurnedDown"))
+        .filter(|at| fleet.logged(*at, "shut out: RejectedVersion"))
         .collect();
     assert!(shut.len() <= 1, "{shut:?}");
     assert!(
@@ -272,7 +272,7 @@
     assert!(matches!(fleet.rpc(0), Told::PushedBack(back) if back > 0));
     assert_eq!(fleet.rpc(1), Told::Ok);
     assert_eq!(ask(&fleet, 1, "fleet_shut_out", "n2")["shut_out"], "n2");
-    let shut = |fleet: &Fleet| fleet.logged(2, "shut out: ByHand");
+    let shut = |fleet: &Fleet| fleet.logged(2, "shut out: ByOperator");
     assert!(fleet.until(LIMIT, shut).is_some(), "{:?}", fleet.log(2));
     assert!(matches!(fleet.rpc(2), Told::PushedBack(back) if back > 0));
     // A restart doesn't let it in: it hears of the order again.
--- a/crates/coralstep-server/tests/limits.rs
+++ b/crates/coralstep-server/tests/limits.rs
@@ -7,7 +7,9 @@
 use std::rc::Rc;
 
 use coralstep_fleet::Member;
-use coralstep_fleet::rider::{Letter as Sent, Rider, Riding, Seat, View};
+use coralstep_fleet::extension::{
+    ExtensionId, GossipExtension, MembershipView, Message as Sent, Registration,
+};
 use coralstep_lab::fleet::judge::excess;
 use coralstep_lab::fleet::processes::{METHODS, TENANTS};
 use coralstep_lab::fleet::{Drive, Fault, Fleet, Guest, Setup, Told};
@@ -299,8 +301,8 @@
     number: u32,
 }
 
-impl Rider for Greedy {
-    fn tick(&mut self, _now: u64, view: &View<'_>) -> Vec<Sent> {
+impl GossipExtension for Greedy {
+    fn tick(&mut self, _now: u64, view: &MembershipView<'_>) -> Vec<Sent> {
         self.number += 1;
         let entries = vec![Ask {
             key: self.key,
@@ -315,7 +317,7 @@
         .bytes();
         view.present
             .iter()
-            .map(|member| (member.at, bytes.clone()))
+            .map(|member| Sent::new(member.address, bytes.clone()))
             .collect()
     }
 }
@@ -338,9 +340,9 @@
     };
     let terms: Vec<LimitTerms> = serde_json::from_value(rate()).unwrap();
     let key = look_up(&terms, &names).unwrap()[0].key;
-    let greedy = move |_: &Member| -> Riding {
-        (
-            Seat::Limits,
+    let greedy = move |_: &Member| -> Registration {
+        Registration::new(
+            ExtensionId::Quota,
             Rc::new(RefCell::new(Greedy { key, number: 0 })),
         )
     };
--- a/crates/coralstep-server/tests/verdicts.rs
+++ b/crates/coralstep-server/tests/verdicts.rs
@@ -7,7 +7,9 @@
 use std::rc::Rc;
 
 use coralstep_fleet::Member;
-use coralstep_fleet::rider::{Letter, Rider, Riding, Seat, View};
+use coralstep_fleet::extension::{
+    ExtensionId, GossipExtension, MembershipView, Message, Registration,
+};
 use coralstep_lab::emulate::store::Store;
 use coralstep_lab::fleet::{Drive, Faults, Fleet, Guest, Setup, Told};
 use coralstep_lab::world::Dependency;
@@ -233,12 +235,12 @@
 
 struct Liar(Verdicts, Lie);
 
-impl Rider for Liar {
-    fn said(&mut self, now: u64, room: usize) -> Option<Vec<u8>> {
-        self.0.said(now, room)
+impl GossipExtension for Liar {
+    fn next_gossip(&mut self, now: u64, room: usize) -> Option<Vec<u8>> {
+        self.0.next_gossip(now, room)
     }
 
-    fn tick(&mut self, now: u64, view: &View<'_>) -> Vec<Letter> {
+    fn tick(&mut self, now: u64, view: &MembershipView<'_>) -> Vec<Message> {
         // It has just closed again, each second.
         let state = match self.1 {
             Lie::Fails => State::Open,
@@ -264,9 +266,9 @@
     for lie in [Lie::Fails, Lie::Serves] {
         let store = store();
         let fleet = fleet(6, 54, &store, json!({}));
-        let liar = move |own: &Member| -> Riding {
-            (
-                Seat::Verdicts,
+        let liar = move |own: &Member| -> Registration {
+            Registration::new(
+                ExtensionId::SharedHealth,
                 Rc::new(RefCell::new(Liar(
                     Verdicts::new(own, Parts::default(), 9),
                     lie,
--- a/crates/coralstep-shared-health/src/part.rs
+++ b/crates/coralstep-shared-health/src/part.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use coralstep_fleet::rider::{Letter, Rider, View};
-use coralstep_fleet::spread::Spread;
-use coralstep_fleet::{Member, Ms};
+use coralstep_fleet::extension::{GossipExtension, MembershipView, Message};
+use coralstep_fleet::gossip::Disseminator;
+use coralstep_fleet::{Member, Millis as Ms};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use serde::Serialize;
@@ -83,7 +83,7 @@
     own: Member,
     parts: Parts,
     dependencies: BTreeMap<String, Dependency>,
-    spread: Spread<Word>,
+    spread: Disseminator<Word>,
     /// Whose word counts.
     current: HashSet<Member>,
     number: u64,
@@ -107,32 +107,32 @@
             own: own.clone(),
             parts,
             dependencies: BTreeMap::new(),
-            spread: Spread::default(),
+            spread: Disseminator::default(),
             current: HashSet::new(),
             number: 0,
             say_at: 0,
             hot_until: 0,
             hot_next: 0,
             seed,
-            chance: SmallRng::seed_from_u64(seed ^ own.started ^ 3),
+            chance: SmallRng::seed_from_u64(seed ^ own.incarnation ^ 3),
             events: Vec::new(),
         }
     }
 
     fn others(&self, now: Ms, dependency: &str) -> Vec<Other> {
-        let counts = self.spread.all().filter(|heard| {
-            now.saturating_sub(heard.at) <= AGE_MOST && self.current.contains(&heard.word.of)
+        let counts = self.spread.iter().filter(|heard| {
+            now.saturating_sub(heard.sent_at) <= AGE_MOST && self.current.contains(&heard.value.of)
         });
         counts
             .filter_map(|heard| {
                 let said = heard
-                    .word
+                    .value
                     .said
                     .iter()
                     .find(|said| said.dependency == dependency)?;
-                let age = now.saturating_sub(heard.at);
+                let age = now.saturating_sub(heard.sent_at);
                 Some(Other {
-                    who: who(&heard.word.of),
+                    who: who(&heard.value.of),
                     state: said.state,
                     failures: u32::from(said.failures),
                     calls: u32::from(said.calls),
@@ -150,7 +150,7 @@
                 return Advice::default();
             }
             let mut hasher = DefaultHasher::new();
-            (dependency, self.seed, self.own.started).hash(&mut hasher);
+            (dependency, self.seed, self.own.incarnation).hash(&mut hasher);
             let weigh = Weigh::new(hasher.finish());
             let fresh = Dependency {
                 own: Own::default(),
@@ -221,14 +221,14 @@
                 age_ms: now.saturating_sub(of.called),
             })
             .collect();
-        for heard in self.spread.all() {
-            rows.extend(heard.word.said.iter().map(|said| Row {
+        for heard in self.spread.iter() {
+            rows.extend(heard.value.said.iter().map(|said| Row {
                 dependency: said.dependency.clone(),
-                server: heard.word.of.name.clone(),
+                server: heard.value.of.name.clone(),
                 state: said.state,
                 failures: u32::from(said.failures),
                 calls: u32::from(said.calls),
-                age_ms: now.saturating_sub(heard.at) + Ms::from(said.called_ms),
+                age_ms: now.saturating_sub(heard.sent_at) + Ms::from(said.called_ms),
             }));
         }
         rows.sort_by(|a, b| (&a.dependency, &a.server).cmp(&(&b.dependency, &b.server)));
@@ -257,7 +257,7 @@
                 healed_ms: of.healed.map(age),
             })
             .collect();
-        self.spread.own(Word {
+        self.spread.set_own(Word {
             of: self.own.clone(),
             number: self.number,
             said,
@@ -270,30 +270,30 @@
                 said.state != State::Closed || said.healed_ms.is_some_and(|ms| Ms::from(ms) <= HOT)
             })
         };
-        if self.spread.heard(now, own, bytes).iter().any(changed) {
+        if self.spread.receive(now, own, bytes).iter().any(changed) {
             self.hot_until = now + HOT / 2;
         }
     }
 }
 
-impl Rider for Verdicts {
-    fn said(&mut self, now: Ms, room: usize) -> Option<Vec<u8>> {
+impl GossipExtension for Verdicts {
+    fn next_gossip(&mut self, now: Ms, room: usize) -> Option<Vec<u8>> {
         (!self.dependencies.is_empty())
-            .then(|| self.spread.said(now, room))
+            .then(|| self.spread.next_payload(now, room))
             .flatten()
     }
 
-    fn heard(&mut self, now: Ms, own: &Member, bytes: &[u8]) {
+    fn handle_gossip(&mut self, now: Ms, own: &Member, bytes: &[u8]) {
         self.hears(now, own, bytes);
     }
 
-    fn letter(&mut self, now: Ms, _from: &Member, bytes: &[u8]) -> Vec<Letter> {
+    fn handle_message(&mut self, now: Ms, _from: &Member, bytes: &[u8]) -> Vec<Message> {
         let own = self.own.clone();
         self.hears(now, &own, bytes);
         Vec::new()
     }
 
-    fn tick(&mut self, now: Ms, view: &View<'_>) -> Vec<Letter> {
+    fn tick(&mut self, now: Ms, view: &MembershipView<'_>) -> Vec<Message> {
         self.own = view.own.clone();
         self.current = view
             .current
@@ -305,7 +305,7 @@
         }
         if now >= self.say_at {
             self.say_at = now + SAY;
-            self.spread.forget(now);
+            self.spread.expire(now);
             self.say(now);
         }
         if now >= self.hot_until || now < self.hot_next || view.current.is_empty() {
@@ -315,7 +315,11 @@
         let mut letters = Vec::new();
         for _ in 0..HOT_TO {
             let to = view.current[self.chance.random_range(0..view.current.len())];
-            letters.extend(self.spread.said(now, HOT_BYTES).map(|bytes| (to.at, bytes)));
+            letters.extend(
+                self.spread
+                    .next_payload(now, HOT_BYTES)
+                    .map(|bytes| Message::new(to.address, bytes)),
+            );
         }
         letters
     }
--- a/crates/coralstep-shared-health/src/said.rs
+++ b/crates/coralstep-shared-health/src/said.rs
@@ -1,7 +1,7 @@
 //! What a server says of its dependencies: the state of its own breaker, its own calls, how old that is.
-use coralstep_fleet::members::NAME_MOST;
-use coralstep_fleet::spread::Saying;
-use coralstep_fleet::{Member, Ms};
+use coralstep_fleet::gossip::Gossip;
+use coralstep_fleet::membership::MAX_NAME_BYTES;
+use coralstep_fleet::{Member, Millis as Ms};
 use serde::{Deserialize, Serialize};
 
 /// A saying is worth nothing past this age.
@@ -59,23 +59,23 @@
     pub said: Vec<Said>,
 }
 
-impl Saying for Word {
-    const FORGET: Ms = AGE_MOST;
+impl Gossip for Word {
+    const MAX_AGE_MS: Ms = AGE_MOST;
 
-    fn of(&self) -> &Member {
+    fn origin(&self) -> &Member {
         &self.of
     }
 
-    fn number(&self) -> u64 {
+    fn sequence(&self) -> u64 {
         self.number
     }
 
-    fn is_sound(&self) -> bool {
+    fn is_valid(&self) -> bool {
         let sound = |said: &Said| {
             !said.dependency.is_empty()
-                && said.dependency.len() <= NAME_MOST
+                && said.dependency.len() <= MAX_NAME_BYTES
                 && said.failures <= said.calls
         };
-        self.of.is_sound() && self.said.len() <= DEPENDENCIES_MOST && self.said.iter().all(sound)
+        self.of.is_valid() && self.said.len() <= DEPENDENCIES_MOST && self.said.iter().all(sound)
     }
 }
--- a/crates/coralstep-shared-health/src/weigh.rs
+++ b/crates/coralstep-shared-health/src/weigh.rs
@@ -1,6 +1,6 @@
 //! What follows from what others say of one dependency: how much evidence of its own a server needs, when its next trial is, and whether its
 //! cooldown ends sooner. Each server counts once, however often it was heard; nobody's word alone opens or closes anything.
-use coralstep_fleet::Ms;
+use coralstep_fleet::Millis as Ms;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use schemars::JsonSchema;
--- a/crates/coralstep-shared-health/tests/golden.rs
+++ b/crates/coralstep-shared-health/tests/golden.rs
@@ -1,8 +1,8 @@
 //! The bytes between servers about their dependencies, held still by the files under `tests/golden`.
 //! `GOLDEN_WRITE=1` writes these anew.
 use coralstep_fleet::Member;
-use coralstep_fleet::rider::Rider;
-use coralstep_fleet::spread::Spread;
+use coralstep_fleet::extension::GossipExtension;
+use coralstep_fleet::gossip::Disseminator;
 use coralstep_shared_health::said::{Said, State, Word};
 use coralstep_shared_health::{Parts, Verdicts};
 
@@ -81,21 +81,21 @@
 #[test]
 fn words_of_dependencies_keep_their_bytes() {
     let [own, passed] = words();
-    let mut spread = Spread::<Word>::default();
-    spread.heard(
+    let mut spread = Disseminator::<Word>::default();
+    spread.receive(
         100_000,
         &own.of,
         &postcard::to_allocvec(&vec![(passed.clone(), 200u32)]).unwrap(),
     );
-    spread.own(own.clone());
-    let bytes = golden_bytes("words.hex", &spread.said(100_100, 1_000).unwrap());
+    spread.set_own(own.clone());
+    let bytes = golden_bytes("words.hex", &spread.next_payload(100_100, 1_000).unwrap());
     assert_eq!(
         postcard::from_bytes(&bytes),
         Ok(vec![(own.clone(), 0u32), (passed.clone(), 300)])
     );
-    let nobody = Member::new("x", own.of.at, 1);
+    let nobody = Member::new("x", own.of.address, 1);
     assert_eq!(
-        Spread::<Word>::default().heard(200_000, &nobody, &bytes),
+        Disseminator::<Word>::default().receive(200_000, &nobody, &bytes),
         [own, passed]
     );
 }
@@ -103,9 +103,9 @@
 /// Guards against JSON keys or states that are renamed with the code: operators' tools read these.
 #[test]
 fn rows_of_dependencies_keep_their_keys() {
-    let own = Member::new("x", words()[0].of.at, 1);
+    let own = Member::new("x", words()[0].of.address, 1);
     let mut part = Verdicts::new(&own, Parts::default(), 7);
-    part.heard(
+    part.handle_gossip(
         100_000,
         &own,
         &postcard::to_allocvec(&words().map(|word| (word, 200u32)).to_vec()).unwrap(),
--- a/crates/coralstep-state/tests/golden.rs
+++ b/crates/coralstep-state/tests/golden.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use coralstep::Learned;
-use coralstep_fleet::{Fleet, FleetTerms, Id, Member};
+use coralstep_fleet::{Fleet, FleetConfig, Member, VersionId};
 use coralstep_state::faulty::Faulty;
 use coralstep_state::files::Look;
 use coralstep_state::journal::{End, Event, Journal, RESULT, Verdict};
@@ -102,7 +102,7 @@
 }
 
 fn fleet() -> Fleet {
-    let terms = FleetTerms {
+    let terms = FleetConfig {
         name: "alps".to_owned(),
         own: Member::new(
             "server-17.alps",
@@ -110,16 +110,16 @@
             1_790_000_000_123,
         ),
         peers: Vec::new(),
-        behind: 10_000,
-        silent: 10_000,
-        silent_shuts: false,
+        max_lag: 10_000,
+        max_silence: 10_000,
+        exclude_when_isolated: false,
         seed: 7,
     };
     Fleet::new(terms, 0, WRITTEN_S[0] * 1_000)
 }
 
 /// The version that a server acts on after it published and took two, and its record of the earlier ones.
-fn fleet_record() -> (Record, Id) {
+fn fleet_record() -> (Record, VersionId) {
     let mut fleet = fleet();
     for second in 1..=2 {
         let (now, wall_ms) = (second * 1_000, (WRITTEN_S[0] + second) * 1_000);
@@ -128,10 +128,10 @@
         let id = fleet
             .publish(now, wall_ms, content, second == 2, vec![0.25, 1.0], 70_000)
             .unwrap();
-        fleet.took(now, wall_ms, id);
+        fleet.activate(now, wall_ms, id);
     }
-    let (acts_on, entries) = fleet.record();
-    (Record { acts_on, entries }, fleet.acts_on())
+    let (acts_on, entries) = fleet.snapshot();
+    (Record { acts_on, entries }, fleet.active_version())
 }
 
 /// A run of each end, each known from then on as the verdict says.
@@ -246,7 +246,7 @@
     );
     // Its chain of entries hangs together, else there were an event.
     assert_eq!(
-        (restarted.events(), restarted.record().1),
+        (restarted.take_events(), restarted.snapshot().1),
         (Vec::new(), expected.entries)
     );
     // The older generation counts where the newer one is gone.
