--- a/crates/coralstep-server/benches/front.rs
+++ b/crates/coralstep-server/benches/front.rs
@@ -21,10 +21,10 @@
 use coralstep_server::callers::front::Front;
 use coralstep_server::callers::gateway::Thrift;
 use coralstep_server::callers::scgi::Scgi;
-use coralstep_server::decisions::facade::{Facade, RunEnd};
+use coralstep_server::decisions::{RunOutcome, SchedulerHandle};
 use coralstep_server::dependency::store::Store;
-use coralstep_server::runs::course::Course;
-use coralstep_server::runs::{Notice, Notices, Order, Run, Runs};
+use coralstep_server::runs::request_handler::RequestHandler;
+use coralstep_server::runs::{Backend, Run, RunEvent, RunEvents, RunRequest};
 use criterion::{Criterion, criterion_group, criterion_main};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 
@@ -32,25 +32,25 @@
 struct Echo;
 
 #[derive(Default)]
-struct EchoRun(RefCell<Notices>);
+struct EchoRun(RefCell<RunEvents>);
 
 impl Run for EchoRun {
-    fn start(&self, order: &Order<'_>) {
+    fn start(&self, order: &RunRequest<'_>) {
         self.0
             .borrow_mut()
-            .put(Notice::Done(RunEnd::Ok(order.body.into())));
+            .push(RunEvent::Ended(RunOutcome::Ok(order.body.into())));
     }
-    fn feed(&self, _answer: &[u8]) {}
-    fn answered(&self) {}
-    fn halt(&self) {}
-    fn inquire(&self, _order: &Order<'_>) {}
-    fn poll_next(&self, cx: &mut Context<'_>) -> Poll<Notice> {
+    fn resume(&self, _answer: &[u8]) {}
+    fn mark_answered(&self) {}
+    fn cancel(&self) {}
+    fn probe(&self, _order: &RunRequest<'_>) {}
+    fn poll_event(&self, cx: &mut Context<'_>) -> Poll<RunEvent> {
         self.0.borrow_mut().poll(cx)
     }
 }
 
-impl Runs for Echo {
-    fn open(self: Rc<Self>, _id: Ref) -> Option<Box<dyn Run>> {
+impl Backend for Echo {
+    fn register(self: Rc<Self>, _id: Ref) -> Option<Box<dyn Run>> {
         Some(Box::<EchoRun>::default())
     }
 }
@@ -134,7 +134,7 @@
         results: 1 << 20,
         ids: 1 << 16,
     };
-    let facade = Rc::new(Facade::new(terms, names.clone(), 1, &limits));
+    let facade = Rc::new(SchedulerHandle::new(terms, names.clone(), 1, &limits));
     facade.start(Some(false), Duration::from_secs(1));
     let endpoints = Endpoints {
         engine: Endpoint::new(None),
@@ -143,7 +143,7 @@
         descriptors: Rc::new(Descriptors::new(1024)),
     };
     let descriptors = endpoints.descriptors.clone();
-    let course = Rc::new(Course::new(
+    let course = Rc::new(RequestHandler::new(
         facade.clone(),
         Rc::new(Echo),
         Store(Rc::new(endpoints)),
--- a/crates/coralstep-server/src/callers/connections.rs
+++ b/crates/coralstep-server/src/callers/connections.rs
@@ -17,9 +17,9 @@
 use crate::base::lines::Ref;
 use crate::callers::connection::Connection;
 use crate::callers::front::{Front, Writer};
-use crate::decisions::facade::{Facade, Offer};
+use crate::decisions::{RpcRequest, SchedulerHandle};
 use crate::note;
-use crate::runs::course::{Course, Reply};
+use crate::runs::request_handler::{Reply, RequestHandler};
 
 /// Pause where nobody can be accepted, unless a place comes free sooner.
 const FULL: Duration = Duration::from_millis(100);
@@ -32,7 +32,7 @@
 
 /// An open RPC; ends with its answer or, should its task fail, with word of that.
 struct Open<W: Writer> {
-    facade: Rc<Facade>,
+    facade: Rc<SchedulerHandle>,
     connection: Rc<Connection>,
     writer: W,
     answered: bool,
@@ -44,7 +44,7 @@
         connection
             .proven
             .set(connection.proven.get() || matches!(reply, Reply::Ok(_)));
-        let about = self.facade.about();
+        let about = self.facade.server_status();
         connection
             .out
             .put(|out| self.writer.answer(out, reply, &about));
@@ -66,8 +66,8 @@
 
 pub struct Connections {
     executor: Rc<LocalExecutor<'static>>,
-    pub facade: Rc<Facade>,
-    pub course: Rc<Course>,
+    pub facade: Rc<SchedulerHandle>,
+    pub course: Rc<RequestHandler>,
     descriptors: Rc<Descriptors>,
     limits: Limits,
     all: RefCell<Vec<Rc<Connection>>>,
@@ -80,8 +80,8 @@
 impl Connections {
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
-        facade: Rc<Facade>,
-        course: Rc<Course>,
+        facade: Rc<SchedulerHandle>,
+        course: Rc<RequestHandler>,
         descriptors: Rc<Descriptors>,
         limits: Limits,
     ) -> Connections {
@@ -264,7 +264,7 @@
     /// Lets an RPC take its course; `writer` writes its one answer to `connection`.
     pub fn begin(
         self: &Rc<Self>,
-        offer: Offer,
+        offer: RpcRequest,
         id: Ref,
         body: Vec<u8>,
         connection: &Rc<Connection>,
@@ -280,14 +280,14 @@
         };
         if connection.is_ending() {
             // Guards against work for an answer that may not get through any more: it may go elsewhere, at once.
-            return open.answer(&Reply::PushedBack {
-                after_ms: 0,
-                last: false,
+            return open.answer(&Reply::Rejected {
+                retry_after_ms: 0,
+                is_final: false,
             });
         }
         let course = self.course.clone();
         let task = async move {
-            let run = course.run(offer, id, body, connection.lost(), |reply| {
+            let run = course.handle(offer, id, body, connection.lost(), |reply| {
                 open.answer(&reply)
             });
             if AssertUnwindSafe(run).catch_unwind().await.is_err() {
--- a/crates/coralstep-server/src/callers/connections/tests.rs
+++ b/crates/coralstep-server/src/callers/connections/tests.rs
@@ -20,7 +20,7 @@
         methods: vec![Method::default()],
         ..Terms::default()
     };
-    let facade = Rc::new(Facade::new(terms, Names::default(), 1, &limits));
+    let facade = Rc::new(SchedulerHandle::new(terms, Names::default(), 1, &limits));
     let nowhere = Some("127.0.0.1:9".parse().unwrap());
     let endpoints = Endpoints {
         engine: Endpoint::new(nowhere),
@@ -30,7 +30,7 @@
     };
     let (engine, descriptors) = (Rc::new(Engine::default()), endpoints.descriptors.clone());
     let store = Store(Rc::new(endpoints));
-    let course = Rc::new(Course::new(facade.clone(), engine, store, &limits));
+    let course = Rc::new(RequestHandler::new(facade.clone(), engine, store, &limits));
     Connections::new(
         Rc::new(LocalExecutor::new()),
         facade,
--- a/crates/coralstep-server/src/callers/front.rs
+++ b/crates/coralstep-server/src/callers/front.rs
@@ -8,8 +8,8 @@
 
 use crate::callers::connection::Connection;
 use crate::callers::connections::Connections;
-use crate::decisions::facade::About;
-use crate::runs::course::Reply;
+use crate::decisions::ServerStatus;
+use crate::runs::request_handler::Reply;
 
 pub type Reading<'a> = Pin<Box<dyn Future<Output = Result<(), String>> + 'a>>;
 
@@ -29,7 +29,7 @@
 
 /// Writes the one answer to an open RPC, in the words of its protocol.
 pub trait Writer: 'static {
-    fn answer(&self, out: &mut Vec<u8>, reply: &Reply<'_>, about: &About);
+    fn answer(&self, out: &mut Vec<u8>, reply: &Reply<'_>, about: &ServerStatus);
 
     /// In place of an answer, where its task failed.
     fn failed(&self, out: &mut Vec<u8>);
--- a/crates/coralstep-server/src/callers/gateway.rs
+++ b/crates/coralstep-server/src/callers/gateway.rs
@@ -13,9 +13,9 @@
 use crate::callers::inbox::{Came, Inbox};
 use crate::callers::said::{AGE_MOST, AHEAD_MOST, ROOM_MOST, TOKEN_MOST, within};
 use crate::callers::thrift::{self, Fault, Message};
-use crate::decisions::facade::{About, Offer};
+use crate::decisions::{RpcRequest, ServerStatus};
 use crate::note;
-use crate::runs::course::Reply;
+use crate::runs::request_handler::Reply;
 
 /// Open requests on one connection, by the protocol.
 const OPEN_MOST: usize = 32;
@@ -52,7 +52,7 @@
 }
 
 /// What every answer carries.
-fn fields(about: &About) -> Vec<(&'static str, String)> {
+fn fields(about: &ServerStatus) -> Vec<(&'static str, String)> {
     let value = about.value.map(|value| ("pressure", value.to_string()));
     value
         .into_iter()
@@ -64,16 +64,19 @@
 pub(super) struct Seq(pub(super) i32);
 
 impl Writer for Seq {
-    fn answer(&self, out: &mut Vec<u8>, reply: &Reply<'_>, about: &About) {
+    fn answer(&self, out: &mut Vec<u8>, reply: &Reply<'_>, about: &ServerStatus) {
         let (mut fields, seq) = (fields(about), self.0);
         match *reply {
             Reply::Ok(body) => thrift::answer(out, "invoke", seq, body, &fields, true),
             Reply::Aborted => thrift::internal(out, seq, &fields),
-            Reply::PushedBack { after_ms, last } => {
-                if after_ms > 0 {
-                    fields.push(("cooldown", after_ms.to_string()));
+            Reply::Rejected {
+                retry_after_ms,
+                is_final,
+            } => {
+                if retry_after_ms > 0 {
+                    fields.push(("cooldown", retry_after_ms.to_string()));
                 }
-                if last {
+                if is_final {
                     fields.push(("nowhere", "1".to_owned()));
                 }
                 thrift::overloaded(out, seq, &fields);
@@ -155,7 +158,7 @@
         match message {
             Message::Ping { seq } => {
                 let facade = &self.connections.facade;
-                let (fields, good) = (fields(&facade.about()), facade.healthy());
+                let (fields, good) = (fields(&facade.server_status()), facade.is_healthy());
                 self.connection
                     .out
                     .put(|out| thrift::answer(out, "ping", seq, b"", &fields, good));
@@ -171,7 +174,11 @@
         Ok(())
     }
 
-    fn offer(&self, fields: &[(&str, &str)], body: &[u8]) -> Result<(Offer, Ref), &'static str> {
+    fn offer(
+        &self,
+        fields: &[(&str, &str)],
+        body: &[u8],
+    ) -> Result<(RpcRequest, Ref), &'static str> {
         if self.connection.open() >= OPEN_MOST {
             return Err("too many open requests");
         }
@@ -180,10 +187,10 @@
         }
         let facade = &self.connections.facade;
         let (mut offer, mut method, mut id, mut age, mut room) =
-            (Offer::default(), None, None, None, None);
+            (RpcRequest::default(), None, None, None, None);
         for (key, value) in fields {
             match *key {
-                "service" => method = Some(facade.method(value).ok_or("unknown service")?),
+                "service" => method = Some(facade.method_index(value).ok_or("unknown service")?),
                 "ref" => id = Some(Ref::parse(value).ok_or("malformed ref")?),
                 "since" => {
                     let stamp = value.parse().map_err(|_| "malformed since")?;
@@ -191,7 +198,9 @@
                     let known = clock::age(stamp, AHEAD_MOST).filter(|age| *age <= AGE_MOST);
                     age = Some(known.ok_or("since out of range")?);
                 }
-                "project" => offer.tenant = Some(facade.tenant(value).ok_or("unknown project")?),
+                "project" => {
+                    offer.tenant = Some(facade.tenant_index(value).ok_or("unknown project")?)
+                }
                 "sender" => drop(value.parse::<u32>().map_err(|_| "malformed sender")?),
                 "dup" if *value != "1" => return Err("malformed dup"),
                 "dup" => offer.retry = true,
@@ -204,15 +213,15 @@
                 }
                 "class_rank" => drop(within(value, 1.0).ok_or("malformed class_rank")?),
                 "replay" if value.len() > TOKEN_MOST => return Err("token too long"),
-                "replay" => offer.token = Some(value.as_bytes().into()),
+                "replay" => offer.idempotency_key = Some(value.as_bytes().into()),
                 _ => {}
             }
         }
         let (method, id) = (method.ok_or("no service")?, id.ok_or("no ref")?);
         offer.method = method;
         offer.age = age.ok_or("no since")?;
-        offer.claimed = !self.connection.proven.get();
-        offer.room_kb = room.ok_or("no room")?;
+        offer.age_unverified = !self.connection.proven.get();
+        offer.memory_kb = room.ok_or("no room")?;
         Ok((offer, id))
     }
 }
--- a/crates/coralstep-server/src/callers/said.rs
+++ b/crates/coralstep-server/src/callers/said.rs
@@ -3,7 +3,7 @@
 
 use coralstep::Span;
 
-use crate::decisions::facade::UNREAD;
+use crate::decisions::MAX_UNREAD_SPAN;
 
 /// The most that one RPC may be said to book, in KB.
 pub const ROOM_MOST: f64 = 2_000.0;
@@ -11,7 +11,7 @@
 pub const TOKEN_MOST: usize = 256;
 /// The age of a request may be anything up to this; what is older, nobody waits for. A machine's pause is shorter.
 /// What a token is remembered for goes by it.
-pub const AGE_MOST: Span = UNREAD;
+pub const AGE_MOST: Span = MAX_UNREAD_SPAN;
 /// How far ahead of ours the clock of a sender's stamps may be.
 pub const AHEAD_MOST: Duration = Duration::from_millis(500);
 /// The longest patience that a caller may state, in milliseconds: an hour.
--- a/crates/coralstep-server/src/callers/scgi.rs
+++ b/crates/coralstep-server/src/callers/scgi.rs
@@ -21,9 +21,9 @@
 use crate::callers::front::{Front, Reading, Writer};
 use crate::callers::inbox::{Came, Inbox};
 use crate::callers::said::{AGE_MOST, AHEAD_MOST, PATIENCE_MOST_MS, ROOM_MOST, TOKEN_MOST, within};
-use crate::decisions::facade::{About, Offer};
+use crate::decisions::{RpcRequest, ServerStatus};
 use crate::note;
-use crate::runs::course::Reply;
+use crate::runs::request_handler::Reply;
 
 /// Headers and bytes of headers of one request at the most.
 const HEADERS_MOST: usize = 128;
@@ -82,7 +82,7 @@
 /// What a request asks for.
 #[derive(Debug)]
 enum Asked {
-    Rpc(Offer, Ref),
+    Rpc(RpcRequest, Ref),
     Health,
 }
 
@@ -131,12 +131,12 @@
                 .map(Some)
                 .map_err(|_| Refusal(400, "a header that is no text")),
         };
-        let mut offer = Offer {
+        let mut offer = RpcRequest {
             method,
-            claimed: !trusted,
-            room_kb: known.terms.room_kb,
-            renames: true,
-            ..Offer::default()
+            age_unverified: !trusted,
+            memory_kb: known.terms.room_kb,
+            accepts_new_id: true,
+            ..RpcRequest::default()
         };
         if let Some(stamp) = text(&names.arrived)? {
             let stamp = stamp
@@ -151,7 +151,7 @@
                 .parse()
                 .ok()
                 .filter(|ms| (1..=PATIENCE_MOST_MS).contains(ms));
-            offer.patience = Some(Span::ms(ms.ok_or(Refusal(400, "malformed patience"))?));
+            offer.timeout = Some(Span::ms(ms.ok_or(Refusal(400, "malformed patience"))?));
         }
         match text(&names.retry)? {
             None | Some("0") => {}
@@ -165,7 +165,7 @@
             if token.len() > TOKEN_MOST {
                 return Err(Refusal(400, "token too long"));
             }
-            offer.token = (!token.is_empty()).then(|| token.into());
+            offer.idempotency_key = (!token.is_empty()).then(|| token.into());
         }
         // Guards against strangers who book others' memory or speak for others.
         if trusted {
@@ -173,20 +173,20 @@
                 offer.tenant = Some(
                     connections
                         .facade
-                        .tenant(tenant)
+                        .tenant_index(tenant)
                         .ok_or(Refusal(400, "unknown tenant"))?,
                 );
             }
             if let Some(room) = text(&names.room)? {
                 let room = within(room, ROOM_MOST).filter(|kb| *kb > 0.0);
-                offer.room_kb = room.ok_or(Refusal(400, "malformed room"))?;
+                offer.memory_kb = room.ok_or(Refusal(400, "malformed room"))?;
             }
         }
         let id = text(&names.id)?.filter(|id| !id.is_empty());
         if id.is_some_and(|id| id.len() > ID_MOST) {
             return Err(Refusal(400, "id too long"));
         }
-        Ok(Asked::Rpc(offer, connections.course.id(id)))
+        Ok(Asked::Rpc(offer, connections.course.request_id(id)))
     }
 
     async fn talk(
@@ -230,12 +230,18 @@
         };
         match self.asked(&known, &request, connection.from, connections) {
             Ok(Asked::Health) => {
-                let (status, text) = if connections.facade.healthy() {
+                let (status, text) = if connections.facade.is_healthy() {
                     (200, &b"good\n"[..])
                 } else {
                     (503, &b"bad\n"[..])
                 };
-                self.write(connection, &connections.facade.about(), status, &[], text);
+                self.write(
+                    connection,
+                    &connections.facade.server_status(),
+                    status,
+                    &[],
+                    text,
+                );
             }
             Ok(Asked::Rpc(offer, id)) => {
                 connections.begin(offer, id, request.body.to_vec(), connection, One)
@@ -264,7 +270,7 @@
     fn write(
         &self,
         connection: &Connection,
-        about: &About,
+        about: &ServerStatus,
         status: u16,
         fields: &[(&str, &dyn std::fmt::Display)],
         body: &[u8],
@@ -284,7 +290,7 @@
         note!(client: "a request was not understood: {why}");
         self.write(
             connection,
-            &About::default(),
+            &ServerStatus::default(),
             status,
             &[("Content-Type", &"text/plain")],
             format!("{why}\n").as_bytes(),
@@ -302,7 +308,7 @@
 
 fn put(
     out: &mut Vec<u8>,
-    about: &About,
+    about: &ServerStatus,
     status: u16,
     fields: &[(&str, &dyn std::fmt::Display)],
     body: &[u8],
@@ -321,7 +327,7 @@
 pub(super) struct One;
 
 impl Writer for One {
-    fn answer(&self, out: &mut Vec<u8>, reply: &Reply<'_>, about: &About) {
+    fn answer(&self, out: &mut Vec<u8>, reply: &Reply<'_>, about: &ServerStatus) {
         match *reply {
             Reply::Ok(body) => put(
                 out,
@@ -331,16 +337,19 @@
                 body,
             ),
             Reply::Aborted => put(out, about, 500, &[], b""),
-            Reply::PushedBack { after_ms, last } => {
-                let seconds = after_ms.div_ceil(1000);
+            Reply::Rejected {
+                retry_after_ms,
+                is_final,
+            } => {
+                let seconds = retry_after_ms.div_ceil(1000);
                 let mut fields: Vec<(&str, &dyn std::fmt::Display)> = Vec::new();
-                if after_ms > 0 {
+                if retry_after_ms > 0 {
                     fields.extend([
                         ("Retry-After", &seconds as &dyn std::fmt::Display),
-                        (RETRY_AFTER_MS, &after_ms),
+                        (RETRY_AFTER_MS, &retry_after_ms),
                     ]);
                 }
-                if last {
+                if is_final {
                     fields.push((NOWHERE, &1));
                 }
                 put(out, about, 503, &fields, b"");
@@ -349,7 +358,7 @@
     }
 
     fn failed(&self, out: &mut Vec<u8>) {
-        put(out, &About::default(), 500, &[], b"");
+        put(out, &ServerStatus::default(), 500, &[], b"");
     }
 
     fn last(&self) -> bool {
--- a/crates/coralstep-server/src/callers/tests.rs
+++ b/crates/coralstep-server/src/callers/tests.rs
@@ -3,8 +3,8 @@
 
 use crate::callers::front::Writer;
 use crate::callers::{gateway, scgi, thrift};
-use crate::decisions::facade::About;
-use crate::runs::course::Reply;
+use crate::decisions::ServerStatus;
+use crate::runs::request_handler::Reply;
 
 const REPLIES: [(&str, Reply<'static>); 7] = [
     ("ok", Reply::Ok(b"\0\r\n\xff")),
@@ -12,43 +12,43 @@
     ("aborted", Reply::Aborted),
     (
         "rejected",
-        Reply::PushedBack {
-            after_ms: 0,
-            last: false,
+        Reply::Rejected {
+            retry_after_ms: 0,
+            is_final: false,
         },
     ),
     (
         "rejected, come back",
-        Reply::PushedBack {
-            after_ms: 1001,
-            last: false,
+        Reply::Rejected {
+            retry_after_ms: 1001,
+            is_final: false,
         },
     ),
     (
         "rejected, nowhere else",
-        Reply::PushedBack {
-            after_ms: 0,
-            last: true,
+        Reply::Rejected {
+            retry_after_ms: 0,
+            is_final: true,
         },
     ),
     (
         "rejected, come back, nowhere else",
-        Reply::PushedBack {
-            after_ms: 250,
-            last: true,
+        Reply::Rejected {
+            retry_after_ms: 250,
+            is_final: true,
         },
     ),
 ];
 
 /// Nothing known; a value; a level; both.
-fn abouts() -> [About; 4] {
+fn abouts() -> [ServerStatus; 4] {
     [
         (None, None),
         (Some(0.625), None),
         (None, Some("lean")),
         (Some(1.0), Some("lean")),
     ]
-    .map(|(value, level)| About {
+    .map(|(value, level)| ServerStatus {
         value,
         level: level.map(str::to_owned),
     })
--- /dev/null
+++ b/crates/coralstep-server/src/decisions/actions.rs
@@ -0,0 +1,136 @@
+//! Carries the scheduler's actions to those who wait for them: decisions to the tasks of RPCs, the rest to the server's state.
+use std::time::Duration;
+
+use coralstep::{Outlet, RpcId, Span, Turn};
+
+use crate::base::clock::{self, Clock};
+use crate::decisions::admission::MAX_UNREAD_SPAN;
+use crate::decisions::idempotency_keys::IdempotencyKeys;
+use crate::decisions::request::Decision;
+use crate::decisions::request_table::RequestTable;
+use crate::note;
+
+/// What the scheduler's actions lead to, until network code fetches it.
+pub(super) struct PendingActions {
+    pub(super) requests: RequestTable,
+    pub(super) idempotency_keys: IdempotencyKeys,
+    pub(super) healthy: bool,
+    pub(super) load_report: Option<f64>,
+    pub(super) idle_limit: Option<Duration>,
+    pub(super) next_tick: Span,
+    clock: Clock,
+    /// Name of this server, for log lines.
+    instance: String,
+}
+
+impl PendingActions {
+    pub(super) fn new(
+        requests: RequestTable,
+        idempotency_keys: IdempotencyKeys,
+        clock: Clock,
+        instance: String,
+    ) -> PendingActions {
+        PendingActions {
+            requests,
+            idempotency_keys,
+            healthy: true,
+            load_report: None,
+            idle_limit: None,
+            next_tick: Span::ZERO,
+            clock,
+            instance,
+        }
+    }
+}
+
+impl Outlet for PendingActions {
+    fn admit(&mut self, rpc: RpcId) {
+        let entry = self.requests.get_mut(rpc);
+        if let Some(key) = entry.and_then(|entry| entry.idempotency_key.as_ref()) {
+            self.idempotency_keys.mark_started(key, rpc);
+        }
+        self.requests.push_decision(rpc, Decision::Run);
+    }
+
+    fn push_back(&mut self, rpc: RpcId, after: Span, last: bool) {
+        // Guards against callers sent back to where nobody may try yet.
+        let entry = self.requests.get_mut(rpc);
+        let retry_after = entry.map_or(after, |entry| after.max(entry.retry_after));
+        let decision = Decision::Reject {
+            retry_after_ms: clock::ms_up(retry_after),
+            is_final: last,
+        };
+        self.requests.push_decision(rpc, decision);
+    }
+
+    fn abort(&mut self, rpc: RpcId) {
+        self.requests.push_decision(rpc, Decision::Abort);
+    }
+
+    fn call(&mut self, rpc: RpcId, patience: Span) {
+        let timeout = clock::duration(patience);
+        self.requests.push_decision(rpc, Decision::Call { timeout });
+    }
+
+    fn preempt(&mut self, rpc: RpcId) {
+        self.requests.push_decision(rpc, Decision::CancelRun);
+    }
+
+    fn inquire(&mut self, rpc: RpcId) {
+        self.requests.push_decision(rpc, Decision::ProbeRun);
+    }
+
+    fn keep_token(&mut self, rpc: RpcId, span: Span) {
+        let until = self.clock.now() + span;
+        let Some(entry) = self.requests.get_mut(rpc) else {
+            return;
+        };
+        if let Some(key) = entry.idempotency_key.clone() {
+            let fingerprint = entry.fingerprint;
+            self.idempotency_keys.keep(key, fingerprint, rpc, until);
+        }
+    }
+
+    fn drop_token(&mut self, rpc: RpcId) {
+        let now = self.clock.now();
+        let entry = self.requests.get_mut(rpc);
+        if let Some(key) = entry.and_then(|entry| entry.idempotency_key.as_ref()) {
+            self.idempotency_keys
+                .release(now, key, rpc, MAX_UNREAD_SPAN);
+        }
+    }
+
+    fn replay(&mut self, rpc: RpcId) {
+        self.requests.replay(rpc);
+    }
+
+    fn health(&mut self, good: bool) {
+        self.healthy = good;
+    }
+
+    fn advertise(&mut self, value: f64) {
+        self.load_report = Some(value);
+    }
+
+    fn idle_limit(&mut self, span: Span) {
+        self.idle_limit = Some(clock::duration(span));
+    }
+
+    fn timer(&mut self, span: Span) {
+        self.next_tick = span;
+    }
+
+    fn log(&mut self, text: std::fmt::Arguments<'_>) {
+        note!("{text}");
+    }
+
+    fn breaker(&mut self, turn: Turn) {
+        let Turn { from, to, rate } = turn;
+        let instance = self.instance.as_str();
+        tracing::info!(target: "breaker", dependency = "store", instance, from, to, rate, "breaker {turn}");
+    }
+
+    fn release(&mut self, rpc: RpcId) {
+        self.requests.finish(rpc);
+    }
+}
--- /dev/null
+++ b/crates/coralstep-server/src/decisions/admission.rs
@@ -0,0 +1,162 @@
+//! An RPC's way through the decisions: it is submitted, its progress is reported, its decisions are waited for.
+use std::future::poll_fn;
+use std::rc::Rc;
+use std::time::Duration;
+
+use coralstep::{Arrival, Outcome, Prior, RpcId, Span};
+
+use crate::base::clock;
+use crate::decisions::handle::SchedulerHandle;
+use crate::decisions::idempotency_keys::{Fingerprint, IdempotencyKey, Lookup};
+use crate::decisions::request::{
+    AdmissionError, CallOutcome, Decision, Progress, RpcRequest, RunOutcome,
+};
+use crate::decisions::request_table::RequestEntry;
+
+/// For so long an attempt may lie unread: what ran and is no longer kept is remembered for as long.
+pub const MAX_UNREAD_SPAN: Span = Span::ms(60_000);
+
+/// An RPC's place with the scheduler; given back when dropped.
+pub struct RequestTicket {
+    scheduler: Rc<SchedulerHandle>,
+    pub(super) id: RpcId,
+}
+
+impl Drop for RequestTicket {
+    fn drop(&mut self) {
+        let mut inner = self.scheduler.inner.borrow_mut();
+        inner.actions.requests.abandon(self.id);
+    }
+}
+
+impl SchedulerHandle {
+    /// Takes an RPC in and waits for the first decision on it.
+    ///
+    /// # Errors
+    ///
+    /// The table of requests is full, or the RPC must not run for its idempotency key.
+    pub async fn submit(
+        self: &Rc<Self>,
+        request: RpcRequest,
+    ) -> Result<(RequestTicket, Decision), AdmissionError> {
+        let ticket = self.enqueue(request)?;
+        let decision = ticket.next_decision().await;
+        Ok((ticket, decision))
+    }
+
+    pub(super) fn enqueue(
+        self: &Rc<Self>,
+        mut request: RpcRequest,
+    ) -> Result<RequestTicket, AdmissionError> {
+        self.start(None, Duration::ZERO);
+        let (id, repeats) = self.insert(&mut request)?;
+        let arrival = self.arrival(&request, id, repeats);
+        self.apply_fence();
+        self.submitted.set(self.submitted.get() + 1);
+        self.drive(|scheduler, now, actions| scheduler.rpc(now, arrival, actions));
+        Ok(RequestTicket {
+            scheduler: self.clone(),
+            id,
+        })
+    }
+
+    /// Its id, and that of the RPC that it repeats.
+    fn insert(&self, request: &mut RpcRequest) -> Result<(RpcId, Option<RpcId>), AdmissionError> {
+        let actions = &mut self.inner.borrow_mut().actions;
+        let key = request.idempotency_key.take().map(|key| IdempotencyKey {
+            method: request.method,
+            key,
+        });
+        let fingerprint = Fingerprint {
+            body_digest: request.body_digest,
+            tenant: request.tenant,
+        };
+        let arrived = self.clock.now() - request.age;
+        let lookup = key.as_ref().map_or(Lookup::Unknown, |key| {
+            actions.idempotency_keys.find(key, fingerprint, arrived)
+        });
+        let repeats = match lookup {
+            Lookup::Unknown => None,
+            Lookup::RepeatOf(repeated) => Some(repeated),
+            Lookup::Conflict => return Err(AdmissionError::KeyConflict),
+        };
+        let entry = RequestEntry::new(key, fingerprint, repeats);
+        let id = actions.requests.insert(entry)?;
+        Ok((id, repeats))
+    }
+
+    fn arrival(&self, request: &RpcRequest, id: RpcId, repeats: Option<RpcId>) -> Arrival {
+        // A stated timeout makes an RPC due sooner, never later: nobody may have kept what its method promises.
+        let due = request.timeout.map(|timeout| {
+            let timeout = timeout.min(self.method(request.method).deadline);
+            self.clock.now() - request.age + timeout
+        });
+        Arrival {
+            id,
+            method: request.method,
+            due,
+            tenant: request.tenant,
+            held_kb: request.memory_kb,
+            retry: request.retry,
+            age: request.age,
+            claimed: request.age_unverified,
+            prior: repeats.map_or(Prior::Nothing, Prior::Of),
+            ..Arrival::default()
+        }
+    }
+
+    fn report_call(&self, id: RpcId, outcome: CallOutcome, elapsed: Duration) {
+        self.recent_calls
+            .borrow_mut()
+            .push(outcome != CallOutcome::Ok);
+        self.drive(|scheduler, now, actions| {
+            let (outcome, elapsed) = (Outcome::from(outcome), clock::span(elapsed));
+            scheduler.called(now, id, outcome, elapsed, actions);
+        });
+    }
+
+    fn report_run(&self, id: RpcId, outcome: &RunOutcome) {
+        let succeeded = u64::from(matches!(outcome, RunOutcome::Ok(_)));
+        self.succeeded.set(self.succeeded.get() + succeeded);
+        self.drive(|scheduler, now, actions| {
+            if let RunOutcome::NeverStarted { retry_after } = outcome
+                && let Some(entry) = actions.requests.get_mut(id)
+            {
+                entry.retry_after = clock::span(*retry_after);
+                if let Some(key) = &entry.idempotency_key {
+                    actions.idempotency_keys.mark_never_started(key, id);
+                }
+            }
+            actions.requests.record_result(id, outcome);
+            scheduler.settled(now, id, outcome.as_scheduler_outcome(), actions);
+        });
+    }
+}
+
+impl RequestTicket {
+    /// Reports what has happened to the RPC; the scheduler acts on it at once.
+    pub fn report(&self, progress: Progress) {
+        let (scheduler, id) = (&self.scheduler, self.id);
+        match progress {
+            Progress::CallNeeded => {
+                scheduler.drive(|scheduler, now, actions| scheduler.needs_call(now, id, actions));
+            }
+            Progress::CallEnded { outcome, elapsed } => {
+                scheduler.report_call(id, outcome, elapsed);
+            }
+            Progress::RunEnded(outcome) => scheduler.report_run(id, &outcome),
+            Progress::CallerGone => {
+                scheduler.drive(|scheduler, now, actions| scheduler.gone(now, id, actions));
+            }
+        }
+    }
+
+    /// The next decision on the RPC, each once; [`Decision::Finished`] from its end on.
+    pub async fn next_decision(&self) -> Decision {
+        poll_fn(|cx| {
+            let mut inner = self.scheduler.inner.borrow_mut();
+            inner.actions.requests.poll_decision(self.id, cx)
+        })
+        .await
+    }
+}
--- /dev/null
+++ b/crates/coralstep-server/src/decisions/handle.rs
@@ -0,0 +1,318 @@
+//! The scheduler as network code sees it: started once the engine is up, driven by events and ticks, asked for its state.
+use std::cell::{Cell, RefCell};
+use std::panic::{AssertUnwindSafe, catch_unwind};
+use std::rc::Rc;
+use std::time::Duration;
+
+use coralstep::{Effect, Gauges, Learned, Method, Outcome, Server, Span, Terms, Time};
+use coralstep_config::Names;
+use coralstep_degradation::LevelTerms;
+use event_listener::{Event, EventListener};
+
+use crate::base::clock::{self, Clock};
+use crate::base::config::Limits;
+use crate::decisions::actions::PendingActions;
+use crate::decisions::breaker::RecentCalls;
+use crate::decisions::degradation::DegradationController;
+use crate::decisions::fence::FenceCheck;
+use crate::decisions::idempotency_keys::IdempotencyKeys;
+use crate::decisions::quota::QuotaLimiter;
+use crate::decisions::request::{Decision, ServerStatus};
+use crate::decisions::request_table::{CompletedRepeat, RequestTable};
+use crate::note;
+
+/// One idempotency key that ran and is no longer kept is remembered for so many request ids known.
+const REQUEST_IDS_PER_PAST_KEY: usize = 4;
+
+pub(super) struct Inner {
+    /// `None` before the start.
+    pub(super) scheduler: Option<Server>,
+    pub(super) actions: PendingActions,
+}
+
+/// State learned before a restart.
+struct RestoredState {
+    learned: Learned,
+    /// How far it is trusted, from 0 to 1.
+    confidence: f64,
+}
+
+/// How many RPCs there were since the start.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RequestCounts {
+    /// RPCs submitted, those beyond a quota included.
+    pub submitted: u64,
+    /// Of these, those whose runs ended well.
+    pub succeeded: u64,
+}
+
+/// The way to the scheduler.
+pub struct SchedulerHandle {
+    pub(super) inner: RefCell<Inner>,
+    names: Names,
+    terms: Terms,
+    degradation: Option<Rc<DegradationController>>,
+    restored: RefCell<Option<RestoredState>>,
+    seed: u64,
+    pub(super) clock: Clock,
+    /// Notified where a tick is wanted before the one waited for.
+    earlier_tick: Event,
+    pub(super) submitted: Cell<u64>,
+    pub(super) succeeded: Cell<u64>,
+    pub(super) fence_check: RefCell<Option<FenceCheck>>,
+    /// Whether this server is excluded.
+    pub(super) fenced: Cell<bool>,
+    pub(super) recent_calls: RefCell<RecentCalls>,
+    pub(super) quota_limiter: RefCell<Option<Rc<dyn QuotaLimiter>>>,
+}
+
+impl SchedulerHandle {
+    /// A handle whose scheduler is not started yet.
+    pub fn new(terms: Terms, names: Names, seed: u64, limits: &Limits) -> SchedulerHandle {
+        let clock = Clock::start();
+        let actions = PendingActions::new(
+            RequestTable::new(limits.rpcs, limits.results),
+            IdempotencyKeys::new(limits.ids / REQUEST_IDS_PER_PAST_KEY),
+            clock,
+            names.instance.clone(),
+        );
+        SchedulerHandle {
+            inner: RefCell::new(Inner {
+                scheduler: None,
+                actions,
+            }),
+            names,
+            terms,
+            degradation: None,
+            restored: RefCell::default(),
+            seed,
+            clock,
+            earlier_tick: Event::new(),
+            submitted: Cell::new(0),
+            succeeded: Cell::new(0),
+            fence_check: RefCell::default(),
+            fenced: Cell::new(false),
+            recent_calls: RefCell::default(),
+            quota_limiter: RefCell::default(),
+        }
+    }
+
+    /// Adds degradation levels.
+    ///
+    /// # Errors
+    ///
+    /// The levels contradict each other.
+    pub fn with_degradation(mut self, terms: &LevelTerms) -> Result<SchedulerHandle, String> {
+        let controller = DegradationController::new(terms, self.clock)?;
+        self.degradation = Some(Rc::new(controller));
+        Ok(self)
+    }
+
+    /// The degradation levels, where there are any.
+    pub fn degradation(&self) -> Option<&Rc<DegradationController>> {
+        self.degradation.as_ref()
+    }
+
+    /// What answers carry of this server beside their own content.
+    pub fn server_status(&self) -> ServerStatus {
+        ServerStatus {
+            value: self.load_report(),
+            level: self.degradation.as_ref().map(|levels| levels.name()),
+        }
+    }
+
+    /// Starts the scheduler, once: the engine is up since `uptime`, and not yet warm where `cold` or, without that, the settings
+    /// say so.
+    pub fn start(&self, cold: Option<bool>, uptime: Duration) {
+        let mut inner = self.inner.borrow_mut();
+        let Inner { scheduler, actions } = &mut *inner;
+        if scheduler.is_some() {
+            return;
+        }
+        let terms = Terms {
+            cold: cold.unwrap_or(self.terms.cold),
+            ..self.terms.clone()
+        };
+        let since = self.clock.now() - clock::span(uptime);
+        let mut started = Server::start(&terms, self.seed, since, actions);
+        if let Some(restored) = self.restored.take() {
+            started.relearn(&restored.learned, restored.confidence);
+        }
+        // Guards against a start long ago that looks like cores which have stood still ever since.
+        started.timer(self.clock.now(), Gauges::default(), actions);
+        *scheduler = Some(started);
+        self.earlier_tick.notify(usize::MAX);
+    }
+
+    /// Whether the scheduler is started.
+    pub fn is_started(&self) -> bool {
+        self.inner.borrow().scheduler.is_some()
+    }
+
+    /// Takes `learned` in at the start, trusted from 0 to 1.
+    pub fn restore_at_start(&self, learned: Learned, confidence: f64) {
+        *self.restored.borrow_mut() = Some(RestoredState {
+            learned,
+            confidence,
+        });
+    }
+
+    /// What is learned so far; none before the start.
+    pub fn learned_state(&self) -> Option<Learned> {
+        let inner = self.inner.borrow();
+        inner.scheduler.as_ref().map(Server::learned)
+    }
+
+    /// How much runs, as a part of the concurrency limit.
+    pub fn utilization(&self) -> f64 {
+        let inner = self.inner.borrow();
+        let scheduler = inner.scheduler.as_ref();
+        scheduler
+            .and_then(|scheduler| scheduler.signals().running)
+            .unwrap_or(0.0)
+    }
+
+    /// Passes an event to the scheduler, and to it again all that follows from it; does nothing before the start.
+    pub(super) fn drive(&self, event: impl FnOnce(&mut Server, Time, &mut PendingActions)) {
+        let mut inner = self.inner.borrow_mut();
+        let Inner { scheduler, actions } = &mut *inner;
+        let Some(scheduler) = scheduler else {
+            return;
+        };
+        let (now, tick_before) = (self.clock.now(), actions.next_tick);
+        event(scheduler, now, actions);
+        while let Some(repeat) = actions.requests.next_completed_repeat() {
+            let CompletedRepeat { id, result } = repeat;
+            let (decision, outcome) = match result {
+                Some(result) => (Decision::Replay(result), Outcome::Ok),
+                None => (Decision::Abort, Outcome::Error),
+            };
+            actions.requests.push_decision(id, decision);
+            scheduler.settled(now, id, outcome, actions);
+        }
+        if actions.next_tick < tick_before {
+            self.earlier_tick.notify(usize::MAX);
+        }
+    }
+
+    /// Lets time pass; `gauge_readings` stand in the order of the settings' gauges.
+    pub fn tick(&self, gauge_readings: &[Option<f64>]) {
+        let gauges = self.gauges(gauge_readings);
+        self.drive(|scheduler, now, actions| scheduler.timer(now, gauges, actions));
+        self.apply_fence();
+        if !self.fenced.get() {
+            self.update_degradation();
+        }
+    }
+
+    fn gauges(&self, readings: &[Option<f64>]) -> Gauges {
+        let mut gauges = Gauges::default();
+        for (name, reading) in self.names.gauges.iter().zip(readings) {
+            match name.as_str() {
+                "cpu_busy" => gauges.busy = *reading,
+                "sockets" => gauges.connections = *reading,
+                _ => {}
+            }
+        }
+        gauges
+    }
+
+    /// Guards against a fault among the levels that takes the tick along: the last level then holds.
+    fn update_degradation(&self) {
+        let Some(degradation) = &self.degradation else {
+            return;
+        };
+        let update = AssertUnwindSafe(|| {
+            self.drive(|scheduler, now, actions| {
+                let level = degradation.observe(now, &scheduler.signals());
+                scheduler.level(now, level, actions);
+            });
+        });
+        if catch_unwind(update).is_err() {
+            note!("the levels' beat ended by a panic; the last level holds");
+        }
+    }
+
+    /// How long until the next tick is wanted; zero before the start.
+    pub fn next_tick(&self) -> Duration {
+        clock::duration(self.inner.borrow().actions.next_tick)
+    }
+
+    /// Ends when the scheduler starts, and when a tick is wanted sooner than was said.
+    pub fn earlier_tick(&self) -> EventListener {
+        self.earlier_tick.listen()
+    }
+
+    /// Begins a graceful shutdown: the process ends after `left`.
+    pub fn begin_drain(&self, left: Duration) {
+        self.start(None, Duration::ZERO);
+        let left = Span(left.as_micros() as u64 / 100);
+        self.drive(|scheduler, now, actions| scheduler.wind_down(now, now + left, actions));
+    }
+
+    /// Another version of the settings holds for what is read from now on.
+    pub fn handle_config_change(&self) {
+        self.drive(|scheduler, _, _| scheduler.versioned());
+    }
+
+    /// What a health check is answered.
+    pub fn is_healthy(&self) -> bool {
+        self.inner.borrow().actions.healthy && !self.fenced.get()
+    }
+
+    /// The load report, where one was made.
+    pub fn load_report(&self) -> Option<f64> {
+        self.inner.borrow().actions.load_report
+    }
+
+    /// How long a connection may carry nothing.
+    pub fn idle_limit(&self) -> Option<Duration> {
+        let limit = self.inner.borrow().actions.idle_limit;
+        limit.filter(|limit| !limit.is_zero())
+    }
+
+    /// How many RPCs there were since the start.
+    pub fn request_counts(&self) -> RequestCounts {
+        RequestCounts {
+            submitted: self.submitted.get(),
+            succeeded: self.succeeded.get(),
+        }
+    }
+
+    /// Index of the method of this name.
+    pub fn method_index(&self, name: &str) -> Option<usize> {
+        self.names.methods.iter().position(|method| method == name)
+    }
+
+    /// Name of a method.
+    pub fn method_name(&self, method: usize) -> &str {
+        &self.names.methods[method]
+    }
+
+    /// Index of the tenant of this name.
+    pub fn tenant_index(&self, name: &str) -> Option<usize> {
+        self.names.tenants.iter().position(|tenant| tenant == name)
+    }
+
+    /// Name of a tenant.
+    pub fn tenant_name(&self, tenant: usize) -> Option<&str> {
+        self.names.tenants.get(tenant).map(String::as_str)
+    }
+
+    /// Whether an RPC of `method` may run twice.
+    pub fn idempotency(&self, method: usize) -> Effect {
+        self.method(method).effect
+    }
+
+    /// How long an RPC of `method` is waited for at the most.
+    pub fn deadline(&self, method: usize) -> Duration {
+        clock::duration(self.method(method).deadline)
+    }
+
+    pub(super) fn method(&self, method: usize) -> &Method {
+        &self.terms.methods[method]
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/coralstep-server/src/decisions/mod.rs
+++ b/crates/coralstep-server/src/decisions/mod.rs
@@ -1,4 +1,22 @@
-//! The way to the decisions, and what rides on their beat.
-pub mod facade;
-pub mod levels;
-pub mod tokens;
+//! The way to the decisions. Only here do the scheduler's ids, times and actions show; the rest of the server submits an
+//! [`RpcRequest`], carries out each [`Decision`] and reports [`Progress`].
+pub mod degradation;
+pub mod idempotency_keys;
+
+mod actions;
+mod admission;
+mod breaker;
+mod fence;
+mod handle;
+mod quota;
+mod request;
+mod request_table;
+
+pub use admission::{MAX_UNREAD_SPAN, RequestTicket};
+pub use breaker::BreakerStatus;
+pub use fence::FenceCheck;
+pub use handle::{RequestCounts, SchedulerHandle};
+pub use quota::{QuotaGuard, QuotaLimiter};
+pub use request::{
+    AdmissionError, CallOutcome, Decision, Progress, RpcRequest, RunOutcome, ServerStatus,
+};
--- a/crates/coralstep-server/src/dependency/store.rs
+++ b/crates/coralstep-server/src/dependency/store.rs
@@ -15,7 +15,7 @@
 
 use crate::base::endpoints::Endpoints;
 use crate::base::lines::{self, Ref};
-use crate::decisions::facade::CallEnd;
+use crate::decisions::CallOutcome;
 use crate::note;
 
 /// The store itself says when the stated time is over; ours runs out a little later, for a store that says nothing.
@@ -24,7 +24,7 @@
 
 /// How a call ended, with the reply of one that went well.
 pub struct Ended {
-    pub end: CallEnd,
+    pub end: CallOutcome,
     pub answer: Option<Vec<u8>>,
     pub took: Duration,
 }
@@ -72,9 +72,9 @@
         }
         let end = match (left.get(), timed_out) {
             // What never left this machine was never run.
-            (false, _) => CallEnd::Unreachable,
-            (true, true) => CallEnd::TimedOut,
-            (true, false) => CallEnd::Broken,
+            (false, _) => CallOutcome::Unreachable,
+            (true, true) => CallOutcome::TimedOut,
+            (true, false) => CallOutcome::Broken,
         };
         (end, None)
     });
@@ -90,7 +90,7 @@
     id: Ref,
     bytes: &[u8],
     left: &Cell<bool>,
-) -> io::Result<(CallEnd, Option<Vec<u8>>)> {
+) -> io::Result<(CallOutcome, Option<Vec<u8>>)> {
     let address = endpoints
         .store
         .get()
@@ -108,7 +108,10 @@
 }
 
 /// The reply to the call for `id`; one for any other is passed over.
-async fn read(mut stream: &Async<TcpStream>, id: Ref) -> io::Result<(CallEnd, Option<Vec<u8>>)> {
+async fn read(
+    mut stream: &Async<TcpStream>,
+    id: Ref,
+) -> io::Result<(CallOutcome, Option<Vec<u8>>)> {
     let id = id.to_string();
     let (mut buffer, mut filled) = (vec![0; READ], 0);
     loop {
@@ -131,14 +134,14 @@
                     note!("store: a reply for {of:.16}, which is not asked here");
                     continue;
                 }
-                [_, "OK", _] => CallEnd::Ok,
-                [_, "BUSY"] => CallEnd::PushedBack,
-                [_, "ERR"] => CallEnd::Error,
-                [_, "LATE"] => CallEnd::TimedOut,
-                [_, "VOID"] => CallEnd::Moot,
+                [_, "OK", _] => CallOutcome::Ok,
+                [_, "BUSY"] => CallOutcome::Rejected,
+                [_, "ERR"] => CallOutcome::Error,
+                [_, "LATE"] => CallOutcome::TimedOut,
+                [_, "VOID"] => CallOutcome::NotNeeded,
                 _ => return Err(io::Error::other("an unknown reply")),
             };
-            return Ok((end, (end == CallEnd::Ok).then(|| body.to_vec())));
+            return Ok((end, (end == CallOutcome::Ok).then(|| body.to_vec())));
         }
         buffer.copy_within(used..filled, 0);
         filled -= used;
--- a/crates/coralstep-server/src/fleet/carrier.rs
+++ b/crates/coralstep-server/src/fleet/carrier.rs
@@ -24,7 +24,7 @@
 use serde_json::{Value, json};
 
 use crate::base::log;
-use crate::decisions::facade::{Facade, Limiter};
+use crate::decisions::{BreakerStatus, QuotaLimiter, SchedulerHandle};
 use crate::fleet::record::Recorder;
 use crate::note;
 
@@ -207,11 +207,11 @@
     }
 
     /// From here on each RPC is preceded by a look at whether this server is shut out.
-    pub fn guard(self: &Rc<Self>, facade: &Facade) {
+    pub fn guard(self: &Rc<Self>, facade: &SchedulerHandle) {
         let carrier = self.clone();
-        facade.gate(Rc::new(move || carrier.back()));
+        facade.set_fence_check(Rc::new(move || carrier.back()));
         if self.limits.is_some() {
-            facade.limiter(self.clone());
+            facade.set_quota_limiter(self.clone());
         }
     }
 
@@ -222,7 +222,7 @@
     }
 
     /// Hears and speaks for good.
-    pub async fn run(&self, facade: &Facade, take: &Take, watch: &Watch) {
+    pub async fn run(&self, facade: &SchedulerHandle, take: &Take, watch: &Watch) {
         let mut next = Instant::now();
         let mut buffer = vec![0; READ_MOST + 1];
         loop {
@@ -273,11 +273,11 @@
         self.faults.set(self.faults.get() + u64::from(!heard));
     }
 
-    fn tick(&self, facade: &Facade, take: &Take, watch: &Watch) {
+    fn tick(&self, facade: &SchedulerHandle, take: &Take, watch: &Watch) {
         let now = self.now();
-        self.fleet
-            .borrow_mut()
-            .tick(now, self.wall_ms(), facade.counts());
+        let counts = facade.request_counts();
+        let counts = (counts.submitted, counts.succeeded);
+        self.fleet.borrow_mut().tick(now, self.wall_ms(), counts);
         let pending = self.fleet.borrow_mut().pending(now);
         if let Some((id, version)) = pending {
             // Taken up without a hold on the fleet: what it changes may ask.
@@ -285,7 +285,7 @@
             let mut fleet = self.fleet.borrow_mut();
             match taken {
                 Ok(()) => {
-                    facade.versioned();
+                    facade.handle_config_change();
                     fleet.took(now, self.wall_ms(), id);
                     self.changed.set(true);
                 }
@@ -301,11 +301,11 @@
             self.changed
                 .set(!recorder.save(Record { acts_on, entries }));
         }
-        facade.obey();
+        facade.apply_fence();
     }
 
     /// What this server's breakers see is said; what the others say is passed to the decisions, and to who chooses among applications.
-    fn see(&self, now: Ms, facade: &Facade, watch: &Watch) {
+    fn see(&self, now: Ms, facade: &SchedulerHandle, watch: &Watch) {
         let Some(verdicts) = &self.verdicts else {
             return;
         };
@@ -330,9 +330,14 @@
             );
             (advice.need, advice.left.map(Duration::from_millis))
         };
-        if let Some((state, failures, calls)) = facade.breaker() {
+        if let Some(status) = facade.breaker_status() {
+            let BreakerStatus {
+                state,
+                failures,
+                calls,
+            } = status;
             let (need, left) = see(STORE, state, failures, calls);
-            facade.hear(need, left);
+            facade.apply_peer_reports(need, left);
         }
         watch(&mut |name, state, failures, calls| see(name, state, failures, calls));
     }
@@ -507,7 +512,7 @@
     }
 }
 
-impl Limiter for Carrier {
+impl QuotaLimiter for Carrier {
     fn take(&self, which: Which, covers_ms: u64) -> Result<Pass, u64> {
         let Some(limits) = &self.limits else {
             return Ok(Pass::default());
--- a/crates/coralstep-server/src/lib.rs
+++ b/crates/coralstep-server/src/lib.rs
@@ -4,9 +4,9 @@
 //! life ──> operators, callers ──> runs ──> dependency ──> decisions ──> base
 //! ```
 //!
-//! `decisions::facade` is the way to the decisions; the fronts in `callers` read RPCs, `runs::course` leads each of them through what was
-//! decided, at `runs::engine` or `runs::applications` and at `dependency::store`. One thread, no lock, and no borrow of shared state is
-//! held while waiting.
+//! `decisions::SchedulerHandle` is the way to the decisions; the fronts in `callers` read RPCs, `runs::request_handler` carries out what
+//! was decided of each, at `runs::engine` or `runs::applications` and at `dependency::store`. One thread, no lock, and no borrow of
+//! shared state is held while waiting.
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::net::{SocketAddr, TcpListener};
@@ -37,17 +37,17 @@
 use callers::front::Front;
 use callers::gateway::Thrift;
 use callers::scgi::Scgi;
-use decisions::facade::Facade;
+use decisions::SchedulerHandle;
 use dependency::store::Store;
 use fleet::carrier::{Carrier, Take, Watch};
 use life::keep::Keeper;
 use life::reload::Movable;
 use life::{control, drain, reload};
 use operators::ops::Operator;
-use runs::Runs;
+use runs::Backend;
 use runs::applications::Applications;
-use runs::course::Course;
 use runs::engine::Engine;
+use runs::request_handler::RequestHandler;
 
 /// Before the engine is up nothing is to be decided; the clock of the decisions is looked at again after so long.
 const UNSTARTED: Duration = Duration::from_millis(100);
@@ -82,9 +82,9 @@
     let executor = Rc::new(LocalExecutor::new());
     let (terms, names) = (config.terms.clone(), config.names.clone());
     log::start(&site.log)?;
-    let facade = Facade::new(terms, names, config.seed, &config.limits);
+    let facade = SchedulerHandle::new(terms, names, config.seed, &config.limits);
     let facade = Rc::new(match &site.levels {
-        Some(levels) => facade.with_levels(levels)?,
+        Some(levels) => facade.with_degradation(levels)?,
         None => facade,
     });
     let endpoints = Rc::new(Endpoints::of(&config));
@@ -98,11 +98,11 @@
             config.seed,
         ))
     });
-    let runs: Rc<dyn Runs> = match &applications {
+    let runs: Rc<dyn Backend> = match &applications {
         Some(applications) => applications.clone(),
         None => engine.clone(),
     };
-    let course = Rc::new(Course::new(
+    let course = Rc::new(RequestHandler::new(
         facade.clone(),
         runs,
         Store(endpoints.clone()),
@@ -183,7 +183,7 @@
     let movable = Rc::new(Movable {
         scgi,
         applications,
-        levels: facade.levels().cloned(),
+        levels: facade.degradation().cloned(),
         versioned: Cell::new(false),
         holds: RefCell::default(),
     });
@@ -197,7 +197,7 @@
         Box::new(move |see| {
             applications
                 .iter()
-                .for_each(|applications| applications.watch(see))
+                .for_each(|applications| applications.exchange_health(see))
         })
     };
     let forever = async {
@@ -216,7 +216,11 @@
         match &movable.applications {
             // Nothing is to be waited for: they may come and go.
             Some(_) => facade.start(None, Duration::ZERO),
-            None => parts.push(Box::pin(engine.keep(&endpoints, &facade, config.seed))),
+            None => parts.push(Box::pin(engine.maintain_link(
+                &endpoints,
+                &facade,
+                config.seed,
+            ))),
         }
         if let Some(keeper) = &keeper {
             parts.push(Box::pin(keeper.run(&facade)));
@@ -234,7 +238,7 @@
             if let Some(applications) = &movable.applications {
                 parts.push(Box::pin(async move {
                     loop {
-                        applications.processes(carrier.count());
+                        applications.set_process_count(carrier.count());
                         Timer::after(COUNTED).await;
                     }
                 }));
@@ -263,7 +267,7 @@
 
 type Part<'a> = Pin<Box<dyn Future<Output = ()> + 'a>>;
 
-/// Runs all; never ends, as some of them don't.
+/// Backend all; never ends, as some of them don't.
 async fn all(mut parts: Vec<Part<'_>>) {
     poll_fn(|cx| {
         parts.retain_mut(|part| part.as_mut().poll(cx).is_pending());
@@ -273,9 +277,9 @@
 }
 
 /// Ticks when the decisions want it, with the last readings of the engine's gauges.
-async fn beat(facade: &Facade, engine: &Engine) {
+async fn beat(facade: &SchedulerHandle, engine: &Engine) {
     loop {
-        let sooner = facade.sooner();
+        let sooner = facade.earlier_tick();
         let next = facade.next_tick();
         let wait = if next.is_zero() { UNSTARTED } else { next };
         let timer = async {
@@ -285,8 +289,8 @@
         if !next.is_zero() {
             // Guards against a fault of one moment that ends the process, and with it all RPCs.
             let tick = AssertUnwindSafe(|| {
-                engine.ask();
-                facade.tick(&engine.readings());
+                engine.poll_gauges();
+                facade.tick(&engine.gauge_readings());
             });
             if catch_unwind(tick).is_err() {
                 note!("a tick ended by a panic");
--- a/crates/coralstep-server/src/life/control.rs
+++ b/crates/coralstep-server/src/life/control.rs
@@ -8,7 +8,7 @@
 use async_io::Timer;
 
 use crate::base::endpoints::Endpoint;
-use crate::decisions::facade::Facade;
+use crate::decisions::SchedulerHandle;
 use crate::note;
 
 /// An entry lapses 3 s after its last report. Guards against reports that get lost: of ten in that time, one that comes
@@ -20,17 +20,17 @@
 pub async fn report(
     name: &str,
     endpoint: &Endpoint<Option<SocketAddr>>,
-    facade: &Facade,
+    facade: &SchedulerHandle,
     leaving: &Cell<bool>,
 ) {
     let (mut failed, mut spare) = (false, spare());
     while !leaving.get() {
-        let started = facade.sooner();
-        if !facade.started() {
+        let started = facade.earlier_tick();
+        if !facade.is_started() {
             started.await;
             continue;
         }
-        let state = if facade.healthy() {
+        let state = if facade.is_healthy() {
             "Ready"
         } else {
             "NotReady"
--- a/crates/coralstep-server/src/life/drain.rs
+++ b/crates/coralstep-server/src/life/drain.rs
@@ -8,7 +8,7 @@
 use futures_lite::{FutureExt, StreamExt};
 
 use crate::callers::connections::Connections;
-use crate::decisions::facade::Facade;
+use crate::decisions::SchedulerHandle;
 use crate::note;
 
 /// So long before the stop nobody is let in any more: the decisions give their last answers before that, and what
@@ -28,7 +28,7 @@
 /// Ends when the process should.
 pub async fn wait(
     mut signals: Signals,
-    facade: &Facade,
+    facade: &SchedulerHandle,
     connections: &Connections,
     stop: Duration,
     leaving: &Cell<bool>,
@@ -40,7 +40,7 @@
     leaving.set(true);
     // The others hear it before anything else changes.
     told();
-    facade.leave(stop);
+    facade.begin_drain(stop);
     Timer::at(stop_at.checked_sub(SHUT).unwrap_or(stop_at)).await;
     connections.shut();
     let end = async {
@@ -49,5 +49,5 @@
         Timer::at(stop_at.checked_sub(EXIT).unwrap_or(stop_at)).await;
     };
     connections.empty().or(end).await;
-    note!("left after {} RPCs", facade.picked());
+    note!("left after {} RPCs", facade.request_counts().submitted);
 }
--- a/crates/coralstep-server/src/life/keep.rs
+++ b/crates/coralstep-server/src/life/keep.rs
@@ -14,7 +14,7 @@
 use coralstep_state::trust::Fingerprint;
 
 use crate::base::config::Config;
-use crate::decisions::facade::Facade;
+use crate::decisions::SchedulerHandle;
 use crate::note;
 
 /// What is due is looked at this often.
@@ -73,7 +73,7 @@
 
 impl Keeper {
     /// Opens the folder and takes in what is there; none where the folder can't be had, which is told, and serving goes on without.
-    pub fn start(terms: &StateTerms, config: &Config, facade: &Facade) -> Option<Keeper> {
+    pub fn start(terms: &StateTerms, config: &Config, facade: &SchedulerHandle) -> Option<Keeper> {
         let of = fingerprint(config);
         let mut folder = match Folder::open(&terms.folder) {
             Ok(folder) => folder,
@@ -89,7 +89,7 @@
                 "state: snapshot {} is taken in, trusted {trust:.2}",
                 found.number
             );
-            facade.before(learned, trust);
+            facade.restore_at_start(learned, trust);
         }
         let (works, inbox) = sync_channel::<Work>(1);
         let (told, done) = sync_channel(4);
@@ -140,7 +140,7 @@
     }
 
     /// Snapshots at their intervals, serving first.
-    pub async fn run(&self, facade: &Facade) {
+    pub async fn run(&self, facade: &SchedulerHandle) {
         let mut scheduler = Scheduler::new(Budget::default(), &[(SNAPSHOT, 1.0)]);
         let (start, mut last, mut cost) = (Instant::now(), Instant::now(), GUESS);
         loop {
@@ -156,8 +156,8 @@
             if last.elapsed() >= self.every {
                 scheduler.wants(SNAPSHOT, cost, now_ms);
             }
-            if scheduler.next(now_ms, facade.busy()).is_some()
-                && let Some(learned) = facade.learned()
+            if scheduler.next(now_ms, facade.utilization()).is_some()
+                && let Some(learned) = facade.learned_state()
                 && self.save(learned)
             {
                 last = Instant::now();
@@ -168,9 +168,11 @@
     }
 
     /// The last snapshot, within a stated time: the process is about to end.
-    pub fn end(&self, facade: &Facade) {
+    pub fn end(&self, facade: &SchedulerHandle) {
         while self.done.try_recv().is_ok() {}
-        let sent = facade.learned().is_some_and(|learned| self.save(learned));
+        let sent = facade
+            .learned_state()
+            .is_some_and(|learned| self.save(learned));
         if sent && self.done.recv_timeout(LAST).is_err() {
             note!("state: the last snapshot took too long; the one before it counts");
         }
--- a/crates/coralstep-server/src/life/reload.rs
+++ b/crates/coralstep-server/src/life/reload.rs
@@ -14,7 +14,7 @@
 use crate::base::config::{Config, Source};
 use crate::base::endpoints::Endpoints;
 use crate::callers::scgi::Scgi;
-use crate::decisions::levels::Kept;
+use crate::decisions::degradation::DegradationController;
 use crate::note;
 use crate::runs::applications::Applications;
 
@@ -28,7 +28,7 @@
 pub struct Movable {
     pub scgi: Option<Rc<Scgi>>,
     pub applications: Option<Rc<Applications>>,
-    pub levels: Option<Rc<Kept>>,
+    pub levels: Option<Rc<DegradationController>>,
     /// These sections are those of a version of the fleet's; the site file's stay behind them.
     pub versioned: Cell<bool>,
     /// The version's, where one was taken.
--- a/crates/coralstep-server/src/operators/ops.rs
+++ b/crates/coralstep-server/src/operators/ops.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use crate::decisions::facade::Facade;
+use crate::decisions::SchedulerHandle;
 use crate::fleet::carrier::Carrier;
 use crate::note;
 
@@ -130,7 +130,7 @@
     pub async fn listen(
         &self,
         executor: &Rc<LocalExecutor<'static>>,
-        facade: &Rc<Facade>,
+        facade: &Rc<SchedulerHandle>,
         carrier: Option<Rc<Carrier>>,
     ) {
         loop {
@@ -186,7 +186,7 @@
 
 async fn answer(
     mut stream: Box<dyn Talk>,
-    facade: &Facade,
+    facade: &SchedulerHandle,
     carrier: Option<&Carrier>,
 ) -> std::io::Result<()> {
     let mut bytes = Vec::new();
@@ -274,8 +274,8 @@
     })
 }
 
-fn said(question: Question, facade: &Facade) -> Value {
-    let levels = facade.levels();
+fn said(question: Question, facade: &SchedulerHandle) -> Value {
+    let levels = facade.degradation();
     let Some(levels) = levels else {
         return json!({"error": "this server has no levels: its site file names none"});
     };
--- /dev/null
+++ b/crates/coralstep-server/src/runs/applications/mod.rs
@@ -0,0 +1,189 @@
+//! SCGI applications that run RPCs: one connection an attempt. Which application, and whether there is another attempt, is
+//! decided by the balancer (`coralstep-balancer`); what an attempt proves is found out here.
+//!
+//! | file | job |
+//! | --- | --- |
+//! | `attempt.rs` | one attempt at one application, and what it proves |
+//! | `run.rs` | one RPC's run, as its lifecycle sees it; the SCGI request |
+mod attempt;
+mod run;
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::collections::hash_map::Entry;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use async_executor::{LocalExecutor, Task};
+use coralstep::{Time, Turn};
+use coralstep_balancer::{Pool, PoolTerms, RampTerms};
+use coralstep_config::site::ApplicationTerms;
+
+use crate::base::clock::{self, Clock};
+use crate::base::descriptors::Descriptors;
+use crate::base::lines::Ref;
+use crate::decisions::RunOutcome;
+use crate::fleet::carrier::See;
+use crate::runs::applications::attempt::AttemptResult;
+use crate::runs::applications::run::ApplicationRun;
+use crate::runs::{Backend, Run, RunEvents};
+
+/// One run.
+#[derive(Default)]
+struct RunState {
+    events: RunEvents,
+    task: Option<Task<()>>,
+}
+
+/// What the attempts of one run need.
+struct Job {
+    id: Ref,
+    /// The SCGI request.
+    bytes: Vec<u8>,
+    idempotent: bool,
+    deadline: Instant,
+}
+
+/// All applications, and the runs at them.
+pub struct Applications {
+    executor: Rc<LocalExecutor<'static>>,
+    descriptors: Rc<Descriptors>,
+    clock: Clock,
+    pool: RefCell<Pool<SocketAddr>>,
+    runs: RefCell<HashMap<Ref, RunState>>,
+    terms: RefCell<ApplicationTerms>,
+}
+
+fn pool_terms(terms: &ApplicationTerms) -> PoolTerms {
+    PoolTerms {
+        ramp: RampTerms {
+            slow_start: clock::span(Duration::from_millis(u64::from(terms.slow_start_ms))),
+            cold_rate: terms.cold_rate,
+            processes: terms.processes,
+        },
+        each_most: terms.each_most,
+        repeats: terms.repeats,
+        attempts: terms.attempts,
+    }
+}
+
+impl Applications {
+    /// The applications that `terms` list. `seed` is for the balancer's random choices.
+    pub fn new(
+        executor: Rc<LocalExecutor<'static>>,
+        descriptors: Rc<Descriptors>,
+        terms: &ApplicationTerms,
+        seed: u64,
+    ) -> Applications {
+        let clock = Clock::start();
+        let mut pool = Pool::new(pool_terms(terms), seed);
+        pool.set(clock.now(), &terms.addresses);
+        Applications {
+            executor,
+            descriptors,
+            clock,
+            pool: RefCell::new(pool),
+            runs: RefCell::default(),
+            terms: RefCell::new(terms.clone()),
+        }
+    }
+
+    /// Takes up another list of applications, and all else that is stated of them; what is open stays where it is.
+    pub fn reload(&self, terms: &ApplicationTerms) {
+        let mut pool = self.pool.borrow_mut();
+        pool.reload(pool_terms(terms));
+        pool.set(self.now(), &terms.addresses);
+        *self.terms.borrow_mut() = terms.clone();
+    }
+
+    /// Sets how many processes send to the applications, as the fleet has it.
+    pub fn set_process_count(&self, count: usize) {
+        let count = u32::try_from(count).unwrap_or(u32::MAX);
+        self.pool.borrow_mut().processes(count);
+    }
+
+    /// Passes on what is seen of each application, and takes in what other servers saw: the outcomes that its breaker needs,
+    /// and when a cooldown ends.
+    pub fn exchange_health(&self, see: See<'_>) {
+        let now = self.now();
+        let views = self.pool.borrow().view(now);
+        for view in views.into_iter().filter(|view| !view.leaving) {
+            let address = view.key.to_string();
+            let (min_outcomes, left) = see(&address, view.state, view.failures, view.recent);
+            let cooldown_end = left.map(|left| now + clock::span(left));
+            let mut pool = self.pool.borrow_mut();
+            pool.hear(&view.key, min_outcomes, cooldown_end);
+        }
+    }
+
+    fn now(&self) -> Time {
+        self.clock.now()
+    }
+
+    /// Each change of an application's breaker is one event.
+    fn log_breaker_changes(&self) {
+        for (address, turn) in self.pool.borrow_mut().turns() {
+            let (dependency, Turn { from, to, rate }) = (address.to_string(), turn);
+            tracing::info!(target: "breaker", dependency, from, to, rate, "application {address}: breaker {turn}");
+        }
+    }
+
+    /// Makes attempts until there is an outcome, or no more may be made.
+    async fn run_to_outcome(&self, job: &Job) -> RunOutcome {
+        self.pool.borrow_mut().first_try();
+        let mut attempts_made = 0;
+        let mut last_slot = None;
+        let mut proven_unstarted = true;
+        loop {
+            let selection = self.pool.borrow_mut().choose(self.now(), last_slot);
+            self.log_breaker_changes();
+            let pick = match selection {
+                Ok(pick) => pick,
+                Err(back) => return no_outcome(proven_unstarted, clock::duration(back)),
+            };
+            attempts_made += 1;
+            last_slot = Some(pick.slot());
+            let end = match self.attempt(job, pick).await {
+                AttemptResult::Outcome(outcome) => return outcome,
+                AttemptResult::Inconclusive(end) => end,
+            };
+            proven_unstarted &= end.is_unstarted();
+            let deadline = self.clock.at(job.deadline);
+            let may_retry = self.pool.borrow_mut().repeats(
+                self.now(),
+                end,
+                job.idempotent,
+                attempts_made,
+                deadline,
+            );
+            if !may_retry {
+                return no_outcome(proven_unstarted, Duration::ZERO);
+            }
+        }
+    }
+}
+
+/// How a run ended none of whose attempts had an outcome.
+fn no_outcome(proven_unstarted: bool, retry_after: Duration) -> RunOutcome {
+    if proven_unstarted {
+        RunOutcome::NeverStarted { retry_after }
+    } else {
+        RunOutcome::Error
+    }
+}
+
+impl Backend for Applications {
+    fn register(self: Rc<Self>, id: Ref) -> Option<Box<dyn Run>> {
+        match self.runs.borrow_mut().entry(id) {
+            Entry::Occupied(_) => return None,
+            Entry::Vacant(vacant) => {
+                vacant.insert(RunState::default());
+            }
+        }
+        Some(Box::new(ApplicationRun {
+            applications: self,
+            id,
+        }))
+    }
+}
--- /dev/null
+++ b/crates/coralstep-server/src/runs/applications/run.rs
@@ -0,0 +1,108 @@
+//! One RPC's run at the applications, and the SCGI request that it sends.
+use std::rc::Rc;
+use std::task::{Context, Poll};
+
+use coralstep_scgi::request;
+
+use crate::base::lines::Ref;
+use crate::decisions::RunOutcome;
+use crate::note;
+use crate::runs::applications::{Applications, Job};
+use crate::runs::{Run, RunEvent, RunRequest};
+
+/// What an application is told beside the body, each in a header of its own.
+const ID_HEADER: &str = "CORALSTEP_ID";
+const METHOD_HEADER: &str = "CORALSTEP_METHOD";
+const TENANT_HEADER: &str = "CORALSTEP_TENANT";
+const IDEMPOTENCY_KEY_HEADER: &str = "HTTP_IDEMPOTENCY_KEY";
+
+/// One RPC's run at the applications; unregistered when dropped.
+pub(super) struct ApplicationRun {
+    pub(super) applications: Rc<Applications>,
+    pub(super) id: Ref,
+}
+
+impl Drop for ApplicationRun {
+    fn drop(&mut self) {
+        // With the task its connection ends, and its pick goes back: not while the table is borrowed.
+        let state = self.applications.runs.borrow_mut().remove(&self.id);
+        drop(state);
+    }
+}
+
+impl ApplicationRun {
+    fn request_bytes(&self, request: &RunRequest<'_>) -> Vec<u8> {
+        let path = self.path(request.method);
+        let id = self.id.to_string();
+        let mut headers: Vec<(&str, &[u8])> = vec![
+            ("REQUEST_METHOD", b"POST"),
+            ("REQUEST_URI", path.as_bytes()),
+            ("PATH_INFO", path.as_bytes()),
+            (ID_HEADER, id.as_bytes()),
+            (METHOD_HEADER, request.method.as_bytes()),
+        ];
+        if let Some(tenant) = request.tenant {
+            headers.push((TENANT_HEADER, tenant.as_bytes()));
+        }
+        // A header can't hold a zero byte.
+        if let Some(key) = request.idempotency_key.filter(|key| !key.contains(&0)) {
+            headers.push((IDEMPOTENCY_KEY_HEADER, key));
+        }
+        let mut bytes = Vec::new();
+        if request::put(&mut bytes, &headers, request.body).is_err() {
+            note!("{} of {} can't be written", self.id, request.method);
+        }
+        bytes
+    }
+
+    fn path(&self, method: &str) -> String {
+        let terms = self.applications.terms.borrow();
+        let path = terms.paths.get(method).cloned();
+        path.unwrap_or_else(|| format!("/{method}"))
+    }
+}
+
+impl Run for ApplicationRun {
+    fn start(&self, request: &RunRequest<'_>) {
+        let job = Job {
+            id: self.id,
+            bytes: self.request_bytes(request),
+            idempotent: request.idempotent,
+            deadline: request.deadline,
+        };
+        let applications = self.applications.clone();
+        let task = self.applications.executor.spawn(async move {
+            let outcome = applications.run_to_outcome(&job).await;
+            if let Some(state) = applications.runs.borrow_mut().get_mut(&job.id) {
+                state.events.push(RunEvent::Ended(outcome));
+            }
+        });
+        if let Some(state) = self.applications.runs.borrow_mut().get_mut(&self.id) {
+            state.task = Some(task);
+        }
+    }
+
+    /// An application calls what it needs by itself.
+    fn resume(&self, _call_result: &[u8]) {}
+
+    fn mark_answered(&self) {}
+
+    /// Its connection is closed; only what may run twice is stopped, so nothing need be proven.
+    fn cancel(&self) {
+        if let Some(state) = self.applications.runs.borrow_mut().get_mut(&self.id)
+            && state.task.take().is_some()
+        {
+            state.events.push(RunEvent::Ended(RunOutcome::Cancelled));
+        }
+    }
+
+    /// SCGI has no words for it.
+    fn probe(&self, _request: &RunRequest<'_>) {}
+
+    fn poll_event(&self, cx: &mut Context<'_>) -> Poll<RunEvent> {
+        match self.applications.runs.borrow_mut().get_mut(&self.id) {
+            Some(state) => state.events.poll(cx),
+            None => Poll::Pending,
+        }
+    }
+}
--- /dev/null
+++ b/crates/coralstep-server/src/runs/engine/connection.rs
@@ -0,0 +1,260 @@
+//! Keeps a link to the engine up: attached anew after a break, moved when the engine's address changes.
+use std::io;
+use std::net::{SocketAddr, TcpStream};
+use std::panic::AssertUnwindSafe;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use async_io::{Async, Timer};
+use futures_lite::{AsyncReadExt, FutureExt};
+
+use crate::base::backoff::Backoff;
+use crate::base::descriptors::Descriptors;
+use crate::base::endpoints::{Endpoint, Endpoints};
+use crate::base::outbox::Outbox;
+use crate::decisions::SchedulerHandle;
+use crate::note;
+use crate::runs::engine::Engine;
+use crate::runs::engine::link::Link;
+use crate::runs::engine::protocol::{self, Command};
+
+/// Bounds of the wait between two attempts to connect. What runs meanwhile can't be told anything, and the engine is on this
+/// machine: the waits stay short.
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(20);
+const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(200);
+/// The longest wait for a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The longest wait for an old link to have read all, before another replaces it.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(300);
+/// Bytes read at once, and half of the longest run of messages that is held.
+const READ_SIZE: usize = 64 * 1024;
+
+/// Why a link ended.
+#[derive(Debug, thiserror::Error)]
+enum LinkError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error("a message without end")]
+    MessageTooLong,
+    #[error("garbled")]
+    Corrupt,
+}
+
+/// An open connection to the engine.
+struct Connection {
+    address: SocketAddr,
+    stream: Async<TcpStream>,
+}
+
+async fn connect(address: SocketAddr, descriptors: &Descriptors) -> io::Result<Connection> {
+    let timeout = async {
+        Timer::after(CONNECT_TIMEOUT).await;
+        Err(io::ErrorKind::TimedOut.into())
+    };
+    let stream = descriptors.dial(address).or(timeout).await?;
+    Ok(Connection { address, stream })
+}
+
+/// Where the engine is; waits until that is known.
+async fn current_address(endpoint: &Endpoint<Option<SocketAddr>>) -> SocketAddr {
+    loop {
+        let moved = endpoint.moved();
+        if let Some(address) = endpoint.get() {
+            return address;
+        }
+        moved.await;
+    }
+}
+
+impl Engine {
+    /// Keeps a link for good, to wherever the engine is.
+    pub async fn maintain_link(
+        &self,
+        endpoints: &Endpoints,
+        scheduler: &SchedulerHandle,
+        seed: u64,
+    ) {
+        let mut backoff = Backoff::new(MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY, seed);
+        let mut replacement = None;
+        loop {
+            let connection = match replacement.take() {
+                Some(connection) => connection,
+                None => establish(endpoints, &mut backoff).await,
+            };
+            let opened = Instant::now();
+            replacement = self.serve_link(connection, endpoints, scheduler).await;
+            // Guards against a peer that takes each link and ends it without a word: only a link on which the engine spoke is
+            // made anew at once.
+            let engine_spoke = self.close_link();
+            if engine_spoke {
+                backoff.fresh();
+            }
+            if !engine_spoke || opened.elapsed() < MIN_RECONNECT_DELAY {
+                Timer::after(backoff.wait()).await;
+            }
+        }
+    }
+
+    /// Serves one link to its end; where the engine has moved, with the connection to where it is now.
+    async fn serve_link(
+        &self,
+        connection: Connection,
+        endpoints: &Endpoints,
+        scheduler: &SchedulerHandle,
+    ) -> Option<Connection> {
+        let served = AssertUnwindSafe(self.serve(connection, endpoints, scheduler)).catch_unwind();
+        match served.await {
+            Ok(Ok(replacement)) => {
+                note!("engine link moves to {}", replacement.address);
+                return Some(replacement);
+            }
+            Ok(Err(error)) => note!("engine link ended: {error}"),
+            Err(_) => note!("engine link ended by a panic"),
+        }
+        None
+    }
+
+    async fn serve(
+        &self,
+        connection: Connection,
+        endpoints: &Endpoints,
+        scheduler: &SchedulerHandle,
+    ) -> Result<Connection, LinkError> {
+        let Connection { address, stream } = connection;
+        let _ = stream.get_ref().set_nodelay(true);
+        let outbox = self.open_link();
+        let write = async {
+            let ended = outbox.run(&stream).await;
+            let error = ended.err().unwrap_or(io::ErrorKind::UnexpectedEof.into());
+            Err(error.into())
+        };
+        let read = async { Err(self.read(&stream, scheduler).await) };
+        let replace = async { Ok(self.replacement(endpoints, address).await) };
+        let send = async {
+            loop {
+                let command_waiting = self.command_waiting.listen();
+                self.send_waiting();
+                command_waiting.await;
+            }
+        };
+        write.or(read).or(replace).or(send).await
+    }
+
+    fn open_link(&self) -> Rc<Outbox> {
+        let outbox = Rc::new(Outbox::default());
+        let number = self.links_opened.get() + 1;
+        self.links_opened.set(number);
+        let link = Link::new(number, outbox.clone());
+        link.write(Command::Attach {
+            last_notification: self.last_notification.get(),
+        });
+        *self.link.borrow_mut() = Some(link);
+        outbox
+    }
+
+    /// Whether the engine spoke on the link that ends.
+    fn close_link(&self) -> bool {
+        self.gauge_readings.borrow_mut().clear();
+        let Some(link) = self.link.borrow_mut().take() else {
+            return false;
+        };
+        self.runs.borrow_mut().handle_link_lost(&link);
+        link.engine_spoke
+    }
+
+    fn send_waiting(&self) {
+        if let Some(link) = self.link.borrow_mut().as_mut() {
+            self.runs.borrow_mut().send_waiting(link);
+        }
+    }
+
+    async fn read(&self, mut stream: &Async<TcpStream>, scheduler: &SchedulerHandle) -> LinkError {
+        let (mut buffer, mut filled) = (vec![0; 2 * READ_SIZE], 0);
+        loop {
+            if filled == buffer.len() {
+                return LinkError::MessageTooLong;
+            }
+            match stream.read(&mut buffer[filled..]).await {
+                Ok(0) => return io::Error::from(io::ErrorKind::UnexpectedEof).into(),
+                Ok(count) => filled += count,
+                Err(error) => return error.into(),
+            }
+            let Ok(used) = self.dispatch_all(&buffer[..filled], scheduler) else {
+                return LinkError::Corrupt;
+            };
+            buffer.copy_within(used..filled, 0);
+            filled -= used;
+        }
+    }
+
+    /// Dispatches all whole messages; the bytes that they take.
+    fn dispatch_all(
+        &self,
+        bytes: &[u8],
+        scheduler: &SchedulerHandle,
+    ) -> Result<usize, protocol::Corrupt> {
+        let mut used = 0;
+        while let Some(parsed) = protocol::parse(&bytes[used..])? {
+            used += parsed.length;
+            self.dispatch(parsed, scheduler);
+        }
+        Ok(used)
+    }
+
+    /// Ends when the engine has moved, with a connection to where it is now, after all that was sent on the old link was
+    /// read there: guards against commands that are lost with it.
+    async fn replacement(&self, endpoints: &Endpoints, from: SocketAddr) -> Connection {
+        let endpoint = &endpoints.engine;
+        loop {
+            let moved = endpoint.moved();
+            let Some(to) = endpoint.get().filter(|to| *to != from) else {
+                moved.await;
+                continue;
+            };
+            match connect(to, &endpoints.descriptors).await {
+                Ok(connection) => {
+                    self.drain_link().await;
+                    return connection;
+                }
+                Err(error) => {
+                    note!("engine at {to}: {error}; the old link is kept");
+                    Timer::after(MIN_RECONNECT_DELAY).await;
+                }
+            }
+        }
+    }
+
+    /// Sends no more commands, and waits until all that were sent are read.
+    async fn drain_link(&self) {
+        let drained = self.drained.listen();
+        {
+            let mut link = self.link.borrow_mut();
+            let Some(link) = link.as_mut().filter(|link| link.ready) else {
+                return;
+            };
+            link.ready = false;
+            link.write(Command::ConfirmDrained);
+        }
+        let timeout = async {
+            Timer::after(DRAIN_TIMEOUT).await;
+        };
+        drained.or(timeout).await;
+    }
+}
+
+/// Connects to the engine, however long that takes. A series of failures is logged once.
+async fn establish(endpoints: &Endpoints, backoff: &mut Backoff) -> Connection {
+    let mut failed = false;
+    loop {
+        let address = current_address(&endpoints.engine).await;
+        match connect(address, &endpoints.descriptors).await {
+            Ok(connection) => return connection,
+            Err(error) => {
+                if !std::mem::replace(&mut failed, true) {
+                    note!("engine at {address}: {error}; it is tried again and again");
+                }
+                Timer::after(backoff.wait()).await;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/coralstep-server/src/runs/engine/dispatch.rs
@@ -0,0 +1,114 @@
+//! What each of the engine's messages leads to.
+use std::time::{Duration, Instant};
+
+use crate::decisions::{RunOutcome, SchedulerHandle};
+use crate::note;
+use crate::runs::RunEvent;
+use crate::runs::engine::Engine;
+use crate::runs::engine::protocol::{Command, Message, Notification, Parsed};
+
+/// The start of an engine is only known to a few milliseconds; one that moved by more is another engine.
+const MAX_START_JITTER: Duration = Duration::from_millis(500);
+
+impl Engine {
+    pub(super) fn dispatch(&self, parsed: Parsed<'_>, scheduler: &SchedulerHandle) {
+        let Parsed { message, words, .. } = parsed;
+        match message {
+            Message::Hello { state, uptime } => self.on_hello(state, uptime, scheduler),
+            Message::Attached => self.on_attached(),
+            Message::Drained => self.on_drained(),
+            Message::Gauges(readings) => self.on_gauges(readings),
+            Message::Notification {
+                number,
+                notification,
+            } => self.on_notification(number, notification, &words),
+            Message::Refused { command, id } => self.on_refused(command, id),
+            Message::Unknown => log_unknown(&words),
+        }
+    }
+
+    fn on_hello(&self, state: &str, uptime: Duration, scheduler: &SchedulerHandle) {
+        let now = Instant::now();
+        let up_since = now.checked_sub(uptime).unwrap_or(now);
+        let known = self.up_since.replace(Some(up_since));
+        note!("engine up since {} ms, {state}", uptime.as_millis());
+        if known.is_some_and(|known| up_since.saturating_duration_since(known) > MAX_START_JITTER) {
+            note!("it is another engine");
+            self.last_notification.set(0);
+            self.runs.borrow_mut().handle_engine_restart();
+        }
+        scheduler.start(Some(state == "new"), uptime);
+        if let Some(link) = self.link.borrow_mut().as_mut() {
+            link.engine_spoke = true;
+            link.write(Command::ConfirmAttached);
+        }
+    }
+
+    fn on_attached(&self) {
+        let mut link = self.link.borrow_mut();
+        let Some(link) = link.as_mut().filter(|link| !link.ready) else {
+            return;
+        };
+        link.ready = true;
+        self.runs.borrow_mut().send_again(link);
+        link.ask_gauges();
+    }
+
+    fn on_drained(&self) {
+        if let Some(link) = self.link.borrow_mut().as_mut().filter(|link| !link.ready) {
+            link.mark_all_read();
+            self.drained.notify(usize::MAX);
+        }
+    }
+
+    fn on_gauges(&self, readings: Vec<Option<f64>>) {
+        if let Some(link) = self.link.borrow_mut().as_mut() {
+            link.handle_answer();
+            self.command_waiting.notify(1);
+        }
+        *self.gauge_readings.borrow_mut() = readings;
+    }
+
+    /// One that was read before is nothing new: the engine sends again what a broken link may have lost.
+    fn on_notification(&self, number: u64, notification: Notification<'_>, words: &[&str]) {
+        if number <= self.last_notification.get() {
+            return;
+        }
+        if matches!(notification, Notification::Unknown) {
+            return log_unknown(words);
+        }
+        self.last_notification.set(number);
+        match notification {
+            Notification::RunEnded {
+                id,
+                outcome: Some(outcome),
+                ..
+            } => self.deliver(id, RunEvent::Ended(outcome)),
+            Notification::RunEnded { id, word, .. } => {
+                note!("engine: unknown end {word} of {id}");
+            }
+            Notification::CallNeeded { id, body } => {
+                self.deliver(id, RunEvent::CallNeeded(body.to_vec()));
+            }
+            Notification::Note | Notification::Unknown => {}
+        }
+    }
+
+    fn on_refused(&self, command: &str, id: &str) {
+        note!("engine: no {command} for {id}");
+        if command == Command::RUN {
+            // Guards against a run that is never to begin and counts as one for good.
+            self.deliver(id, RunEvent::Ended(RunOutcome::NotNeeded));
+        }
+    }
+
+    fn deliver(&self, id: &str, event: RunEvent) {
+        if !self.runs.borrow_mut().deliver(id, event) {
+            note!("engine: a notice for {id}, which is not known");
+        }
+    }
+}
+
+fn log_unknown(words: &[&str]) {
+    note!("engine: unknown message {}", words.join(" "));
+}
--- a/crates/coralstep-server/src/runs/mod.rs
+++ b/crates/coralstep-server/src/runs/mod.rs
@@ -1,8 +1,9 @@
-//! What runs the RPCs. Here: where they run, as an RPC's course sees it. Two make it: the link to an engine, and a pool of SCGI applications.
+//! Where RPCs run. A [`Backend`] registers a [`Run`] for each RPC; there are two, the link to an engine and a pool of SCGI
+//! applications. [`request_handler`] leads an RPC through its life without knowing which of them it is on.
 pub mod applications;
-pub mod course;
 pub mod engine;
-pub mod ledger;
+pub mod request_handler;
+pub mod request_ids;
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -10,69 +11,79 @@
 use std::time::Instant;
 
 use crate::base::lines::Ref;
-use crate::decisions::facade::RunEnd;
+use crate::decisions::RunOutcome;
 
+/// What a run has to say to its RPC.
 #[derive(Debug)]
-pub enum Notice {
-    /// The run waits for a call with this body.
-    Need(Vec<u8>),
-    Done(RunEnd),
+pub enum RunEvent {
+    /// It waits for the result of a call with this body.
+    CallNeeded(Vec<u8>),
+    /// It has ended.
+    Ended(RunOutcome),
 }
 
-/// What a run is told at its start.
+/// What a run is started with.
 #[derive(Clone, Copy, Debug)]
-pub struct Order<'a> {
+pub struct RunRequest<'a> {
+    /// Name of the method.
     pub method: &'a str,
+    /// Name of the tenant, where one is known.
     pub tenant: Option<&'a str>,
-    pub token: Option<&'a [u8]>,
+    /// The key by which a repeat is known.
+    pub idempotency_key: Option<&'a [u8]>,
+    /// What the caller sent.
     pub body: &'a [u8],
     /// A second run would do no harm.
     pub idempotent: bool,
-    /// When its RPC is due.
-    pub due: Instant,
+    /// When nobody waits for the answer any more.
+    pub deadline: Instant,
 }
 
-/// One RPC's place; given back when dropped.
+/// One RPC's run at a backend; unregistered when dropped.
 pub trait Run {
-    fn start(&self, order: &Order<'_>);
+    /// Begins the run.
+    fn start(&self, request: &RunRequest<'_>);
 
-    /// The answer to the call that the run waits for.
-    fn feed(&self, answer: &[u8]);
+    /// Gives the run the result of the call that it waits for.
+    fn resume(&self, call_result: &[u8]);
 
-    /// The RPC has its answer.
-    fn answered(&self);
+    /// Notes that the RPC has its answer.
+    fn mark_answered(&self);
 
-    /// Stops the run, where that can be.
-    fn halt(&self);
+    /// Stops the run, where the backend can.
+    fn cancel(&self);
 
-    /// The RPC has long had its answer: whether the run goes on is to be found out, where that can be.
-    fn inquire(&self, order: &Order<'_>);
+    /// Finds out whether a run goes on whose RPC was answered long ago, where the backend can.
+    fn probe(&self, request: &RunRequest<'_>);
 
-    /// The next notice, each once.
-    fn poll_next(&self, cx: &mut Context<'_>) -> Poll<Notice>;
+    /// The next event, each once.
+    fn poll_event(&self, cx: &mut Context<'_>) -> Poll<RunEvent>;
 }
 
-pub trait Runs {
-    /// A place for an RPC; `None` where one of this id is here.
-    fn open(self: Rc<Self>, id: Ref) -> Option<Box<dyn Run>>;
+/// What runs RPCs.
+pub trait Backend {
+    /// A run for the RPC `id`; `None` where one of this id is registered.
+    fn register(self: Rc<Self>, id: Ref) -> Option<Box<dyn Run>>;
 }
 
-/// Notices of one run, until its course takes them.
+/// Events of one run that its RPC has not taken yet.
 #[derive(Default)]
-pub struct Notices {
-    queue: VecDeque<Notice>,
+pub struct RunEvents {
+    queue: VecDeque<RunEvent>,
     waker: Option<Waker>,
 }
 
-impl Notices {
-    pub fn put(&mut self, notice: Notice) {
-        self.queue.push_back(notice);
+impl RunEvents {
+    /// Adds an event and wakes the RPC's task.
+    pub fn push(&mut self, event: RunEvent) {
+        self.queue.push_back(event);
         self.waker.take().inspect(Waker::wake_by_ref);
     }
 
-    pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Notice> {
+    /// The oldest event; wakes the task of `cx` at the next one where there is none.
+    pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<RunEvent> {
         match self.queue.pop_front() {
-            Some(notice) => Poll::Ready(notice),
+            Some(event) => Poll::Ready(event),
             None => {
                 self.waker = Some(cx.waker().clone());
                 Poll::Pending
