--- a/crates/coralstep-server/src/runs/applications/attempt.rs
+++ b/crates/coralstep-server/src/runs/applications/attempt.rs
@@ -13,7 +13,7 @@
 
 use async_io::{Async, Timer};
 use coralstep_balancer::{End, Pick};
-use coralstep_scgi::{Bounds, answer};
+use coralstep_scgi::{Limits, response};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 
 use crate::decisions::RunOutcome;
@@ -170,10 +170,10 @@
     mut stream: &Async<TcpStream>,
     max_body_bytes: usize,
 ) -> io::Result<Response> {
-    let bounds = Bounds {
-        head: MAX_HEADER_BYTES,
-        headers: MAX_HEADERS,
-        body: max_body_bytes,
+    let limits = Limits {
+        max_head_bytes: MAX_HEADER_BYTES,
+        max_headers: MAX_HEADERS,
+        max_body_bytes,
     };
     let (mut buffer, mut filled, mut ended) = (vec![0; READ_SIZE], 0, false);
     loop {
@@ -185,13 +185,13 @@
             0 => ended = true,
             count => filled += count,
         }
-        match answer::read(&buffer[..filled], ended, &bounds) {
+        match response::decode(&buffer[..filled], ended, &limits) {
             Ok(Some((status, body))) => {
                 let body = body.to_vec();
                 return Ok(Response { status, body });
             }
             Ok(None) => {}
-            Err(fault) => return Err(io::Error::other(fault.why())),
+            Err(error) => return Err(io::Error::other(error)),
         }
     }
 }
--- a/crates/coralstep-server/src/runs/applications/run.rs
+++ b/crates/coralstep-server/src/runs/applications/run.rs
@@ -49,7 +49,7 @@
             headers.push((IDEMPOTENCY_KEY_HEADER, key));
         }
         let mut bytes = Vec::new();
-        if request::put(&mut bytes, &headers, request.body).is_err() {
+        if request::encode(&mut bytes, &headers, request.body).is_err() {
             note!("{} of {} can't be written", self.id, request.method);
         }
         bytes
