--- a/crates/coralstep-server/src/decisions/actions.rs
+++ b/crates/coralstep-server/src/decisions/actions.rs
@@ -1,7 +1,7 @@
 //! Carries the scheduler's actions to those who wait for them: decisions to the tasks of RPCs, the rest to the server's state.
 use std::time::Duration;
 
-use coralstep::{Outlet, RpcId, Span, Turn};
+use coralstep::{Actions, RpcId, Span, Transition};
 
 use crate::base::clock::{self, Clock};
 use crate::decisions::admission::MAX_UNREAD_SPAN;
@@ -16,7 +16,7 @@
     pub(super) idempotency_keys: IdempotencyKeys,
     pub(super) healthy: bool,
     pub(super) load_report: Option<f64>,
-    pub(super) idle_limit: Option<Duration>,
+    pub(super) idle_timeout: Option<Duration>,
     pub(super) next_tick: Span,
     clock: Clock,
     /// Name of this server, for log lines.
@@ -35,7 +35,7 @@
             idempotency_keys,
             healthy: true,
             load_report: None,
-            idle_limit: None,
+            idle_timeout: None,
             next_tick: Span::ZERO,
             clock,
             instance,
@@ -43,7 +43,7 @@
     }
 }
 
-impl Outlet for PendingActions {
+impl Actions for PendingActions {
     fn admit(&mut self, rpc: RpcId) {
         let entry = self.requests.get_mut(rpc);
         if let Some(key) = entry.and_then(|entry| entry.idempotency_key.as_ref()) {
@@ -52,10 +52,10 @@
         self.requests.push_decision(rpc, Decision::Run);
     }
 
-    fn push_back(&mut self, rpc: RpcId, after: Span, last: bool) {
+    fn reject(&mut self, rpc: RpcId, retry_after: Span, last: bool) {
         // Guards against callers sent back to where nobody may try yet.
         let entry = self.requests.get_mut(rpc);
-        let retry_after = entry.map_or(after, |entry| after.max(entry.retry_after));
+        let retry_after = entry.map_or(retry_after, |entry| retry_after.max(entry.retry_after));
         let decision = Decision::Reject {
             retry_after_ms: clock::ms_up(retry_after),
             is_final: last,
@@ -63,12 +63,12 @@
         self.requests.push_decision(rpc, decision);
     }
 
-    fn abort(&mut self, rpc: RpcId) {
+    fn fail(&mut self, rpc: RpcId) {
         self.requests.push_decision(rpc, Decision::Abort);
     }
 
-    fn call(&mut self, rpc: RpcId, patience: Span) {
-        let timeout = clock::duration(patience);
+    fn call(&mut self, rpc: RpcId, timeout: Span) {
+        let timeout = clock::duration(timeout);
         self.requests.push_decision(rpc, Decision::Call { timeout });
     }
 
@@ -76,11 +76,11 @@
         self.requests.push_decision(rpc, Decision::CancelRun);
     }
 
-    fn inquire(&mut self, rpc: RpcId) {
+    fn query_run(&mut self, rpc: RpcId) {
         self.requests.push_decision(rpc, Decision::ProbeRun);
     }
 
-    fn keep_token(&mut self, rpc: RpcId, span: Span) {
+    fn retain_key(&mut self, rpc: RpcId, span: Span) {
         let until = self.clock.now() + span;
         let Some(entry) = self.requests.get_mut(rpc) else {
             return;
@@ -91,7 +91,7 @@
         }
     }
 
-    fn drop_token(&mut self, rpc: RpcId) {
+    fn release_key(&mut self, rpc: RpcId) {
         let now = self.clock.now();
         let entry = self.requests.get_mut(rpc);
         if let Some(key) = entry.and_then(|entry| entry.idempotency_key.as_ref()) {
@@ -104,19 +104,19 @@
         self.requests.replay(rpc);
     }
 
-    fn health(&mut self, good: bool) {
+    fn set_health(&mut self, good: bool) {
         self.healthy = good;
     }
 
-    fn advertise(&mut self, value: f64) {
+    fn report_load(&mut self, value: f64) {
         self.load_report = Some(value);
     }
 
-    fn idle_limit(&mut self, span: Span) {
-        self.idle_limit = Some(clock::duration(span));
+    fn set_idle_timeout(&mut self, span: Span) {
+        self.idle_timeout = Some(clock::duration(span));
     }
 
-    fn timer(&mut self, span: Span) {
+    fn set_timer(&mut self, span: Span) {
         self.next_tick = span;
     }
 
@@ -124,13 +124,17 @@
         note!("{text}");
     }
 
-    fn breaker(&mut self, turn: Turn) {
-        let Turn { from, to, rate } = turn;
+    fn breaker_transition(&mut self, transition: Transition) {
+        let Transition {
+            from,
+            to,
+            failure_rate: rate,
+        } = transition;
         let instance = self.instance.as_str();
-        tracing::info!(target: "breaker", dependency = "store", instance, from, to, rate, "breaker {turn}");
+        tracing::info!(target: "breaker", dependency = "store", instance, from, to, rate, "breaker {transition}");
     }
 
-    fn release(&mut self, rpc: RpcId) {
+    fn release_id(&mut self, rpc: RpcId) {
         self.requests.finish(rpc);
     }
 }
--- a/crates/coralstep-server/src/decisions/admission.rs
+++ b/crates/coralstep-server/src/decisions/admission.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coralstep::{Arrival, Outcome, Prior, RpcId, Span};
+use coralstep::{EarlierAttempt, Outcome, Request, RpcId, Span};
 
 use crate::base::clock;
 use crate::decisions::handle::SchedulerHandle;
@@ -50,10 +50,12 @@
     ) -> Result<RequestTicket, AdmissionError> {
         self.start(None, Duration::ZERO);
         let (id, repeats) = self.insert(&mut request)?;
-        let arrival = self.arrival(&request, id, repeats);
+        let scheduler_request = self.scheduler_request(&request, id, repeats);
         self.apply_fence();
         self.submitted.set(self.submitted.get() + 1);
-        self.drive(|scheduler, now, actions| scheduler.rpc(now, arrival, actions));
+        self.drive(|scheduler, now, actions| {
+            scheduler.handle_request(now, scheduler_request, actions)
+        });
         Ok(RequestTicket {
             scheduler: self.clone(),
             id,
@@ -85,23 +87,28 @@
         Ok((id, repeats))
     }
 
-    fn arrival(&self, request: &RpcRequest, id: RpcId, repeats: Option<RpcId>) -> Arrival {
+    fn scheduler_request(
+        &self,
+        request: &RpcRequest,
+        id: RpcId,
+        repeats: Option<RpcId>,
+    ) -> Request {
         // A stated timeout makes an RPC due sooner, never later: nobody may have kept what its method promises.
-        let due = request.timeout.map(|timeout| {
+        let deadline = request.timeout.map(|timeout| {
             let timeout = timeout.min(self.method(request.method).deadline);
             self.clock.now() - request.age + timeout
         });
-        Arrival {
+        Request {
             id,
             method: request.method,
-            due,
+            deadline,
             tenant: request.tenant,
-            held_kb: request.memory_kb,
-            retry: request.retry,
+            queued_kb: request.memory_kb,
+            is_retry: request.retry,
             age: request.age,
-            claimed: request.age_unverified,
-            prior: repeats.map_or(Prior::Nothing, Prior::Of),
-            ..Arrival::default()
+            untrusted_age: request.age_unverified,
+            earlier_attempt: repeats.map_or(EarlierAttempt::None, EarlierAttempt::Known),
+            ..Request::default()
         }
     }
 
@@ -111,7 +118,7 @@
             .push(outcome != CallOutcome::Ok);
         self.drive(|scheduler, now, actions| {
             let (outcome, elapsed) = (Outcome::from(outcome), clock::span(elapsed));
-            scheduler.called(now, id, outcome, elapsed, actions);
+            scheduler.handle_call_result(now, id, outcome, elapsed, actions);
         });
     }
 
@@ -128,7 +135,7 @@
                 }
             }
             actions.requests.record_result(id, outcome);
-            scheduler.settled(now, id, outcome.as_scheduler_outcome(), actions);
+            scheduler.handle_completion(now, id, outcome.as_scheduler_outcome(), actions);
         });
     }
 }
@@ -139,14 +146,18 @@
         let (scheduler, id) = (&self.scheduler, self.id);
         match progress {
             Progress::CallNeeded => {
-                scheduler.drive(|scheduler, now, actions| scheduler.needs_call(now, id, actions));
+                scheduler.drive(|scheduler, now, actions| {
+                    scheduler.handle_call_needed(now, id, actions)
+                });
             }
             Progress::CallEnded { outcome, elapsed } => {
                 scheduler.report_call(id, outcome, elapsed);
             }
             Progress::RunEnded(outcome) => scheduler.report_run(id, &outcome),
             Progress::CallerGone => {
-                scheduler.drive(|scheduler, now, actions| scheduler.gone(now, id, actions));
+                scheduler.drive(|scheduler, now, actions| {
+                    scheduler.handle_cancellation(now, id, actions)
+                });
             }
         }
     }
--- a/crates/coralstep-server/src/decisions/breaker.rs
+++ b/crates/coralstep-server/src/decisions/breaker.rs
@@ -49,7 +49,13 @@
 impl SchedulerHandle {
     /// The state of the store's breaker; none before the start.
     pub fn breaker_status(&self) -> Option<BreakerStatus> {
-        let state = self.inner.borrow().scheduler.as_ref()?.breaker().name();
+        let state = self
+            .inner
+            .borrow()
+            .scheduler
+            .as_ref()?
+            .breaker()
+            .state_name();
         let mut recent = self.recent_calls.borrow_mut();
         recent.forget_old();
         let failures = recent.0.iter().filter(|call| call.failed).count();
@@ -64,6 +70,8 @@
     /// after `cooldown_left`.
     pub fn apply_peer_reports(&self, min_outcomes: u32, cooldown_left: Option<Duration>) {
         let cooldown_left = cooldown_left.map(clock::span);
-        self.drive(|scheduler, now, _| scheduler.hear(now, min_outcomes, cooldown_left));
+        self.drive(|scheduler, now, _| {
+            scheduler.apply_peer_reports(now, min_outcomes, cooldown_left)
+        });
     }
 }
--- a/crates/coralstep-server/src/decisions/degradation.rs
+++ b/crates/coralstep-server/src/decisions/degradation.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, SystemTime};
 
-use coralstep::{Level, Signals, Span, Time};
+use coralstep::{DegradationLevel, Signals, Span, Time};
 use coralstep_degradation::{Change, LevelTerms, Levels, Sample, View};
 use serde::Serialize;
 
@@ -59,7 +59,7 @@
     }
 
     /// Takes in what the scheduler observes; what it is to do from now on.
-    pub fn observe(&self, now: Time, signals: &Signals) -> Level {
+    pub fn observe(&self, now: Time, signals: &Signals) -> DegradationLevel {
         let interval = self.log_interval.get();
         if interval.is_some_and(|interval| now - self.last_logged.get() >= interval) {
             self.last_logged.set(now);
@@ -91,7 +91,7 @@
     }
 
     /// What the level that holds asks of the scheduler.
-    pub fn effect(&self) -> Level {
+    pub fn effect(&self) -> DegradationLevel {
         self.levels.borrow().effect()
     }
 
--- a/crates/coralstep-server/src/decisions/fence.rs
+++ b/crates/coralstep-server/src/decisions/fence.rs
@@ -1,7 +1,7 @@
 //! The fence: while the fleet excludes this server, it admits nothing.
 use std::rc::Rc;
 
-use coralstep::{Level, Span};
+use coralstep::{DegradationLevel, Span};
 
 use crate::decisions::handle::SchedulerHandle;
 
@@ -25,20 +25,22 @@
         }
         self.fenced.set(excluded_for.is_some());
         let level = match excluded_for {
-            Some(back) => Level {
-                closed: true,
-                out: true,
-                back,
-                ..Level::default()
+            Some(retry_after) => DegradationLevel {
+                reject_all: true,
+                fenced: true,
+                retry_after,
+                ..DegradationLevel::default()
             },
             // Guards against a moment of full service before the degradation level that holds takes over.
             None => self.degradation_level(),
         };
-        self.drive(|scheduler, now, actions| scheduler.level(now, level, actions));
+        self.drive(|scheduler, now, actions| scheduler.set_degradation(now, level, actions));
     }
 
-    fn degradation_level(&self) -> Level {
+    fn degradation_level(&self) -> DegradationLevel {
         self.degradation()
-            .map_or_else(Level::default, |degradation| degradation.effect())
+            .map_or_else(DegradationLevel::default, |degradation| {
+                degradation.effect()
+            })
     }
 }
--- a/crates/coralstep-server/src/decisions/handle.rs
+++ b/crates/coralstep-server/src/decisions/handle.rs
@@ -4,7 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coralstep::{Effect, Gauges, Learned, Method, Outcome, Server, Span, Terms, Time};
+use coralstep::{
+    Gauges, Idempotency, LearnedState, Method, Outcome, Scheduler, SchedulerConfig, Span, Time,
+};
 use coralstep_config::Names;
 use coralstep_degradation::LevelTerms;
 use event_listener::{Event, EventListener};
@@ -26,13 +28,13 @@
 
 pub(super) struct Inner {
     /// `None` before the start.
-    pub(super) scheduler: Option<Server>,
+    pub(super) scheduler: Option<Scheduler>,
     pub(super) actions: PendingActions,
 }
 
 /// State learned before a restart.
 struct RestoredState {
-    learned: Learned,
+    learned: LearnedState,
     /// How far it is trusted, from 0 to 1.
     confidence: f64,
 }
@@ -50,7 +52,7 @@
 pub struct SchedulerHandle {
     pub(super) inner: RefCell<Inner>,
     names: Names,
-    terms: Terms,
+    config: SchedulerConfig,
     degradation: Option<Rc<DegradationController>>,
     restored: RefCell<Option<RestoredState>>,
     seed: u64,
@@ -68,7 +70,12 @@
 
 impl SchedulerHandle {
     /// A handle whose scheduler is not started yet.
-    pub fn new(terms: Terms, names: Names, seed: u64, limits: &Limits) -> SchedulerHandle {
+    pub fn new(
+        config: SchedulerConfig,
+        names: Names,
+        seed: u64,
+        limits: &Limits,
+    ) -> SchedulerHandle {
         let clock = Clock::start();
         let actions = PendingActions::new(
             RequestTable::new(limits.rpcs, limits.results),
@@ -82,7 +89,7 @@
                 actions,
             }),
             names,
-            terms,
+            config,
             degradation: None,
             restored: RefCell::default(),
             seed,
@@ -129,17 +136,17 @@
         if scheduler.is_some() {
             return;
         }
-        let terms = Terms {
-            cold: cold.unwrap_or(self.terms.cold),
-            ..self.terms.clone()
+        let config = SchedulerConfig {
+            warming_up: cold.unwrap_or(self.config.warming_up),
+            ..self.config.clone()
         };
         let since = self.clock.now() - clock::span(uptime);
-        let mut started = Server::start(&terms, self.seed, since, actions);
+        let mut started = Scheduler::start(&config, self.seed, since, actions);
         if let Some(restored) = self.restored.take() {
-            started.relearn(&restored.learned, restored.confidence);
+            started.restore(&restored.learned, restored.confidence);
         }
         // Guards against a start long ago that looks like cores which have stood still ever since.
-        started.timer(self.clock.now(), Gauges::default(), actions);
+        started.handle_timeout(self.clock.now(), Gauges::default(), actions);
         *scheduler = Some(started);
         self.earlier_tick.notify(usize::MAX);
     }
@@ -150,7 +157,7 @@
     }
 
     /// Takes `learned` in at the start, trusted from 0 to 1.
-    pub fn restore_at_start(&self, learned: Learned, confidence: f64) {
+    pub fn restore_at_start(&self, learned: LearnedState, confidence: f64) {
         *self.restored.borrow_mut() = Some(RestoredState {
             learned,
             confidence,
@@ -158,9 +165,9 @@
     }
 
     /// What is learned so far; none before the start.
-    pub fn learned_state(&self) -> Option<Learned> {
+    pub fn learned_state(&self) -> Option<LearnedState> {
         let inner = self.inner.borrow();
-        inner.scheduler.as_ref().map(Server::learned)
+        inner.scheduler.as_ref().map(Scheduler::learned_state)
     }
 
     /// How much runs, as a part of the concurrency limit.
@@ -168,12 +175,12 @@
         let inner = self.inner.borrow();
         let scheduler = inner.scheduler.as_ref();
         scheduler
-            .and_then(|scheduler| scheduler.signals().running)
+            .and_then(|scheduler| scheduler.signals().concurrency)
             .unwrap_or(0.0)
     }
 
     /// Passes an event to the scheduler, and to it again all that follows from it; does nothing before the start.
-    pub(super) fn drive(&self, event: impl FnOnce(&mut Server, Time, &mut PendingActions)) {
+    pub(super) fn drive(&self, event: impl FnOnce(&mut Scheduler, Time, &mut PendingActions)) {
         let mut inner = self.inner.borrow_mut();
         let Inner { scheduler, actions } = &mut *inner;
         let Some(scheduler) = scheduler else {
@@ -188,7 +195,7 @@
                 None => (Decision::Abort, Outcome::Error),
             };
             actions.requests.push_decision(id, decision);
-            scheduler.settled(now, id, outcome, actions);
+            scheduler.handle_completion(now, id, outcome, actions);
         }
         if actions.next_tick < tick_before {
             self.earlier_tick.notify(usize::MAX);
@@ -198,7 +205,7 @@
     /// Lets time pass; `gauge_readings` stand in the order of the settings' gauges.
     pub fn tick(&self, gauge_readings: &[Option<f64>]) {
         let gauges = self.gauges(gauge_readings);
-        self.drive(|scheduler, now, actions| scheduler.timer(now, gauges, actions));
+        self.drive(|scheduler, now, actions| scheduler.handle_timeout(now, gauges, actions));
         self.apply_fence();
         if !self.fenced.get() {
             self.update_degradation();
@@ -209,8 +216,8 @@
         let mut gauges = Gauges::default();
         for (name, reading) in self.names.gauges.iter().zip(readings) {
             match name.as_str() {
-                "cpu_busy" => gauges.busy = *reading,
-                "sockets" => gauges.connections = *reading,
+                "cpu_busy" => gauges.cpu_busy = *reading,
+                "sockets" => gauges.open_connections = *reading,
                 _ => {}
             }
         }
@@ -225,7 +232,7 @@
         let update = AssertUnwindSafe(|| {
             self.drive(|scheduler, now, actions| {
                 let level = degradation.observe(now, &scheduler.signals());
-                scheduler.level(now, level, actions);
+                scheduler.set_degradation(now, level, actions);
             });
         });
         if catch_unwind(update).is_err() {
@@ -247,12 +254,12 @@
     pub fn begin_drain(&self, left: Duration) {
         self.start(None, Duration::ZERO);
         let left = Span(left.as_micros() as u64 / 100);
-        self.drive(|scheduler, now, actions| scheduler.wind_down(now, now + left, actions));
+        self.drive(|scheduler, now, actions| scheduler.begin_drain(now, now + left, actions));
     }
 
     /// Another version of the settings holds for what is read from now on.
     pub fn handle_config_change(&self) {
-        self.drive(|scheduler, _, _| scheduler.versioned());
+        self.drive(|scheduler, _, _| scheduler.begin_config_version());
     }
 
     /// What a health check is answered.
@@ -267,7 +274,7 @@
 
     /// How long a connection may carry nothing.
     pub fn idle_limit(&self) -> Option<Duration> {
-        let limit = self.inner.borrow().actions.idle_limit;
+        let limit = self.inner.borrow().actions.idle_timeout;
         limit.filter(|limit| !limit.is_zero())
     }
 
@@ -300,8 +307,8 @@
     }
 
     /// Whether an RPC of `method` may run twice.
-    pub fn idempotency(&self, method: usize) -> Effect {
-        self.method(method).effect
+    pub fn idempotency(&self, method: usize) -> Idempotency {
+        self.method(method).idempotency
     }
 
     /// How long an RPC of `method` is waited for at the most.
@@ -310,7 +317,7 @@
     }
 
     pub(super) fn method(&self, method: usize) -> &Method {
-        &self.terms.methods[method]
+        &self.config.methods[method]
     }
 }
 
--- a/crates/coralstep-server/src/decisions/handle/tests.rs
+++ b/crates/coralstep-server/src/decisions/handle/tests.rs
@@ -1,10 +1,10 @@
 use async_io::block_on;
-use coralstep::{Effect, Method};
+use coralstep::{Idempotency, Method};
 use futures_lite::future::{or, ready};
 
 use std::time::Instant;
 
-use coralstep::Outlet;
+use coralstep::Actions;
 
 use super::*;
 use crate::decisions::idempotency_keys::IdempotencyKey;
@@ -15,18 +15,18 @@
 fn scheduler(limits: Limits) -> Rc<SchedulerHandle> {
     let target = Span::ms(60_000);
     let method = Method {
-        effect: Effect::Tokened,
-        target,
+        idempotency: Idempotency::Keyed,
+        latency_objective: target,
         deadline: target,
         ..Method::default()
     };
-    let terms = Terms {
+    let terms = SchedulerConfig {
         methods: vec![method],
         cores: 8,
         key_kb: 1.0,
-        ..Terms::default()
+        ..SchedulerConfig::default()
     };
-    let terms = Terms {
+    let terms = SchedulerConfig {
         memory_kb: 1e6,
         ..terms
     };
@@ -86,15 +86,15 @@
 fn an_engine_that_was_up_long_before_has_not_stood_still() {
     let target = Span::ms(60_000);
     let method = Method {
-        target,
+        latency_objective: target,
         deadline: target,
         ..Method::default()
     };
-    let terms = Terms {
+    let terms = SchedulerConfig {
         methods: vec![method],
         cores: 1,
         memory_kb: 1e6,
-        ..Terms::default()
+        ..SchedulerConfig::default()
     };
     let scheduler = Rc::new(SchedulerHandle::new(terms, Names::default(), 1, &limits()));
     scheduler.start(Some(false), Duration::from_secs(3_600));
@@ -109,15 +109,15 @@
 fn a_panic_in_a_change_of_level_costs_neither_the_tick_nor_the_levels() {
     let target = Span::ms(60_000);
     let method = Method {
-        target,
+        latency_objective: target,
         deadline: target,
         ..Method::default()
     };
-    let terms = Terms {
+    let terms = SchedulerConfig {
         methods: vec![method],
         cores: 1,
         memory_kb: 1e6,
-        ..Terms::default()
+        ..SchedulerConfig::default()
     };
     let scheduler = SchedulerHandle::new(terms, Names::default(), 1, &limits());
     let scheduler = Rc::new(scheduler.with_degradation(&LevelTerms::default()).unwrap());
@@ -154,7 +154,7 @@
         block_on(scheduler.submit(request(b"c")))
             .is_err_and(|why| why == AdmissionError::TableFull)
     );
-    scheduler.inner.borrow_mut().actions.release(id);
+    scheduler.inner.borrow_mut().actions.release_id(id);
     assert!(block_on(scheduler.submit(request(b"c"))).is_ok());
 }
 
@@ -193,18 +193,18 @@
 fn a_repeat_that_came_within_the_window_and_is_read_after_it_does_not_run() {
     let target = Span::ms(60_000);
     let method = Method {
-        effect: Effect::Tokened,
-        target,
+        idempotency: Idempotency::Keyed,
+        latency_objective: target,
         deadline: target,
-        window: Span::ms(5),
+        retry_window: Span::ms(5),
         ..Method::default()
     };
-    let terms = Terms {
+    let terms = SchedulerConfig {
         methods: vec![method],
         cores: 8,
         key_kb: 1.0,
         memory_kb: 1e6,
-        ..Terms::default()
+        ..SchedulerConfig::default()
     };
     let scheduler = Rc::new(SchedulerHandle::new(terms, Names::default(), 1, &limits()));
     scheduler.start(Some(false), Duration::ZERO);
--- a/crates/coralstep-server/src/decisions/request.rs
+++ b/crates/coralstep-server/src/decisions/request.rs
@@ -85,7 +85,7 @@
     /// It left, and nothing came back.
     Broken,
     /// No run waited for it.
-    NotNeeded,
+    NoLongerNeeded,
 }
 
 impl From<CallOutcome> for Outcome {
@@ -93,11 +93,11 @@
         match outcome {
             CallOutcome::Ok => Outcome::Ok,
             CallOutcome::Error => Outcome::Error,
-            CallOutcome::Rejected => Outcome::PushedBack,
+            CallOutcome::Rejected => Outcome::Rejected,
             CallOutcome::TimedOut => Outcome::TimedOut,
             CallOutcome::Unreachable => Outcome::Unreachable,
-            CallOutcome::Broken => Outcome::Broken,
-            CallOutcome::NotNeeded => Outcome::Moot,
+            CallOutcome::Broken => Outcome::ConnectionLost,
+            CallOutcome::NoLongerNeeded => Outcome::NoLongerNeeded,
         }
     }
 }
@@ -112,7 +112,7 @@
     /// It was stopped.
     Cancelled,
     /// The RPC was over, so nothing was begun.
-    NotNeeded,
+    NoLongerNeeded,
     /// It provably never began.
     NeverStarted {
         /// It cannot be tried again here before this.
@@ -126,7 +126,7 @@
             RunOutcome::Ok(_) => Outcome::Ok,
             RunOutcome::Error => Outcome::Error,
             RunOutcome::Cancelled => Outcome::Cancelled,
-            RunOutcome::NotNeeded => Outcome::Moot,
+            RunOutcome::NoLongerNeeded => Outcome::NoLongerNeeded,
             RunOutcome::NeverStarted { .. } => Outcome::Unreachable,
         }
     }
--- a/crates/coralstep-server/src/dependency/store.rs
+++ b/crates/coralstep-server/src/dependency/store.rs
@@ -138,7 +138,7 @@
                 [_, "BUSY"] => CallOutcome::Rejected,
                 [_, "ERR"] => CallOutcome::Error,
                 [_, "LATE"] => CallOutcome::TimedOut,
-                [_, "VOID"] => CallOutcome::NotNeeded,
+                [_, "VOID"] => CallOutcome::NoLongerNeeded,
                 _ => return Err(io::Error::other("an unknown reply")),
             };
             return Ok((end, (end == CallOutcome::Ok).then(|| body.to_vec())));
--- a/crates/coralstep-server/src/runs/applications/mod.rs
+++ b/crates/coralstep-server/src/runs/applications/mod.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 use async_executor::{LocalExecutor, Task};
-use coralstep::{Time, Turn};
+use coralstep::{Time, Transition};
 use coralstep_balancer::{Pool, PoolTerms, RampTerms};
 use coralstep_config::site::ApplicationTerms;
 
@@ -123,9 +123,14 @@
 
     /// Each change of an application's breaker is one event.
     fn log_breaker_changes(&self) {
-        for (address, turn) in self.pool.borrow_mut().turns() {
-            let (dependency, Turn { from, to, rate }) = (address.to_string(), turn);
-            tracing::info!(target: "breaker", dependency, from, to, rate, "application {address}: breaker {turn}");
+        for (address, transition) in self.pool.borrow_mut().turns() {
+            let dependency = address.to_string();
+            let Transition {
+                from,
+                to,
+                failure_rate: rate,
+            } = transition;
+            tracing::info!(target: "breaker", dependency, from, to, rate, "application {address}: breaker {transition}");
         }
     }
 
--- a/crates/coralstep-server/src/runs/engine/dispatch.rs
+++ b/crates/coralstep-server/src/runs/engine/dispatch.rs
@@ -98,7 +98,7 @@
         note!("engine: no {command} for {id}");
         if command == Command::RUN {
             // Guards against a run that is never to begin and counts as one for good.
-            self.deliver(id, RunEvent::Ended(RunOutcome::NotNeeded));
+            self.deliver(id, RunEvent::Ended(RunOutcome::NoLongerNeeded));
         }
     }
 
--- a/crates/coralstep-server/src/runs/engine/protocol.rs
+++ b/crates/coralstep-server/src/runs/engine/protocol.rs
@@ -175,7 +175,7 @@
         "good" => Some(RunOutcome::Ok(body.into())),
         "bad" => Some(RunOutcome::Error),
         "cut" => Some(RunOutcome::Cancelled),
-        "gone" => Some(RunOutcome::NotNeeded),
+        "gone" => Some(RunOutcome::NoLongerNeeded),
         _ => None,
     }
 }
--- a/crates/coralstep-server/src/runs/request_handler.rs
+++ b/crates/coralstep-server/src/runs/request_handler.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use coralstep::Effect;
+use coralstep::Idempotency;
 use futures_lite::FutureExt;
 
 use crate::base::clock;
@@ -155,13 +155,13 @@
             tenant: tenant.and_then(|tenant| self.scheduler.tenant_name(tenant)),
             idempotency_key: idempotency_key.as_deref(),
             body: &body,
-            idempotent: idempotency == Effect::Idempotent,
+            idempotent: idempotency == Idempotency::Idempotent,
             deadline,
         };
         let active = ActiveRequest {
             store: &self.store,
             run_request,
-            claim_after_start: (idempotency == Effect::NonIdempotent)
+            claim_after_start: (idempotency == Idempotency::NonIdempotent)
                 .then(|| self.scheduler.deadline(method)),
             call_body: Vec::new(),
             call: None,
@@ -210,7 +210,7 @@
         let mut claim = self.request_ids.claim(now, id);
         // Such a front keeps an id over its attempts: the idempotency key, not the id, tells whether it has run.
         let may_take_another = request.accepts_new_id
-            && self.scheduler.idempotency(request.method) != Effect::NonIdempotent;
+            && self.scheduler.idempotency(request.method) != Idempotency::NonIdempotent;
         if may_take_another && matches!(claim, Err(ClaimError::Duplicate)) {
             claim = self.request_ids.claim(now, self.request_ids.generate());
         }
@@ -361,7 +361,7 @@
             RunOutcome::Ok(result) => self.answer(Reply::Ok(result)),
             RunOutcome::Error => self.answer(Reply::Aborted),
             RunOutcome::NeverStarted { .. } => self.claim.mark_never_started(),
-            RunOutcome::Cancelled | RunOutcome::NotNeeded => {}
+            RunOutcome::Cancelled | RunOutcome::NoLongerNeeded => {}
         }
         self.ticket.report(Progress::RunEnded(outcome));
     }
