--- a/crates/coralstep-adapter/src/fields.rs
+++ b/crates/coralstep-adapter/src/fields.rs
@@ -1,36 +1,41 @@
-//! The `name=value` parts of a line.
+//! The `name=value` fields of a line.
 use std::str::FromStr;
 
 use coralstep::Span;
-use coralstep_config::parse;
+use coralstep_config::settings::parse;
 
-use crate::NS_PER_TICK;
+use crate::error::LineError;
+use crate::units::span_up;
 
-pub struct Fields<'a>(pub &'a str);
+/// The part of a line behind the message's name.
+pub(crate) struct Fields<'a>(pub(crate) &'a str);
 
 impl<'a> Fields<'a> {
-    pub fn pairs(&self) -> impl Iterator<Item = (&'a str, &'a str)> {
+    /// All names and values, in their order.
+    pub(crate) fn pairs(&self) -> impl Iterator<Item = (&'a str, &'a str)> {
         self.0.split(' ').filter_map(|part| part.split_once('='))
     }
 
-    pub fn text(&self, name: &str) -> Option<&'a str> {
+    /// The value of the first field `name`.
+    pub(crate) fn text(&self, name: &str) -> Option<&'a str> {
         self.pairs()
             .find(|(key, _)| *key == name)
             .map(|(_, value)| value)
     }
 
-    pub fn get<T: FromStr>(&self, name: &str) -> Result<Option<T>, String> {
-        self.text(name).map(|value| parse(name, value)).transpose()
+    /// The parsed value of an optional field.
+    pub(crate) fn get<T: FromStr>(&self, name: &str) -> Result<Option<T>, LineError> {
+        let value = self.text(name).map(|value| parse(name, value));
+        Ok(value.transpose()?)
     }
 
-    pub fn need(&self, name: &str) -> Result<u64, String> {
-        self.get(name)?.ok_or_else(|| format!("no {name}"))
+    /// The parsed value of a required field.
+    pub(crate) fn require(&self, name: &'static str) -> Result<u64, LineError> {
+        self.get(name)?.ok_or(LineError::MissingField(name))
     }
 
-    /// Rounded up to whole ticks.
-    pub fn span_up(&self, name: &str) -> Result<Option<Span>, String> {
-        Ok(self
-            .get::<u64>(name)?
-            .map(|ns| Span(ns.div_ceil(NS_PER_TICK))))
+    /// A time in nanoseconds, rounded up to whole ticks.
+    pub(crate) fn span(&self, name: &str) -> Result<Option<Span>, LineError> {
+        Ok(self.get::<u64>(name)?.map(span_up))
     }
 }
--- a/crates/coralstep-adapter/src/tests.rs
+++ b/crates/coralstep-adapter/src/host/tests.rs
@@ -10,7 +10,7 @@
 
 fn run(input: &str) -> (Result<(), String>, String) {
     let mut output = Vec::new();
-    let result = serve(input.as_bytes(), &mut output);
+    let result = serve(input.as_bytes(), &mut output).map_err(|error| error.to_string());
     (result, String::from_utf8(output).unwrap())
 }
 
@@ -73,6 +73,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "a table of cases")]
 fn bad_input_names_its_line_and_gets_no_reply() {
     for (events, why) in [
         (
--- a/crates/coralstep-config/src/tests.rs
+++ b/crates/coralstep-config/src/settings/tests.rs
@@ -1,4 +1,7 @@
-use super::*;
+use coralstep::{LoadReportKind, Preemption, Span};
+use serde_json::Value;
+
+use super::{from_json, from_pairs};
 
 #[test]
 fn the_wire_and_json_say_the_same() {
@@ -68,13 +71,15 @@
         ("realms.count", "few", "realms.count=few is no proper value"),
     ] {
         assert_eq!(
-            from_pairs([(path, value)].into_iter()).err().as_deref(),
-            Some(why)
+            from_pairs([(path, value)].into_iter())
+                .unwrap_err()
+                .to_string(),
+            why
         );
     }
     assert_eq!(
-        from_json(&Value::Null).err().as_deref(),
-        Some("settings: not an object")
+        from_json(&Value::Null).unwrap_err().to_string(),
+        "settings: not an object"
     );
 }
 
--- /dev/null
+++ b/crates/coralstep-config/src/settings/value.rs
@@ -0,0 +1,39 @@
+//! Single values of a setting or a message.
+use std::str::FromStr;
+
+use super::error::{SettingError, ValueFault};
+
+/// Parses `value`; `name` is its path or field.
+///
+/// # Errors
+/// [`ValueFault::Unparsable`].
+pub fn parse<T: FromStr>(name: &str, value: &str) -> Result<T, SettingError> {
+    value
+        .parse()
+        .map_err(|_| SettingError::invalid(name, value, ValueFault::Unparsable))
+}
+
+/// Parses a finite number that is not below 0.
+///
+/// # Errors
+/// [`ValueFault::Unparsable`] or [`ValueFault::NotAnAmount`].
+pub fn parse_amount(name: &str, value: &str) -> Result<f64, SettingError> {
+    let amount: f64 = parse(name, value)?;
+    if amount.is_finite() && amount >= 0.0 {
+        Ok(amount)
+    } else {
+        Err(SettingError::invalid(name, value, ValueFault::NotAnAmount))
+    }
+}
+
+/// Parses a truth value: 1 or 0, or true or false.
+///
+/// # Errors
+/// [`ValueFault::NotAFlag`].
+pub fn parse_flag(name: &str, value: &str) -> Result<bool, SettingError> {
+    match value {
+        "1" | "true" => Ok(true),
+        "0" | "false" => Ok(false),
+        _ => Err(SettingError::invalid(name, value, ValueFault::NotAFlag)),
+    }
+}
--- /dev/null
+++ b/crates/coralstep-config/src/site/limits.rs
@@ -0,0 +1,74 @@
+//! The section `limits`: limits that hold for the whole fleet.
+use coralstep_quota::terms::look_up;
+use coralstep_quota::{Kind, Limit};
+
+use super::error::SiteError;
+use super::fleet::renewal_time_ms;
+use super::{FleetConfig, SiteConfig};
+use crate::Names;
+
+/// The one dependency that a limit may name.
+const DEPENDENCY: &str = "store";
+
+impl SiteConfig {
+    /// The limits, with the names of methods and tenants resolved.
+    ///
+    /// # Errors
+    /// A limit that is refused, limits without a fleet or a lease holder, or a deadline that is longer than a lease allows.
+    pub fn limits(&self, names: &Names) -> Result<Vec<Limit>, SiteError> {
+        let Some(section) = self.limits.as_ref().filter(|section| !section.is_empty()) else {
+            return Ok(Vec::new());
+        };
+        let fleet = self.fleet.as_ref().ok_or_else(|| {
+            SiteError::invalid("limits", "without a fleet there is nobody to share them")
+        })?;
+        if fleet.keepers.is_empty() {
+            return Err(SiteError::invalid(
+                "limits",
+                "fleet.keepers names nobody who could give shares",
+            ));
+        }
+        let known = coralstep_quota::terms::Names {
+            methods: &names.methods,
+            calls: &names.calls,
+            tenants: &names.tenants,
+            dependencies: &[DEPENDENCY.to_owned()],
+        };
+        let limits =
+            look_up(section, &known).map_err(|error| SiteError::Limits(error.to_string()))?;
+        for (index, limit) in limits.iter().enumerate() {
+            check_lease(index, limit, fleet, names)?;
+        }
+        Ok(limits)
+    }
+}
+
+/// A quota of RPCs in flight serves only RPCs that end before its lease does.
+fn check_lease(
+    index: usize,
+    limit: &Limit,
+    fleet: &FleetConfig,
+    names: &Names,
+) -> Result<(), SiteError> {
+    if matches!(limit.kind, Kind::Rate { .. }) {
+        return Ok(());
+    }
+    let longest = names
+        .deadlines_ms
+        .iter()
+        .enumerate()
+        .filter(|(method, _)| limit.method.is_none_or(|limited| limited == *method))
+        .map(|(_, deadline_ms)| *deadline_ms)
+        .max();
+    let usable_ms = coralstep_quota::bounds::shrunk(u64::from(fleet.lease_ms))
+        - renewal_time_ms(fleet.lease_ms);
+    match longest.filter(|longest| *longest > usable_ms) {
+        None => Ok(()),
+        Some(longest) => Err(SiteError::invalid(
+            format!("limits[{index}].in_hand"),
+            format!(
+                "unreachable, a deadline of {longest} ms is longer than fleet.lease_ms less two rounds, {usable_ms}"
+            ),
+        )),
+    }
+}
--- /dev/null
+++ b/crates/coralstep-config/src/site/mod.rs
@@ -0,0 +1,182 @@
+//! The operator's own file: what the platform's configuration has no place for.
+//!
+//! JSON of the shape that `coralstep schema` prints. Unknown keys are refused; each message names the faulty key by its path.
+mod applications;
+mod error;
+mod fleet;
+mod limits;
+mod log;
+mod operator;
+mod scgi;
+mod state;
+
+use coralstep_degradation::LevelTerms;
+use coralstep_quota::LimitTerms;
+use schemars::JsonSchema;
+use serde::Deserialize;
+
+use crate::Names;
+
+pub use applications::ApplicationsConfig;
+pub use error::SiteError;
+pub use fleet::{FleetConfig, Silent};
+pub use log::{LogConfig, LogFormat};
+pub use operator::{Listen, ListenError, OperatorConfig};
+pub use scgi::{HeaderNames, RouteConfig, RouteTarget, ScgiConfig};
+pub use state::StateConfig;
+
+/// What messages name where no key is at fault.
+const WHOLE_FILE: &str = "site file";
+
+/// The whole file; each section may be left out.
+#[derive(Clone, Debug, Default, PartialEq, Deserialize, JsonSchema)]
+#[serde(
+    deny_unknown_fields,
+    rename = "SiteTerms",
+    expecting = "struct SiteTerms"
+)]
+#[schemars(title = "coralstep site file", description = "")]
+pub struct SiteConfig {
+    /// The schema of this file, for editors.
+    #[serde(rename = "$schema", default)]
+    pub schema: Option<String>,
+    /// Callers that speak SCGI.
+    #[serde(default)]
+    pub scgi: Option<ScgiConfig>,
+    /// SCGI applications that run the RPCs, in place of an engine.
+    #[serde(default)]
+    pub applications: Option<ApplicationsConfig>,
+    /// Levels of reduced service; `{}` takes the built-in ones. Without it there are none.
+    #[serde(default)]
+    pub levels: Option<LevelTerms>,
+    /// Where operators ask.
+    #[serde(default)]
+    pub operator: Option<OperatorConfig>,
+    /// What is kept over a restart; without it nothing is.
+    #[serde(default)]
+    pub state: Option<StateConfig>,
+    /// How this server hears the others of its fleet; without it nothing is opened.
+    #[serde(default)]
+    pub fleet: Option<FleetConfig>,
+    /// Limits that hold for the whole fleet; without a `fleet` there are none.
+    #[serde(default)]
+    pub limits: Option<Vec<LimitTerms>>,
+    /// Form and levels of the log.
+    #[serde(default)]
+    #[schemars(description = "")]
+    pub log: LogConfig,
+}
+
+impl SiteConfig {
+    /// Reads and checks a site file; `names` are those of the settings.
+    ///
+    /// # Errors
+    /// The first fault that is found.
+    pub fn parse(text: &str, names: &Names) -> Result<SiteConfig, SiteError> {
+        let site = SiteConfig::read(text)?;
+        site.check(names)?;
+        Ok(site)
+    }
+
+    /// Reads a site file without checking what depends on the names in the settings.
+    ///
+    /// # Errors
+    /// Text that is not of the schema's shape, or faulty degradation levels.
+    pub fn read(text: &str) -> Result<SiteConfig, SiteError> {
+        let mut reader = serde_json::Deserializer::from_str(text);
+        let site: SiteConfig =
+            serde_path_to_error::deserialize(&mut reader).map_err(|error| SiteError::Syntax {
+                key: key_of(error.path()),
+                source: error.into_inner(),
+            })?;
+        reader.end().map_err(|source| SiteError::Syntax {
+            key: WHOLE_FILE.to_owned(),
+            source,
+        })?;
+        if let Some(levels) = &site.levels {
+            levels
+                .check()
+                .map_err(|error| SiteError::Levels(error.to_string()))?;
+        }
+        Ok(site)
+    }
+
+    fn check(&self, names: &Names) -> Result<(), SiteError> {
+        if let Some(scgi) = &self.scgi {
+            scgi.check(names)?;
+        }
+        if let Some(state) = &self.state {
+            state.check()?;
+        }
+        if let Some(fleet) = &self.fleet {
+            fleet.check()?;
+        }
+        self.limits(names)?;
+        match &self.applications {
+            Some(applications) => applications.check(names),
+            None => Ok(()),
+        }
+    }
+
+    /// This file with the sections of `version`, a version of the fleet's settings, in place of its own.
+    ///
+    /// # Errors
+    /// A section that changes only with a restart, or one that is faulty beside the others.
+    pub fn with_version(&self, version: &str, names: &Names) -> Result<SiteConfig, SiteError> {
+        let version = SiteConfig::read(version)?;
+        if let Some(key) = self.fixed_section(&version) {
+            return Err(SiteError::RestartRequired { key });
+        }
+        let mut site = self.clone();
+        site.levels = version.levels.or(site.levels);
+        site.limits = version.limits.or(site.limits);
+        site.applications = version.applications.or(site.applications);
+        if let (Some(mut scgi), Some(old)) = (version.scgi, &self.scgi) {
+            // The open listeners stay.
+            scgi.listen.clone_from(&old.listen);
+            site.scgi = Some(scgi);
+        }
+        site.check(names)?;
+        Ok(site)
+    }
+
+    /// The first section of `version` that this process cannot take up while it runs.
+    fn fixed_section(&self, version: &SiteConfig) -> Option<&'static str> {
+        let sections = [
+            ("operator", version.operator.is_some()),
+            ("state", version.state.is_some()),
+            ("fleet", version.fleet.is_some()),
+            ("log", version.log != LogConfig::default()),
+            ("levels", version.levels.is_some() && self.levels.is_none()),
+            ("scgi", version.scgi.is_some() && self.scgi.is_none()),
+            (
+                "applications",
+                version.applications.is_some() && self.applications.is_none(),
+            ),
+        ];
+        let fixed = sections.iter().find(|(_, is_fixed)| *is_fixed);
+        fixed.map(|(key, _)| *key)
+    }
+
+    /// The schema of the file, as JSON text.
+    pub fn schema() -> String {
+        let schema = schemars::schema_for!(SiteConfig);
+        // A schema made of these types is JSON.
+        let mut text = serde_json::to_string_pretty(&schema).unwrap_or_default();
+        text.push('\n');
+        text
+    }
+}
+
+/// The key that a parser's path names, or that of the whole file where it names none.
+fn key_of(path: &serde_path_to_error::Path) -> String {
+    let path = path.to_string();
+    if path == "." || path.starts_with('?') {
+        WHOLE_FILE.to_owned()
+    } else {
+        path
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/coralstep-config/src/site/operator.rs
@@ -0,0 +1,79 @@
+//! The section `operator`: where operators ask.
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::str::FromStr;
+
+use schemars::JsonSchema;
+use serde::Deserialize;
+use thiserror::Error;
+
+/// The listener that operators ask.
+#[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
+#[serde(
+    deny_unknown_fields,
+    rename = "OperatorTerms",
+    expecting = "struct OperatorTerms"
+)]
+#[schemars(description = "")]
+pub struct OperatorConfig {
+    /// A loopback address and port, or `unix:` and a path. Changes with a restart.
+    #[schemars(with = "String")]
+    pub listen: Listen,
+}
+
+/// A loopback address, or the path of a Unix socket.
+#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
+#[serde(try_from = "String")]
+pub enum Listen {
+    /// A TCP listener on loopback.
+    Address(SocketAddr),
+    /// A Unix socket.
+    Path(PathBuf),
+}
+
+impl FromStr for Listen {
+    type Err = ListenError;
+
+    fn from_str(text: &str) -> Result<Listen, ListenError> {
+        if let Some(path) = text.strip_prefix("unix:").filter(|path| !path.is_empty()) {
+            return Ok(Listen::Path(path.into()));
+        }
+        let address: SocketAddr = text
+            .parse()
+            .map_err(|_| ListenError::Malformed(text.to_owned()))?;
+        // Guards against a listener for operators that other machines reach.
+        if address.ip().is_loopback() {
+            Ok(Listen::Address(address))
+        } else {
+            Err(ListenError::NotLoopback(address))
+        }
+    }
+}
+
+impl TryFrom<String> for Listen {
+    type Error = ListenError;
+
+    fn try_from(text: String) -> Result<Listen, ListenError> {
+        text.parse()
+    }
+}
+
+impl std::fmt::Display for Listen {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        match self {
+            Listen::Address(address) => address.fmt(f),
+            Listen::Path(path) => write!(f, "unix:{}", path.display()),
+        }
+    }
+}
+
+/// Why a text is no address of an operators' listener.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum ListenError {
+    /// Neither an address and port nor `unix:` and a path.
+    #[error("{0:?} is neither an address and port nor unix:PATH")]
+    Malformed(String),
+    /// Other machines would reach the address.
+    #[error("{0} is not on loopback")]
+    NotLoopback(SocketAddr),
+}
--- /dev/null
+++ b/crates/coralstep-config/src/starvation.rs
@@ -0,0 +1,117 @@
+//! Configurations that are valid and would starve a method for good, not as a degradation level does for a while.
+use coralstep::{Idempotency, Method, SchedulerConfig};
+use coralstep_degradation::LevelTerms;
+use coralstep_route::RouteTable;
+use thiserror::Error;
+
+use crate::Names;
+use crate::site::{RouteTarget, SiteConfig, SiteError};
+
+/// The part of its queueing limit that a method needs at least while all is well: with less nothing is queued.
+const MIN_QUEUE_SHARE: f64 = 0.05;
+
+/// What would starve. Each message begins with the path of the key at fault.
+#[derive(Debug, Error)]
+pub enum StarvationError {
+    /// The first level rejects a method, and it holds while no condition is met.
+    #[error("levels.list[0].does.{key}: starves {method:?}, for the first level always holds")]
+    FirstLevel {
+        /// Key of the level's action.
+        key: &'static str,
+        /// Name of the method.
+        method: String,
+    },
+    /// The first level tells callers to send nothing.
+    #[error("levels.list[0].does.value: starves all, for nothing is ever asked for")]
+    NoLoad,
+    /// A method had a route and has none any more.
+    #[error("scgi.routes: starves {method:?}: no route leads to it")]
+    NoRoute {
+        /// Name of the method.
+        method: String,
+    },
+    /// The routes are refused.
+    #[error(transparent)]
+    Site(#[from] SiteError),
+}
+
+/// Checks `site`; `before` is the configuration that it replaces.
+///
+/// # Errors
+/// The first method that would starve.
+pub fn check(
+    site: &SiteConfig,
+    before: Option<&SiteConfig>,
+    names: &Names,
+    config: &SchedulerConfig,
+) -> Result<(), StarvationError> {
+    if let Some(levels) = &site.levels {
+        check_first_level(levels, names, config)?;
+    }
+    check_routes(site, before, names)
+}
+
+fn check_first_level(
+    levels: &LevelTerms,
+    names: &Names,
+    config: &SchedulerConfig,
+) -> Result<(), StarvationError> {
+    let Some(first) = levels.list.first() else {
+        return Ok(());
+    };
+    let actions = &first.does;
+    let starving_key = |method: &Method| {
+        if actions.closed {
+            Some("closed")
+        } else if actions.effects_only && method.idempotency == Idempotency::Idempotent {
+            Some("effects_only")
+        } else if method.priority_weight < actions.least_criticality {
+            Some("least_criticality")
+        } else if actions.hold < MIN_QUEUE_SHARE {
+            Some("hold")
+        } else {
+            None
+        }
+    };
+    for (name, method) in names.methods.iter().zip(&config.methods) {
+        if let Some(key) = starving_key(method) {
+            return Err(StarvationError::FirstLevel {
+                key,
+                method: name.clone(),
+            });
+        }
+    }
+    if actions.value <= 0.0 {
+        return Err(StarvationError::NoLoad);
+    }
+    Ok(())
+}
+
+fn check_routes(
+    site: &SiteConfig,
+    before: Option<&SiteConfig>,
+    names: &Names,
+) -> Result<(), StarvationError> {
+    let old = before.and_then(|before| before.scgi.as_ref());
+    let (Some(new), Some(old)) = (&site.scgi, old) else {
+        return Ok(());
+    };
+    let (new, old) = (new.routes(names)?, old.routes(names)?);
+    let starving = (0..names.methods.len())
+        .find(|method| has_route(&old, *method) && !has_route(&new, *method));
+    match starving {
+        None => Ok(()),
+        Some(method) => Err(StarvationError::NoRoute {
+            method: names.methods[method].clone(),
+        }),
+    }
+}
+
+fn has_route(routes: &RouteTable<RouteTarget>, method: usize) -> bool {
+    routes
+        .targets()
+        .any(|target| *target == RouteTarget::Method(method))
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/coralstep-server/src/base/config.rs
+++ b/crates/coralstep-server/src/base/config.rs
@@ -7,8 +7,8 @@
 
 use coralstep::{Preemption, SchedulerConfig};
 use coralstep_config::Names;
-use coralstep_config::site::SiteTerms;
-use coralstep_config::starves;
+use coralstep_config::site::SiteConfig;
+use coralstep_config::starvation;
 use serde_json::Value;
 
 use super::descriptors;
@@ -97,7 +97,7 @@
     /// What a reload can't change, each under its key.
     pub fixed: Vec<(&'static str, Value)>,
     /// What the operator's own file says, where there is one.
-    pub site: SiteTerms,
+    pub site: SiteConfig,
 }
 
 /// The files that the configuration is read from, also again.
@@ -129,9 +129,10 @@
         })
         .map_err(|why| format!("{}: {why}", self.config.display()))?;
         if let Some((path, text)) = site {
-            let named = |why: String| format!("{}: {why}", path.display());
-            config.site = SiteTerms::parse(&text, &config.names).map_err(named)?;
-            starves::check(&config.site, None, &config.names, &config.terms).map_err(named)?;
+            let named = |error: &dyn std::error::Error| format!("{}: {error}", path.display());
+            config.site = SiteConfig::parse(&text, &config.names).map_err(|error| named(&error))?;
+            starvation::check(&config.site, None, &config.names, &config.terms)
+                .map_err(|error| named(&error))?;
         }
         config
             .check()
@@ -219,7 +220,7 @@
             terms,
             names,
             fixed: FIXED.iter().map(|key| (*key, json[*key].clone())).collect(),
-            site: SiteTerms::default(),
+            site: SiteConfig::default(),
         })
     }
 
--- a/crates/coralstep-server/src/base/log.rs
+++ b/crates/coralstep-server/src/base/log.rs
@@ -4,14 +4,14 @@
 use std::io::stderr;
 use std::time::{Duration, Instant};
 
-use coralstep_config::site::{LogFormat, LogTerms};
+use coralstep_config::site::{LogConfig, LogFormat};
 use tracing_subscriber::filter::Targets;
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{Layer, fmt};
 
 /// From here on events are written; those before went nowhere.
-pub fn start(terms: &LogTerms) -> Result<(), String> {
+pub fn start(terms: &LogConfig) -> Result<(), String> {
     let targets: Targets = terms
         .levels
         .parse()
--- a/crates/coralstep-server/src/callers/scgi.rs
+++ b/crates/coralstep-server/src/callers/scgi.rs
@@ -7,7 +7,7 @@
 use async_io::Async;
 use coralstep::Span;
 use coralstep_config::Names;
-use coralstep_config::site::{ScgiTerms, Target};
+use coralstep_config::site::{RouteTarget, ScgiConfig};
 use coralstep_route::{RouteMatch, RouteTable};
 use coralstep_scgi::request::{self, Request};
 use coralstep_scgi::{DecodeError, Limits, response};
@@ -41,20 +41,20 @@
 
 /// What is known from the operator's file.
 struct Known {
-    terms: ScgiTerms,
-    routes: RouteTable<Target>,
+    terms: ScgiConfig,
+    routes: RouteTable<RouteTarget>,
     limits: Limits,
 }
 
 impl Known {
-    fn new(terms: &ScgiTerms, names: &Names) -> Result<Known, String> {
+    fn new(terms: &ScgiConfig, names: &Names) -> Result<Known, String> {
         let limits = Limits {
             max_head_bytes: HEAD_MOST,
             max_headers: HEADERS_MOST,
             max_body_bytes: terms.body_kb as usize * 1024,
         };
         Ok(Known {
-            routes: terms.routes(names)?,
+            routes: terms.routes(names).map_err(|error| error.to_string())?,
             terms: terms.clone(),
             limits,
         })
@@ -87,14 +87,14 @@
 }
 
 impl Scgi {
-    pub fn new(terms: &ScgiTerms, names: &Names) -> Result<Scgi, String> {
+    pub fn new(terms: &ScgiConfig, names: &Names) -> Result<Scgi, String> {
         Ok(Scgi {
             known: RefCell::new(Rc::new(Known::new(terms, names)?)),
         })
     }
 
     /// What can change without a restart changes for the requests to come.
-    pub fn reload(&self, terms: &ScgiTerms, names: &Names) -> Result<(), String> {
+    pub fn reload(&self, terms: &ScgiConfig, names: &Names) -> Result<(), String> {
         let known = Known::new(terms, names)?;
         *self.known.borrow_mut() = Rc::new(known);
         Ok(())
@@ -119,8 +119,8 @@
             .routes
             .find(verb, path.ok_or(Refusal(400, "no path"))?)
         {
-            RouteMatch::Found(Target::Health) => return Ok(Asked::Health),
-            RouteMatch::Found(Target::Method(method)) => *method,
+            RouteMatch::Found(RouteTarget::Health) => return Ok(Asked::Health),
+            RouteMatch::Found(RouteTarget::Method(method)) => *method,
             RouteMatch::MethodNotAllowed => return Err(Refusal(405, "not with this verb")),
             RouteMatch::NotFound => return Err(Refusal(404, "no such path")),
         };
--- a/crates/coralstep-server/src/cli/levels.rs
+++ b/crates/coralstep-server/src/cli/levels.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use coralstep_config::site::{Listen, SiteTerms};
+use coralstep_config::site::{Listen, SiteConfig};
 use coralstep_degradation::{LevelTerms, replay};
 use coralstep_server::operators::ops::Question;
 use lexopt::Arg::{Long, Short, Value};
@@ -237,8 +237,8 @@
         Some(path) => {
             let named = |why: String| format!("{}: {why}", path.display());
             let text = std::fs::read_to_string(&path).map_err(|why| named(why.to_string()))?;
-            SiteTerms::read(&text)
-                .map_err(named)?
+            SiteConfig::read(&text)
+                .map_err(|error| named(error.to_string()))?
                 .levels
                 .unwrap_or_default()
         }
--- a/crates/coralstep-server/src/fleet/carrier.rs
+++ b/crates/coralstep-server/src/fleet/carrier.rs
@@ -9,7 +9,7 @@
 
 use async_io::{Async, Timer};
 use coralstep::Span;
-use coralstep_config::site::{FleetTerms, Silent};
+use coralstep_config::site::{FleetConfig, Silent};
 use coralstep_fleet::audit::AuditFilter;
 use coralstep_fleet::datagram::MAX_RECEIVED_BYTES;
 use coralstep_fleet::extension::{ExtensionId, Registration};
@@ -129,7 +129,7 @@
 impl Carrier {
     /// `folder`: where the record is kept, where it is.
     pub fn bind(
-        terms: &FleetTerms,
+        terms: &FleetConfig,
         name: &str,
         seed: u64,
         folder: Option<&Path>,
--- a/crates/coralstep-server/src/life/keep.rs
+++ b/crates/coralstep-server/src/life/keep.rs
@@ -7,7 +7,7 @@
 
 use async_io::Timer;
 use coralstep::LearnedState;
-use coralstep_config::site::StateTerms;
+use coralstep_config::site::StateConfig;
 use coralstep_state::Folder;
 use coralstep_state::schedule::{Budget, Cost, Scheduler};
 use coralstep_state::snapshot::{self, Found, Refused};
@@ -73,7 +73,7 @@
 
 impl Keeper {
     /// Opens the folder and takes in what is there; none where the folder can't be had, which is told, and serving goes on without.
-    pub fn start(terms: &StateTerms, config: &Config, facade: &SchedulerHandle) -> Option<Keeper> {
+    pub fn start(terms: &StateConfig, config: &Config, facade: &SchedulerHandle) -> Option<Keeper> {
         let of = fingerprint(config);
         let mut folder = match Folder::open(&terms.folder) {
             Ok(folder) => folder,
--- a/crates/coralstep-server/src/life/reload.rs
+++ b/crates/coralstep-server/src/life/reload.rs
@@ -7,8 +7,8 @@
 use async_signal::{Signal, Signals};
 use coralstep::SchedulerConfig;
 use coralstep_config::Names;
-use coralstep_config::site::SiteTerms;
-use coralstep_config::starves;
+use coralstep_config::site::SiteConfig;
+use coralstep_config::starvation;
 use futures_lite::StreamExt;
 
 use crate::base::config::{Config, Source};
@@ -32,7 +32,7 @@
     /// These sections are those of a version of the fleet's; the site file's stay behind them.
     pub versioned: Cell<bool>,
     /// The version's, where one was taken.
-    pub holds: RefCell<Option<SiteTerms>>,
+    pub holds: RefCell<Option<SiteConfig>>,
 }
 
 /// Takes up each new configuration; one that is at fault changes nothing.
@@ -77,7 +77,7 @@
 }
 
 /// The sections that a version may set are those of `site` from now on, or the first that can't be, and why.
-fn put(site: &SiteTerms, names: &Names, movable: &Movable) -> Result<(), String> {
+fn put(site: &SiteConfig, names: &Names, movable: &Movable) -> Result<(), String> {
     if let (Some(levels), Some(terms)) = (&movable.levels, &site.levels) {
         levels.reload(terms)?;
     }
@@ -93,13 +93,15 @@
 /// Takes up a version of the fleet's settings on top of what the site file says, or says why not; then nothing has changed.
 pub fn take_version(
     content: &str,
-    site: &SiteTerms,
+    site: &SiteConfig,
     names: &Names,
     terms: &SchedulerConfig,
     movable: &Movable,
 ) -> Result<(), String> {
-    let new = site.with_version(content, names)?;
-    starves::check(&new, Some(site), names, terms)?;
+    let new = site
+        .with_version(content, names)
+        .map_err(|error| error.to_string())?;
+    starvation::check(&new, Some(site), names, terms).map_err(|error| error.to_string())?;
     let before = movable.holds.replace(Some(new.clone()));
     if let Err(why) = put(&new, names, movable) {
         // Guards against a version that is turned down and yet leaves some of its sections behind.
@@ -116,7 +118,7 @@
 
 fn take_up_site(config: &Config, start: &Config, movable: &Movable) {
     let (new, old) = (&config.site, &start.site);
-    let listens = |site: &SiteTerms| site.scgi.as_ref().map(|scgi| scgi.listen.clone());
+    let listens = |site: &SiteConfig| site.scgi.as_ref().map(|scgi| scgi.listen.clone());
     let sections = [
         ("scgi.listen", listens(new) != listens(old)),
         (
--- a/crates/coralstep-server/src/main.rs
+++ b/crates/coralstep-server/src/main.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use coralstep_config::site::SiteTerms;
+use coralstep_config::site::SiteConfig;
 use coralstep_server::Fault;
 use coralstep_server::base::config::{Config, Source};
 use lexopt::Arg::{Long, Short, Value};
@@ -120,7 +120,7 @@
             Ok(())
         }
         Ok(Command::Schema) => {
-            print!("{}", SiteTerms::schema());
+            print!("{}", SiteConfig::schema());
             Ok(())
         }
         Ok(Command::Levels(call)) => levels::run(call),
--- a/crates/coralstep-server/src/runs/applications/attempt.rs
+++ b/crates/coralstep-server/src/runs/applications/attempt.rs
@@ -115,7 +115,7 @@
     ) -> io::Result<Response> {
         let (connect_timeout, max_body_bytes) = {
             let terms = self.terms.borrow();
-            (terms.connect(), terms.result_kb as usize * 1024)
+            (terms.connect_timeout(), terms.result_kb as usize * 1024)
         };
         let timeout = async {
             Timer::after(connect_timeout).await;
--- a/crates/coralstep-server/src/runs/applications/mod.rs
+++ b/crates/coralstep-server/src/runs/applications/mod.rs
@@ -18,7 +18,7 @@
 use async_executor::{LocalExecutor, Task};
 use coralstep::{Time, Transition};
 use coralstep_balancer::{Pool, PoolTerms, RampTerms};
-use coralstep_config::site::ApplicationTerms;
+use coralstep_config::site::ApplicationsConfig;
 
 use crate::base::clock::{self, Clock};
 use crate::base::descriptors::Descriptors;
@@ -52,10 +52,10 @@
     clock: Clock,
     pool: RefCell<Pool<SocketAddr>>,
     runs: RefCell<HashMap<Ref, RunState>>,
-    terms: RefCell<ApplicationTerms>,
+    terms: RefCell<ApplicationsConfig>,
 }
 
-fn pool_terms(terms: &ApplicationTerms) -> PoolTerms {
+fn pool_terms(terms: &ApplicationsConfig) -> PoolTerms {
     PoolTerms {
         ramp: RampTerms {
             slow_start: clock::span(Duration::from_millis(u64::from(terms.slow_start_ms))),
@@ -73,7 +73,7 @@
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         descriptors: Rc<Descriptors>,
-        terms: &ApplicationTerms,
+        terms: &ApplicationsConfig,
         seed: u64,
     ) -> Applications {
         let clock = Clock::start();
@@ -90,7 +90,7 @@
     }
 
     /// Takes up another list of applications, and all else that is stated of them; what is open stays where it is.
-    pub fn reload(&self, terms: &ApplicationTerms) {
+    pub fn reload(&self, terms: &ApplicationsConfig) {
         let mut pool = self.pool.borrow_mut();
         pool.reload(pool_terms(terms));
         pool.set(self.now(), &terms.addresses);
