--- a/crates/coralstep-adapter/src/instance.rs
+++ b/crates/coralstep-adapter/src/instance.rs
@@ -2,10 +2,11 @@
 use std::collections::{HashMap, VecDeque};
 use std::fmt::{Arguments, Write};
 
-use coralstep::{Actions, Gauges, Request, RpcId, Scheduler, Span, Time};
+use coralstep::{Actions, Event, Gauges, Request, RpcId, Scheduler, Span, Time};
 use coralstep_config::{Names, amount, flag, parse};
 
 use crate::fields::Fields;
+use crate::log_words::LogWords;
 use crate::{NS_PER_TICK, prior};
 
 /// An id stays known this long after its RPC is over, for events that come late.
@@ -249,8 +250,8 @@
         self.put("DEFER", format_args!(" in={} name=beat", ns(span)));
     }
 
-    fn log(&mut self, text: Arguments<'_>) {
-        self.put("LOG", format_args!(" words={text}"));
+    fn log(&mut self, event: Event) {
+        self.put("LOG", format_args!(" words={}", LogWords(event)));
     }
 
     fn release_id(&mut self, rpc: RpcId) {
--- a/crates/coralstep-adapter/src/main.rs
+++ b/crates/coralstep-adapter/src/main.rs
@@ -2,6 +2,7 @@
 //! answers on standard output. Parsing, units and ids only; every decision is coralstep's.
 mod fields;
 mod instance;
+mod log_words;
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, Write};
--- a/crates/coralstep-adapter/src/tests.rs
+++ b/crates/coralstep-adapter/src/tests.rs
@@ -1,3 +1,6 @@
+use coralstep::{Event, OrphanedRun, Span, Transition};
+
+use super::log_words::LogWords;
 use super::serve;
 
 const BOOT: &str = "BOOT server=server/3 entropy=7 az=a classes.count=2 classes.0.name=read \
@@ -149,3 +152,48 @@
         Err("line 5: due=soon is no proper value".to_owned())
     );
 }
+
+/// Guards against log lines on the wire that follow the words of the code.
+#[test]
+fn log_lines_keep_the_words_of_the_wire() {
+    let transition = Transition {
+        from: "closed",
+        to: "open",
+        failure_rate: 0.5,
+    };
+    let run = OrphanedRun {
+        since_answer: Span::ms(10_020),
+        orphaned: 1,
+        max_orphaned: 2,
+    };
+    let limit = Event::OrphanLimit {
+        reached: true,
+        orphaned: 2,
+        max_orphaned: 2,
+    };
+    let health = Event::HealthChanged {
+        stalled: false,
+        read_backlog: true,
+    };
+    for (event, words) in [
+        (
+            Event::BreakerChanged(transition),
+            "breaker closed -> open, failed 0.50",
+        ),
+        (
+            Event::RunOrphaned(run),
+            "a run is lost: no end 10020 ms after its answer, 1 of 2",
+        ),
+        (
+            Event::RunOrphanedAtCall(run),
+            "a run is stranded: no end 10020 ms after its answer, 1 of 2",
+        ),
+        (limit, "places of lost runs used up: true, 2 of 2"),
+        (
+            health,
+            "cores stand still: false, reading falls behind: true",
+        ),
+    ] {
+        assert_eq!(LogWords(event).to_string(), words);
+    }
+}
--- a/crates/coralstep-lab/src/emulate/fleet.rs
+++ b/crates/coralstep-lab/src/emulate/fleet.rs
@@ -518,7 +518,7 @@
     for line in log.lines().map_while(Result::ok) {
         // What it says before it listens tells why it doesn't.
         let _ = listens.send(line.clone());
-        if line.contains("breaker ") && line.contains(" -> ") {
+        if line.contains("circuit breaker changed state") {
             turns.fetch_add(1, Ordering::SeqCst);
         }
         kept += line.len();
--- a/crates/coralstep-server/src/decisions/actions.rs
+++ b/crates/coralstep-server/src/decisions/actions.rs
@@ -1,7 +1,7 @@
 //! Carries the scheduler's actions to those who wait for them: decisions to the tasks of RPCs, the rest to the server's state.
 use std::time::Duration;
 
-use coralstep::{Actions, RpcId, Span, Transition};
+use coralstep::{Actions, Event, RpcId, Span, Transition};
 
 use crate::base::clock::{self, Clock};
 use crate::decisions::admission::MAX_UNREAD_SPAN;
@@ -120,18 +120,20 @@
         self.next_tick = span;
     }
 
-    fn log(&mut self, text: std::fmt::Arguments<'_>) {
-        note!("{text}");
+    fn log(&mut self, event: Event) {
+        note!("{event}");
     }
 
     fn breaker_transition(&mut self, transition: Transition) {
         let Transition {
             from,
             to,
-            failure_rate: rate,
+            failure_rate,
         } = transition;
         let instance = self.instance.as_str();
-        tracing::info!(target: "breaker", dependency = "store", instance, from, to, rate, "breaker {transition}");
+        tracing::info!(
+            target: "breaker", dependency = "store", instance, from, to, failure_rate, "circuit breaker changed state"
+        );
     }
 
     fn release_id(&mut self, rpc: RpcId) {
--- a/crates/coralstep-server/src/runs/applications/mod.rs
+++ b/crates/coralstep-server/src/runs/applications/mod.rs
@@ -128,9 +128,11 @@
             let Transition {
                 from,
                 to,
-                failure_rate: rate,
+                failure_rate,
             } = transition;
-            tracing::info!(target: "breaker", dependency, from, to, rate, "application {address}: breaker {transition}");
+            tracing::info!(
+                target: "breaker", dependency, from, to, failure_rate, "circuit breaker changed state"
+            );
         }
     }
 
--- a/crates/coralstep-server/tests/applications.rs
+++ b/crates/coralstep-server/tests/applications.rs
@@ -168,7 +168,7 @@
     // Had each been sat on until it was due, it would have been 16 s.
     assert!(start.elapsed() < LIMIT * 8 / 10);
     rig.logged(&format!(
-        "application {}: breaker closed -> open, failed 1.00",
+        "circuit breaker changed state dependency=\"{}\" from=\"closed\" to=\"open\" failure_rate=1.0",
         application.address
     ));
     // For the cooldown nothing reaches it, and all are pushed back at once.
@@ -198,7 +198,7 @@
     // Then one trial finds that it works again.
     application.now(Habit::Works);
     until(|| rig.ask("/read/x", &[], b"").status() == 200);
-    rig.logged("breaker half-open -> closed, failed 0.00");
+    rig.logged("from=\"half-open\" to=\"closed\" failure_rate=0.0");
 }
 
 #[test]
@@ -268,7 +268,7 @@
         .into_iter()
         .for_each(|caller| assert_eq!(caller.status(), 500));
     mute.now(Habit::Works);
-    rig.logged_within("a run is lost: no end 10", LIMIT * 2);
+    rig.logged_within("run orphaned since_answer_ms=10", LIMIT * 2);
     until(|| rig.ask("/pay", &[], b"").status() == 200);
     // What hangs still has its connections: nothing proves that it ended. Guards against a look taken while the stand-in has not yet
     // let go of the one that worked.
--- a/crates/coralstep-server/tests/levels.rs
+++ b/crates/coralstep-server/tests/levels.rs
@@ -71,8 +71,8 @@
     let mut gate = rig.gate();
     fail(&rig, &mut engine, &mut gate);
     assert!(
-        rig.logged("breaker closed -> open")
-            .contains("dependency=\"store\" instance=\"n3\"")
+        rig.logged("circuit breaker changed state")
+            .contains("dependency=\"store\" instance=\"n3\" from=\"closed\" to=\"open\"")
     );
     engine.until_logged(&rig, "level full -> lean, breaker ");
     let answer = rig.ask("/read/x", &[], b"").answer().unwrap();
--- a/crates/coralstep-server/tests/serve.rs
+++ b/crates/coralstep-server/tests/serve.rs
@@ -825,7 +825,7 @@
         assert_eq!(gate.said(), Said::Internal { seq });
         engine.done(2 * index + 1, &id(index), "cut", "");
     }
-    rig.logged("breaker closed -> open, failed 1.00");
+    rig.logged("from=\"closed\" to=\"open\" failure_rate=1.0");
     // The first cooldown is at most a second.
     std::thread::sleep(LIMIT / 10);
     let seq = gate.invoke("lock", &id(21), b"", &[]);
@@ -833,13 +833,13 @@
     engine.need(42, &id(21), "q");
     let mut store = rig.store();
     store.command();
-    rig.logged("breaker open -> half-open, failed 1.00");
+    rig.logged("from=\"open\" to=\"half-open\" failure_rate=1.0");
     // What would only wait for the trial is not begun.
     let other = gate.invoke("lock", &id(22), b"", &[]);
     assert!(matches!(gate.said(), Said::Overloaded { seq: of, .. } if of == other));
     assert_eq!(gate.said(), Said::Internal { seq });
     engine.done(43, &id(21), "cut", "");
-    rig.logged("breaker half-open -> open, failed 1.00");
+    rig.logged("from=\"half-open\" to=\"open\" failure_rate=1.0");
 }
 
 #[test]
@@ -861,7 +861,7 @@
     assert_eq!(asked, runs);
     engine.done(1, &id(1), "gone", "");
     engine.done(2, &id(2), "gone", "");
-    rig.logged("cores stand still: false");
+    rig.logged("server health changed stalled=false");
     let seq = gate.invoke("lock", &id(4), b"", &[]);
     engine.expect_run(&id(4), "lock");
     engine.done(3, &id(4), "good", "again");
@@ -877,8 +877,8 @@
         gate.invoke("lock", &id(index), b"", &[]);
     }
     (1..=2).for_each(|_| assert!(matches!(gate.said(), Said::Internal { .. })));
-    rig.logged_within("a run is lost: no end 10", LIMIT * 2);
-    rig.logged("cores stand still: false");
+    rig.logged_within("run orphaned since_answer_ms=10", LIMIT * 2);
+    rig.logged("server health changed stalled=false");
     let seq = gate.invoke("pay", &id(4), b"", &[]);
     assert_eq!(gate.said(), ok(seq, ""));
     drop(rig);
--- a/crates/coralstep/src/actions.rs
+++ b/crates/coralstep/src/actions.rs
@@ -1,6 +1,5 @@
 //! Where the decisions of a [`crate::Scheduler`] go.
-use std::fmt;
-
+use crate::event::{Event, Transition};
 use crate::request::RpcId;
 use crate::time::Span;
 
@@ -38,34 +37,12 @@
     fn set_idle_timeout(&mut self, span: Span) {}
     /// Asks for [`crate::Scheduler::handle_timeout`] after `span`, in place of what was asked for before.
     fn set_timer(&mut self, span: Span) {}
-    /// Logs a line.
-    fn log(&mut self, text: fmt::Arguments<'_>) {}
-    /// The circuit breaker changed its state.
+    /// Logs an event.
+    fn log(&mut self, event: Event) {}
+    /// The circuit breaker changed its state. Logs that, unless an implementation does otherwise.
     fn breaker_transition(&mut self, transition: Transition) {
-        self.log(format_args!("breaker {transition}"));
+        self.log(Event::BreakerChanged(transition));
     }
     /// The scheduler is done with this index.
     fn release_id(&mut self, rpc: RpcId) {}
 }
-
-/// A change of a circuit breaker's state.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Transition {
-    /// The state that it left: `closed`, `open` or `half-open`.
-    pub from: &'static str,
-    /// The state that it entered.
-    pub to: &'static str,
-    /// The part of the calls that failed, from 0 to 1, which led to the change.
-    pub failure_rate: f64,
-}
-
-impl fmt::Display for Transition {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Transition {
-            from,
-            to,
-            failure_rate,
-        } = self;
-        write!(f, "{from} -> {to}, failed {failure_rate:.2}")
-    }
-}
--- a/crates/coralstep/src/circuit_breaker.rs
+++ b/crates/coralstep/src/circuit_breaker.rs
@@ -2,7 +2,7 @@
 //! on.
 use nanorand::{Rng, WyRand};
 
-use crate::actions::Transition;
+use crate::event::Transition;
 use crate::request::RpcId;
 use crate::time::{Span, Time};
 
--- a/crates/coralstep/src/health.rs
+++ b/crates/coralstep/src/health.rs
@@ -2,6 +2,7 @@
 use crate::actions::Actions;
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::drain::Drain;
+use crate::event::Event;
 use crate::orphans;
 use crate::queue;
 use crate::request_table::Phase;
@@ -78,22 +79,25 @@
         }
         let stalled = shared.now - self.last_progress > MAX_TIME_WITHOUT_PROGRESS;
         let read_backlog = self.read_delay > self.max_read_delay();
-        let orphans = shared.requests.count(Phase::Orphaned);
-        let max_orphans = orphans::max_orphans(limit.max_started(shared));
-        let orphans_exhausted = orphans >= max_orphans;
+        let orphaned = shared.requests.count(Phase::Orphaned);
+        let max_orphaned = orphans::max_orphans(limit.max_started(shared));
+        let orphans_exhausted = orphaned >= max_orphaned;
         let is_away = limit.is_warming_up(shared.now) || drain.is_draining();
         shared.fault_is_local = stalled || read_backlog || orphans_exhausted || is_away;
         let orphans_changed = orphans_exhausted != self.orphans_exhausted;
         let cores_changed = (stalled, read_backlog) != (self.stalled, self.read_backlog);
         if orphans_changed {
-            out.log(format_args!(
-                "places of lost runs used up: {orphans_exhausted}, {orphans} of {max_orphans}"
-            ));
+            out.log(Event::OrphanLimit {
+                reached: orphans_exhausted,
+                orphaned,
+                max_orphaned,
+            });
         }
         if cores_changed {
-            out.log(format_args!(
-                "cores stand still: {stalled}, reading falls behind: {read_backlog}"
-            ));
+            out.log(Event::HealthChanged {
+                stalled,
+                read_backlog,
+            });
         }
         self.stalled = stalled;
         self.read_backlog = read_backlog;
--- a/crates/coralstep/src/lib.rs
+++ b/crates/coralstep/src/lib.rs
@@ -41,6 +41,7 @@
 mod deduplication;
 mod degradation;
 mod drain;
+mod event;
 mod health;
 mod learned_state;
 mod load_report;
@@ -58,12 +59,13 @@
 mod time;
 mod timer;
 
-pub use actions::{Actions, Transition};
+pub use actions::Actions;
 pub use circuit_breaker::{CircuitBreaker, Flow};
 pub use config::{
     Dependency, GoalWeights, Idempotency, LoadReportKind, Method, Preemption, SchedulerConfig,
 };
 pub use degradation::DegradationLevel;
+pub use event::{Event, OrphanedRun, Transition};
 pub use learned_state::LearnedState;
 pub use request::{EarlierAttempt, Gauges, Outcome, Request, RpcId};
 pub use scheduler::Scheduler;
--- a/crates/coralstep/src/orphans.rs
+++ b/crates/coralstep/src/orphans.rs
@@ -6,6 +6,7 @@
 //! late end only removes it. A run at a call that is over is orphaned at its call: nothing can bring it
 //! back to the cores.
 use crate::actions::Actions;
+use crate::event::{Event, OrphanedRun};
 use crate::request::RpcId;
 use crate::request_table::Phase;
 use crate::shared_state::SharedState;
@@ -59,22 +60,22 @@
         request.queried_at = now;
         out.query_run(id);
     }
-    let max = max_orphans(max_started);
-    let ms = since_answer.0 / 10;
+    let max_orphaned = max_orphans(max_started);
+    let orphaned_as = |orphaned| OrphanedRun {
+        since_answer,
+        orphaned,
+        max_orphaned,
+    };
     if phase == Phase::AwaitingCall && since_answer >= ORPHANED_AT_CALL_AFTER {
         shared.move_to(id, Phase::OrphanedAtCall);
-        let count = shared.requests.count(Phase::OrphanedAtCall);
-        out.log(format_args!(
-            "a run is stranded: no end {ms} ms after its answer, {count} of {max}"
-        ));
+        let orphaned = shared.requests.count(Phase::OrphanedAtCall);
+        out.log(Event::RunOrphanedAtCall(orphaned_as(orphaned)));
     } else if phase == Phase::Running
         && since_answer >= ORPHANED_AFTER
-        && shared.requests.count(Phase::Orphaned) < max
+        && shared.requests.count(Phase::Orphaned) < max_orphaned
     {
         shared.move_to(id, Phase::Orphaned);
-        let count = shared.requests.count(Phase::Orphaned);
-        out.log(format_args!(
-            "a run is lost: no end {ms} ms after its answer, {count} of {max}"
-        ));
+        let orphaned = shared.requests.count(Phase::Orphaned);
+        out.log(Event::RunOrphaned(orphaned_as(orphaned)));
     }
 }
--- a/crates/coralstep/tests/scenarios.rs
+++ b/crates/coralstep/tests/scenarios.rs
@@ -1,6 +1,5 @@
 //! Plays the scenarios in `tests/scenarios/*.txt`; the notation is described in `tests/scenarios/NOTATION.md`.
 use std::collections::HashMap;
-use std::fmt::Arguments;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::Path;
 
@@ -70,8 +69,8 @@
     fn set_idle_timeout(&mut self, span: Span) {
         self.0.push(format!("idle_timeout {}", span.0 / 10));
     }
-    fn log(&mut self, text: Arguments<'_>) {
-        self.0.push(format!("log {text}"));
+    fn log(&mut self, event: Event) {
+        self.0.push(format!("log {event}"));
     }
 }
 
