--- a/crates/coralstep-server/src/cli/state.rs
+++ b/crates/coralstep-server/src/cli/state.rs
@@ -1,8 +1,8 @@
 //! `coralstep state`: what is kept in a folder, also while a server has it.
 use std::path::PathBuf;
 
-use coralstep_state::files::Look;
-use coralstep_state::snapshot::{self, View};
+use coralstep_state::snapshot::{self, SnapshotSummary};
+use coralstep_state::storage::ReadOnlyDir;
 use lexopt::Arg::{Long, Short, Value};
 
 pub const USAGE: &str = "\
@@ -60,13 +60,13 @@
     })
 }
 
-fn line(view: &View) -> String {
-    match view.number {
+fn line(view: &SnapshotSummary) -> String {
+    match view.sequence_number {
         Some(number) => format!(
             "{}\tnumber {number}\tserver {}\t{} s old\t{}",
-            view.name, view.server, view.age_s, view.told
+            view.file, view.server, view.age_s, view.status
         ),
-        None => format!("{}\t{}", view.name, view.told),
+        None => format!("{}\t{}", view.file, view.status),
     }
 }
 
@@ -77,18 +77,18 @@
         return Ok(true);
     };
     let now_s = std::time::SystemTime::now().duration_since(std::time::SystemTime::UNIX_EPOCH);
-    let look = Look::new(&folder).map_err(|why| format!("{}: {why}", folder.display()))?;
-    let views = snapshot::views(&look, now_s.map_or(0, |since| since.as_secs()));
+    let look = ReadOnlyDir::open(&folder).map_err(|why| format!("{}: {why}", folder.display()))?;
+    let views = snapshot::list_snapshots(&look, now_s.map_or(0, |since| since.as_secs()));
     match what {
         What::Export => {
             let newest = views
                 .iter()
-                .filter(|view| view.number.is_some())
-                .max_by_key(|view| view.number);
+                .filter(|view| view.sequence_number.is_some())
+                .max_by_key(|view| view.sequence_number);
             let newest = newest.ok_or_else(|| format!("{}: no good snapshot", folder.display()))?;
             println!(
                 "{}",
-                snapshot::export(&look, &newest.name).unwrap_or_default()
+                snapshot::export_json(&look, &newest.file).unwrap_or_default()
             );
         }
         _ if json => {
@@ -102,5 +102,5 @@
         _ if views.is_empty() => println!("nothing is kept here"),
         _ => views.iter().for_each(|view| println!("{}", line(view))),
     }
-    Ok(!matches!(what, What::Verify) || views.iter().all(|view| view.number.is_some()))
+    Ok(!matches!(what, What::Verify) || views.iter().all(|view| view.sequence_number.is_some()))
 }
--- a/crates/coralstep-server/src/fleet/carrier.rs
+++ b/crates/coralstep-server/src/fleet/carrier.rs
@@ -17,7 +17,7 @@
 use coralstep_quota::holder::{Pass, Which};
 use coralstep_quota::{Limit, Limits, terms};
 use coralstep_shared_health::{Own, State as BreakerState, Verdicts};
-use coralstep_state::record::Record;
+use coralstep_state::fleet_record::FleetRecord;
 use futures_lite::FutureExt;
 use futures_lite::future::yield_now;
 use ipnet::IpNet;
@@ -167,8 +167,8 @@
             verdicts
         });
         let recorder = folder.and_then(Recorder::start).map(|(recorder, found)| {
-            if !(found.acts_on.is_empty() && found.entries.is_empty())
-                && let Some(id) = fleet.restore(&found.acts_on, &found.entries)
+            if !(found.active_version.is_empty() && found.history.is_empty())
+                && let Some(id) = fleet.restore(&found.active_version, &found.history)
             {
                 note!("fleet: version {id} was acted on before the restart");
             }
@@ -297,9 +297,11 @@
         if self.changed.get()
             && let Some(recorder) = &self.recorder
         {
-            let (acts_on, entries) = self.fleet.borrow().record();
-            self.changed
-                .set(!recorder.save(Record { acts_on, entries }));
+            let (active_version, history) = self.fleet.borrow().record();
+            self.changed.set(!recorder.save(FleetRecord {
+                active_version,
+                history,
+            }));
         }
         facade.obey();
     }
--- a/crates/coralstep-server/src/life/keep.rs
+++ b/crates/coralstep-server/src/life/keep.rs
@@ -8,10 +8,11 @@
 use async_io::Timer;
 use coralstep::Learned;
 use coralstep_config::site::StateTerms;
-use coralstep_state::Folder;
-use coralstep_state::schedule::{Budget, Cost, Scheduler};
-use coralstep_state::snapshot::{self, Found, Refused};
-use coralstep_state::trust::Fingerprint;
+use coralstep_state::DirStorage;
+use coralstep_state::background::{BackgroundScheduler, Budget, StepCost, TaskConfig};
+use coralstep_state::fingerprint::Fingerprint;
+use coralstep_state::snapshot::{self, LoadedSnapshots, RejectedSnapshot, SnapshotError};
+use coralstep_state::storage::StorageError;
 
 use crate::base::config::Config;
 use crate::decisions::facade::Facade;
@@ -22,7 +23,7 @@
 /// The last snapshot, at the end of a drain, is waited for at most so long; then the one before it counts.
 const LAST: Duration = Duration::from_millis(60);
 /// A snapshot costs about so much, before any was taken.
-const GUESS: Cost = Cost {
+const GUESS: StepCost = StepCost {
     time_ms: 20.0,
     cpu_ms: 1.0,
     bytes: 4_000.0,
@@ -39,7 +40,7 @@
         server: config.name.clone(),
         cores: config.terms.cores,
         methods: config.names.methods.clone(),
-        dependency: config.terms.below.share(),
+        dependency_share: config.terms.below.share(),
         tenants: config.names.tenants.clone(),
     }
 }
@@ -54,19 +55,26 @@
     every: Duration,
 }
 
-fn tell(found: &Found) {
-    for (name, why) in &found.refused {
-        match why {
-            Refused::Unreadable(why) => note!("state: {name}: {why}"),
-            Refused::Later(version) => {
+fn tell(found: &LoadedSnapshots) {
+    for RejectedSnapshot { file: name, error } in &found.rejected {
+        match error {
+            SnapshotError::Storage(StorageError::Io { source, .. }) => {
+                note!("state: {name}: {source}");
+            }
+            SnapshotError::Storage(error) => note!("state: {name}: {error}"),
+            SnapshotError::UnsupportedVersion { version } => {
                 note!("state: {name} is of version {version}, later than ours; it is left alone")
             }
-            Refused::Spoilt => note!("state: {name} is spoilt; nothing of it is believed"),
-            Refused::OtherServer(of) => {
+            SnapshotError::Corrupt(_) => {
+                note!("state: {name} is spoilt; nothing of it is believed")
+            }
+            SnapshotError::OtherServer { server: of } => {
                 note!("state: {name} is of another server, {of:.64}; it is left alone")
             }
-            Refused::Age(age) => note!("state: {name} is {age} s old; nothing of it is believed"),
-            Refused::NoSuchFile => {}
+            SnapshotError::UntrustedAge { age_s } => {
+                note!("state: {name} is {age_s} s old; nothing of it is believed")
+            }
+            SnapshotError::NotFound => {}
         }
     }
 }
@@ -75,7 +83,7 @@
     /// Opens the folder and takes in what is there; none where the folder can't be had, which is told, and serving goes on without.
     pub fn start(terms: &StateTerms, config: &Config, facade: &Facade) -> Option<Keeper> {
         let of = fingerprint(config);
-        let mut folder = match Folder::open(&terms.folder) {
+        let mut folder = match DirStorage::open(&terms.folder) {
             Ok(folder) => folder,
             Err(why) => {
                 note!("state: {}: {why}; nothing is kept", terms.folder.display());
@@ -84,16 +92,17 @@
         };
         let found = snapshot::load(&folder, &of, now_s());
         tell(&found);
-        if let Some((learned, trust)) = found.learned {
+        if let Some(restored) = found.restored {
+            let trust = restored.confidence;
             note!(
                 "state: snapshot {} is taken in, trusted {trust:.2}",
-                found.number
+                found.last_sequence_number
             );
-            facade.before(learned, trust);
+            facade.before(restored.learned, trust);
         }
         let (works, inbox) = sync_channel::<Work>(1);
         let (told, done) = sync_channel(4);
-        let mut number = found.number;
+        let mut number = found.last_sequence_number;
         let write = move || {
             let mut failed = false;
             while let Ok(learned) = inbox.recv() {
@@ -141,28 +150,34 @@
 
     /// Snapshots at their intervals, serving first.
     pub async fn run(&self, facade: &Facade) {
-        let mut scheduler = Scheduler::new(Budget::default(), &[(SNAPSHOT, 1.0)]);
-        let (start, mut last, mut cost) = (Instant::now(), Instant::now(), GUESS);
+        let mut scheduler = BackgroundScheduler::new(
+            Budget::default(),
+            &[TaskConfig {
+                name: SNAPSHOT,
+                weight: 1.0,
+            }],
+        );
+        let (start, mut last) = (Instant::now(), Instant::now());
         loop {
             Timer::after(LOOK).await;
             while let Ok(took) = self.done.try_recv() {
-                cost = Cost {
+                let cost = StepCost {
                     time_ms: took.as_secs_f64() * 1_000.0,
                     ..GUESS
                 };
-                scheduler.done(SNAPSHOT, cost);
+                scheduler.step_done(SNAPSHOT, cost);
             }
             let now_ms = start.elapsed().as_secs_f64() * 1_000.0;
             if last.elapsed() >= self.every {
-                scheduler.wants(SNAPSHOT, cost, now_ms);
+                scheduler.request_step(SNAPSHOT, now_ms);
             }
-            if scheduler.next(now_ms, facade.busy()).is_some()
+            if scheduler.next_step(now_ms, facade.busy()).is_some()
                 && let Some(learned) = facade.learned()
                 && self.save(learned)
             {
                 last = Instant::now();
                 // Its real cost comes with its end; till then it is not asked for again.
-                scheduler.done(SNAPSHOT, Cost::default());
+                scheduler.step_done(SNAPSHOT, StepCost::default());
             }
         }
     }
--- /dev/null
+++ b/crates/coralstep-state/src/fingerprint/tests.rs
@@ -0,0 +1,53 @@
+use super::*;
+
+fn learned() -> Learned {
+    Learned {
+        runs: vec![[1; 12], [2; 12]],
+        calls: [3; 12],
+        limit: Some(5),
+        permits: Some(4.0),
+        best: Some(90),
+        tenants: vec![[9.0, 8.0]],
+    }
+}
+
+fn fingerprint() -> Fingerprint {
+    Fingerprint {
+        server: "n1".to_owned(),
+        cores: 4,
+        methods: vec!["read".to_owned(), "pay".to_owned()],
+        dependency_share: Some(8.0),
+        tenants: vec!["north".to_owned()],
+    }
+}
+
+#[test]
+fn only_what_applies_under_the_current_configuration_is_kept() {
+    let applicable = |current: &Fingerprint| applicable_part(&learned(), &fingerprint(), current);
+    assert_eq!(applicable(&fingerprint()), Some(learned()));
+    let renamed = Fingerprint {
+        methods: vec!["pay".to_owned(), "new".to_owned()],
+        ..fingerprint()
+    };
+    assert_eq!(applicable(&renamed).unwrap().runs, [[2; 12], [0; 12]]);
+    let fewer_cores = Fingerprint {
+        cores: 2,
+        ..fingerprint()
+    };
+    let half = applicable(&fewer_cores).unwrap();
+    assert_eq!((half.limit, half.permits), (None, Some(4.0)));
+    let other_share = Fingerprint {
+        dependency_share: Some(9.0),
+        ..fingerprint()
+    };
+    let other = applicable(&other_share).unwrap();
+    assert_eq!(
+        (other.limit, other.permits, other.best, other.calls),
+        (Some(5), None, None, [0; 12])
+    );
+    let other_server = Fingerprint {
+        server: "n2".to_owned(),
+        ..fingerprint()
+    };
+    assert_eq!(applicable(&other_server), None);
+}
--- /dev/null
+++ b/crates/coralstep-state/src/fleet_record.rs
@@ -0,0 +1,86 @@
+//! The configuration version that a server acts on and the history of the earlier ones, in one file that is replaced at
+//! each change. The payloads are opaque here; a corrupt file is not believed at all.
+use std::io;
+
+use crate::framing::{self, FileKind, HEADER_BYTES};
+use crate::storage::{Storage, StorageError};
+
+const FILE: &str = "fleet";
+const TEMPORARY_FILE: &str = "fleet.new";
+const FORMAT_VERSION: u16 = 1;
+/// Longest file that is read, in bytes.
+const MAX_FILE_BYTES: usize = 2 << 20;
+
+/// The active version and the history of a fleet's configuration, each entry encoded by its owner.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct FleetRecord {
+    /// The version that the server acts on.
+    pub active_version: Vec<u8>,
+    /// Earlier versions, in the order in which they are written.
+    pub history: Vec<Vec<u8>>,
+}
+
+/// A record as it was read.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct LoadedFleetRecord {
+    /// The record; empty if the file is corrupt.
+    pub record: FleetRecord,
+    /// How many bytes are corrupt; 0 if the record is complete.
+    pub corrupt_bytes: usize,
+}
+
+/// Writes the record beside the old one and renames it into place: at any moment one of them is complete.
+///
+/// # Errors
+///
+/// The [`StorageError`] of the step that failed; the old record is still in place then, unless the last step failed.
+pub fn save(storage: &mut impl Storage, record: &FleetRecord) -> Result<(), StorageError> {
+    let mut bytes = framing::file_header(FileKind::Fleet, FORMAT_VERSION);
+    framing::append_record(&mut bytes, &record.active_version);
+    for entry in &record.history {
+        framing::append_record(&mut bytes, entry);
+    }
+    storage.create(TEMPORARY_FILE)?;
+    storage.append(TEMPORARY_FILE, &bytes)?;
+    storage.sync(TEMPORARY_FILE)?;
+    storage.rename(TEMPORARY_FILE, FILE)?;
+    storage.sync_directory()
+}
+
+/// Reads the record; `None` if there is no file or it is of another kind or format version.
+///
+/// # Errors
+///
+/// A [`StorageError`] if the file exists and cannot be read.
+pub fn load(storage: &impl Storage) -> Result<Option<LoadedFleetRecord>, StorageError> {
+    let bytes = match storage.read(FILE, MAX_FILE_BYTES) {
+        Ok(bytes) => bytes,
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
+        Err(error) => return Err(error),
+    };
+    if framing::read_version(&bytes, FileKind::Fleet) != Some(FORMAT_VERSION) {
+        return Ok(None);
+    }
+    let scanned = framing::scan_records(&bytes[HEADER_BYTES..]);
+    let Some((active_version, history)) = scanned
+        .payloads
+        .split_first()
+        .filter(|_| scanned.corrupt_bytes == 0)
+    else {
+        // The active version comes first; once bytes are missing nobody can tell which of the rest it was.
+        return Ok(Some(LoadedFleetRecord {
+            record: FleetRecord::default(),
+            corrupt_bytes: scanned.corrupt_bytes.max(1),
+        }));
+    };
+    Ok(Some(LoadedFleetRecord {
+        record: FleetRecord {
+            active_version: active_version.to_vec(),
+            history: history.iter().map(|entry| entry.to_vec()).collect(),
+        },
+        corrupt_bytes: 0,
+    }))
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/coralstep-state/src/framing.rs
@@ -0,0 +1,129 @@
+//! Framing of files and records: each file begins with a magic number, its kind and its format version, and each record
+//! is wrapped in a marker, its length and a checksum. Bytes that do not add up belong to no record.
+
+/// The first bytes of every file.
+pub const MAGIC: &[u8; 8] = b"CORALST\n";
+/// Length of a file's header: magic, kind and version, in bytes.
+pub const HEADER_BYTES: usize = 11;
+/// Longest payload of a record, in bytes.
+pub const MAX_PAYLOAD_BYTES: usize = 1 << 20;
+
+/// Stands before each record, so that reading can resume behind one whose length is corrupt.
+const RECORD_MARKER: [u8; 2] = [0xc5, 0x7e];
+const LENGTH_BYTES: usize = 4;
+const CHECKSUM_BYTES: usize = 4;
+const RECORD_OVERHEAD_BYTES: usize = RECORD_MARKER.len() + LENGTH_BYTES + CHECKSUM_BYTES;
+
+/// What a file holds; the discriminant is its byte in the header.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FileKind {
+    /// A snapshot of what the scheduler learned.
+    Learned = 1,
+    /// A segment of the write-ahead log of idempotency keys.
+    Tokens = 2,
+    /// The record of active and past configuration versions.
+    Fleet = 3,
+}
+
+/// A record at the start of some bytes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FramedRecord<'a> {
+    /// What was framed.
+    pub payload: &'a [u8],
+    /// Length of payload and frame together, in bytes.
+    pub framed_bytes: usize,
+}
+
+/// All intact records of some bytes.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct ScannedRecords<'a> {
+    /// Payloads in the order in which they stand.
+    pub payloads: Vec<&'a [u8]>,
+    /// How many bytes belong to no intact record.
+    pub corrupt_bytes: usize,
+}
+
+/// Returns the header of a file of this kind and format version.
+pub fn file_header(kind: FileKind, version: u16) -> Vec<u8> {
+    let mut bytes = MAGIC.to_vec();
+    bytes.push(kind as u8);
+    bytes.extend_from_slice(&version.to_le_bytes());
+    bytes
+}
+
+/// Returns the format version of a file of this kind, or `None` if its header is not one of this kind.
+pub fn read_version(file: &[u8], kind: FileKind) -> Option<u16> {
+    let rest = file.strip_prefix(MAGIC)?;
+    let (stated_kind, rest) = rest.split_first()?;
+    if *stated_kind != kind as u8 {
+        return None;
+    }
+    Some(u16::from_le_bytes(*rest.first_chunk()?))
+}
+
+/// Appends a record: marker, length, checksum of length and payload, payload.
+pub fn append_record(out: &mut Vec<u8>, payload: &[u8]) {
+    let length = (payload.len() as u32).to_le_bytes();
+    out.extend_from_slice(&RECORD_MARKER);
+    out.extend_from_slice(&length);
+    out.extend_from_slice(&checksum(length, payload).to_le_bytes());
+    out.extend_from_slice(payload);
+}
+
+/// Returns the record at the start of `bytes`, or `None` if there is no intact one.
+pub fn first_record(bytes: &[u8]) -> Option<FramedRecord<'_>> {
+    let rest = bytes.strip_prefix(&RECORD_MARKER)?;
+    let (length, rest) = rest.split_first_chunk::<LENGTH_BYTES>()?;
+    let (stated_checksum, rest) = rest.split_first_chunk::<CHECKSUM_BYTES>()?;
+    let payload_bytes = u32::from_le_bytes(*length) as usize;
+    if payload_bytes > MAX_PAYLOAD_BYTES {
+        return None;
+    }
+    let payload = rest.get(..payload_bytes)?;
+    if checksum(*length, payload) != u32::from_le_bytes(*stated_checksum) {
+        return None;
+    }
+    Some(FramedRecord {
+        payload,
+        framed_bytes: RECORD_OVERHEAD_BYTES + payload_bytes,
+    })
+}
+
+/// Finds all intact records. A corrupt one in the middle does not cost those behind it.
+pub fn scan_records(mut bytes: &[u8]) -> ScannedRecords<'_> {
+    let mut scanned = ScannedRecords::default();
+    while !bytes.is_empty() {
+        let consumed = match first_record(bytes) {
+            Some(record) => {
+                scanned.payloads.push(record.payload);
+                record.framed_bytes
+            }
+            None => {
+                let skipped = next_marker(bytes).unwrap_or(bytes.len());
+                scanned.corrupt_bytes += skipped;
+                skipped
+            }
+        };
+        bytes = &bytes[consumed..];
+    }
+    scanned
+}
+
+/// Position of the next marker behind the first byte.
+fn next_marker(bytes: &[u8]) -> Option<usize> {
+    let position = bytes
+        .get(1..)?
+        .windows(RECORD_MARKER.len())
+        .position(|window| window == RECORD_MARKER)?;
+    Some(position + 1)
+}
+
+fn checksum(length: [u8; LENGTH_BYTES], payload: &[u8]) -> u32 {
+    let mut hasher = crc32fast::Hasher::new();
+    hasher.update(&length);
+    hasher.update(payload);
+    hasher.finalize()
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/coralstep-state/src/lib.rs
+++ b/crates/coralstep-state/src/lib.rs
@@ -1,13 +1,17 @@
-//! What outlives a restart where a folder does: what the decisions learned ([`snapshot`]) and which tokens ran ([`journal`]). A wrong file is
-//! never believed: everything read is checked by version, checksum and age first. All of it goes through [`Files`], a small
-//! interface with a real folder behind it or one that fails as power cuts, full disks and lying syncs do ([`faulty`]).
-pub mod faulty;
-pub mod files;
-pub mod frame;
-pub mod journal;
-pub mod record;
-pub mod schedule;
+//! What a server keeps over a restart: what its scheduler learned ([`snapshot`]), which idempotency keys ran ([`wal`]) and
+//! which configuration version it acts on ([`fleet_record`]).
+//!
+//! Nothing that is read is believed unchecked: version, checksum and age come first. All I/O goes through [`Storage`],
+//! which is a directory on disk ([`DirStorage`]) or, in tests, one that fails as power cuts, full disks and lying syncs
+//! do ([`faulty_storage`]).
+pub mod background;
+pub mod confidence;
+pub mod faulty_storage;
+pub mod fingerprint;
+pub mod fleet_record;
+pub mod framing;
 pub mod snapshot;
-pub mod trust;
+pub mod storage;
+pub mod wal;
 
-pub use files::{Files, Folder};
+pub use storage::{DirStorage, Storage, StorageError};
--- a/crates/coralstep-state/src/snapshot.rs
+++ b/crates/coralstep-state/src/snapshot.rs
@@ -1,291 +1,224 @@
-//! Snapshots of what was learned, in two generations. A new one is written beside them, synced, renamed onto the older one, and the
-//! folder synced: at any moment one whole file is there. Files of a later version are left alone.
+//! Snapshots of what the scheduler learned, in two generations.
+//!
+//! A new snapshot is written to a temporary file, synced and renamed over the older generation, and the directory is
+//! synced: at any moment one complete snapshot is there. Files of a later format version or of another server are never
+//! overwritten.
 use std::io;
 
 use coralstep::Learned;
-use serde::{Deserialize, Serialize};
 
-use crate::files::{Files, Look};
-use crate::frame::{self, HEAD, Kind};
-use crate::trust::{self, Fingerprint};
-
-/// This version of the format. Version 1 had no tenants.
-pub const VERSION: u16 = 2;
-const NAMES: [&str; 2] = ["learned.0", "learned.1"];
-const PART: &str = "learned.part";
-/// The longest file that is looked at: a thousand methods and tenants fit many times.
-pub const MOST: usize = 1 << 20;
-
-/// Of the format; the module's own record knows no serializer.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Stored {
-    /// Counts up with each snapshot.
-    number: u64,
-    written_s: u64,
-    server: String,
-    cores: u32,
-    methods: Vec<String>,
-    dependency: Option<f64>,
-    runs: Vec<[u32; 12]>,
-    calls: [u32; 12],
-    limit: Option<u32>,
-    permits: Option<f64>,
-    best: Option<u64>,
-    tenants: Vec<(String, [f64; 2])>,
-}
-
-/// As version 1 had it.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct StoredOne {
-    number: u64,
-    written_s: u64,
-    server: String,
-    cores: u32,
-    methods: Vec<String>,
-    dependency: Option<f64>,
-    runs: Vec<[u32; 12]>,
-    calls: [u32; 12],
-    limit: Option<u32>,
-    permits: Option<f64>,
-    best: Option<u64>,
-}
-
-impl From<StoredOne> for Stored {
-    fn from(one: StoredOne) -> Stored {
-        Stored {
-            number: one.number,
-            written_s: one.written_s,
-            server: one.server,
-            cores: one.cores,
-            methods: one.methods,
-            dependency: one.dependency,
-            runs: one.runs,
-            calls: one.calls,
-            limit: one.limit,
-            permits: one.permits,
-            best: one.best,
-            tenants: Vec::new(),
-        }
-    }
+use crate::confidence;
+use crate::fingerprint::{Fingerprint, applicable_part};
+use crate::storage::{Storage, StorageError};
+
+mod format;
+mod inspection;
+
+pub use inspection::{SnapshotSummary, export_json, list_snapshots};
+
+use format::Stored;
+
+/// The format version that is written. Version 1 had no tenants.
+pub const FORMAT_VERSION: u16 = 2;
+/// Longest file that is read or written, in bytes: a thousand methods and tenants fit many times.
+pub const MAX_FILE_BYTES: usize = 1 << 20;
+
+const GENERATIONS: [&str; 2] = ["learned.0", "learned.1"];
+const TEMPORARY_FILE: &str = "learned.part";
+
+/// Why a snapshot file is not believed.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SnapshotError {
+    /// The file cannot be read.
+    #[error(transparent)]
+    Storage(#[from] StorageError),
+    /// There is no such file.
+    #[error("no such file")]
+    NotFound,
+    /// The file is of a later format version and left alone.
+    #[error("unsupported format version {version}")]
+    UnsupportedVersion {
+        /// The version that it states.
+        version: u16,
+    },
+    /// The file is not what was written.
+    #[error("corrupt: {0}")]
+    Corrupt(#[from] Corruption),
+    /// Another server wrote the file.
+    #[error("written by another server, {server}")]
+    OtherServer {
+        /// Name of that server.
+        server: String,
+    },
+    /// The file is too old, or too far in the future.
+    #[error("{age_s} s old")]
+    UntrustedAge {
+        /// Seconds since it was written; negative if it is from the future.
+        age_s: i64,
+    },
 }
 
-/// Why a file is not believed.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
-    Unreadable(String),
-    NoSuchFile,
-    /// Of a later version: to be left alone.
-    Later(u16),
-    Spoilt,
-    OtherServer(String),
-    /// Trusted for nothing, by its age in seconds.
-    Age(i64),
+/// What of a snapshot file is corrupt.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum Corruption {
+    /// It does not begin with the header of a snapshot.
+    #[error("no header of a snapshot")]
+    Header,
+    /// The header is not followed by an intact record.
+    #[error("no intact record behind the header")]
+    Record,
+    /// This many bytes follow the record.
+    #[error("{0} bytes behind the record")]
+    TrailingBytes(usize),
+    /// The record does not hold a snapshot.
+    #[error("the record cannot be decoded: {0}")]
+    Payload(#[source] postcard::Error),
 }
 
-/// What was found, and what was refused, each with its file.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Found {
-    pub learned: Option<(Learned, f64)>,
-    pub number: u64,
-    pub refused: Vec<(String, Refused)>,
+/// Why a snapshot was not written.
+#[derive(Debug, thiserror::Error)]
+pub enum SaveError {
+    /// No generation may be overwritten.
+    #[error("both snapshots are another version's or server's")]
+    NoFreeGeneration,
+    /// The snapshot cannot be encoded.
+    #[error("cannot encode the snapshot: {0}")]
+    Encode(#[from] postcard::Error),
+    /// The snapshot is longer than [`MAX_FILE_BYTES`].
+    #[error("the snapshot has {bytes} bytes, over {MAX_FILE_BYTES}")]
+    TooLarge {
+        /// Its length in bytes.
+        bytes: usize,
+    },
+    /// A step of writing failed.
+    #[error(transparent)]
+    Storage(#[from] StorageError),
 }
 
-fn parse(bytes: &[u8]) -> Result<Stored, Refused> {
-    let version = frame::version(bytes, Kind::Learned).ok_or(Refused::Spoilt)?;
-    if version > VERSION {
-        return Err(Refused::Later(version));
-    }
-    let (payload, used) = frame::take(&bytes[HEAD..]).ok_or(Refused::Spoilt)?;
-    // What stands behind the record is nobody's.
-    if HEAD + used != bytes.len() {
-        return Err(Refused::Spoilt);
-    }
-    match version {
-        2 => postcard::from_bytes(payload).map_err(|_| Refused::Spoilt),
-        1 => postcard::from_bytes::<StoredOne>(payload)
-            .map(Stored::from)
-            .map_err(|_| Refused::Spoilt),
-        _ => Err(Refused::Spoilt),
-    }
+/// What was learned before, and how far it is believed.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RestoredState {
+    /// The part that applies under the current configuration.
+    pub learned: Learned,
+    /// From 0 for none to 1 for complete confidence.
+    pub confidence: f64,
 }
 
-fn read(files: &impl Files, name: &str) -> Result<Stored, Refused> {
-    match files.read(name, MOST) {
-        Ok(bytes) => parse(&bytes),
-        Err(why) if why.kind() == io::ErrorKind::NotFound => Err(Refused::NoSuchFile),
-        Err(why) => Err(Refused::Unreadable(why.to_string())),
-    }
+/// A snapshot file that is not believed.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RejectedSnapshot {
+    /// Name of the file.
+    pub file: &'static str,
+    /// Why it is not believed.
+    pub error: SnapshotError,
 }
 
-impl Stored {
-    fn new(learned: &Learned, of: &Fingerprint, number: u64, now_s: u64) -> Stored {
-        let tenants = of
-            .tenants
-            .iter()
-            .cloned()
-            .zip(learned.tenants.iter().copied());
-        Stored {
-            number,
-            written_s: now_s,
-            server: of.server.clone(),
-            cores: of.cores,
-            methods: of.methods.clone(),
-            dependency: of.dependency,
-            runs: learned.runs.clone(),
-            calls: learned.calls,
-            limit: learned.limit,
-            permits: learned.permits,
-            best: learned.best,
-            tenants: tenants.collect(),
-        }
-    }
-
-    fn fingerprint(&self) -> Fingerprint {
-        Fingerprint {
-            server: self.server.clone(),
-            cores: self.cores,
-            methods: self.methods.clone(),
-            dependency: self.dependency,
-            tenants: self.tenants.iter().map(|(name, _)| name.clone()).collect(),
-        }
-    }
-
-    fn learned(&self) -> Learned {
-        Learned {
-            runs: self.runs.clone(),
-            calls: self.calls,
-            limit: self.limit,
-            permits: self.permits,
-            best: self.best,
-            tenants: self.tenants.iter().map(|(_, tally)| *tally).collect(),
-        }
-    }
+/// The outcome of reading all generations.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct LoadedSnapshots {
+    /// The newest snapshot that is believed, if any.
+    pub restored: Option<RestoredState>,
+    /// The highest sequence number of all intact files, believed or not; 0 if there is none.
+    pub last_sequence_number: u64,
+    /// The files that are not believed.
+    pub rejected: Vec<RejectedSnapshot>,
 }
 
-/// The newest snapshot that may be believed at `now_s`, under the terms that hold now, and how far.
-pub fn load(files: &impl Files, now: &Fingerprint, now_s: u64) -> Found {
-    let mut found = Found::default();
-    let mut best: Option<Stored> = None;
-    for name in NAMES {
-        match read(files, name) {
-            Ok(stored) => {
-                found.number = found.number.max(stored.number);
-                let age = now_s as i64 - stored.written_s as i64;
-                if stored.server != now.server {
-                    found
-                        .refused
-                        .push((name.to_owned(), Refused::OtherServer(stored.server)));
-                } else if trust::by_age(age as f64) == 0.0 {
-                    found.refused.push((name.to_owned(), Refused::Age(age)));
-                } else if best.as_ref().is_none_or(|best| stored.number > best.number) {
-                    best = Some(stored);
-                }
-            }
-            Err(Refused::NoSuchFile) => {}
-            Err(why) => found.refused.push((name.to_owned(), why)),
+/// Reads all generations and restores the newest one that is believed under the `current` configuration.
+///
+/// `now_s`: seconds since the Unix epoch.
+pub fn load(storage: &impl Storage, current: &Fingerprint, now_s: u64) -> LoadedSnapshots {
+    let mut loaded = LoadedSnapshots::default();
+    let mut newest: Option<Stored> = None;
+    for file in GENERATIONS {
+        let checked = read_generation(storage, file).and_then(|stored| {
+            let number = stored.base.sequence_number;
+            loaded.last_sequence_number = loaded.last_sequence_number.max(number);
+            check_origin(&stored, current, now_s).map(|()| stored)
+        });
+        match checked {
+            Ok(stored) if is_newer(&stored, newest.as_ref()) => newest = Some(stored),
+            Ok(_) | Err(SnapshotError::NotFound) => {}
+            Err(error) => loaded.rejected.push(RejectedSnapshot { file, error }),
         }
     }
-    found.learned = best.and_then(|stored| {
-        let trust = trust::by_age(now_s as f64 - stored.written_s as f64);
-        trust::applies(&stored.learned(), &stored.fingerprint(), now)
-            .map(|learned| (learned, trust))
+    loaded.restored = newest.and_then(|stored| {
+        let learned = applicable_part(&stored.learned(), &stored.fingerprint(), current)?;
+        Some(RestoredState {
+            learned,
+            confidence: confidence::from_age(stored.age_s(now_s) as f64),
+        })
     });
-    found
+    loaded
 }
 
-/// Writes the snapshot with this number. It takes the place of the older generation, or of one that is spoilt; never of one of a later
-/// version or another server's, which somebody may still want.
+/// Writes a snapshot in place of the older or a corrupt generation, never of one of a later format version or of another
+/// server.
+///
+/// `sequence_number` has to be higher than all before; `now_s`: seconds since the Unix epoch.
+///
+/// # Errors
+///
+/// A [`SaveError`]; the generation to be replaced is still in place then, unless the very last step failed.
 pub fn save(
-    files: &mut impl Files,
+    storage: &mut impl Storage,
     learned: &Learned,
-    of: &Fingerprint,
-    number: u64,
+    learned_under: &Fingerprint,
+    sequence_number: u64,
     now_s: u64,
-) -> io::Result<()> {
-    let mut places: Vec<(u64, &str)> = Vec::new();
-    for name in NAMES {
-        match read(files, name) {
-            Ok(stored) if stored.server == of.server => places.push((stored.number, name)),
-            Err(Refused::NoSuchFile | Refused::Spoilt) => places.push((0, name)),
-            _ => {}
-        }
+) -> Result<(), SaveError> {
+    let replaced =
+        generation_to_replace(storage, &learned_under.server).ok_or(SaveError::NoFreeGeneration)?;
+    let file = Stored::new(learned, learned_under, sequence_number, now_s).encode()?;
+    if file.len() > MAX_FILE_BYTES {
+        return Err(SaveError::TooLarge { bytes: file.len() });
     }
-    places.sort();
-    let Some((_, to)) = places.first() else {
-        return Err(io::Error::new(
-            io::ErrorKind::AlreadyExists,
-            "both snapshots are another version's or server's",
-        ));
-    };
-    let stored = Stored::new(learned, of, number, now_s);
-    let payload = postcard::to_stdvec(&stored).map_err(io::Error::other)?;
-    let mut bytes = frame::head(Kind::Learned, VERSION);
-    frame::put(&mut bytes, &payload);
-    if bytes.len() > MOST {
-        return Err(io::ErrorKind::FileTooLarge.into());
+    storage.create(TEMPORARY_FILE)?;
+    storage.append(TEMPORARY_FILE, &file)?;
+    storage.sync(TEMPORARY_FILE)?;
+    storage.rename(TEMPORARY_FILE, replaced)?;
+    storage.sync_directory()?;
+    Ok(())
+}
+
+fn read_generation(storage: &impl Storage, file: &str) -> Result<Stored, SnapshotError> {
+    match storage.read(file, MAX_FILE_BYTES) {
+        Ok(bytes) => Stored::decode(&bytes),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => Err(SnapshotError::NotFound),
+        Err(error) => Err(error.into()),
     }
-    files.create(PART)?;
-    files.append(PART, &bytes)?;
-    files.sync(PART)?;
-    files.rename(PART, to)?;
-    files.sync_folder()
 }
 
-/// A snapshot as an operator sees it.
-#[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct View {
-    pub name: String,
-    /// None where nothing is believed of it.
-    pub number: Option<u64>,
-    pub server: String,
-    pub age_s: i64,
-    /// How far it is trusted, or why it isn't.
-    pub told: String,
+/// Rejects a snapshot of another server, or of an age without any confidence.
+fn check_origin(stored: &Stored, current: &Fingerprint, now_s: u64) -> Result<(), SnapshotError> {
+    if stored.base.server != current.server {
+        return Err(SnapshotError::OtherServer {
+            server: stored.base.server.clone(),
+        });
+    }
+    let age_s = stored.age_s(now_s);
+    if confidence::from_age(age_s as f64) == 0.0 {
+        return Err(SnapshotError::UntrustedAge { age_s });
+    }
+    Ok(())
 }
 
-/// All snapshots of a folder that is only looked at.
-pub fn views(look: &Look, now_s: u64) -> Vec<View> {
-    let view = |name: &str| {
-        let stored = match look.read(name, MOST) {
-            Ok(bytes) => parse(&bytes),
-            Err(why) if why.kind() == io::ErrorKind::NotFound => return None,
-            Err(why) => Err(Refused::Unreadable(why.to_string())),
-        };
-        Some(match stored {
-            Ok(stored) => {
-                let age_s = now_s as i64 - stored.written_s as i64;
-                let told = format!("trusted {:.2}", trust::by_age(age_s as f64));
-                View {
-                    name: name.to_owned(),
-                    number: Some(stored.number),
-                    server: stored.server,
-                    age_s,
-                    told,
-                }
-            }
-            Err(why) => {
-                let told = match why {
-                    Refused::Later(version) => format!("of version {version}, later than ours"),
-                    Refused::Unreadable(why) => why,
-                    _ => "spoilt".to_owned(),
-                };
-                View {
-                    name: name.to_owned(),
-                    number: None,
-                    server: String::new(),
-                    age_s: 0,
-                    told,
-                }
-            }
-        })
-    };
-    NAMES.into_iter().filter_map(view).collect()
+fn is_newer(stored: &Stored, newest: Option<&Stored>) -> bool {
+    newest.is_none_or(|newest| stored.base.sequence_number > newest.base.sequence_number)
 }
 
-/// All that a snapshot holds, as JSON.
-pub fn export(look: &Look, name: &str) -> Option<String> {
-    let stored = parse(&look.read(name, MOST).ok()?).ok()?;
-    serde_json::to_string_pretty(&stored).ok()
+/// The oldest generation that may be overwritten; a missing or corrupt one counts as older than all.
+fn generation_to_replace(storage: &impl Storage, server: &str) -> Option<&'static str> {
+    let age_order = |file: &&'static str| match read_generation(storage, file) {
+        Ok(stored) if stored.base.server == server => Some(stored.base.sequence_number),
+        Err(SnapshotError::NotFound | SnapshotError::Corrupt(_)) => Some(0),
+        _ => None,
+    };
+    GENERATIONS
+        .into_iter()
+        .filter_map(|file| Some((age_order(&file)?, file)))
+        .min()
+        .map(|(_, file)| file)
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/coralstep-state/src/wal/segment.rs
@@ -0,0 +1,156 @@
+//! The files of the log: segments that are appended to in turn and removed whole.
+use std::collections::VecDeque;
+
+use super::{FORMAT_VERSION, MAX_SEGMENT_BYTES, WalError};
+use crate::framing::{self, FileKind, HEADER_BYTES};
+use crate::storage::{Storage, StorageError};
+
+const FILE_PREFIX: &str = "tokens.";
+
+/// A segment file by its number; the order is that of writing.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct SegmentFile {
+    pub(super) number: u64,
+    pub(super) name: String,
+}
+
+pub(super) fn file_name(number: u64) -> String {
+    format!("{FILE_PREFIX}{number:016x}")
+}
+
+fn parse_file_name(name: String) -> Option<SegmentFile> {
+    let digits = name.strip_prefix(FILE_PREFIX)?;
+    let number = u64::from_str_radix(digits, 16).ok()?;
+    Some(SegmentFile { number, name })
+}
+
+/// All segment files of a storage in the order of writing.
+pub(super) fn list_files(storage: &impl Storage) -> Result<Vec<SegmentFile>, StorageError> {
+    let names = storage.list()?;
+    let mut files: Vec<SegmentFile> = names.into_iter().filter_map(parse_file_name).collect();
+    files.sort();
+    Ok(files)
+}
+
+/// A segment that is part of the log.
+#[derive(Clone, Debug)]
+pub(super) struct Segment {
+    pub(super) number: u64,
+    pub(super) bytes: usize,
+    /// When the last key in it expires, in ms.
+    pub(super) expires_at_ms: u64,
+}
+
+/// What the bytes of a segment file turn out to be.
+#[derive(Debug)]
+pub(super) enum SegmentContents<'a> {
+    Records(framing::ScannedRecords<'a>),
+    UnsupportedVersion(u16),
+    /// Cut before its header was complete: no entry of it was ever committed.
+    Torn,
+    /// Not a segment at all.
+    Corrupt,
+}
+
+pub(super) fn parse_contents(file: &[u8]) -> SegmentContents<'_> {
+    match framing::read_version(file, FileKind::Tokens) {
+        Some(FORMAT_VERSION) => {
+            SegmentContents::Records(framing::scan_records(&file[HEADER_BYTES..]))
+        }
+        Some(version) => SegmentContents::UnsupportedVersion(version),
+        None if file.len() < HEADER_BYTES => SegmentContents::Torn,
+        None => SegmentContents::Corrupt,
+    }
+}
+
+/// The segments of the log, the last of which is appended to.
+#[derive(Debug)]
+pub(super) struct SegmentStore<S> {
+    pub(super) storage: S,
+    segments: VecDeque<Segment>,
+    /// Bound of all segments together, in bytes.
+    max_bytes: usize,
+}
+
+impl<S: Storage> SegmentStore<S> {
+    pub(super) fn new(storage: S, max_bytes: usize) -> SegmentStore<S> {
+        SegmentStore {
+            storage,
+            segments: VecDeque::new(),
+            max_bytes,
+        }
+    }
+
+    pub(super) fn total_bytes(&self) -> usize {
+        self.segments.iter().map(|segment| segment.bytes).sum()
+    }
+
+    /// Adds a recovered segment behind the others.
+    pub(super) fn push(&mut self, segment: Segment) {
+        self.segments.push_back(segment);
+    }
+
+    /// Appends records that expire by `expires_at_ms` and makes them durable.
+    ///
+    /// `force_new` begins a new segment: guards against records behind a torn one, which a failed write may have left.
+    pub(super) fn append(
+        &mut self,
+        records: &[u8],
+        expires_at_ms: u64,
+        force_new: bool,
+    ) -> Result<(), WalError> {
+        if self.total_bytes() + records.len() > self.max_bytes {
+            return Err(WalError::Full {
+                max_bytes: self.max_bytes,
+            });
+        }
+        if force_new || !self.last_has_room_for(records.len()) {
+            self.create_segment()?;
+        }
+        let Some(last) = self.segments.back_mut() else {
+            return Ok(());
+        };
+        last.bytes += records.len();
+        last.expires_at_ms = last.expires_at_ms.max(expires_at_ms);
+        let file = file_name(last.number);
+        self.storage.append(&file, records)?;
+        self.storage.sync(&file)?;
+        Ok(())
+    }
+
+    /// Removes the oldest segments whose keys have all expired; the last one stays.
+    pub(super) fn remove_expired(&mut self, now_ms: u64) {
+        while self.segments.len() > 1 {
+            let Some(oldest) = self
+                .segments
+                .pop_front_if(|oldest| oldest.expires_at_ms <= now_ms)
+            else {
+                return;
+            };
+            if self.storage.remove(&file_name(oldest.number)).is_err() {
+                // It is read again after a restart, when its keys have expired, too.
+                return;
+            }
+        }
+    }
+
+    fn last_has_room_for(&self, bytes: usize) -> bool {
+        self.segments.back().is_some_and(|last| {
+            last.bytes >= HEADER_BYTES && last.bytes + bytes <= MAX_SEGMENT_BYTES
+        })
+    }
+
+    fn create_segment(&mut self) -> Result<(), StorageError> {
+        let number = self.segments.back().map_or(0, |last| last.number + 1);
+        let file = file_name(number);
+        let header = framing::file_header(FileKind::Tokens, FORMAT_VERSION);
+        self.storage.create(&file)?;
+        self.segments.push_back(Segment {
+            number,
+            bytes: header.len(),
+            expires_at_ms: 0,
+        });
+        self.storage.append(&file, &header)?;
+        self.storage.sync_directory()
+    }
+}
--- a/crates/coralstep-state/tests/golden.rs
+++ b/crates/coralstep-state/tests/golden.rs
@@ -4,13 +4,14 @@
 
 use coralstep::Learned;
 use coralstep_fleet::{Fleet, FleetTerms, Id, Member};
-use coralstep_state::faulty::Faulty;
-use coralstep_state::files::Look;
-use coralstep_state::journal::{End, Event, Journal, RESULT, Verdict};
-use coralstep_state::record::{self, Record};
-use coralstep_state::snapshot::{self, Found};
-use coralstep_state::trust::{self, Fingerprint};
-use coralstep_state::{Files, Folder};
+use coralstep_state::confidence;
+use coralstep_state::faulty_storage::FaultyStorage;
+use coralstep_state::fingerprint::Fingerprint;
+use coralstep_state::fleet_record::{self, FleetRecord, LoadedFleetRecord};
+use coralstep_state::snapshot::{self, LoadedSnapshots, RestoredState};
+use coralstep_state::storage::ReadOnlyDir;
+use coralstep_state::wal::{MAX_RESULT_BYTES, Outcome, ReplayDecision, WalEvent, WriteAheadLog};
+use coralstep_state::{DirStorage, Storage};
 
 /// Snapshots were written at these seconds, and are read at `NOW_S`.
 const WRITTEN_S: [u64; 2] = [1_790_000_000, 1_790_000_300];
@@ -42,10 +43,10 @@
 struct Copied(PathBuf);
 
 impl Copied {
-    fn new(test: &str, from: &str) -> (Copied, Folder) {
+    fn new(test: &str, from: &str) -> (Copied, DirStorage) {
         let path =
             std::env::temp_dir().join(format!("coralstep-golden-{test}-{}", std::process::id()));
-        let folder = Folder::open(&path).unwrap();
+        let folder = DirStorage::open(&path).unwrap();
         for file in std::fs::read_dir(golden(from)).unwrap() {
             let file = file.unwrap();
             std::fs::copy(file.path(), path.join(file.file_name())).unwrap();
@@ -67,7 +68,7 @@
         methods: ["search", "order/place", "grüße"]
             .map(str::to_owned)
             .to_vec(),
-        dependency: Some(0.375),
+        dependency_share: Some(0.375),
         tenants: ["north", "south-östlich"].map(str::to_owned).to_vec(),
     }
 }
@@ -95,7 +96,7 @@
     (
         learned,
         Fingerprint {
-            dependency: None,
+            dependency_share: None,
             ..fingerprint()
         },
     )
@@ -119,7 +120,7 @@
 }
 
 /// The version that a server acts on after it published and took two, and its record of the earlier ones.
-fn fleet_record() -> (Record, Id) {
+fn fleet_record() -> (FleetRecord, Id) {
     let mut fleet = fleet();
     for second in 1..=2 {
         let (now, wall_ms) = (second * 1_000, (WRITTEN_S[0] + second) * 1_000);
@@ -131,57 +132,67 @@
         fleet.took(now, wall_ms, id);
     }
     let (acts_on, entries) = fleet.record();
-    (Record { acts_on, entries }, fleet.acts_on())
+    (
+        FleetRecord {
+            active_version: acts_on,
+            history: entries,
+        },
+        fleet.acts_on(),
+    )
 }
 
 /// A run of each end, each known from then on as the verdict says.
-fn runs() -> Vec<(&'static [u8], Option<End>, Verdict)> {
+fn runs() -> Vec<(&'static [u8], Option<Outcome>, ReplayDecision)> {
     let result: Vec<u8> = (0..200).collect();
     vec![
         (
             b"good",
-            Some(End::Good(result.clone())),
-            Verdict::Replay(result),
+            Some(Outcome::Succeeded(result.clone())),
+            ReplayDecision::Replay(result),
         ),
         (
             b"good without a result",
-            Some(End::Good(Vec::new())),
-            Verdict::Replay(Vec::new()),
+            Some(Outcome::Succeeded(Vec::new())),
+            ReplayDecision::Replay(Vec::new()),
         ),
         (
             b"good, its result too long",
-            Some(End::Good(vec![1; RESULT + 1])),
-            Verdict::Aborted,
+            Some(Outcome::Succeeded(vec![1; MAX_RESULT_BYTES + 1])),
+            ReplayDecision::Aborted,
+        ),
+        (b"bad", Some(Outcome::Failed), ReplayDecision::Aborted),
+        (
+            b"never ran",
+            Some(Outcome::NeverStarted),
+            ReplayDecision::NotSeen,
         ),
-        (b"bad", Some(End::Bad), Verdict::Aborted),
-        (b"never ran", Some(End::NeverRan), Verdict::Fresh),
-        (&[0xfe; 150], None, Verdict::Aborted),
+        (&[0xfe; 150], None, ReplayDecision::Aborted),
     ]
 }
 
 /// Two segments: each kind of record in the first, the second begun after a disk was full.
-fn write_journal(files: Faulty) -> Faulty {
-    let mut journal = Journal::open(files, JOURNAL_MOST).unwrap();
+fn write_journal(files: FaultyStorage) -> FaultyStorage {
+    let mut journal = WriteAheadLog::open(files, JOURNAL_MOST).unwrap();
     for (token, end, _) in runs() {
-        assert!(journal.begin(token, UNTIL_MS, NOW_MS));
+        assert!(journal.record_start(token, UNTIL_MS, NOW_MS));
         journal.commit(NOW_MS).unwrap();
         if let Some(end) = end {
-            journal.ended(token, end, NOW_MS);
+            journal.record_outcome(token, end, NOW_MS);
             journal.commit(NOW_MS).unwrap();
         }
     }
-    journal.files().faults.room = Some(0);
-    assert!(journal.begin(b"lost", UNTIL_MS, NOW_MS) && journal.commit(NOW_MS).is_err());
-    journal.files().faults.room = None;
-    journal.expire(NOW_MS + 5_000);
-    assert!(journal.protected());
-    assert!(journal.begin(b"second segment", UNTIL_MS + 1, NOW_MS + 5_000));
+    journal.storage_mut().faults.capacity_bytes = Some(0);
+    assert!(journal.record_start(b"lost", UNTIL_MS, NOW_MS) && journal.commit(NOW_MS).is_err());
+    journal.storage_mut().faults.capacity_bytes = None;
+    journal.maintain(NOW_MS + 5_000);
+    assert!(journal.is_protected());
+    assert!(journal.record_start(b"second segment", UNTIL_MS + 1, NOW_MS + 5_000));
     journal.commit(NOW_MS + 5_000).unwrap();
-    journal.into_files()
+    journal.into_storage()
 }
 
-fn write_folder() -> Faulty {
-    let mut files = Faulty::default();
+fn write_folder() -> FaultyStorage {
+    let mut files = FaultyStorage::default();
     let (older, of) = nothing_optional();
     snapshot::save(&mut files, &older, &of, NUMBERS[0], WRITTEN_S[0]).unwrap();
     snapshot::save(
@@ -192,16 +203,19 @@
         WRITTEN_S[1],
     )
     .unwrap();
-    record::save(&mut files, &fleet_record().0).unwrap();
+    fleet_record::save(&mut files, &fleet_record().0).unwrap();
     write_journal(files)
 }
 
-fn believed(learned: Learned, written_s: u64, number: u64) -> Found {
-    let trust = trust::by_age((NOW_S - written_s) as f64);
-    Found {
-        learned: Some((learned, trust)),
-        number,
-        refused: Vec::new(),
+fn believed(learned: Learned, written_s: u64, number: u64) -> LoadedSnapshots {
+    let confidence = confidence::from_age((NOW_S - written_s) as f64);
+    LoadedSnapshots {
+        restored: Some(RestoredState {
+            learned,
+            confidence,
+        }),
+        last_sequence_number: number,
+        rejected: Vec::new(),
     }
 }
 
@@ -237,17 +251,20 @@
         believed(learned(300), WRITTEN_S[1], NUMBERS[1])
     );
     let (expected, acts_on) = fleet_record();
-    let (read, spoilt) = record::load(&folder).unwrap().unwrap();
-    assert_eq!((&read, spoilt), (&expected, 0));
+    let LoadedFleetRecord {
+        record,
+        corrupt_bytes,
+    } = fleet_record::load(&folder).unwrap().unwrap();
+    assert_eq!((&record, corrupt_bytes), (&expected, 0));
     let mut restarted = fleet();
     assert_eq!(
-        restarted.restore(&read.acts_on, &read.entries),
+        restarted.restore(&record.active_version, &record.history),
         Some(acts_on)
     );
     // Its chain of entries hangs together, else there were an event.
     assert_eq!(
         (restarted.events(), restarted.record().1),
-        (Vec::new(), expected.entries)
+        (Vec::new(), expected.history)
     );
     // The older generation counts where the newer one is gone.
     folder.remove("learned.1").unwrap();
@@ -257,30 +274,30 @@
         believed(older, WRITTEN_S[0], NUMBERS[0])
     );
 
-    let mut journal = Journal::open(folder, JOURNAL_MOST).unwrap();
+    let mut journal = WriteAheadLog::open(folder, JOURNAL_MOST).unwrap();
     while journal.recover(NOW_MS) {}
     for (token, _, verdict) in runs() {
         assert_eq!(
-            journal.verdict(token, NOW_MS),
+            journal.replay_decision(token, NOW_MS),
             verdict,
             "{}",
             token.escape_ascii()
         );
     }
     assert_eq!(
-        journal.verdict(b"second segment", UNTIL_MS),
-        Verdict::Aborted
+        journal.replay_decision(b"second segment", UNTIL_MS),
+        ReplayDecision::Aborted
     );
     assert_eq!(
-        journal.verdict(b"second segment", UNTIL_MS + 1),
-        Verdict::Fresh
+        journal.replay_decision(b"second segment", UNTIL_MS + 1),
+        ReplayDecision::NotSeen
     );
     assert_eq!(
-        journal.verdict(b"good", UNTIL_MS),
-        Verdict::Fresh,
+        journal.replay_decision(b"good", UNTIL_MS),
+        ReplayDecision::NotSeen,
         "its window is over"
     );
-    assert_eq!(journal.events(), [] as [Event; 0]);
+    assert_eq!(journal.take_events(), [] as [WalEvent; 0]);
 }
 
 /// Guards against a server that starts from nothing after an update from the program that wrote version 1.
@@ -300,11 +317,11 @@
 /// Guards against JSON keys that are renamed with the fields: operators' tools read these.
 #[test]
 fn what_operators_are_shown_of_a_folder_keeps_its_keys() {
-    let look = Look::new(&golden("folder")).unwrap();
-    let views = serde_json::to_string_pretty(&snapshot::views(&look, NOW_S)).unwrap();
+    let directory = ReadOnlyDir::open(&golden("folder")).unwrap();
+    let views = serde_json::to_string_pretty(&snapshot::list_snapshots(&directory, NOW_S)).unwrap();
     same_as_golden("views.json", views.as_bytes());
     for name in ["learned.0", "learned.1"] {
-        let export = snapshot::export(&look, name).unwrap();
+        let export = snapshot::export_json(&directory, name).unwrap();
         same_as_golden(&format!("{name}.json"), export.as_bytes());
     }
 }
