--- a/crates/coralstep-lab/src/fleet/processes.rs
+++ b/crates/coralstep-lab/src/fleet/processes.rs
@@ -10,13 +10,15 @@
 
 use serde_json::{Value, json};
 
-use super::Links;
+use super::{Links, Programs};
 use crate::emulate::engine::{Engine, EngineTerms, Plight, Work};
 use crate::emulate::lock;
 use crate::emulate::wire::{Faults, Wire};
 
 /// The longest that a process may take to come up or to answer.
 const LIMIT: Duration = Duration::from_secs(15);
+/// Seconds between two snapshots of a process that keeps its state from its first start on: the least that a site file may say.
+const SNAPSHOT_INTERVAL_S: u32 = 1;
 /// Methods of every process: tokened, calls nothing; and idempotent, calls the store where there is one.
 pub const METHODS: [&str; 2] = ["save", "read"];
 /// Tenants, by the header that the site file names.
@@ -51,6 +53,8 @@
     pub limits: Value,
     /// Levels of reduced service, the built-in ones. They turn calls away by themselves when a store hangs.
     pub levels: bool,
+    /// Each process keeps a state directory from its first start on, with a snapshot every second.
+    pub keeps_state: bool,
 }
 
 impl Setup {
@@ -62,6 +66,7 @@
             call_share: 20.0,
             limits: Value::Null,
             levels: true,
+            keeps_state: false,
         }
     }
 }
@@ -119,7 +124,8 @@
 }
 
 pub struct Fleet {
-    program: PathBuf,
+    /// The program that each process is started from.
+    programs: Vec<PathBuf>,
     folder: PathBuf,
     pub links: Links,
     processes: Vec<Option<Process>>,
@@ -154,11 +160,22 @@
 
 impl Fleet {
     /// `more`: further keys of the site file's `fleet`; null for processes that have none.
-    pub fn start(program: &Path, count: usize, seed: u64, more: Value) -> std::io::Result<Fleet> {
-        Fleet::set_up(program, count, seed, Setup::new(more))
+    pub fn start(
+        programs: impl Into<Programs>,
+        count: usize,
+        seed: u64,
+        more: Value,
+    ) -> std::io::Result<Fleet> {
+        Fleet::set_up(programs, count, seed, Setup::new(more))
     }
 
-    pub fn set_up(program: &Path, count: usize, seed: u64, setup: Setup) -> std::io::Result<Fleet> {
+    pub fn set_up(
+        programs: impl Into<Programs>,
+        count: usize,
+        seed: u64,
+        setup: Setup,
+    ) -> std::io::Result<Fleet> {
+        let programs = programs.into();
         let ways = setup
             .store
             .iter()
@@ -172,10 +189,11 @@
         let control = UdpSocket::bind("127.0.0.1:0")?;
         let processes = (0..count).map(|_| None).collect();
         let mut fleet = Fleet {
-            program: program.to_owned(),
+            programs: (0..count).map(|at| programs.of(at).to_owned()).collect(),
             folder,
             links,
             processes,
+            keeps: setup.keeps_state,
             setup,
             ways,
             crowd: Arc::new(Mutex::new(Crowd {
@@ -184,7 +202,6 @@
             })),
             control,
             sent: AtomicU64::new(0),
-            keeps: false,
         };
         (0..count).try_for_each(|at| fleet.boot(at))?;
         Ok(fleet)
@@ -278,7 +295,10 @@
             site["limits"] = self.setup.limits.clone();
         }
         if self.keeps {
-            site["state"] = json!({"folder": self.folder.join(format!("state-{at}"))});
+            site["state"] = json!({"folder": self.state_directory(at)});
+            if self.setup.keeps_state {
+                site["state"]["every_s"] = json!(SNAPSHOT_INTERVAL_S);
+            }
         }
         let (config_file, site_file) = (
             self.folder.join(format!("config-{at}.json")),
@@ -286,7 +306,7 @@
         );
         std::fs::write(&config_file, config.to_string())?;
         std::fs::write(&site_file, site.to_string())?;
-        let mut child = Command::new(&self.program)
+        let mut child = Command::new(&self.programs[at])
             .args(["serve", "--config"])
             .arg(config_file)
             .arg("--site")
@@ -352,6 +372,17 @@
         Ok(())
     }
 
+    /// Starts process `at` from `program`, now and at each later boot.
+    pub fn boot_from(&mut self, at: usize, program: &Path) -> std::io::Result<()> {
+        program.clone_into(&mut self.programs[at]);
+        self.boot(at)
+    }
+
+    /// Where process `at` keeps its state, if it does.
+    pub fn state_directory(&self, at: usize) -> PathBuf {
+        self.folder.join(format!("state-{at}"))
+    }
+
     pub fn count(&self) -> usize {
         self.processes.len()
     }
