--- a/crates/coralstep-config/src/site.rs
+++ b/crates/coralstep-config/src/site.rs
@@ -10,7 +10,7 @@
 use coralstep_quota::terms::look_up;
 use coralstep_quota::{Limit, LimitTerms};
 use coralstep_route::Routes;
-use coralstep_shared_health::Parts;
+use coralstep_shared_health::SharingConfig;
 use ipnet::IpNet;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -107,7 +107,7 @@
     pub lease_ms: u32,
     /// What servers tell each other of their dependencies is gone by; `{}` for all of it, without it nothing is told.
     #[serde(default)]
-    pub verdicts: Option<Parts>,
+    pub verdicts: Option<SharingConfig>,
     /// For tests alone: the wall clock may be stepped by the operators' door.
     #[serde(default)]
     pub clock_steps: bool,
--- a/crates/coralstep-lab/src/simulate/sharing.rs
+++ b/crates/coralstep-lab/src/simulate/sharing.rs
@@ -3,9 +3,10 @@
 use std::collections::VecDeque;
 
 use coralstep::Span;
-use coralstep_shared_health::said::AGE_MOST;
-use coralstep_shared_health::weigh::{Other, Parts, Weigh};
-use coralstep_shared_health::{Advice, State};
+use coralstep_shared_health::aggregate::Aggregator;
+use coralstep_shared_health::peer_report::{PeerId, PeerReport};
+use coralstep_shared_health::report::MAX_REPORT_AGE_MS;
+use coralstep_shared_health::{BreakerAdvice, BreakerState, SharingConfig};
 
 use super::Sim;
 
@@ -18,7 +19,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Seen {
     there: bool,
-    state: State,
+    state: BreakerState,
     failures: u32,
     calls: u32,
     /// When its last call ended, and when its breaker closed by a trial, in ticks.
@@ -32,7 +33,7 @@
 }
 
 struct Node {
-    weigh: Weigh,
+    aggregator: Aggregator,
     calls: VecDeque<(u64, bool)>,
     seen: Seen,
 }
@@ -40,7 +41,7 @@
 impl Sharing {
     pub(super) fn new(count: usize, seed: u64) -> Sharing {
         let node = |at: usize| Node {
-            weigh: Weigh::new(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ at as u64),
+            aggregator: Aggregator::new(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ at as u64),
             calls: VecDeque::new(),
             seen: Seen::default(),
         };
@@ -61,7 +62,11 @@
         while node.calls.front().is_some_and(|(of, _)| of + RECENT < now) {
             node.calls.pop_front();
         }
-        let all = [State::Closed, State::Open, State::HalfOpen];
+        let all = [
+            BreakerState::Closed,
+            BreakerState::Open,
+            BreakerState::HalfOpen,
+        ];
         let now_is = all
             .into_iter()
             .find(|one| Some(one.name()) == state)
@@ -71,8 +76,8 @@
             node.seen = Seen::default();
         }
         node.seen.healed = match (node.seen.state, now_is) {
-            (State::Closed, State::Closed) => node.seen.healed,
-            (_, State::Closed) => Some(now),
+            (BreakerState::Closed, BreakerState::Closed) => node.seen.healed,
+            (_, BreakerState::Closed) => Some(now),
             _ => None,
         };
         node.seen.there = state.is_some();
@@ -81,31 +86,31 @@
         node.seen.calls = node.calls.len() as u32;
     }
 
-    fn advise(&mut self, at: usize, now: u64) -> Advice {
+    fn advise(&mut self, at: usize, now: u64) -> BreakerAdvice {
         let Some(before) = self.looks.front().filter(|_| self.looks.len() >= OLD) else {
-            return Advice::default();
+            return BreakerAdvice::default();
         };
         let ms = |of: u64| now.saturating_sub(of) / 10;
-        let others: Vec<Other> = before
+        let others: Vec<PeerReport> = before
             .iter()
             .enumerate()
             .filter(|(other, seen)| *other != at && seen.there)
-            .map(|(other, seen)| Other {
-                who: other as u64,
+            .map(|(other, seen)| PeerReport {
+                peer: PeerId(other as u64),
                 state: seen.state,
                 failures: seen.failures,
                 calls: seen.calls,
-                called: if seen.called == 0 {
-                    AGE_MOST + 1
+                since_call_ms: if seen.called == 0 {
+                    MAX_REPORT_AGE_MS + 1
                 } else {
                     ms(seen.called)
                 },
-                healed: seen.healed.map(ms),
+                since_recovery_ms: seen.healed.map(ms),
             })
             .collect();
         let node = &mut self.nodes[at];
-        node.weigh
-            .advise(now / 10, Parts::default(), node.seen.state, &others)
+        node.aggregator
+            .advise(now / 10, SharingConfig::default(), node.seen.state, &others)
     }
 }
 
@@ -130,8 +135,10 @@
                 continue;
             }
             let advice = self.sharing.advise(at, now);
-            let left = advice.left.map(Span::ms);
-            self.tell(at, |server, now, _| server.hear(now, advice.need, left));
+            let left = advice.cooldown_left_ms.map(Span::ms);
+            self.tell(at, |server, now, _| {
+                server.hear(now, advice.min_outcomes, left)
+            });
         }
     }
 }
--- a/crates/coralstep-server/src/fleet/carrier.rs
+++ b/crates/coralstep-server/src/fleet/carrier.rs
@@ -16,7 +16,7 @@
 use coralstep_fleet::{Event, Fleet, Id, Member, Ms, State};
 use coralstep_quota::holder::{Pass, Which};
 use coralstep_quota::{Limit, Limits, terms};
-use coralstep_shared_health::{Own, State as BreakerState, Verdicts};
+use coralstep_shared_health::{BreakerState, LocalHealth, SharedHealth};
 use coralstep_state::fleet_record::FleetRecord;
 use futures_lite::FutureExt;
 use futures_lite::future::yield_now;
@@ -68,7 +68,7 @@
     limits: Option<Rc<RefCell<Limits>>>,
     limits_of: LimitsOf,
     /// What is said of dependencies, where that is gone by.
-    verdicts: Option<Rc<RefCell<Verdicts>>>,
+    verdicts: Option<Rc<RefCell<SharedHealth>>>,
     hold: Cell<Option<(Id, Id)>>,
     /// For tests: whether the wall clock may be stepped, and by how much it is.
     steps: bool,
@@ -162,7 +162,7 @@
             limits
         });
         let verdicts = terms.verdicts.map(|parts| {
-            let verdicts = Rc::new(RefCell::new(Verdicts::new(fleet.own(), parts, seed)));
+            let verdicts = Rc::new(RefCell::new(SharedHealth::new(fleet.own(), parts, seed)));
             fleet.ride((Seat::Verdicts, verdicts.clone()));
             verdicts
         });
@@ -321,16 +321,19 @@
                 .into_iter()
                 .find(|one| one.name() == state)
                 .unwrap_or_default();
-            let advice = verdicts.borrow_mut().see(
+            let advice = verdicts.borrow_mut().observe(
                 now,
                 name,
-                Own {
+                LocalHealth {
                     state,
                     failures,
                     calls,
                 },
             );
-            (advice.need, advice.left.map(Duration::from_millis))
+            (
+                advice.min_outcomes,
+                advice.cooldown_left_ms.map(Duration::from_millis),
+            )
         };
         if let Some((state, failures, calls)) = facade.breaker() {
             let (need, left) = see(STORE, state, failures, calls);
@@ -368,7 +371,7 @@
                 .for_each(|event| tracing::info!(target: "limits", "limits: {event}"));
         }
         if let Some(verdicts) = &self.verdicts {
-            let events = verdicts.borrow_mut().events();
+            let events = verdicts.borrow_mut().take_events();
             events
                 .iter()
                 .for_each(|event| tracing::info!(target: "verdicts", "verdicts: {event}"));
@@ -492,9 +495,9 @@
             return json!({ "verdicts": [] });
         };
         let verdicts = verdicts.borrow();
-        let whose: std::collections::BTreeMap<&str, String> = verdicts
-            .whose()
-            .map(|(name, whose)| (name, format!("{whose:?}")))
+        let whose: std::collections::BTreeMap<&str, &str> = verdicts
+            .fault_sources()
+            .map(|(name, source)| (name, source.json_name()))
             .collect();
         json!({ "verdicts": verdicts.rows(self.now()), "whose": whose })
     }
--- a/crates/coralstep-server/tests/verdicts.rs
+++ b/crates/coralstep-server/tests/verdicts.rs
@@ -11,7 +11,7 @@
 use coralstep_lab::emulate::store::Store;
 use coralstep_lab::fleet::{Drive, Faults, Fleet, Guest, Setup, Told};
 use coralstep_lab::world::Dependency;
-use coralstep_shared_health::{Own, Parts, State, Verdicts};
+use coralstep_shared_health::{BreakerState, LocalHealth, SharedHealth, SharingConfig};
 use serde_json::{Value, json};
 
 const LIMIT: Duration = Duration::from_secs(40);
@@ -231,7 +231,7 @@
     Serves,
 }
 
-struct Liar(Verdicts, Lie);
+struct Liar(SharedHealth, Lie);
 
 impl Rider for Liar {
     fn said(&mut self, now: u64, room: usize) -> Option<Vec<u8>> {
@@ -241,15 +241,15 @@
     fn tick(&mut self, now: u64, view: &View<'_>) -> Vec<Letter> {
         // It has just closed again, each second.
         let state = match self.1 {
-            Lie::Fails => State::Open,
-            Lie::Serves if now % 1_000 < 100 => State::HalfOpen,
-            Lie::Serves => State::Closed,
+            Lie::Fails => BreakerState::Open,
+            Lie::Serves if now % 1_000 < 100 => BreakerState::HalfOpen,
+            Lie::Serves => BreakerState::Closed,
         };
         let failures = if matches!(self.1, Lie::Fails) { 20 } else { 0 };
-        self.0.see(
+        self.0.observe(
             now,
             "store",
-            Own {
+            LocalHealth {
                 state,
                 failures,
                 calls: 20,
@@ -268,7 +268,7 @@
             (
                 Seat::Verdicts,
                 Rc::new(RefCell::new(Liar(
-                    Verdicts::new(own, Parts::default(), 9),
+                    SharedHealth::new(own, SharingConfig::default(), 9),
                     lie,
                 ))),
             )
--- a/crates/coralstep-shared-health/src/lib.rs
+++ b/crates/coralstep-shared-health/src/lib.rs
@@ -1,16 +1,28 @@
-//! A dependency that all servers share fails for all, and each finds out by itself, call by call. Here is what they tell each other of
-//! it, and what may follow: three things, each to be switched off, none of which opens a breaker.
+//! What the servers of a fleet tell each other about the dependencies that they share, and what a circuit breaker may
+//! conclude from it. No I/O and no clock.
 //!
-//! - **Trials** of a dependency that is open in many places come at a stated rate from the whole fleet, spread by chance, in place of one
-//!   for each server and cooldown.
-//! - **It serves again**: others' cooldowns end in steps, a few more each time, never all at once; a trial of their own decides.
-//! - **It fails**: a server needs less evidence of its own, never none.
+//! Peer reports never open a breaker. Three conclusions are drawn from them, each of which [`SharingConfig`] can switch
+//! off:
 //!
-//! [`weigh`] decides, from what is known at a moment; [`part`] carries it as a rider of the fleet's channel. No I/O and no clock.
-pub mod part;
-pub mod said;
-pub mod weigh;
+//! - **Probe rate**: half-open probe calls to a dependency that is open on many servers come at one rate from the whole
+//!   fleet, in place of one for each server and cooldown.
+//! - **Recovery**: once the dependency serves other servers again, the remaining cooldowns end in growing steps, and a
+//!   probe call of the server's own decides.
+//! - **Failure**: while most peers report failures, a breaker needs fewer outcomes of its own, but never none.
+//!
+//! [`SharedHealth`] exchanges the [`report`]s as an extension of the fleet's gossip, and an
+//! [`Aggregator`](aggregate::Aggregator) for each dependency draws the conclusions.
+pub mod aggregate;
+pub mod config;
+mod dependency;
+pub mod fault_source;
+pub mod operator_view;
+pub mod peer_report;
+pub mod report;
+pub mod shared_health;
 
-pub use part::Verdicts;
-pub use said::{Own, State};
-pub use weigh::{Advice, Parts};
+pub use aggregate::BreakerAdvice;
+pub use config::SharingConfig;
+pub use fault_source::FaultSource;
+pub use report::{BreakerState, LocalHealth};
+pub use shared_health::SharedHealth;
--- /dev/null
+++ b/crates/coralstep-shared-health/src/shared_health.rs
@@ -0,0 +1,276 @@
+//! The exchange of health reports as an extension of the fleet's gossip. What this server's breakers see is reported to
+//! all, at once while something changes; what peers report is aggregated for each dependency by its name.
+use std::collections::{BTreeMap, HashSet};
+use std::hash::{DefaultHasher, Hash, Hasher};
+
+use coralstep_fleet::rider::{Letter, Rider, View};
+use coralstep_fleet::spread::{Heard, Spread};
+use coralstep_fleet::{Member, Ms as Millis};
+use rand::rngs::SmallRng;
+use rand::{RngExt, SeedableRng};
+
+use crate::aggregate::{Aggregator, BreakerAdvice};
+use crate::config::SharingConfig;
+use crate::dependency::Dependency;
+use crate::fault_source::FaultSource;
+use crate::operator_view::{DependencyRow, FaultSourceChanged};
+use crate::peer_report::{PeerCounts, PeerId, PeerReport};
+use crate::report::{
+    BreakerState, HealthReport, LocalHealth, MAX_DEPENDENCIES, MAX_REPORT_AGE_MS, NodeHealth,
+};
+
+/// This server's report is renewed this often if nothing changes, in ms.
+const REPORT_INTERVAL_MS: Millis = 1_000;
+/// After a change of this server's own, urgent messages are sent for this long, in ms.
+const URGENT_MS: Millis = 2_500;
+/// After a change that a peer reports, urgent messages are sent for this long, in ms.
+const URGENT_RELAY_MS: Millis = URGENT_MS / 2;
+/// Time between urgent messages, in ms.
+const URGENT_INTERVAL_MS: Millis = 150;
+/// Peers that are sent an urgent message each time.
+const URGENT_PEERS: usize = 2;
+/// Longest urgent message, in bytes.
+const MAX_URGENT_BYTES: usize = 1_000;
+/// Events that are kept until they are taken; later ones are dropped.
+const MAX_PENDING_EVENTS: usize = 64;
+/// Keeps these random numbers apart from those of other users of the same seed.
+const RNG_STREAM: u64 = 3;
+
+/// Exchanges health reports with the fleet and advises this server's breakers.
+///
+/// All times are in ms of one clock, passed by the caller.
+pub struct SharedHealth {
+    own: Member,
+    config: SharingConfig,
+    dependencies: BTreeMap<String, Dependency>,
+    disseminator: Spread<NodeHealth>,
+    /// The peers whose reports count.
+    current_peers: HashSet<Member>,
+    sequence: u64,
+    next_report_at: Millis,
+    urgent_until: Millis,
+    next_urgent_at: Millis,
+    seed: u64,
+    rng: SmallRng,
+    events: Vec<FaultSourceChanged>,
+}
+
+impl SharedHealth {
+    /// Returns the extension of the server `own`, which knows no dependency and no peer yet.
+    pub fn new(own: &Member, config: SharingConfig, seed: u64) -> SharedHealth {
+        SharedHealth {
+            own: own.clone(),
+            config,
+            dependencies: BTreeMap::new(),
+            disseminator: Spread::default(),
+            current_peers: HashSet::new(),
+            sequence: 0,
+            next_report_at: 0,
+            urgent_until: 0,
+            next_urgent_at: 0,
+            seed,
+            rng: SmallRng::seed_from_u64(seed ^ own.started ^ RNG_STREAM),
+            events: Vec::new(),
+        }
+    }
+
+    /// Takes what this server's breaker of a dependency sees now, and advises the breaker.
+    ///
+    /// Beyond [`MAX_DEPENDENCIES`] names the advice is that without any peer report.
+    pub fn observe(&mut self, now: Millis, dependency: &str, local: LocalHealth) -> BreakerAdvice {
+        if !self.add_dependency(dependency) {
+            return BreakerAdvice::default();
+        }
+        let reports = self.peer_reports(now, dependency);
+        let Some(known) = self.dependencies.get_mut(dependency) else {
+            return BreakerAdvice::default();
+        };
+        if known.update(now, local) {
+            self.urgent_until = now + URGENT_MS;
+            self.next_report_at = now;
+        }
+        let peers = PeerCounts::of(&reports);
+        let source = FaultSource::find(local.state != BreakerState::Closed, peers);
+        if std::mem::replace(&mut known.fault_source, source) != source
+            && self.events.len() < MAX_PENDING_EVENTS
+        {
+            self.events.push(FaultSourceChanged {
+                dependency: dependency.to_owned(),
+                source,
+                peers,
+            });
+        }
+        known
+            .aggregator
+            .advise(now, self.config, local.state, &reports)
+    }
+
+    /// Returns the events since the last call.
+    pub fn take_events(&mut self) -> Vec<FaultSourceChanged> {
+        std::mem::take(&mut self.events)
+    }
+
+    /// Returns what each server reports of each dependency, ordered by dependency and server.
+    pub fn rows(&self, now: Millis) -> Vec<DependencyRow> {
+        let own_rows = self
+            .dependencies
+            .iter()
+            .map(|(name, dependency)| dependency.row(now, name, &self.own));
+        let peer_rows = self.disseminator.all().flat_map(|received| {
+            let reports = received.word.reports.iter();
+            reports.map(move |report| peer_row(now, received, report))
+        });
+        let mut rows: Vec<DependencyRow> = own_rows.chain(peer_rows).collect();
+        rows.sort_by(|a, b| (&a.dependency, &a.server).cmp(&(&b.dependency, &b.server)));
+        rows
+    }
+
+    /// Returns the source of each dependency's fault, by the dependency's name.
+    pub fn fault_sources(&self) -> impl Iterator<Item = (&str, FaultSource)> {
+        self.dependencies
+            .iter()
+            .map(|(name, dependency)| (name.as_str(), dependency.fault_source))
+    }
+
+    /// Adds a dependency unless it is known; returns whether it is known then.
+    fn add_dependency(&mut self, name: &str) -> bool {
+        if self.dependencies.contains_key(name) {
+            return true;
+        }
+        if self.dependencies.len() >= MAX_DEPENDENCIES {
+            return false;
+        }
+        let mut hasher = DefaultHasher::new();
+        (name, self.seed, self.own.started).hash(&mut hasher);
+        let aggregator = Aggregator::new(hasher.finish());
+        self.dependencies
+            .insert(name.to_owned(), Dependency::new(aggregator));
+        true
+    }
+
+    /// The reports of current peers on a dependency that are not too old.
+    fn peer_reports(&self, now: Millis, dependency: &str) -> Vec<PeerReport> {
+        self.disseminator
+            .all()
+            .filter(|received| {
+                now.saturating_sub(received.at) <= MAX_REPORT_AGE_MS
+                    && self.current_peers.contains(&received.word.origin)
+            })
+            .filter_map(|received| peer_report(now, received, dependency))
+            .collect()
+    }
+
+    fn renew_report(&mut self, now: Millis) {
+        self.sequence += 1;
+        let reports = self
+            .dependencies
+            .iter()
+            .map(|(name, dependency)| dependency.report(now, name))
+            .collect();
+        self.disseminator.own(NodeHealth {
+            origin: self.own.clone(),
+            sequence: self.sequence,
+            reports,
+        });
+    }
+
+    fn receive(&mut self, now: Millis, own: &Member, bytes: &[u8]) {
+        let news = self.disseminator.heard(now, own, bytes);
+        let mut reports = news.iter().flat_map(|node| &node.reports);
+        if reports.any(is_worth_relaying) {
+            self.urgent_until = now + URGENT_RELAY_MS;
+        }
+    }
+
+    fn urgent_messages(&mut self, now: Millis, peers: &[&Member]) -> Vec<Letter> {
+        let mut messages = Vec::new();
+        for _ in 0..URGENT_PEERS {
+            let peer = peers[self.rng.random_range(0..peers.len())];
+            let payload = self.disseminator.said(now, MAX_URGENT_BYTES);
+            messages.extend(payload.map(|payload| (peer.at, payload)));
+        }
+        messages
+    }
+}
+
+/// Whether a peer's report tells of an open breaker or a recent recovery.
+fn is_worth_relaying(report: &HealthReport) -> bool {
+    report.state != BreakerState::Closed
+        || report
+            .since_recovery_ms
+            .is_some_and(|age_ms| Millis::from(age_ms) <= URGENT_MS)
+}
+
+fn peer_id(member: &Member) -> PeerId {
+    let mut hasher = DefaultHasher::new();
+    member.hash(&mut hasher);
+    PeerId(hasher.finish())
+}
+
+/// A peer's report on a dependency with the ages of now, if it has one.
+fn peer_report(now: Millis, received: &Heard<NodeHealth>, dependency: &str) -> Option<PeerReport> {
+    let reports = &received.word.reports;
+    let report = reports
+        .iter()
+        .find(|report| report.dependency == dependency)?;
+    let age_ms = now.saturating_sub(received.at);
+    Some(PeerReport {
+        peer: peer_id(&received.word.origin),
+        state: report.state,
+        failures: u32::from(report.failures),
+        calls: u32::from(report.calls),
+        since_call_ms: age_ms + Millis::from(report.since_call_ms),
+        since_recovery_ms: report
+            .since_recovery_ms
+            .map(|recovery_ms| age_ms + Millis::from(recovery_ms)),
+    })
+}
+
+fn peer_row(now: Millis, received: &Heard<NodeHealth>, report: &HealthReport) -> DependencyRow {
+    DependencyRow {
+        dependency: report.dependency.clone(),
+        server: received.word.origin.name.clone(),
+        state: report.state,
+        failures: u32::from(report.failures),
+        calls: u32::from(report.calls),
+        age_ms: now.saturating_sub(received.at) + Millis::from(report.since_call_ms),
+    }
+}
+
+impl Rider for SharedHealth {
+    fn said(&mut self, now: Millis, max_bytes: usize) -> Option<Vec<u8>> {
+        if self.dependencies.is_empty() {
+            return None;
+        }
+        self.disseminator.said(now, max_bytes)
+    }
+
+    fn heard(&mut self, now: Millis, own: &Member, payload: &[u8]) {
+        self.receive(now, own, payload);
+    }
+
+    fn letter(&mut self, now: Millis, _from: &Member, payload: &[u8]) -> Vec<Letter> {
+        let own = self.own.clone();
+        self.receive(now, &own, payload);
+        Vec::new()
+    }
+
+    fn tick(&mut self, now: Millis, view: &View<'_>) -> Vec<Letter> {
+        self.own = view.own.clone();
+        self.current_peers = view.current.iter().copied().cloned().collect();
+        if self.dependencies.is_empty() {
+            return Vec::new();
+        }
+        if now >= self.next_report_at {
+            self.next_report_at = now + REPORT_INTERVAL_MS;
+            self.disseminator.forget(now);
+            self.renew_report(now);
+        }
+        let is_urgent = now < self.urgent_until && now >= self.next_urgent_at;
+        if !is_urgent || view.current.is_empty() {
+            return Vec::new();
+        }
+        self.next_urgent_at = now + URGENT_INTERVAL_MS;
+        self.urgent_messages(now, &view.current)
+    }
+}
--- a/crates/coralstep-shared-health/tests/golden.rs
+++ b/crates/coralstep-shared-health/tests/golden.rs
@@ -3,8 +3,8 @@
 use coralstep_fleet::Member;
 use coralstep_fleet::rider::Rider;
 use coralstep_fleet::spread::Spread;
-use coralstep_shared_health::said::{Said, State, Word};
-use coralstep_shared_health::{Parts, Verdicts};
+use coralstep_shared_health::report::{BreakerState, HealthReport, NodeHealth};
+use coralstep_shared_health::{SharedHealth, SharingConfig};
 
 /// The text of a committed file, which has to be what is written now.
 fn golden(name: &str, written: &str) -> String {
@@ -31,18 +31,18 @@
     text.as_bytes().chunks(2).map(byte).collect()
 }
 
-fn said(dependency: &str, state: State, healed_ms: Option<u32>) -> Said {
-    Said {
+fn report(dependency: &str, state: BreakerState, since_recovery_ms: Option<u32>) -> HealthReport {
+    HealthReport {
         dependency: dependency.to_owned(),
         state,
         failures: 130,
         calls: 255,
-        called_ms: 70_000,
-        healed_ms,
+        since_call_ms: 70_000,
+        since_recovery_ms,
     }
 }
 
-fn words() -> [Word; 2] {
+fn node_reports() -> [NodeHealth; 2] {
     let far = Member::new(
         "süd-2",
         "[2001:db8::ff]:65535".parse().unwrap(),
@@ -54,37 +54,37 @@
         1_790_000_000_123,
     );
     let all = vec![
-        said("stock", State::Closed, Some(u32::MAX)),
-        said("préis", State::Open, None),
-        Said {
+        report("stock", BreakerState::Closed, Some(u32::MAX)),
+        report("préis", BreakerState::Open, None),
+        HealthReport {
             failures: 0,
             calls: 3,
-            called_ms: 0,
-            ..said("mail", State::HalfOpen, Some(300))
+            since_call_ms: 0,
+            ..report("mail", BreakerState::HalfOpen, Some(300))
         },
     ];
     [
-        Word {
-            of: near,
-            number: (1 << 33) + 3,
-            said: all,
+        NodeHealth {
+            origin: near,
+            sequence: (1 << 33) + 3,
+            reports: all,
         },
-        Word {
-            of: far,
-            number: 1,
-            said: Vec::new(),
+        NodeHealth {
+            origin: far,
+            sequence: 1,
+            reports: Vec::new(),
         },
     ]
 }
 
 /// Guards against a breaker's state or a field whose place changes: servers of two releases would misread it.
 #[test]
-fn words_of_dependencies_keep_their_bytes() {
-    let [own, passed] = words();
-    let mut spread = Spread::<Word>::default();
+fn health_reports_keep_their_bytes() {
+    let [own, passed] = node_reports();
+    let mut spread = Spread::<NodeHealth>::default();
     spread.heard(
         100_000,
-        &own.of,
+        &own.origin,
         &postcard::to_allocvec(&vec![(passed.clone(), 200u32)]).unwrap(),
     );
     spread.own(own.clone());
@@ -93,25 +93,25 @@
         postcard::from_bytes(&bytes),
         Ok(vec![(own.clone(), 0u32), (passed.clone(), 300)])
     );
-    let nobody = Member::new("x", own.of.at, 1);
+    let nobody = Member::new("x", own.origin.at, 1);
     assert_eq!(
-        Spread::<Word>::default().heard(200_000, &nobody, &bytes),
+        Spread::<NodeHealth>::default().heard(200_000, &nobody, &bytes),
         [own, passed]
     );
 }
 
 /// Guards against JSON keys or states that are renamed with the code: operators' tools read these.
 #[test]
-fn rows_of_dependencies_keep_their_keys() {
-    let own = Member::new("x", words()[0].of.at, 1);
-    let mut part = Verdicts::new(&own, Parts::default(), 7);
-    part.heard(
+fn rows_keep_their_json_keys() {
+    let own = Member::new("x", node_reports()[0].origin.at, 1);
+    let mut shared_health = SharedHealth::new(&own, SharingConfig::default(), 7);
+    shared_health.heard(
         100_000,
         &own,
-        &postcard::to_allocvec(&words().map(|word| (word, 200u32)).to_vec()).unwrap(),
+        &postcard::to_allocvec(&node_reports().map(|node| (node, 200u32)).to_vec()).unwrap(),
     );
     golden(
         "rows.json",
-        &serde_json::to_string_pretty(&part.rows(100_500)).unwrap(),
+        &serde_json::to_string_pretty(&shared_health.rows(100_500)).unwrap(),
     );
 }
