--- a/crates/coralstep-server/src/life/keep.rs
+++ b/crates/coralstep-server/src/life/keep.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use async_io::Timer;
-use coralstep::Learned;
+use coralstep::LearnedState;
 use coralstep_config::site::StateTerms;
 use coralstep_state::DirStorage;
 use coralstep_state::background::{BackgroundScheduler, Budget, StepCost, TaskConfig};
@@ -40,13 +40,13 @@
         server: config.name.clone(),
         cores: config.terms.cores,
         methods: config.names.methods.clone(),
-        dependency_share: config.terms.below.share(),
+        dependency_share: config.terms.dependency.share(),
         tenants: config.names.tenants.clone(),
     }
 }
 
 /// To be written by the thread; it says how long each took.
-type Work = Box<Learned>;
+type Work = Box<LearnedState>;
 
 pub struct Keeper {
     works: RefCell<Option<SyncSender<Work>>>,
@@ -137,7 +137,7 @@
     }
 
     /// Hands a snapshot over; not where one is still on its way.
-    fn save(&self, learned: Learned) -> bool {
+    fn save(&self, learned: LearnedState) -> bool {
         let works = self.works.borrow();
         let sent = works
             .as_ref()
--- a/crates/coralstep-shared-health/src/aggregate.rs
+++ b/crates/coralstep-shared-health/src/aggregate.rs
@@ -2,7 +2,7 @@
 //! next probe call is, and whether its cooldown ends sooner.
 //!
 //! Each peer counts once, and no peer alone opens or closes anything.
-use coralstep_fleet::Ms as Millis;
+use coralstep_fleet::Millis;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
--- a/crates/coralstep-shared-health/src/dependency.rs
+++ b/crates/coralstep-shared-health/src/dependency.rs
@@ -1,5 +1,5 @@
 //! One dependency as this server sees it: its own health, the aggregator of peer reports, the source of a fault.
-use coralstep_fleet::{Member, Ms as Millis};
+use coralstep_fleet::{Member, Millis};
 
 use crate::aggregate::Aggregator;
 use crate::fault_source::FaultSource;
--- a/crates/coralstep-shared-health/src/operator_view.rs
+++ b/crates/coralstep-shared-health/src/operator_view.rs
@@ -2,7 +2,7 @@
 //! changes.
 use std::fmt;
 
-use coralstep_fleet::Ms as Millis;
+use coralstep_fleet::Millis;
 use serde::Serialize;
 
 use crate::fault_source::FaultSource;
--- a/crates/coralstep-shared-health/src/peer_report.rs
+++ b/crates/coralstep-shared-health/src/peer_report.rs
@@ -1,5 +1,5 @@
 //! What a peer reports of one dependency, as it stands now, and the counts over all peers.
-use coralstep_fleet::Ms as Millis;
+use coralstep_fleet::Millis;
 
 use crate::report::{BreakerState, MAX_REPORT_AGE_MS};
 
--- a/crates/coralstep-shared-health/src/report.rs
+++ b/crates/coralstep-shared-health/src/report.rs
@@ -1,9 +1,9 @@
 //! What a server reports of its dependencies: the state of its own breaker and its own calls, with their ages.
 //!
 //! The order of fields and variants is the wire format, as postcard encodes by position.
-use coralstep_fleet::members::NAME_MOST;
-use coralstep_fleet::spread::Saying;
-use coralstep_fleet::{Member, Ms as Millis};
+use coralstep_fleet::gossip::Gossip;
+use coralstep_fleet::membership::MAX_NAME_BYTES;
+use coralstep_fleet::{Member, Millis};
 use serde::{Deserialize, Serialize};
 
 /// A report older than this counts for nothing, in ms.
@@ -69,7 +69,7 @@
     /// Whether a peer may have sent this.
     fn is_valid(&self) -> bool {
         !self.dependency.is_empty()
-            && self.dependency.len() <= NAME_MOST
+            && self.dependency.len() <= MAX_NAME_BYTES
             && self.failures <= self.calls
     }
 }
@@ -85,19 +85,19 @@
     pub reports: Vec<HealthReport>,
 }
 
-impl Saying for NodeHealth {
-    const FORGET: Millis = MAX_REPORT_AGE_MS;
+impl Gossip for NodeHealth {
+    const MAX_AGE_MS: Millis = MAX_REPORT_AGE_MS;
 
-    fn of(&self) -> &Member {
+    fn origin(&self) -> &Member {
         &self.origin
     }
 
-    fn number(&self) -> u64 {
+    fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    fn is_sound(&self) -> bool {
-        self.origin.is_sound()
+    fn is_valid(&self) -> bool {
+        self.origin.is_valid()
             && self.reports.len() <= MAX_DEPENDENCIES
             && self.reports.iter().all(HealthReport::is_valid)
     }
--- a/crates/coralstep-shared-health/src/shared_health.rs
+++ b/crates/coralstep-shared-health/src/shared_health.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use coralstep_fleet::rider::{Letter, Rider, View};
-use coralstep_fleet::spread::{Heard, Spread};
-use coralstep_fleet::{Member, Ms as Millis};
+use coralstep_fleet::extension::{GossipExtension, MembershipView, Message};
+use coralstep_fleet::gossip::{Disseminator, Received};
+use coralstep_fleet::{Member, Millis};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
@@ -43,7 +43,7 @@
     own: Member,
     config: SharingConfig,
     dependencies: BTreeMap<String, Dependency>,
-    disseminator: Spread<NodeHealth>,
+    disseminator: Disseminator<NodeHealth>,
     /// The peers whose reports count.
     current_peers: HashSet<Member>,
     sequence: u64,
@@ -62,14 +62,14 @@
             own: own.clone(),
             config,
             dependencies: BTreeMap::new(),
-            disseminator: Spread::default(),
+            disseminator: Disseminator::default(),
             current_peers: HashSet::new(),
             sequence: 0,
             next_report_at: 0,
             urgent_until: 0,
             next_urgent_at: 0,
             seed,
-            rng: SmallRng::seed_from_u64(seed ^ own.started ^ RNG_STREAM),
+            rng: SmallRng::seed_from_u64(seed ^ own.incarnation ^ RNG_STREAM),
             events: Vec::new(),
         }
     }
@@ -116,8 +116,8 @@
             .dependencies
             .iter()
             .map(|(name, dependency)| dependency.row(now, name, &self.own));
-        let peer_rows = self.disseminator.all().flat_map(|received| {
-            let reports = received.word.reports.iter();
+        let peer_rows = self.disseminator.iter().flat_map(|received| {
+            let reports = received.value.reports.iter();
             reports.map(move |report| peer_row(now, received, report))
         });
         let mut rows: Vec<DependencyRow> = own_rows.chain(peer_rows).collect();
@@ -141,7 +141,7 @@
             return false;
         }
         let mut hasher = DefaultHasher::new();
-        (name, self.seed, self.own.started).hash(&mut hasher);
+        (name, self.seed, self.own.incarnation).hash(&mut hasher);
         let aggregator = Aggregator::new(hasher.finish());
         self.dependencies
             .insert(name.to_owned(), Dependency::new(aggregator));
@@ -151,10 +151,10 @@
     /// The reports of current peers on a dependency that are not too old.
     fn peer_reports(&self, now: Millis, dependency: &str) -> Vec<PeerReport> {
         self.disseminator
-            .all()
+            .iter()
             .filter(|received| {
-                now.saturating_sub(received.at) <= MAX_REPORT_AGE_MS
-                    && self.current_peers.contains(&received.word.origin)
+                now.saturating_sub(received.sent_at) <= MAX_REPORT_AGE_MS
+                    && self.current_peers.contains(&received.value.origin)
             })
             .filter_map(|received| peer_report(now, received, dependency))
             .collect()
@@ -167,7 +167,7 @@
             .iter()
             .map(|(name, dependency)| dependency.report(now, name))
             .collect();
-        self.disseminator.own(NodeHealth {
+        self.disseminator.set_own(NodeHealth {
             origin: self.own.clone(),
             sequence: self.sequence,
             reports,
@@ -175,19 +175,19 @@
     }
 
     fn receive(&mut self, now: Millis, own: &Member, bytes: &[u8]) {
-        let news = self.disseminator.heard(now, own, bytes);
+        let news = self.disseminator.receive(now, own, bytes);
         let mut reports = news.iter().flat_map(|node| &node.reports);
         if reports.any(is_worth_relaying) {
             self.urgent_until = now + URGENT_RELAY_MS;
         }
     }
 
-    fn urgent_messages(&mut self, now: Millis, peers: &[&Member]) -> Vec<Letter> {
+    fn urgent_messages(&mut self, now: Millis, peers: &[&Member]) -> Vec<Message> {
         let mut messages = Vec::new();
         for _ in 0..URGENT_PEERS {
             let peer = peers[self.rng.random_range(0..peers.len())];
-            let payload = self.disseminator.said(now, MAX_URGENT_BYTES);
-            messages.extend(payload.map(|payload| (peer.at, payload)));
+            let payload = self.disseminator.next_payload(now, MAX_URGENT_BYTES);
+            messages.extend(payload.map(|payload| Message::new(peer.address, payload)));
         }
         messages
     }
@@ -208,14 +208,18 @@
 }
 
 /// A peer's report on a dependency with the ages of now, if it has one.
-fn peer_report(now: Millis, received: &Heard<NodeHealth>, dependency: &str) -> Option<PeerReport> {
-    let reports = &received.word.reports;
+fn peer_report(
+    now: Millis,
+    received: &Received<NodeHealth>,
+    dependency: &str,
+) -> Option<PeerReport> {
+    let reports = &received.value.reports;
     let report = reports
         .iter()
         .find(|report| report.dependency == dependency)?;
-    let age_ms = now.saturating_sub(received.at);
+    let age_ms = now.saturating_sub(received.sent_at);
     Some(PeerReport {
-        peer: peer_id(&received.word.origin),
+        peer: peer_id(&received.value.origin),
         state: report.state,
         failures: u32::from(report.failures),
         calls: u32::from(report.calls),
@@ -226,36 +230,36 @@
     })
 }
 
-fn peer_row(now: Millis, received: &Heard<NodeHealth>, report: &HealthReport) -> DependencyRow {
+fn peer_row(now: Millis, received: &Received<NodeHealth>, report: &HealthReport) -> DependencyRow {
     DependencyRow {
         dependency: report.dependency.clone(),
-        server: received.word.origin.name.clone(),
+        server: received.value.origin.name.clone(),
         state: report.state,
         failures: u32::from(report.failures),
         calls: u32::from(report.calls),
-        age_ms: now.saturating_sub(received.at) + Millis::from(report.since_call_ms),
+        age_ms: now.saturating_sub(received.sent_at) + Millis::from(report.since_call_ms),
     }
 }
 
-impl Rider for SharedHealth {
-    fn said(&mut self, now: Millis, max_bytes: usize) -> Option<Vec<u8>> {
+impl GossipExtension for SharedHealth {
+    fn next_gossip(&mut self, now: Millis, max_bytes: usize) -> Option<Vec<u8>> {
         if self.dependencies.is_empty() {
             return None;
         }
-        self.disseminator.said(now, max_bytes)
+        self.disseminator.next_payload(now, max_bytes)
     }
 
-    fn heard(&mut self, now: Millis, own: &Member, payload: &[u8]) {
+    fn handle_gossip(&mut self, now: Millis, own: &Member, payload: &[u8]) {
         self.receive(now, own, payload);
     }
 
-    fn letter(&mut self, now: Millis, _from: &Member, payload: &[u8]) -> Vec<Letter> {
+    fn handle_message(&mut self, now: Millis, _from: &Member, payload: &[u8]) -> Vec<Message> {
         let own = self.own.clone();
         self.receive(now, &own, payload);
         Vec::new()
     }
 
-    fn tick(&mut self, now: Millis, view: &View<'_>) -> Vec<Letter> {
+    fn tick(&mut self, now: Millis, view: &MembershipView<'_>) -> Vec<Message> {
         self.own = view.own.clone();
         self.current_peers = view.current.iter().copied().cloned().collect();
         if self.dependencies.is_empty() {
@@ -263,7 +267,7 @@
         }
         if now >= self.next_report_at {
             self.next_report_at = now + REPORT_INTERVAL_MS;
-            self.disseminator.forget(now);
+            self.disseminator.expire(now);
             self.renew_report(now);
         }
         let is_urgent = now < self.urgent_until && now >= self.next_urgent_at;
--- a/crates/coralstep-shared-health/tests/golden.rs
+++ b/crates/coralstep-shared-health/tests/golden.rs
@@ -1,8 +1,8 @@
 //! The bytes between servers about their dependencies, held still by the files under `tests/golden`.
 //! `GOLDEN_WRITE=1` writes these anew.
 use coralstep_fleet::Member;
-use coralstep_fleet::rider::Rider;
-use coralstep_fleet::spread::Spread;
+use coralstep_fleet::extension::GossipExtension;
+use coralstep_fleet::gossip::Disseminator;
 use coralstep_shared_health::report::{BreakerState, HealthReport, NodeHealth};
 use coralstep_shared_health::{SharedHealth, SharingConfig};
 
@@ -81,21 +81,21 @@
 #[test]
 fn health_reports_keep_their_bytes() {
     let [own, passed] = node_reports();
-    let mut spread = Spread::<NodeHealth>::default();
-    spread.heard(
+    let mut spread = Disseminator::<NodeHealth>::default();
+    spread.receive(
         100_000,
         &own.origin,
         &postcard::to_allocvec(&vec![(passed.clone(), 200u32)]).unwrap(),
     );
-    spread.own(own.clone());
-    let bytes = golden_bytes("words.hex", &spread.said(100_100, 1_000).unwrap());
+    spread.set_own(own.clone());
+    let bytes = golden_bytes("words.hex", &spread.next_payload(100_100, 1_000).unwrap());
     assert_eq!(
         postcard::from_bytes(&bytes),
         Ok(vec![(own.clone(), 0u32), (passed.clone(), 300)])
     );
-    let nobody = Member::new("x", own.origin.at, 1);
+    let nobody = Member::new("x", own.origin.address, 1);
     assert_eq!(
-        Spread::<NodeHealth>::default().heard(200_000, &nobody, &bytes),
+        Disseminator::<NodeHealth>::default().receive(200_000, &nobody, &bytes),
         [own, passed]
     );
 }
@@ -103,9 +103,9 @@
 /// Guards against JSON keys or states that are renamed with the code: operators' tools read these.
 #[test]
 fn rows_keep_their_json_keys() {
-    let own = Member::new("x", node_reports()[0].origin.at, 1);
+    let own = Member::new("x", node_reports()[0].origin.address, 1);
     let mut shared_health = SharedHealth::new(&own, SharingConfig::default(), 7);
-    shared_health.heard(
+    shared_health.handle_gossip(
         100_000,
         &own,
         &postcard::to_allocvec(&node_reports().map(|node| (node, 200u32)).to_vec()).unwrap(),
--- a/crates/coralstep-state/src/fingerprint.rs
+++ b/crates/coralstep-state/src/fingerprint.rs
@@ -1,5 +1,5 @@
 //! The configuration under which a snapshot was learned, and what of the snapshot still applies under another one.
-use coralstep::Learned;
+use coralstep::LearnedState;
 
 /// The parts of a server's configuration that decide whether a snapshot applies to it.
 #[derive(Clone, Debug, PartialEq)]
@@ -21,25 +21,25 @@
 /// Methods and tenants are matched by name. The concurrency limit holds only for the same cores, and what was learned of
 /// calls only for the same share of the dependency.
 pub fn applicable_part(
-    learned: &Learned,
+    learned: &LearnedState,
     learned_under: &Fingerprint,
     current: &Fingerprint,
-) -> Option<Learned> {
+) -> Option<LearnedState> {
     if learned_under.server != current.server {
         return None;
     }
-    let mut applicable = Learned {
-        runs: reorder(&learned.runs, &learned_under.methods, &current.methods),
+    let mut applicable = LearnedState {
+        run_times: reorder(&learned.run_times, &learned_under.methods, &current.methods),
         tenants: reorder(&learned.tenants, &learned_under.tenants, &current.tenants),
         ..learned.clone()
     };
     if learned_under.cores != current.cores {
-        applicable.limit = None;
+        applicable.concurrency_limit = None;
     }
     if learned_under.dependency_share != current.dependency_share {
-        applicable.permits = None;
-        applicable.best = None;
-        applicable.calls = Default::default();
+        applicable.call_permits = None;
+        applicable.best_call_time = None;
+        applicable.call_times = Default::default();
     }
     Some(applicable)
 }
--- a/crates/coralstep-state/src/fingerprint/tests.rs
+++ b/crates/coralstep-state/src/fingerprint/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-fn learned() -> Learned {
-    Learned {
-        runs: vec![[1; 12], [2; 12]],
-        calls: [3; 12],
-        limit: Some(5),
-        permits: Some(4.0),
-        best: Some(90),
+fn learned() -> LearnedState {
+    LearnedState {
+        run_times: vec![[1; 12], [2; 12]],
+        call_times: [3; 12],
+        concurrency_limit: Some(5),
+        call_permits: Some(4.0),
+        best_call_time: Some(90),
         tenants: vec![[9.0, 8.0]],
     }
 }
@@ -29,20 +29,28 @@
         methods: vec!["pay".to_owned(), "new".to_owned()],
         ..fingerprint()
     };
-    assert_eq!(applicable(&renamed).unwrap().runs, [[2; 12], [0; 12]]);
+    assert_eq!(applicable(&renamed).unwrap().run_times, [[2; 12], [0; 12]]);
     let fewer_cores = Fingerprint {
         cores: 2,
         ..fingerprint()
     };
     let half = applicable(&fewer_cores).unwrap();
-    assert_eq!((half.limit, half.permits), (None, Some(4.0)));
+    assert_eq!(
+        (half.concurrency_limit, half.call_permits),
+        (None, Some(4.0))
+    );
     let other_share = Fingerprint {
         dependency_share: Some(9.0),
         ..fingerprint()
     };
     let other = applicable(&other_share).unwrap();
     assert_eq!(
-        (other.limit, other.permits, other.best, other.calls),
+        (
+            other.concurrency_limit,
+            other.call_permits,
+            other.best_call_time,
+            other.call_times
+        ),
         (Some(5), None, None, [0; 12])
     );
     let other_server = Fingerprint {
--- a/crates/coralstep-state/src/snapshot.rs
+++ b/crates/coralstep-state/src/snapshot.rs
@@ -5,7 +5,7 @@
 //! overwritten.
 use std::io;
 
-use coralstep::Learned;
+use coralstep::LearnedState;
 
 use crate::confidence;
 use crate::fingerprint::{Fingerprint, applicable_part};
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RestoredState {
     /// The part that applies under the current configuration.
-    pub learned: Learned,
+    pub learned: LearnedState,
     /// From 0 for none to 1 for complete confidence.
     pub confidence: f64,
 }
@@ -162,7 +162,7 @@
 /// A [`SaveError`]; the generation to be replaced is still in place then, unless the very last step failed.
 pub fn save(
     storage: &mut impl Storage,
-    learned: &Learned,
+    learned: &LearnedState,
     learned_under: &Fingerprint,
     sequence_number: u64,
     now_s: u64,
--- a/crates/coralstep-state/src/snapshot/format.rs
+++ b/crates/coralstep-state/src/snapshot/format.rs
@@ -1,6 +1,6 @@
 //! The bytes of a snapshot. The order of fields is the format, as postcard encodes by position; the JSON keys are what
 //! operators' tools read of an export.
-use coralstep::Learned;
+use coralstep::LearnedState;
 use serde::{Deserialize, Serialize};
 
 use super::{Corruption, FORMAT_VERSION, SnapshotError};
@@ -67,7 +67,7 @@
 
 impl Stored {
     pub(super) fn new(
-        learned: &Learned,
+        learned: &LearnedState,
         learned_under: &Fingerprint,
         sequence_number: u64,
         written_at_s: u64,
@@ -85,11 +85,11 @@
             cores: learned_under.cores,
             methods: learned_under.methods.clone(),
             dependency_share: learned_under.dependency_share,
-            run_times: learned.runs.clone(),
-            call_times: learned.calls,
-            concurrency_limit: learned.limit,
-            call_permits: learned.permits,
-            best_call_time: learned.best,
+            run_times: learned.run_times.clone(),
+            call_times: learned.call_times,
+            concurrency_limit: learned.concurrency_limit,
+            call_permits: learned.call_permits,
+            best_call_time: learned.best_call_time,
         };
         Stored { base, tenants }
     }
@@ -110,14 +110,14 @@
         }
     }
 
-    pub(super) fn learned(&self) -> Learned {
+    pub(super) fn learned(&self) -> LearnedState {
         let base = &self.base;
-        Learned {
-            runs: base.run_times.clone(),
-            calls: base.call_times,
-            limit: base.concurrency_limit,
-            permits: base.call_permits,
-            best: base.best_call_time,
+        LearnedState {
+            run_times: base.run_times.clone(),
+            call_times: base.call_times,
+            concurrency_limit: base.concurrency_limit,
+            call_permits: base.call_permits,
+            best_call_time: base.best_call_time,
             tenants: self.tenants.iter().map(|tenant| tenant.1).collect(),
         }
     }
--- a/crates/coralstep-state/src/snapshot/tests.rs
+++ b/crates/coralstep-state/src/snapshot/tests.rs
@@ -13,13 +13,13 @@
     }
 }
 
-fn learned(limit: u32) -> Learned {
-    Learned {
-        runs: vec![[7; 12]],
-        calls: [1; 12],
-        limit: Some(limit),
-        permits: Some(3.5),
-        best: Some(90),
+fn learned(limit: u32) -> LearnedState {
+    LearnedState {
+        run_times: vec![[7; 12]],
+        call_times: [1; 12],
+        concurrency_limit: Some(limit),
+        call_permits: Some(3.5),
+        best_call_time: Some(90),
         tenants: vec![[4.0, 2.0]],
     }
 }
@@ -44,7 +44,7 @@
     loaded
         .restored
         .as_ref()
-        .and_then(|restored| restored.learned.limit)
+        .and_then(|restored| restored.learned.concurrency_limit)
 }
 
 #[test]
@@ -203,7 +203,7 @@
     let restored = load(&storage, &fingerprint(), 110).restored.unwrap();
     let read = restored.learned;
     assert_eq!(
-        (read.limit, read.runs, read.tenants),
+        (read.concurrency_limit, read.run_times, read.tenants),
         (Some(5), vec![[7; 12]], vec![[0.0; 2]])
     );
     let mut later = framing::file_header(FileKind::Learned, FORMAT_VERSION + 1);
--- a/crates/coralstep-state/tests/golden.rs
+++ b/crates/coralstep-state/tests/golden.rs
@@ -2,8 +2,8 @@
 //! anew, in one thread (`--test-threads=1`), since other tests read them.
 use std::path::{Path, PathBuf};
 
-use coralstep::Learned;
-use coralstep_fleet::{Fleet, FleetTerms, Id, Member};
+use coralstep::LearnedState;
+use coralstep_fleet::{Fleet, FleetConfig, Member, VersionId};
 use coralstep_state::confidence;
 use coralstep_state::faulty_storage::FaultyStorage;
 use coralstep_state::fingerprint::Fingerprint;
@@ -73,24 +73,24 @@
     }
 }
 
-fn learned(limit: u32) -> Learned {
-    Learned {
-        runs: (0..3)
+fn learned(limit: u32) -> LearnedState {
+    LearnedState {
+        run_times: (0..3)
             .map(|method| std::array::from_fn(|bin| (method * 12 + bin as u32) * 131))
             .collect(),
-        calls: std::array::from_fn(|bin| 1 << (bin * 2)),
-        limit: Some(limit),
-        permits: Some(3.625),
-        best: Some((1 << 33) + 7),
+        call_times: std::array::from_fn(|bin| 1 << (bin * 2)),
+        concurrency_limit: Some(limit),
+        call_permits: Some(3.625),
+        best_call_time: Some((1 << 33) + 7),
         tenants: vec![[4096.5, 2048.25], [1.0e9, 0.0]],
     }
 }
 
-fn nothing_optional() -> (Learned, Fingerprint) {
-    let learned = Learned {
-        limit: None,
-        permits: None,
-        best: None,
+fn nothing_optional() -> (LearnedState, Fingerprint) {
+    let learned = LearnedState {
+        concurrency_limit: None,
+        call_permits: None,
+        best_call_time: None,
         ..learned(0)
     };
     (
@@ -103,7 +103,7 @@
 }
 
 fn fleet() -> Fleet {
-    let terms = FleetTerms {
+    let terms = FleetConfig {
         name: "alps".to_owned(),
         own: Member::new(
             "server-17.alps",
@@ -111,16 +111,16 @@
             1_790_000_000_123,
         ),
         peers: Vec::new(),
-        behind: 10_000,
-        silent: 10_000,
-        silent_shuts: false,
+        max_lag: 10_000,
+        max_silence: 10_000,
+        exclude_when_isolated: false,
         seed: 7,
     };
     Fleet::new(terms, 0, WRITTEN_S[0] * 1_000)
 }
 
 /// The version that a server acts on after it published and took two, and its record of the earlier ones.
-fn fleet_record() -> (FleetRecord, Id) {
+fn fleet_record() -> (FleetRecord, VersionId) {
     let mut fleet = fleet();
     for second in 1..=2 {
         let (now, wall_ms) = (second * 1_000, (WRITTEN_S[0] + second) * 1_000);
@@ -129,15 +129,15 @@
         let id = fleet
             .publish(now, wall_ms, content, second == 2, vec![0.25, 1.0], 70_000)
             .unwrap();
-        fleet.took(now, wall_ms, id);
+        fleet.activate(now, wall_ms, id);
     }
-    let (acts_on, entries) = fleet.record();
+    let (active_version, history) = fleet.snapshot();
     (
         FleetRecord {
-            active_version: acts_on,
-            history: entries,
+            active_version,
+            history,
         },
-        fleet.acts_on(),
+        fleet.active_version(),
     )
 }
 
@@ -207,7 +207,7 @@
     write_journal(files)
 }
 
-fn believed(learned: Learned, written_s: u64, number: u64) -> LoadedSnapshots {
+fn believed(learned: LearnedState, written_s: u64, number: u64) -> LoadedSnapshots {
     let confidence = confidence::from_age((NOW_S - written_s) as f64);
     LoadedSnapshots {
         restored: Some(RestoredState {
@@ -263,7 +263,7 @@
     );
     // Its chain of entries hangs together, else there were an event.
     assert_eq!(
-        (restarted.events(), restarted.record().1),
+        (restarted.take_events(), restarted.snapshot().1),
         (Vec::new(), expected.history)
     );
     // The older generation counts where the newer one is gone.
@@ -304,7 +304,7 @@
 #[test]
 fn a_snapshot_of_version_1_is_believed_without_tenants() {
     let (_copied, folder) = Copied::new("version_1", "version_1");
-    let expected = Learned {
+    let expected = LearnedState {
         tenants: vec![[0.0; 2]; 2],
         ..learned(300)
     };
