--- a/crates/coralstep-shared-health/src/aggregate.rs
+++ b/crates/coralstep-shared-health/src/aggregate.rs
@@ -1,5 +1,5 @@
-//! What a breaker may conclude from the peer reports of one dependency: how many outcomes of its own it needs, when its
-//! next probe call is, and whether its cooldown ends sooner.
+//! What a breaker may conclude from the peer reports of one dependency: how many outcomes of its
+//! own it needs, when its next probe call is, and whether its cooldown ends sooner.
 //!
 //! Each peer counts once, and no peer alone opens or closes anything.
 use coralstep_fleet::Millis;
@@ -12,7 +12,8 @@
 
 /// Outcomes of its own that a breaker looks at when there are no peer reports.
 pub const WINDOW_OUTCOMES: u32 = 20;
-/// Outcomes of its own that a breaker needs whatever peers report: the first failure never opens it.
+/// Outcomes of its own that a breaker needs whatever peers report: the first failure never opens
+/// it.
 pub const MIN_OUTCOMES: u32 = 2;
 /// Informed peers without which the number of outcomes stays at [`WINDOW_OUTCOMES`].
 pub const MIN_INFORMED_PEERS: usize = 2;
@@ -23,8 +24,9 @@
 pub const FLEET_PROBES_PER_SECOND: f64 = 1.2;
 /// Shortest time between two probe calls of one server, in ms.
 pub const MIN_PROBE_INTERVAL_MS: Millis = 750;
-/// While peers are open, too, a cooldown is always this far from its end and up to half as far again, in ms, until the
-/// server's turn comes: a rejected caller is told to retry after no more than that.
+/// While peers are open, too, a cooldown is always this far from its end and up to half as far
+/// again, in ms, until the server's turn comes: a rejected caller is told to retry after no more
+/// than that.
 pub const HELD_COOLDOWN_MS: Millis = 2_000;
 /// Longest time that counts towards the probability of a turn, in ms.
 const MAX_PROBE_SPAN_MS: Millis = 1_000;
@@ -97,7 +99,8 @@
         }
     }
 
-    /// Advises the breaker, which is in `state`, by the reports of current peers, of which each has one.
+    /// Advises the breaker, which is in `state`, by the reports of current peers, of which each has
+    /// one.
     pub fn advise(
         &mut self,
         now: Millis,
@@ -130,10 +133,11 @@
         advice
     }
 
-    /// What is left of the cooldown while peers are open, too: nothing if the server's turn for a probe call has come.
+    /// What is left of the cooldown while peers are open, too: nothing if the server's turn for a
+    /// probe call has come.
     ///
-    /// Turns are drawn without memory by how many are open now, so that a server that dies with its turn takes none from
-    /// the others, and servers need not agree on anything.
+    /// Turns are drawn without memory by how many are open now, so that a server that dies with its
+    /// turn takes none from the others, and servers need not agree on anything.
     fn held_cooldown(&mut self, now: Millis, elapsed_ms: Millis, peers: PeerCounts) -> Millis {
         if now >= self.open_since + MIN_PROBE_INTERVAL_MS {
             let open_servers = (peers.open + 1) as f64;
@@ -148,7 +152,8 @@
 
     /// What is left of the cooldown if it ends in this step after a recovery.
     ///
-    /// Guards against all servers calling at once, which would overload a dependency that has just recovered.
+    /// Guards against all servers calling at once, which would overload a dependency that has just
+    /// recovered.
     fn recovery_step(
         &mut self,
         now: Millis,
@@ -185,7 +190,8 @@
             .collect()
     }
 
-    /// Follows the breaker from state to state: its own probe call shows whether a report of recovery was true.
+    /// Follows the breaker from state to state: its own probe call shows whether a report of
+    /// recovery was true.
     fn track_state(&mut self, now: Millis, state: BreakerState) {
         self.distrusted_peers.retain(|of| now < of.until_ms);
         let previous = std::mem::replace(&mut self.last_state, state);
@@ -203,8 +209,8 @@
         }
     }
 
-    /// Guards against a peer that reports recovery whatever it sees. Many peers may have told the truth of a moment, so
-    /// only few are distrusted.
+    /// Guards against a peer that reports recovery whatever it sees. Many peers may have told the
+    /// truth of a moment, so only few are distrusted.
     fn distrust_believed_peers(&mut self, now: Millis) {
         let believed = std::mem::take(&mut self.believed_peers);
         if believed.len() > MIN_INFORMED_PEERS {
@@ -218,7 +224,8 @@
     }
 }
 
-/// How many outcomes of its own a breaker needs: fewer, the larger the part of the informed peers that report failure.
+/// How many outcomes of its own a breaker needs: fewer, the larger the part of the informed peers
+/// that report failure.
 fn min_outcomes(peers: PeerCounts) -> u32 {
     let failing_part = peers.failing_part();
     if peers.informed < MIN_INFORMED_PEERS || failing_part < MIN_FAILING_PART {
--- a/crates/coralstep-shared-health/src/dependency.rs
+++ b/crates/coralstep-shared-health/src/dependency.rs
@@ -1,4 +1,5 @@
-//! One dependency as this server sees it: its own health, the aggregator of peer reports, the source of a fault.
+//! One dependency as this server sees it: its own health, the aggregator of peer reports, the
+//! source of a fault.
 use coralstep_fleet::{Member, Millis};
 
 use crate::aggregate::Aggregator;
--- a/crates/coralstep-shared-health/src/operator_view.rs
+++ b/crates/coralstep-shared-health/src/operator_view.rs
@@ -1,5 +1,5 @@
-//! What operators see of shared health: a row for each server and dependency, and an event when the source of a fault
-//! changes.
+//! What operators see of shared health: a row for each server and dependency, and an event when the
+//! source of a fault changes.
 use std::fmt;
 
 use coralstep_fleet::Millis;
--- a/crates/coralstep-shared-health/src/report.rs
+++ b/crates/coralstep-shared-health/src/report.rs
@@ -1,4 +1,5 @@
-//! What a server reports of its dependencies: the state of its own breaker and its own calls, with their ages.
+//! What a server reports of its dependencies: the state of its own breaker and its own calls, with
+//! their ages.
 //!
 //! The order of fields and variants is the wire format, as postcard encodes by position.
 use coralstep_fleet::gossip::Gossip;
--- a/crates/coralstep-shared-health/src/shared_health.rs
+++ b/crates/coralstep-shared-health/src/shared_health.rs
@@ -1,5 +1,6 @@
-//! The exchange of health reports as an extension of the fleet's gossip. What this server's breakers see is reported to
-//! all, at once while something changes; what peers report is aggregated for each dependency by its name.
+//! The exchange of health reports as an extension of the fleet's gossip. What this server's
+//! breakers see is reported to all, at once while something changes; what peers report is
+//! aggregated for each dependency by its name.
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
--- a/crates/coralstep-shared-health/tests/golden.rs
+++ b/crates/coralstep-shared-health/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes between servers about their dependencies, held still by the files under `tests/golden`.
-//! `GOLDEN_WRITE=1` writes these anew.
+//! The bytes between servers about their dependencies, held still by the files under
+//! `tests/golden`. `GOLDEN_WRITE=1` writes these anew.
 use coralstep_fleet::Member;
 use coralstep_fleet::extension::GossipExtension;
 use coralstep_fleet::gossip::Disseminator;
@@ -77,7 +77,8 @@
     ]
 }
 
-/// Guards against a breaker's state or a field whose place changes: servers of two releases would misread it.
+/// Guards against a breaker's state or a field whose place changes: servers of two releases would
+/// misread it.
 #[test]
 fn health_reports_keep_their_bytes() {
     let [own, passed] = node_reports();
--- a/crates/coralstep-state/src/background.rs
+++ b/crates/coralstep-state/src/background.rs
@@ -1,7 +1,8 @@
 //! Budgeted background work beside serving: snapshots, compaction, expiry, reports.
 //!
-//! Each task has a weight, and all share a budget of time, CPU and bytes a second. While serving is busy the budget shrinks
-//! to a stated minimum, so that nothing starves. No I/O and no clock: the caller passes the time and does the steps.
+//! Each task has a weight, and all share a budget of time, CPU and bytes a second. While serving is
+//! busy the budget shrinks to a stated minimum, so that nothing starves. No I/O and no clock: the
+//! caller passes the time and does the steps.
 
 /// What a step of a task costs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -122,7 +123,8 @@
         task.waiting_since_ms.get_or_insert(now_ms);
     }
 
-    /// Returns the task that may do its step now. `utilization`: part of the cores that serving uses, 0 to 1.
+    /// Returns the task that may do its step now. `utilization`: part of the cores that serving
+    /// uses, 0 to 1.
     pub fn next_step(&mut self, now_ms: f64, utilization: f64) -> Option<&'static str> {
         self.refill(now_ms, utilization);
         // A step larger than all that is ever saved goes into debt, or it would never come.
--- a/crates/coralstep-state/src/faulty_storage.rs
+++ b/crates/coralstep-state/src/faulty_storage.rs
@@ -1,8 +1,9 @@
 //! A directory in memory that fails as real ones do, for tests.
 //!
-//! Nothing that was written is durable until it is synced: at a power cut each write since then is kept, torn or lost at
-//! random, also a later one without an earlier one. A new or changed name is durable only once the directory was synced.
-//! Syncs may lie, space may run out, and any operation may fail.
+//! Nothing that was written is durable until it is synced: at a power cut each write since then is
+//! kept, torn or lost at random, also a later one without an earlier one. A new or changed name is
+//! durable only once the directory was synced. Syncs may lie, space may run out, and any operation
+//! may fail.
 use std::collections::BTreeMap;
 use std::io;
 
@@ -109,7 +110,8 @@
         }
     }
 
-    /// Returns what is left after a power cut now, drawn by `seed`, with the faults that hold from then on.
+    /// Returns what is left after a power cut now, drawn by `seed`, with the faults that hold from
+    /// then on.
     pub fn after_power_cut(&self, seed: u64, faults: Faults) -> FaultyStorage {
         let mut rng = SmallRng::seed_from_u64(seed);
         // Changes of names become durable in their order, but the last of them may be missing.
@@ -133,7 +135,8 @@
         }
     }
 
-    /// Changes the contents of a file as a faulty disk would; nothing happens if there is no such file.
+    /// Changes the contents of a file as a faulty disk would; nothing happens if there is no such
+    /// file.
     pub fn corrupt(&mut self, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
         if let Ok(inode) = self.inode_mut(name) {
             let mut contents = inode.contents();
--- a/crates/coralstep-state/src/fingerprint.rs
+++ b/crates/coralstep-state/src/fingerprint.rs
@@ -1,4 +1,5 @@
-//! The configuration under which a snapshot was learned, and what of the snapshot still applies under another one.
+//! The configuration under which a snapshot was learned, and what of the snapshot still applies
+//! under another one.
 use coralstep::LearnedState;
 
 /// The parts of a server's configuration that decide whether a snapshot applies to it.
@@ -16,10 +17,11 @@
     pub tenants: Vec<String>,
 }
 
-/// Returns the part of `learned` that still applies under `current`, or `None` if it is another server's.
+/// Returns the part of `learned` that still applies under `current`, or `None` if it is another
+/// server's.
 ///
-/// Methods and tenants are matched by name. The concurrency limit holds only for the same cores, and what was learned of
-/// calls only for the same share of the dependency.
+/// Methods and tenants are matched by name. The concurrency limit holds only for the same cores,
+/// and what was learned of calls only for the same share of the dependency.
 pub fn applicable_part(
     learned: &LearnedState,
     learned_under: &Fingerprint,
@@ -44,7 +46,8 @@
     Some(applicable)
 }
 
-/// Brings values from the order of `old_names` into that of `new_names`; a new name has the default value.
+/// Brings values from the order of `old_names` into that of `new_names`; a new name has the default
+/// value.
 fn reorder<T: Copy + Default>(values: &[T], old_names: &[String], new_names: &[String]) -> Vec<T> {
     let value_of = |name: &String| {
         let index = old_names.iter().position(|old| old == name)?;
--- a/crates/coralstep-state/src/fleet_record.rs
+++ b/crates/coralstep-state/src/fleet_record.rs
@@ -1,5 +1,6 @@
-//! The configuration version that a server acts on and the history of the earlier ones, in one file that is replaced at
-//! each change. The payloads are opaque here; a corrupt file is not believed at all.
+//! The configuration version that a server acts on and the history of the earlier ones, in one file
+//! that is replaced at each change. The payloads are opaque here; a corrupt file is not believed at
+//! all.
 use std::io;
 
 use crate::framing::{self, FileKind, HEADER_BYTES};
@@ -29,11 +30,13 @@
     pub corrupt_bytes: usize,
 }
 
-/// Writes the record beside the old one and renames it into place: at any moment one of them is complete.
+/// Writes the record beside the old one and renames it into place: at any moment one of them is
+/// complete.
 ///
 /// # Errors
 ///
-/// The [`StorageError`] of the step that failed; the old record is still in place then, unless the last step failed.
+/// The [`StorageError`] of the step that failed; the old record is still in place then, unless the
+/// last step failed.
 pub fn save(storage: &mut impl Storage, record: &FleetRecord) -> Result<(), StorageError> {
     let mut bytes = framing::file_header(FileKind::Fleet, FORMAT_VERSION);
     framing::append_record(&mut bytes, &record.active_version);
@@ -67,7 +70,8 @@
         .split_first()
         .filter(|_| scanned.corrupt_bytes == 0)
     else {
-        // The active version comes first; once bytes are missing nobody can tell which of the rest it was.
+        // The active version comes first; once bytes are missing nobody can tell which of the rest
+        // it was.
         return Ok(Some(LoadedFleetRecord {
             record: FleetRecord::default(),
             corrupt_bytes: scanned.corrupt_bytes.max(1),
--- a/crates/coralstep-state/src/framing.rs
+++ b/crates/coralstep-state/src/framing.rs
@@ -1,5 +1,6 @@
-//! Framing of files and records: each file begins with a magic number, its kind and its format version, and each record
-//! is wrapped in a marker, its length and a checksum. Bytes that do not add up belong to no record.
+//! Framing of files and records: each file begins with a magic number, its kind and its format
+//! version, and each record is wrapped in a marker, its length and a checksum. Bytes that do not
+//! add up belong to no record.
 
 /// The first bytes of every file.
 pub const MAGIC: &[u8; 8] = b"CORALST\n";
@@ -51,7 +52,8 @@
     bytes
 }
 
-/// Returns the format version of a file of this kind, or `None` if its header is not one of this kind.
+/// Returns the format version of a file of this kind, or `None` if its header is not one of this
+/// kind.
 pub fn read_version(file: &[u8], kind: FileKind) -> Option<u16> {
     let rest = file.strip_prefix(MAGIC)?;
     let (stated_kind, rest) = rest.split_first()?;
--- a/crates/coralstep-state/src/framing/tests.rs
+++ b/crates/coralstep-state/src/framing/tests.rs
@@ -30,7 +30,9 @@
     }
 
     #[test]
-    fn records_before_a_cut_are_complete(payloads in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..20), 1..5)) {
+    fn records_before_a_cut_are_complete(
+        payloads in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..20), 1..5),
+    ) {
         let (mut bytes, mut ends) = (Vec::new(), Vec::new());
         for payload in &payloads {
             append_record(&mut bytes, payload);
@@ -57,7 +59,8 @@
     assert!((0..HEADER_BYTES).all(|cut| read_version(&bytes[..cut], FileKind::Tokens).is_none()));
 }
 
-/// Guards against a marker, length, checksum or header of another order or width, which every file begins with.
+/// Guards against a marker, length, checksum or header of another order or width, which every file
+/// begins with.
 #[test]
 fn headers_and_records_keep_their_bytes() {
     let all = [
--- a/crates/coralstep-state/src/snapshot.rs
+++ b/crates/coralstep-state/src/snapshot.rs
@@ -1,8 +1,8 @@
 //! Snapshots of what the scheduler learned, in two generations.
 //!
-//! A new snapshot is written to a temporary file, synced and renamed over the older generation, and the directory is
-//! synced: at any moment one complete snapshot is there. Files of a later format version or of another server are never
-//! overwritten.
+//! A new snapshot is written to a temporary file, synced and renamed over the older generation, and
+//! the directory is synced: at any moment one complete snapshot is there. Files of a later format
+//! version or of another server are never overwritten.
 use std::io;
 
 use coralstep::LearnedState;
@@ -124,7 +124,8 @@
     pub rejected: Vec<RejectedSnapshot>,
 }
 
-/// Reads all generations and restores the newest one that is believed under the `current` configuration.
+/// Reads all generations and restores the newest one that is believed under the `current`
+/// configuration.
 ///
 /// `now_s`: seconds since the Unix epoch.
 pub fn load(storage: &impl Storage, current: &Fingerprint, now_s: u64) -> LoadedSnapshots {
@@ -152,14 +153,15 @@
     loaded
 }
 
-/// Writes a snapshot in place of the older or a corrupt generation, never of one of a later format version or of another
-/// server.
+/// Writes a snapshot in place of the older or a corrupt generation, never of one of a later format
+/// version or of another server.
 ///
 /// `sequence_number` has to be higher than all before; `now_s`: seconds since the Unix epoch.
 ///
 /// # Errors
 ///
-/// A [`SaveError`]; the generation to be replaced is still in place then, unless the very last step failed.
+/// A [`SaveError`]; the generation to be replaced is still in place then, unless the very last step
+/// failed.
 pub fn save(
     storage: &mut impl Storage,
     learned: &LearnedState,
@@ -207,7 +209,8 @@
     newest.is_none_or(|newest| stored.base.sequence_number > newest.base.sequence_number)
 }
 
-/// The oldest generation that may be overwritten; a missing or corrupt one counts as older than all.
+/// The oldest generation that may be overwritten; a missing or corrupt one counts as older than
+/// all.
 fn generation_to_replace(storage: &impl Storage, server: &str) -> Option<&'static str> {
     let age_order = |file: &&'static str| match read_generation(storage, file) {
         Ok(stored) if stored.base.server == server => Some(stored.base.sequence_number),
--- a/crates/coralstep-state/src/snapshot/format.rs
+++ b/crates/coralstep-state/src/snapshot/format.rs
@@ -1,5 +1,5 @@
-//! The bytes of a snapshot. The order of fields is the format, as postcard encodes by position; the JSON keys are what
-//! operators' tools read of an export.
+//! The bytes of a snapshot. The order of fields is the format, as postcard encodes by position; the
+//! JSON keys are what operators' tools read of an export.
 use coralstep::LearnedState;
 use serde::{Deserialize, Serialize};
 
--- a/crates/coralstep-state/src/snapshot/tests.rs
+++ b/crates/coralstep-state/src/snapshot/tests.rs
@@ -109,7 +109,8 @@
             }
             let after = storage.after_power_cut(seed, Faults::default());
             let loaded = load(&after, &fingerprint(), 130);
-            // At the most one window is lost: the one that was on its way; it may have come through, too.
+            // At the most one window is lost: the one that was on its way; it may have come
+            // through, too.
             let last = limit(&loaded).unwrap_or(0);
             assert!(
                 last == done || last == done + 1 || (done == 0 && last == 5),
@@ -252,7 +253,8 @@
     assert_eq!(limit(&load(&full, &fingerprint(), 120)), Some(5));
 }
 
-/// Guards against a version 1 that changes along with the current one: it is only read, never written any more.
+/// Guards against a version 1 that changes along with the current one: it is only read, never
+/// written any more.
 #[test]
 fn version_1_keeps_its_bytes() {
     let path = concat!(
--- a/crates/coralstep-state/src/storage.rs
+++ b/crates/coralstep-state/src/storage.rs
@@ -1,4 +1,5 @@
-//! The file system, as far as this crate needs it: whole files in one directory, written at their end only.
+//! The file system, as far as this crate needs it: whole files in one directory, written at their
+//! end only.
 use std::fmt;
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Read, Write};
@@ -7,8 +8,9 @@
 
 /// A flat directory of append-only files.
 ///
-/// What was appended is durable after [`Storage::sync`]; what was created, renamed or removed is durable after
-/// [`Storage::sync_directory`]. Every operation fails with a [`StorageError`] that names the operation and the file.
+/// What was appended is durable after [`Storage::sync`]; what was created, renamed or removed is
+/// durable after [`Storage::sync_directory`]. Every operation fails with a [`StorageError`] that
+/// names the operation and the file.
 #[allow(
     clippy::missing_errors_doc,
     reason = "the trait's documentation says it for all operations"
@@ -17,7 +19,8 @@
     /// Returns the names of all files in ascending order.
     fn list(&self) -> Result<Vec<String>, StorageError>;
 
-    /// Reads a whole file of at most `max_bytes` bytes; a longer one is a [`StorageError::TooLarge`].
+    /// Reads a whole file of at most `max_bytes` bytes; a longer one is a
+    /// [`StorageError::TooLarge`].
     fn read(&self, name: &str, max_bytes: usize) -> Result<Vec<u8>, StorageError>;
 
     /// Creates an empty file, in place of any file of this name.
@@ -123,7 +126,8 @@
         }
     }
 
-    /// Returns the kind of the underlying I/O error, for callers that tell a missing file or a full disk from the rest.
+    /// Returns the kind of the underlying I/O error, for callers that tell a missing file or a full
+    /// disk from the rest.
     pub fn kind(&self) -> io::ErrorKind {
         match self {
             StorageError::Locked { .. } => io::ErrorKind::WouldBlock,
@@ -158,8 +162,8 @@
     ///
     /// # Errors
     ///
-    /// [`StorageError::Locked`] if another process has the directory, [`StorageError::Io`] if it cannot be created or
-    /// written to.
+    /// [`StorageError::Locked`] if another process has the directory, [`StorageError::Io`] if it
+    /// cannot be created or written to.
     pub fn open(path: impl Into<PathBuf>) -> Result<DirStorage, StorageError> {
         let path = path.into();
         std::fs::create_dir_all(&path).map_err(|source| {
--- a/crates/coralstep-state/src/wal.rs
+++ b/crates/coralstep-state/src/wal.rs
@@ -1,11 +1,13 @@
 //! A write-ahead log of idempotency keys.
 //!
-//! A run under a key starts only once that is durable, and its outcome is recorded with a result of bounded length. After a
-//! restart a key never ran, ended with a known outcome, or nobody knows; in the last case it never runs again.
+//! A run under a key starts only once that is durable, and its outcome is recorded with a result of
+//! bounded length. After a restart a key never ran, ended with a known outcome, or nobody knows; in
+//! the last case it never runs again.
 //!
-//! Entries are committed in batches: [`WriteAheadLog::commit_due_ms`] says when, so that no run waits for longer than
-//! [`MAX_COMMIT_DELAY_MS`]. They go to segments, each of which is removed once all its keys have expired. A storage that
-//! fails or is full leaves the keys unprotected, which is reported as a [`WalEvent`]; it never blocks.
+//! Entries are committed in batches: [`WriteAheadLog::commit_due_ms`] says when, so that no run
+//! waits for longer than [`MAX_COMMIT_DELAY_MS`]. They go to segments, each of which is removed
+//! once all its keys have expired. A storage that fails or is full leaves the keys unprotected,
+//! which is reported as a [`WalEvent`]; it never blocks.
 use std::collections::VecDeque;
 
 use crate::framing;
@@ -29,7 +31,8 @@
 pub const MAX_BATCH_RECORDS: usize = 64;
 /// A new segment begins when the last one would be longer, in bytes.
 pub const MAX_SEGMENT_BYTES: usize = 4 << 20;
-/// Longest result that is kept, in bytes; a run with a longer one counts as ended without a known result.
+/// Longest result that is kept, in bytes; a run with a longer one counts as ended without a known
+/// result.
 pub const MAX_RESULT_BYTES: usize = 4 << 10;
 /// Longest idempotency key, in bytes.
 pub const MAX_KEY_BYTES: usize = 256;
@@ -148,7 +151,8 @@
         })
     }
 
-    /// Reads the next segment, one a call so that serving goes on meanwhile; returns whether there are more.
+    /// Reads the next segment, one a call so that serving goes on meanwhile; returns whether there
+    /// are more.
     pub fn recover(&mut self, now_ms: u64) -> bool {
         let Some(file) = self.unread.pop_front() else {
             return false;
@@ -160,7 +164,8 @@
                     self.maintain(now_ms);
                 }
             }
-            // Guards against a second run of a key whose entry cannot be read: nothing is promised any more.
+            // Guards against a second run of a key whose entry cannot be read: nothing is promised
+            // any more.
             Err(error) => self.lose_protection(error.into(), now_ms),
         }
         !self.is_recovered()
@@ -182,7 +187,8 @@
 
     /// Records that a run is about to start; it may once the next commit has succeeded.
     ///
-    /// Returns `false` and records nothing if keys are unprotected, the key is too long or recovery still reads.
+    /// Returns `false` and records nothing if keys are unprotected, the key is too long or recovery
+    /// still reads.
     pub fn record_start(&mut self, key: &[u8], expires_at_ms: u64, now_ms: u64) -> bool {
         if !self.is_protected() || key.len() > MAX_KEY_BYTES || !self.is_recovered() {
             return false;
@@ -218,8 +224,8 @@
     ///
     /// # Errors
     ///
-    /// A [`WalError`] if the entries are not durable: runs that wait for this commit must not start. Keys are unprotected
-    /// from then on.
+    /// A [`WalError`] if the entries are not durable: runs that wait for this commit must not
+    /// start. Keys are unprotected from then on.
     pub fn commit(&mut self, now_ms: u64) -> Result<(), WalError> {
         if self.batch.is_empty() {
             return Ok(());
@@ -232,7 +238,8 @@
         written
     }
 
-    /// Removes what has expired, and tries the storage again some time after a failure. To be called regularly.
+    /// Removes what has expired, and tries the storage again some time after a failure. To be
+    /// called regularly.
     pub fn maintain(&mut self, now_ms: u64) {
         self.index.remove_expired(now_ms);
         if self.is_recovered() {
@@ -282,7 +289,8 @@
         };
         match segment::parse_contents(bytes) {
             SegmentContents::Records(scanned) => {
-                // The end of the last segment may be torn by a power cut; the runs recorded there had not started.
+                // The end of the last segment may be torn by a power cut; the runs recorded there
+                // had not started.
                 if scanned.corrupt_bytes > 0 && !self.is_recovered() {
                     self.report_corrupt(file.name, scanned.corrupt_bytes);
                 }
--- a/crates/coralstep-state/src/wal/entry.rs
+++ b/crates/coralstep-state/src/wal/entry.rs
@@ -1,4 +1,5 @@
-//! One entry of the log. The order of variants and fields is the format, as postcard encodes by position.
+//! One entry of the log. The order of variants and fields is the format, as postcard encodes by
+//! position.
 use serde::{Deserialize, Serialize};
 
 use super::{MAX_RESULT_BYTES, Outcome};
--- a/crates/coralstep-state/src/wal/segment.rs
+++ b/crates/coralstep-state/src/wal/segment.rs
@@ -92,7 +92,8 @@
 
     /// Appends records that expire by `expires_at_ms` and makes them durable.
     ///
-    /// `force_new` begins a new segment: guards against records behind a torn one, which a failed write may have left.
+    /// `force_new` begins a new segment: guards against records behind a torn one, which a failed
+    /// write may have left.
     pub(super) fn append(
         &mut self,
         records: &[u8],
--- a/crates/coralstep-state/src/wal/tests.rs
+++ b/crates/coralstep-state/src/wal/tests.rs
@@ -2,7 +2,7 @@
 use crate::faulty_storage::{Faults, FaultyStorage};
 use crate::framing::FileKind;
 
-const WINDOW: u64 = 60_000;
+const WINDOW_MS: u64 = 60_000;
 
 fn open(storage: FaultyStorage, now_ms: u64) -> WriteAheadLog<FaultyStorage> {
     let mut log = WriteAheadLog::open(storage, 64 << 20).unwrap();
@@ -20,7 +20,7 @@
     end: Option<Outcome>,
     now_ms: u64,
 ) -> bool {
-    if !log.record_start(key, now_ms + WINDOW, now_ms) || log.commit(now_ms).is_err() {
+    if !log.record_start(key, now_ms + WINDOW_MS, now_ms) || log.commit(now_ms).is_err() {
         return false;
     }
     if let Some(end) = end {
@@ -48,7 +48,7 @@
         Some(Outcome::Succeeded(vec![1; MAX_RESULT_BYTES + 1])),
         10
     ));
-    let told = |log: &WriteAheadLog<FaultyStorage>, now: u64| {
+    let decisions = |log: &WriteAheadLog<FaultyStorage>, now: u64| {
         ["good", "bad", "never", "doubt", "long", "new"]
             .map(|key| log.replay_decision(key.as_bytes(), now))
     };
@@ -60,50 +60,50 @@
         ReplayDecision::Aborted,
         ReplayDecision::NotSeen,
     ];
-    assert_eq!(told(&log, 20), all);
+    assert_eq!(decisions(&log, 20), all);
     let again = open(log.into_storage().after_power_cut(1, Faults::default()), 20);
-    assert_eq!(told(&again, 20), all);
-    // Windows are over at some time.
+    assert_eq!(decisions(&again, 20), all);
+    // Keys expire.
     assert_eq!(
-        told(&again, 10 + WINDOW),
+        decisions(&again, 10 + WINDOW_MS),
         [const { ReplayDecision::NotSeen }; 6]
     );
 }
 
-/// A power cut at every operation, with every kind of loss: what ran is never told to be fresh.
+/// A power cut at every operation, with every kind of loss: a key that ran never counts as not seen.
 #[test]
 fn no_key_runs_twice_whenever_the_power_is_cut() {
     let play = |faults: Faults| {
         let mut log = WriteAheadLog::open(FaultyStorage::with_faults(faults), 64 << 20).unwrap();
-        // Tokens whose run began, and the results that were told.
-        let (mut ran, mut told) = (Vec::new(), Vec::new());
+        // Keys whose run started, and those whose result was committed.
+        let (mut started, mut committed) = (Vec::new(), Vec::new());
         for number in 0..4u8 {
             if !log.record_start(&[number], 100_000, 0) || log.commit(0).is_err() {
                 continue;
             }
-            ran.push(number);
+            started.push(number);
             log.record_outcome(&[number], Outcome::Succeeded(vec![number]), 0);
             if log.commit(0).is_ok() {
-                told.push(number);
+                committed.push(number);
             }
         }
-        (log.into_storage(), ran, told)
+        (log.into_storage(), started, committed)
     };
     let steps = play(Faults::default()).0.operations;
     assert!(steps > 15);
     for cut in 0..=steps {
         for seed in 0..60 {
-            let (storage, ran, told) = play(Faults {
+            let (storage, started, committed) = play(Faults {
                 power_cut_at: Some(cut),
                 ..Faults::default()
             });
             let log = open(storage.after_power_cut(seed, Faults::default()), 10);
-            for number in ran {
-                let verdict = log.replay_decision(&[number], 10);
-                assert_ne!(verdict, ReplayDecision::NotSeen, "{cut} {seed} {number}");
-                if told.contains(&number) {
+            for number in started {
+                let decision = log.replay_decision(&[number], 10);
+                assert_ne!(decision, ReplayDecision::NotSeen, "{cut} {seed} {number}");
+                if committed.contains(&number) {
                     assert_eq!(
-                        verdict,
+                        decision,
                         ReplayDecision::Replay(vec![number]),
                         "{cut} {seed} {number}"
                     );
@@ -145,7 +145,7 @@
     }
     let storage = log.storage_mut().list().unwrap();
     assert!(storage.len() >= 3, "{storage:?}");
-    // One whose record of the end stands in another segment than that of its beginning.
+    // A key whose outcome is in another segment than its start.
     assert!(log.record_start(b"straddles", 200_000, 3_000));
     log.commit(3_000).unwrap();
     for number in 0..1_200u32 {
@@ -279,6 +279,6 @@
         again.replay_decision(&9u32.to_le_bytes(), 10),
         ReplayDecision::Replay(result)
     );
-    again.maintain(WINDOW * 2);
+    again.maintain(WINDOW_MS * 2);
     assert!(again.storage_mut().list().unwrap().contains(&later));
 }
--- a/crates/coralstep-state/tests/golden.rs
+++ b/crates/coralstep-state/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes of a state folder, held still by the files under `tests/golden`. `GOLDEN_WRITE=1` writes these
-//! anew, in one thread (`--test-threads=1`), since other tests read them.
+//! The bytes of a state folder, held still by the files under `tests/golden`. `GOLDEN_WRITE=1`
+//! writes these anew, in one thread (`--test-threads=1`), since other tests read them.
 use std::path::{Path, PathBuf};
 
 use coralstep::LearnedState;
@@ -17,10 +17,10 @@
 const WRITTEN_S: [u64; 2] = [1_790_000_000, 1_790_000_300];
 const NOW_S: u64 = 1_790_003_900;
 const NOW_MS: u64 = NOW_S * 1_000;
-const UNTIL_MS: u64 = NOW_MS + 90_000;
-const NUMBERS: [u64; 2] = [(1 << 40) + 200, (1 << 40) + 201];
-const JOURNAL_MOST: usize = 64 << 20;
-const READ_MOST: usize = 1 << 20;
+const EXPIRES_AT_MS: u64 = NOW_MS + 90_000;
+const SEQUENCE_NUMBERS: [u64; 2] = [(1 << 40) + 200, (1 << 40) + 201];
+const MAX_LOG_BYTES: usize = 64 << 20;
+const MAX_READ_BYTES: usize = 1 << 20;
 
 fn golden(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -119,7 +119,8 @@
     Fleet::new(terms, 0, WRITTEN_S[0] * 1_000)
 }
 
-/// The version that a server acts on after it published and took two, and its record of the earlier ones.
+/// The version that a server acts on after it published and took two, and its record of the earlier
+/// ones.
 fn fleet_record() -> (FleetRecord, VersionId) {
     let mut fleet = fleet();
     for second in 1..=2 {
@@ -171,40 +172,40 @@
 }
 
 /// Two segments: each kind of record in the first, the second begun after a disk was full.
-fn write_journal(files: FaultyStorage) -> FaultyStorage {
-    let mut journal = WriteAheadLog::open(files, JOURNAL_MOST).unwrap();
+fn write_log(files: FaultyStorage) -> FaultyStorage {
+    let mut log = WriteAheadLog::open(files, MAX_LOG_BYTES).unwrap();
     for (token, end, _) in runs() {
-        assert!(journal.record_start(token, UNTIL_MS, NOW_MS));
-        journal.commit(NOW_MS).unwrap();
+        assert!(log.record_start(token, EXPIRES_AT_MS, NOW_MS));
+        log.commit(NOW_MS).unwrap();
         if let Some(end) = end {
-            journal.record_outcome(token, end, NOW_MS);
-            journal.commit(NOW_MS).unwrap();
+            log.record_outcome(token, end, NOW_MS);
+            log.commit(NOW_MS).unwrap();
         }
     }
-    journal.storage_mut().faults.capacity_bytes = Some(0);
-    assert!(journal.record_start(b"lost", UNTIL_MS, NOW_MS) && journal.commit(NOW_MS).is_err());
-    journal.storage_mut().faults.capacity_bytes = None;
-    journal.maintain(NOW_MS + 5_000);
-    assert!(journal.is_protected());
-    assert!(journal.record_start(b"second segment", UNTIL_MS + 1, NOW_MS + 5_000));
-    journal.commit(NOW_MS + 5_000).unwrap();
-    journal.into_storage()
+    log.storage_mut().faults.capacity_bytes = Some(0);
+    assert!(log.record_start(b"lost", EXPIRES_AT_MS, NOW_MS) && log.commit(NOW_MS).is_err());
+    log.storage_mut().faults.capacity_bytes = None;
+    log.maintain(NOW_MS + 5_000);
+    assert!(log.is_protected());
+    assert!(log.record_start(b"second segment", EXPIRES_AT_MS + 1, NOW_MS + 5_000));
+    log.commit(NOW_MS + 5_000).unwrap();
+    log.into_storage()
 }
 
 fn write_folder() -> FaultyStorage {
     let mut files = FaultyStorage::default();
     let (older, of) = nothing_optional();
-    snapshot::save(&mut files, &older, &of, NUMBERS[0], WRITTEN_S[0]).unwrap();
+    snapshot::save(&mut files, &older, &of, SEQUENCE_NUMBERS[0], WRITTEN_S[0]).unwrap();
     snapshot::save(
         &mut files,
         &learned(300),
         &fingerprint(),
-        NUMBERS[1],
+        SEQUENCE_NUMBERS[1],
         WRITTEN_S[1],
     )
     .unwrap();
     fleet_record::save(&mut files, &fleet_record().0).unwrap();
-    write_journal(files)
+    write_log(files)
 }
 
 fn believed(learned: LearnedState, written_s: u64, number: u64) -> LoadedSnapshots {
@@ -237,18 +238,19 @@
     for name in names {
         same_as_golden(
             &format!("folder/{name}"),
-            &files.read(&name, READ_MOST).unwrap(),
+            &files.read(&name, MAX_READ_BYTES).unwrap(),
         );
     }
 }
 
-/// Guards against a start that believes less, or other things, of a folder that an earlier program left.
+/// Guards against a start that believes less, or other things, of a folder that an earlier program
+/// left.
 #[test]
 fn a_state_folder_of_before_is_read_whole_and_believed_the_same() {
     let (_copied, mut folder) = Copied::new("whole", "folder");
     assert_eq!(
         snapshot::load(&folder, &fingerprint(), NOW_S),
-        believed(learned(300), WRITTEN_S[1], NUMBERS[1])
+        believed(learned(300), WRITTEN_S[1], SEQUENCE_NUMBERS[1])
     );
     let (expected, acts_on) = fleet_record();
     let LoadedFleetRecord {
@@ -271,36 +273,37 @@
     let (older, of) = nothing_optional();
     assert_eq!(
         snapshot::load(&folder, &of, NOW_S),
-        believed(older, WRITTEN_S[0], NUMBERS[0])
+        believed(older, WRITTEN_S[0], SEQUENCE_NUMBERS[0])
     );
 
-    let mut journal = WriteAheadLog::open(folder, JOURNAL_MOST).unwrap();
-    while journal.recover(NOW_MS) {}
+    let mut log = WriteAheadLog::open(folder, MAX_LOG_BYTES).unwrap();
+    while log.recover(NOW_MS) {}
     for (token, _, verdict) in runs() {
         assert_eq!(
-            journal.replay_decision(token, NOW_MS),
+            log.replay_decision(token, NOW_MS),
             verdict,
             "{}",
             token.escape_ascii()
         );
     }
     assert_eq!(
-        journal.replay_decision(b"second segment", UNTIL_MS),
+        log.replay_decision(b"second segment", EXPIRES_AT_MS),
         ReplayDecision::Aborted
     );
     assert_eq!(
-        journal.replay_decision(b"second segment", UNTIL_MS + 1),
+        log.replay_decision(b"second segment", EXPIRES_AT_MS + 1),
         ReplayDecision::NotSeen
     );
     assert_eq!(
-        journal.replay_decision(b"good", UNTIL_MS),
+        log.replay_decision(b"good", EXPIRES_AT_MS),
         ReplayDecision::NotSeen,
         "its window is over"
     );
-    assert_eq!(journal.take_events(), [] as [WalEvent; 0]);
+    assert_eq!(log.take_events(), [] as [WalEvent; 0]);
 }
 
-/// Guards against a server that starts from nothing after an update from the program that wrote version 1.
+/// Guards against a server that starts from nothing after an update from the program that wrote
+/// version 1.
 #[test]
 fn a_snapshot_of_version_1_is_believed_without_tenants() {
     let (_copied, folder) = Copied::new("version_1", "version_1");
@@ -310,7 +313,7 @@
     };
     assert_eq!(
         snapshot::load(&folder, &fingerprint(), NOW_S),
-        believed(expected, WRITTEN_S[1], NUMBERS[1])
+        believed(expected, WRITTEN_S[1], SEQUENCE_NUMBERS[1])
     );
 }
 
