--- a/crates/coralstep-server/src/decisions/handle.rs
+++ b/crates/coralstep-server/src/decisions/handle.rs
@@ -236,7 +236,7 @@
             });
         });
         if catch_unwind(update).is_err() {
-            note!("the levels' beat ended by a panic; the last level holds");
+            note!("degradation update panicked, keeping last level");
         }
     }
 
--- a/crates/coralstep-server/src/runs/applications/attempt.rs
+++ b/crates/coralstep-server/src/runs/applications/attempt.rs
@@ -97,7 +97,7 @@
         let (end, result) = match exchanged {
             Ok(response) => judge_response(response),
             Err(error) => {
-                note!("application {address}: {error}");
+                note!(application = %address, rpc_id = %job.id, %error, "application attempt failed");
                 let end = judge_failure(&error, bytes_left.get());
                 (end, AttemptResult::Inconclusive(end))
             }
--- a/crates/coralstep-server/src/runs/applications/run.rs
+++ b/crates/coralstep-server/src/runs/applications/run.rs
@@ -50,7 +50,7 @@
         }
         let mut bytes = Vec::new();
         if request::encode(&mut bytes, &headers, request.body).is_err() {
-            note!("{} of {} can't be written", self.id, request.method);
+            note!(rpc_id = %self.id, method = request.method, "request not encodable");
         }
         bytes
     }
--- a/crates/coralstep-server/src/runs/engine/connection.rs
+++ b/crates/coralstep-server/src/runs/engine/connection.rs
@@ -102,14 +102,15 @@
         endpoints: &Endpoints,
         scheduler: &SchedulerHandle,
     ) -> Option<Connection> {
+        let address = connection.address;
         let served = AssertUnwindSafe(self.serve(connection, endpoints, scheduler)).catch_unwind();
         match served.await {
             Ok(Ok(replacement)) => {
-                note!("engine link moves to {}", replacement.address);
+                note!(engine = %replacement.address, "engine link moved");
                 return Some(replacement);
             }
-            Ok(Err(error)) => note!("engine link ended: {error}"),
-            Err(_) => note!("engine link ended by a panic"),
+            Ok(Err(error)) => note!(engine = %address, %error, "engine link lost"),
+            Err(_) => note!(engine = %address, "engine link task panicked"),
         }
         None
     }
@@ -217,7 +218,7 @@
                     return connection;
                 }
                 Err(error) => {
-                    note!("engine at {to}: {error}; the old link is kept");
+                    note!(engine = %to, %error, "engine unreachable, keeping old link");
                     Timer::after(MIN_RECONNECT_DELAY).await;
                 }
             }
@@ -251,7 +252,7 @@
             Ok(connection) => return connection,
             Err(error) => {
                 if !std::mem::replace(&mut failed, true) {
-                    note!("engine at {address}: {error}; it is tried again and again");
+                    note!(engine = %address, %error, "engine unreachable, retrying");
                 }
                 Timer::after(backoff.wait()).await;
             }
--- a/crates/coralstep-server/src/runs/engine/dispatch.rs
+++ b/crates/coralstep-server/src/runs/engine/dispatch.rs
@@ -31,9 +31,13 @@
         let now = Instant::now();
         let up_since = now.checked_sub(uptime).unwrap_or(now);
         let known = self.up_since.replace(Some(up_since));
-        note!("engine up since {} ms, {state}", uptime.as_millis());
+        note!(
+            uptime_ms = uptime.as_millis() as u64,
+            state,
+            "engine attached"
+        );
         if known.is_some_and(|known| up_since.saturating_duration_since(known) > MAX_START_JITTER) {
-            note!("it is another engine");
+            note!("engine restarted");
             self.last_notification.set(0);
             self.runs.borrow_mut().handle_engine_restart();
         }
@@ -85,7 +89,7 @@
                 ..
             } => self.deliver(id, RunEvent::Ended(outcome)),
             Notification::RunEnded { id, word, .. } => {
-                note!("engine: unknown end {word} of {id}");
+                note!(rpc_id = id, outcome = word, "unknown run outcome");
             }
             Notification::CallNeeded { id, body } => {
                 self.deliver(id, RunEvent::CallNeeded(body.to_vec()));
@@ -95,7 +99,7 @@
     }
 
     fn on_refused(&self, command: &str, id: &str) {
-        note!("engine: no {command} for {id}");
+        note!(rpc_id = id, command, "command refused by engine");
         if command == Command::RUN {
             // Guards against a run that is never to begin and counts as one for good.
             self.deliver(id, RunEvent::Ended(RunOutcome::NoLongerNeeded));
@@ -104,11 +108,11 @@
 
     fn deliver(&self, id: &str, event: RunEvent) {
         if !self.runs.borrow_mut().deliver(id, event) {
-            note!("engine: a notice for {id}, which is not known");
+            note!(rpc_id = id, "event for unknown run");
         }
     }
 }
 
 fn log_unknown(words: &[&str]) {
-    note!("engine: unknown message {}", words.join(" "));
+    note!(received = words.join(" "), "unknown engine message");
 }
--- a/crates/coralstep-server/src/runs/engine/in_flight.rs
+++ b/crates/coralstep-server/src/runs/engine/in_flight.rs
@@ -170,7 +170,7 @@
                 link.send(command);
                 continue;
             }
-            note!("engine: in doubt whether {id} runs");
+            note!(rpc_id = %id, "run in doubt after link loss");
             if command.starts_run && !self.in_doubt.contains(id) {
                 self.in_doubt.push(*id);
             }
--- a/crates/coralstep-server/src/runs/request_handler.rs
+++ b/crates/coralstep-server/src/runs/request_handler.rs
@@ -73,13 +73,13 @@
 
     fn log(&self, id: Ref) {
         match self {
-            NotAdmitted::DuplicateId => note!(client: "{id} is here already, or has run"),
-            NotAdmitted::RequestIdsFull => note!("the ledger of ids is full"),
+            NotAdmitted::DuplicateId => note!(client: rpc_id = %id, "duplicate request id"),
+            NotAdmitted::RequestIdsFull => note!(rpc_id = %id, "request id table full"),
             NotAdmitted::Admission(AdmissionError::TableFull) => {
-                note!("the table of RPCs is full");
+                note!(rpc_id = %id, "request table full");
             }
             NotAdmitted::Admission(AdmissionError::KeyConflict) => {
-                note!(client: "{id} bears a token that is another's, or has run");
+                note!(client: rpc_id = %id, "idempotency key conflict");
             }
             NotAdmitted::RunRegistered | NotAdmitted::QuotaExhausted { .. } => {}
         }
--- a/crates/coralstep-server/tests/applications.rs
+++ b/crates/coralstep-server/tests/applications.rs
@@ -96,8 +96,11 @@
         );
         if !why.is_empty() {
             assert!(
-                rig.logged(&format!("application {}: ", application.address))
-                    .contains(why),
+                rig.logged(&format!(
+                    "application attempt failed application={} ",
+                    application.address
+                ))
+                .contains(why),
                 "{habit:?}"
             );
         }
--- a/crates/coralstep-server/tests/levels.rs
+++ b/crates/coralstep-server/tests/levels.rs
@@ -150,7 +150,7 @@
             .all(|line| serde_json::from_str::<serde_json::Value>(line).is_ok()),
         "{lines:?}"
     );
-    assert!(!lines.iter().any(|line| line.contains("engine up since")));
+    assert!(!lines.iter().any(|line| line.contains("engine attached")));
     let folder = std::env::temp_dir().join(format!("coralstep-replay-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let (record, file) = (folder.join("log.json"), folder.join("site.json"));
--- a/crates/coralstep-server/tests/serve.rs
+++ b/crates/coralstep-server/tests/serve.rs
@@ -229,7 +229,7 @@
         id(1),
         id(77)
     ));
-    rig.logged("unknown message WHAT");
+    rig.logged("unknown engine message received=\"WHAT\"");
     // The next thing on the connection is the answer to the check.
     assert!(gate.ping());
 }
@@ -286,7 +286,7 @@
     engine.expect_run(&id(1), "book");
     engine.send("NOTE 1 x\r\n");
     engine.done(2, &id(9), "good", "nobody's");
-    rig.logged("not known");
+    assert!(rig.logged("event for unknown run").contains(&id(9)));
     drop(engine);
     let mut engine = rig.attach(2);
     engine.send(&format!(
@@ -317,7 +317,7 @@
             assert_eq!(gate.said(), ok(seq, "again"));
             continue;
         }
-        assert!(rig.logged("in doubt").contains(&id(1)));
+        assert!(rig.logged("run in doubt after link loss").contains(&id(1)));
         let runs = engine.go_on("0.5 1 0.1 3", true);
         assert_eq!(gate.said(), Said::Internal { seq });
         // Once it is over nothing can begin any more: the engine is asked for its end, or it would hold a core for good.
@@ -338,7 +338,7 @@
     assert!(gate.ping());
     drop(engine);
     let mut engine = rig.engine(0, "old 3600000");
-    assert!(rig.logged("in doubt").contains(&id(1)));
+    assert!(rig.logged("run in doubt after link loss").contains(&id(1)));
     engine.expect_run(&id(2), "book");
     engine.done(1, &id(2), "good", "2");
     assert_eq!(gate.said(), ok(second, "2"));
@@ -388,7 +388,7 @@
 fn what_is_admitted_while_no_link_exists_runs_on_the_next() {
     let (rig, engine) = Rig::ready();
     drop(engine);
-    rig.logged("engine link ended");
+    rig.logged("engine link lost");
     let mut engine = rig.attach(0);
     let mut gate = rig.gate();
     let seq = gate.invoke("book", &id(1), b"", &[]);
