--- a/crates/coralstep-adapter/src/action_writer.rs
+++ b/crates/coralstep-adapter/src/action_writer.rs
@@ -1,9 +1,10 @@
 //! Writes the scheduler's actions as lines of the protocol.
 use std::fmt::{Arguments, Write};
 
-use coralstep::{Actions, RpcId, Span};
+use coralstep::{Actions, Event, RpcId, Span};
 
 use crate::handles::Handles;
+use crate::log_words::LogWords;
 use crate::units::nanoseconds;
 
 /// Appends to the reply of a batch.
@@ -95,8 +96,8 @@
         self.line("DEFER", format_args!(" in={span} name=beat"));
     }
 
-    fn log(&mut self, text: Arguments<'_>) {
-        self.line("LOG", format_args!(" words={text}"));
+    fn log(&mut self, event: Event) {
+        self.line("LOG", format_args!(" words={}", LogWords(event)));
     }
 
     fn release_id(&mut self, rpc: RpcId) {
--- a/crates/coralstep-adapter/src/main.rs
+++ b/crates/coralstep-adapter/src/main.rs
@@ -8,6 +8,7 @@
 mod handles;
 mod host;
 mod instance;
+mod log_words;
 mod units;
 
 use std::io;
--- a/crates/coralstep-config/src/site/fleet.rs
+++ b/crates/coralstep-config/src/site/fleet.rs
@@ -2,7 +2,7 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-use coralstep_shared_health::Parts;
+use coralstep_shared_health::SharingConfig;
 use ipnet::IpNet;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -51,7 +51,7 @@
     pub lease_ms: u32,
     /// What servers tell each other of their dependencies is gone by; `{}` for all of it, without it nothing is told.
     #[serde(default)]
-    pub verdicts: Option<Parts>,
+    pub verdicts: Option<SharingConfig>,
     /// For tests alone: the wall clock may be stepped by the operators' door.
     #[serde(default)]
     pub clock_steps: bool,
--- a/crates/coralstep-server/tests/levels.rs
+++ b/crates/coralstep-server/tests/levels.rs
@@ -71,8 +71,8 @@
     let mut gate = rig.gate();
     fail(&rig, &mut engine, &mut gate);
     assert!(
-        rig.logged("breaker closed -> open")
-            .contains("dependency=\"store\" instance=\"n3\"")
+        rig.logged("circuit breaker changed state")
+            .contains("dependency=\"store\" instance=\"n3\" from=\"closed\" to=\"open\"")
     );
     engine.until_logged(&rig, "level full -> lean, breaker ");
     let answer = rig.ask("/read/x", &[], b"").answer().unwrap();
@@ -150,7 +150,7 @@
             .all(|line| serde_json::from_str::<serde_json::Value>(line).is_ok()),
         "{lines:?}"
     );
-    assert!(!lines.iter().any(|line| line.contains("engine up since")));
+    assert!(!lines.iter().any(|line| line.contains("engine attached")));
     let folder = std::env::temp_dir().join(format!("coralstep-replay-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let (record, file) = (folder.join("log.json"), folder.join("site.json"));
--- a/crates/coralstep-server/tests/serve.rs
+++ b/crates/coralstep-server/tests/serve.rs
@@ -229,7 +229,7 @@
         id(1),
         id(77)
     ));
-    rig.logged("unknown message WHAT");
+    rig.logged("unknown engine message received=\"WHAT\"");
     // The next thing on the connection is the answer to the check.
     assert!(gate.ping());
 }
@@ -286,7 +286,7 @@
     engine.expect_run(&id(1), "book");
     engine.send("NOTE 1 x\r\n");
     engine.done(2, &id(9), "good", "nobody's");
-    rig.logged("not known");
+    assert!(rig.logged("event for unknown run").contains(&id(9)));
     drop(engine);
     let mut engine = rig.attach(2);
     engine.send(&format!(
@@ -317,7 +317,7 @@
             assert_eq!(gate.said(), ok(seq, "again"));
             continue;
         }
-        assert!(rig.logged("in doubt").contains(&id(1)));
+        assert!(rig.logged("run in doubt after link loss").contains(&id(1)));
         let runs = engine.go_on("0.5 1 0.1 3", true);
         assert_eq!(gate.said(), Said::Internal { seq });
         // Once it is over nothing can begin any more: the engine is asked for its end, or it would hold a core for good.
@@ -338,7 +338,7 @@
     assert!(gate.ping());
     drop(engine);
     let mut engine = rig.engine(0, "old 3600000");
-    assert!(rig.logged("in doubt").contains(&id(1)));
+    assert!(rig.logged("run in doubt after link loss").contains(&id(1)));
     engine.expect_run(&id(2), "book");
     engine.done(1, &id(2), "good", "2");
     assert_eq!(gate.said(), ok(second, "2"));
@@ -388,7 +388,7 @@
 fn what_is_admitted_while_no_link_exists_runs_on_the_next() {
     let (rig, engine) = Rig::ready();
     drop(engine);
-    rig.logged("engine link ended");
+    rig.logged("engine link lost");
     let mut engine = rig.attach(0);
     let mut gate = rig.gate();
     let seq = gate.invoke("book", &id(1), b"", &[]);
@@ -825,7 +825,7 @@
         assert_eq!(gate.said(), Said::Internal { seq });
         engine.done(2 * index + 1, &id(index), "cut", "");
     }
-    rig.logged("breaker closed -> open, failed 1.00");
+    rig.logged("from=\"closed\" to=\"open\" failure_rate=1.0");
     // The first cooldown is at most a second.
     std::thread::sleep(LIMIT / 10);
     let seq = gate.invoke("lock", &id(21), b"", &[]);
@@ -833,13 +833,13 @@
     engine.need(42, &id(21), "q");
     let mut store = rig.store();
     store.command();
-    rig.logged("breaker open -> half-open, failed 1.00");
+    rig.logged("from=\"open\" to=\"half-open\" failure_rate=1.0");
     // What would only wait for the trial is not begun.
     let other = gate.invoke("lock", &id(22), b"", &[]);
     assert!(matches!(gate.said(), Said::Overloaded { seq: of, .. } if of == other));
     assert_eq!(gate.said(), Said::Internal { seq });
     engine.done(43, &id(21), "cut", "");
-    rig.logged("breaker half-open -> open, failed 1.00");
+    rig.logged("from=\"half-open\" to=\"open\" failure_rate=1.0");
 }
 
 #[test]
@@ -861,7 +861,7 @@
     assert_eq!(asked, runs);
     engine.done(1, &id(1), "gone", "");
     engine.done(2, &id(2), "gone", "");
-    rig.logged("cores stand still: false");
+    rig.logged("server health changed stalled=false");
     let seq = gate.invoke("lock", &id(4), b"", &[]);
     engine.expect_run(&id(4), "lock");
     engine.done(3, &id(4), "good", "again");
@@ -877,8 +877,8 @@
         gate.invoke("lock", &id(index), b"", &[]);
     }
     (1..=2).for_each(|_| assert!(matches!(gate.said(), Said::Internal { .. })));
-    rig.logged_within("a run is lost: no end 10", LIMIT * 2);
-    rig.logged("cores stand still: false");
+    rig.logged_within("run orphaned since_answer_ms=10", LIMIT * 2);
+    rig.logged("server health changed stalled=false");
     let seq = gate.invoke("pay", &id(4), b"", &[]);
     assert_eq!(gate.said(), ok(seq, ""));
     drop(rig);
