--- a/crates/coralstep-lab/tests/limits.rs
+++ b/crates/coralstep-lab/tests/limits.rs
@@ -185,10 +185,15 @@
 
 /// One history of faults under load; what broke.
 fn history(count: usize, seed: u64, acts: usize) -> Option<String> {
+    played(count, seed, acts, CutOff::Strict).broken
+}
+
+/// The fleet after one history of faults under load.
+fn played(count: usize, seed: u64, acts: usize, cut_off: CutOff) -> World {
     let mut chance = SmallRng::seed_from_u64(seed);
     let limits = [
-        limit(rate(20.0, 20), CutOff::Strict),
-        limit(Kind::InHand(15), CutOff::Strict),
+        limit(rate(20.0, 20), cut_off),
+        limit(Kind::InHand(15), cut_off),
     ];
     let mut world = World::new(count, 5, &limits, LEASE, seed, Cheat::None);
     (world.loss, world.delay, world.doubled) = (0.1, (0, 300), 0.1);
@@ -225,7 +230,36 @@
             break;
         }
     }
-    world.broken
+    world
+}
+
+/// Guards against a decision on quotas that changes unnoticed: each history is the very same, in bytes sent, RPCs
+/// admitted and rejected, and the most in flight.
+#[test]
+fn histories_of_faults_stay_the_same() {
+    let open = CutOff::Open {
+        each: 2.0,
+        most: 6.0,
+    };
+    let strict = CutOff::Strict;
+    let pinned: [(u64, CutOff, (u64, u64, u64, f64)); 6] = [
+        (10, strict, (101_276, 81, 3_139, 7.0)),
+        (11, strict, (105_103, 110, 3_290, 11.0)),
+        (13, strict, (113_780, 74, 4_082, 7.0)),
+        (14, open, (80_363, 25, 3_603, 6.0)),
+        (15, open, (71_196, 39, 2_868, 7.0)),
+        (16, open, (108_668, 122, 3_428, 8.0)),
+    ];
+    for (seed, cut_off, expected) in pinned {
+        let world = played(9, seed, 25, cut_off);
+        let (admitted, rejected, _) = world.figures(1);
+        let (_, _, in_flight) = world.figures(2);
+        assert_eq!(
+            (world.bytes, admitted, rejected, in_flight),
+            expected,
+            "seed {seed}"
+        );
+    }
 }
 
 #[test]
