--- a/crates/coralstep-quota/src/election.rs
+++ b/crates/coralstep-quota/src/election.rs
@@ -84,7 +84,7 @@
             own: own.clone(),
             candidates,
             lease,
-            rng: SmallRng::seed_from_u64(seed ^ own.started),
+            rng: SmallRng::seed_from_u64(seed ^ own.incarnation),
             promise: None,
             abstains_until,
             ballot: 0,
--- a/crates/coralstep-quota/src/extension.rs
+++ b/crates/coralstep-quota/src/extension.rs
@@ -9,8 +9,8 @@
 use std::collections::{BTreeMap, HashSet};
 
 use coralstep_fleet::Member;
-use coralstep_fleet::rider::{Letter as OutgoingMessage, Rider as GossipExtension, View};
-use coralstep_fleet::spread::Spread as Disseminator;
+use coralstep_fleet::extension::{GossipExtension, MembershipView, Message as OutgoingMessage};
+use coralstep_fleet::gossip::Disseminator;
 
 use crate::Millis;
 use crate::client::{Permit, QuotaClient, QuotaExhausted, RequestBatch};
@@ -40,7 +40,7 @@
     /// Members that are excluded; they are granted nothing.
     excluded: HashSet<Member>,
     reports: Disseminator<ShareReport>,
-    report_number: u64,
+    report_sequence: u64,
     next_report: Millis,
     /// Lease of RPCs in flight.
     lease: Millis,
@@ -68,7 +68,7 @@
             contact: LeaderContact::new(own, seed),
             excluded: HashSet::new(),
             reports: Disseminator::default(),
-            report_number: 0,
+            report_sequence: 0,
             next_report: now,
             lease,
             events: Vec::new(),
@@ -132,10 +132,10 @@
     pub fn share_rows(&self, now: Millis) -> Vec<ShareRow> {
         let allocations = self.leader.as_ref().map(|leader| leader.allocations(now));
         let mut rows = share_report::own_rows(&self.limits, &self.own, &self.client.statuses(now));
-        for heard in self.reports.all() {
-            let age = now.saturating_sub(heard.at);
+        for received in self.reports.iter() {
+            let age = now.saturating_sub(received.sent_at);
             let allocations = allocations.as_deref().unwrap_or_default();
-            rows.extend(heard.word.rows(&self.limits, age, allocations));
+            rows.extend(received.value.rows(&self.limits, age, allocations));
         }
         rows.sort_by(|a, b| (&a.limit, &a.server).cmp(&(&b.limit, &b.server)));
         rows
@@ -210,7 +210,7 @@
     }
 
     /// Handles one message; the answer, if there is one.
-    fn handle_message(&mut self, now: Millis, from: &Member, message: Message) -> Option<Message> {
+    fn respond(&mut self, now: Millis, from: &Member, message: Message) -> Option<Message> {
         match message {
             Message::Requests {
                 term,
@@ -249,10 +249,14 @@
         }
     }
 
-    fn note_members(&mut self, view: &View<'_>) {
+    fn note_members(&mut self, view: &MembershipView<'_>) {
         self.own = view.own.clone();
         self.client.note_members(view.present.len() + 1);
-        self.excluded = view.shut.iter().map(|member| (*member).clone()).collect();
+        self.excluded = view
+            .excluded
+            .iter()
+            .map(|member| (*member).clone())
+            .collect();
         let candidates: BTreeMap<String, Member> = view
             .present
             .iter()
@@ -270,7 +274,9 @@
         self.end_lapsed_term(now);
         let to_send = tick.messages.iter();
         to_send
-            .map(|AddressedMessage { to, message }| (to.at, message.encode()))
+            .map(|AddressedMessage { to, message }| {
+                OutgoingMessage::new(to.address, message.encode())
+            })
             .collect()
     }
 
@@ -296,7 +302,7 @@
                 sequence: batch.sequence,
                 requests: batch.requests,
             };
-            outgoing.push((leader.at, requests.encode()));
+            outgoing.push(OutgoingMessage::new(leader.address, requests.encode()));
         }
         outgoing
     }
@@ -306,11 +312,11 @@
             return;
         }
         self.next_report = now + REPORT_INTERVAL_MS;
-        self.reports.forget(now);
-        self.report_number += 1;
+        self.reports.expire(now);
+        self.report_sequence += 1;
         let statuses = self.client.statuses(now);
-        let report = ShareReport::new(&self.own, self.report_number, statuses);
-        self.reports.own(report);
+        let report = ShareReport::new(&self.own, self.report_sequence, statuses);
+        self.reports.set_own(report);
     }
 }
 
@@ -320,29 +326,29 @@
 }
 
 impl GossipExtension for QuotaExtension {
-    fn said(&mut self, now: Millis, room: usize) -> Option<Vec<u8>> {
+    fn next_gossip(&mut self, now: Millis, max_bytes: usize) -> Option<Vec<u8>> {
         if self.limits.is_empty() {
             return None;
         }
-        self.reports.said(now, room)
+        self.reports.next_payload(now, max_bytes)
     }
 
-    fn heard(&mut self, now: Millis, own: &Member, bytes: &[u8]) {
-        self.reports.heard(now, own, bytes);
+    fn handle_gossip(&mut self, now: Millis, own: &Member, bytes: &[u8]) {
+        self.reports.receive(now, own, bytes);
     }
 
-    fn letter(&mut self, now: Millis, from: &Member, bytes: &[u8]) -> Vec<OutgoingMessage> {
+    fn handle_message(&mut self, now: Millis, from: &Member, bytes: &[u8]) -> Vec<OutgoingMessage> {
         let Ok(message) = Message::decode(bytes) else {
             return Vec::new();
         };
-        let answer = self.handle_message(now, from, message);
+        let answer = self.respond(now, from, message);
         answer
             .into_iter()
-            .map(|answer| (from.at, answer.encode()))
+            .map(|answer| OutgoingMessage::new(from.address, answer.encode()))
             .collect()
     }
 
-    fn tick(&mut self, now: Millis, view: &View<'_>) -> Vec<OutgoingMessage> {
+    fn tick(&mut self, now: Millis, view: &MembershipView<'_>) -> Vec<OutgoingMessage> {
         if !self.election.has_candidates() {
             return Vec::new();
         }
--- a/crates/coralstep-quota/src/extension/leader_contact.rs
+++ b/crates/coralstep-quota/src/extension/leader_contact.rs
@@ -33,7 +33,7 @@
             candidates: BTreeMap::new(),
             unanswered_since: None,
             is_cut_off: false,
-            rng: SmallRng::seed_from_u64(seed ^ own.started ^ SEED_OFFSET),
+            rng: SmallRng::seed_from_u64(seed ^ own.incarnation ^ SEED_OFFSET),
         }
     }
 
--- a/crates/coralstep-quota/src/extension/share_report.rs
+++ b/crates/coralstep-quota/src/extension/share_report.rs
@@ -1,6 +1,6 @@
 //! What servers report of their shares by gossip, and the rows that operators see.
 use coralstep_fleet::Member;
-use coralstep_fleet::spread::Saying as Gossip;
+use coralstep_fleet::gossip::Gossip;
 use serde::{Deserialize, Serialize};
 
 use crate::Millis;
@@ -45,14 +45,14 @@
 /// What a server holds, as it reports itself. Its bytes go by position.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct ShareReport {
-    of: Member,
-    number: u64,
+    origin: Member,
+    sequence: u64,
     shares: Vec<ReportedShare>,
 }
 
 impl ShareReport {
-    /// Report `number` of this server.
-    pub(super) fn new(own: &Member, number: u64, mut statuses: Vec<ShareStatus>) -> ShareReport {
+    /// This server's report of this number; it rises with each.
+    pub(super) fn new(own: &Member, sequence: u64, mut statuses: Vec<ShareStatus>) -> ShareReport {
         statuses.sort_by_key(|status| std::cmp::Reverse((status.units, status.in_flight)));
         let reported = statuses.iter().take(MAX_REPORTED_SHARES);
         let shares = reported.map(|status| ReportedShare {
@@ -62,8 +62,8 @@
             over_quota: u32::try_from(status.over_quota).unwrap_or(u32::MAX),
         });
         ShareReport {
-            of: own.clone(),
-            number,
+            origin: own.clone(),
+            sequence,
             shares: shares.collect(),
         }
     }
@@ -76,13 +76,13 @@
         allocations: &[AllocationRow],
     ) -> Vec<ShareRow> {
         let lease = |key: LimitKey| {
-            let is_of = |row: &&AllocationRow| row.key == key && row.server == self.of.name;
+            let is_of = |row: &&AllocationRow| row.key == key && row.server == self.origin.name;
             allocations.iter().find(is_of).map(|row| row.lease_ms)
         };
         let row = |share: &ReportedShare| {
             Some(ShareRow {
                 limit: name_of(limits, share.key)?,
-                server: self.of.name.clone(),
+                server: self.origin.name.clone(),
                 units: share.units,
                 in_flight: share.in_flight,
                 lease_ms: lease(share.key),
@@ -116,17 +116,17 @@
 }
 
 impl Gossip for ShareReport {
-    const FORGET: Millis = 30_000;
+    const MAX_AGE_MS: Millis = 30_000;
 
-    fn of(&self) -> &Member {
-        &self.of
+    fn origin(&self) -> &Member {
+        &self.origin
     }
 
-    fn number(&self) -> u64 {
-        self.number
+    fn sequence(&self) -> u64 {
+        self.sequence
     }
 
-    fn is_sound(&self) -> bool {
-        self.of.is_sound() && self.shares.len() <= MAX_REPORTED_SHARES
+    fn is_valid(&self) -> bool {
+        self.origin.is_valid() && self.shares.len() <= MAX_REPORTED_SHARES
     }
 }
--- a/crates/coralstep-quota/src/lib.rs
+++ b/crates/coralstep-quota/src/lib.rs
@@ -19,6 +19,6 @@
 
 pub use client::{Permit, QuotaExhausted};
 pub use config::LimitConfig;
-pub use coralstep_fleet::Ms as Millis;
+pub use coralstep_fleet::Millis;
 pub use extension::QuotaExtension;
 pub use limit::{Limit, LimitKind, RequestKey};
--- a/crates/coralstep-quota/src/message.rs
+++ b/crates/coralstep-quota/src/message.rs
@@ -127,7 +127,7 @@
             Message::Grants(batch) => batch.grants.len(),
             Message::NotLeader {
                 leader: Some(leader),
-            } if !leader.is_sound() => return Err(DecodeError::InvalidLeader),
+            } if !leader.is_valid() => return Err(DecodeError::InvalidLeader),
             _ => 0,
         };
         if count > MAX_ENTRIES {
--- a/crates/coralstep-quota/tests/golden.rs
+++ b/crates/coralstep-quota/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The bytes between servers about quota and votes, held still by the tables under `tests/golden`.
 //! `GOLDEN_WRITE=1` writes these anew.
 use coralstep_fleet::Member;
-use coralstep_fleet::rider::{Rider, View};
+use coralstep_fleet::extension::{GossipExtension, MembershipView};
 use coralstep_quota::QuotaExtension;
 use coralstep_quota::config::{CutOffPolicy, LimitConfig, Names, resolve_limits};
 use coralstep_quota::extension::ShareRow;
@@ -252,11 +252,11 @@
 }
 
 fn tick(extension: &mut QuotaExtension, own: &Member, now: u64) {
-    let view = View {
+    let view = MembershipView {
         own,
         present: Vec::new(),
         current: Vec::new(),
-        shut: Vec::new(),
+        excluded: Vec::new(),
         leaving: false,
     };
     extension.tick(now, &view);
@@ -285,12 +285,15 @@
     let now = start + RUN_MS;
     let bytes = golden(
         "shares",
-        &[("shares".to_owned(), extension.said(now, 1_000).unwrap())],
+        &[(
+            "shares".to_owned(),
+            extension.next_gossip(now, 1_000).unwrap(),
+        )],
     )
     .remove(0);
     let mut other = QuotaExtension::new(&far(), &[], 10_000, 8, 0);
     other.set_limits(0, &limits());
-    other.heard(now + 70_000, &far(), &bytes);
+    other.handle_gossip(now + 70_000, &far(), &bytes);
     same_text(
         "rows.json",
         &serde_json::to_string_pretty(&other.share_rows(now + 70_000)).unwrap(),
