--- a/crates/coralstep-config/src/site/limits.rs
+++ b/crates/coralstep-config/src/site/limits.rs
@@ -1,6 +1,7 @@
 //! The section `limits`: limits that hold for the whole fleet.
-use coralstep_quota::terms::look_up;
-use coralstep_quota::{Kind, Limit};
+use coralstep_quota::Limit;
+use coralstep_quota::config::resolve_limits;
+use coralstep_quota::lease::shortened_by_drift;
 
 use super::error::SiteError;
 use super::fleet::renewal_time_ms;
@@ -28,14 +29,13 @@
                 "fleet.keepers names nobody who could give shares",
             ));
         }
-        let known = coralstep_quota::terms::Names {
+        let known = coralstep_quota::config::Names {
             methods: &names.methods,
-            calls: &names.calls,
+            calls_dependency: &names.calls,
             tenants: &names.tenants,
             dependencies: &[DEPENDENCY.to_owned()],
         };
-        let limits =
-            look_up(section, &known).map_err(|error| SiteError::Limits(error.to_string()))?;
+        let limits = resolve_limits(section, &known)?;
         for (index, limit) in limits.iter().enumerate() {
             check_lease(index, limit, fleet, names)?;
         }
@@ -50,18 +50,17 @@
     fleet: &FleetConfig,
     names: &Names,
 ) -> Result<(), SiteError> {
-    if matches!(limit.kind, Kind::Rate { .. }) {
+    if limit.kind.is_rate() {
         return Ok(());
     }
     let longest = names
         .deadlines_ms
         .iter()
         .enumerate()
-        .filter(|(method, _)| limit.method.is_none_or(|limited| limited == *method))
+        .filter(|(method, _)| limit.scope.method.is_none_or(|limited| limited == *method))
         .map(|(_, deadline_ms)| *deadline_ms)
         .max();
-    let usable_ms = coralstep_quota::bounds::shrunk(u64::from(fleet.lease_ms))
-        - renewal_time_ms(fleet.lease_ms);
+    let usable_ms = shortened_by_drift(u64::from(fleet.lease_ms)) - renewal_time_ms(fleet.lease_ms);
     match longest.filter(|longest| *longest > usable_ms) {
         None => Ok(()),
         Some(longest) => Err(SiteError::invalid(
--- a/crates/coralstep-config/src/site/mod.rs
+++ b/crates/coralstep-config/src/site/mod.rs
@@ -11,7 +11,7 @@
 mod state;
 
 use coralstep_degradation::LevelTerms;
-use coralstep_quota::LimitTerms;
+use coralstep_quota::LimitConfig;
 use schemars::JsonSchema;
 use serde::Deserialize;
 
@@ -60,7 +60,7 @@
     pub fleet: Option<FleetConfig>,
     /// Limits that hold for the whole fleet; without a `fleet` there are none.
     #[serde(default)]
-    pub limits: Option<Vec<LimitTerms>>,
+    pub limits: Option<Vec<LimitConfig>>,
     /// Form and levels of the log.
     #[serde(default)]
     #[schemars(description = "")]
