--- a/crates/coralstep-adapter/src/tests.rs
+++ b/crates/coralstep-adapter/src/tests.rs
@@ -1,4 +1,4 @@
-use coralstep::{Event, OrphanedRun, Span, Transition};
+use coralstep::{BreakerState, Event, OrphanedRun, Span, Transition};
 
 use super::log_words::LogWords;
 use super::serve;
@@ -157,8 +157,8 @@
 #[test]
 fn log_lines_keep_the_words_of_the_wire() {
     let transition = Transition {
-        from: "closed",
-        to: "open",
+        from: BreakerState::Closed,
+        to: BreakerState::Open,
         failure_rate: 0.5,
     };
     let run = OrphanedRun {
--- a/crates/coralstep-balancer/src/lib.rs
+++ b/crates/coralstep-balancer/src/lib.rs
@@ -320,11 +320,12 @@
         let Some(app) = self.apps[slot as usize].as_mut() else {
             return Err(GUESS);
         };
-        let (step, turn) = app.breaker.admit_call(now, attempt);
-        debug_assert!(matches!(step, Flow::Continue));
+        let decision = app.breaker.admit_call(now, attempt);
+        debug_assert!(matches!(decision.flow, Flow::Continue));
         app.in_hand += 1;
         let key = app.key.clone();
-        self.turns.extend(turn.map(|turn| (key, turn)));
+        self.turns
+            .extend(decision.transition.map(|turn| (key, turn)));
         self.settle(slot);
         Ok(Pick {
             slot,
@@ -591,7 +592,7 @@
         let one = |app: &App<K>| View {
             key: app.key.clone(),
             in_hand: app.in_hand,
-            state: app.breaker.state_name(),
+            state: app.breaker.state().as_str(),
             time: (app.time > 0.0).then_some(Span(app.time as u64)),
             leaving: app.leaving,
             recent: recent(app).0,
--- a/crates/coralstep-lab/src/baseline.rs
+++ b/crates/coralstep-lab/src/baseline.rs
@@ -134,7 +134,7 @@
     /// The breaker's state; none for those that have none.
     pub fn breaker(&self) -> Option<&'static str> {
         match self {
-            Decider::Module(server) => Some(server.breaker().state_name()),
+            Decider::Module(server) => Some(server.breaker().state().as_str()),
             _ => None,
         }
     }
--- a/crates/coralstep-lab/src/explore/module.rs
+++ b/crates/coralstep-lab/src/explore/module.rs
@@ -268,7 +268,8 @@
 
     /// A change of state must be one that the design knows, and have its reason.
     fn turned(&mut self, turn: Transition) {
-        match (turn.from, turn.to) {
+        let (from, to) = (turn.from.as_str(), turn.to.as_str());
+        match (from, to) {
             ("closed", "open") => {
                 let failed = self.window.iter().filter(|failed| **failed).count();
                 if self.window.len() < 20 || failed * 2 < self.window.len() {
@@ -281,10 +282,10 @@
             ("open", "half-open") | ("half-open", "open" | "closed") => {}
             (from, to) => self.breaks(format!("from {from} to {to}")),
         }
-        if turn.from != self.state {
-            self.breaks(format!("it left {} and was {}", turn.from, self.state));
+        if from != self.state {
+            self.breaks(format!("it left {} and was {}", from, self.state));
         }
-        (self.state, self.since) = (turn.to, self.now);
+        (self.state, self.since) = (to, self.now);
         self.window.clear();
     }
 
--- a/crates/coralstep-lab/src/simulate/server.rs
+++ b/crates/coralstep-lab/src/simulate/server.rs
@@ -162,7 +162,7 @@
                 }
                 Act::Turn(turn) => {
                     self.day.breaker_turns += 1;
-                    let shut = turn.to != "closed";
+                    let shut = turn.to != coralstep::BreakerState::Closed;
                     self.shut -= u32::from(self.nodes[at].shut);
                     self.shut += u32::from(shut);
                     self.nodes[at].shut = shut;
--- a/crates/coralstep-server/src/decisions/actions.rs
+++ b/crates/coralstep-server/src/decisions/actions.rs
@@ -132,7 +132,8 @@
         } = transition;
         let instance = self.instance.as_str();
         tracing::info!(
-            target: "breaker", dependency = "store", instance, from, to, failure_rate, "circuit breaker changed state"
+            target: "breaker", dependency = "store", instance,
+            from = from.as_str(), to = to.as_str(), failure_rate, "circuit breaker changed state"
         );
     }
 
--- a/crates/coralstep-server/src/decisions/breaker.rs
+++ b/crates/coralstep-server/src/decisions/breaker.rs
@@ -55,7 +55,8 @@
             .scheduler
             .as_ref()?
             .breaker()
-            .state_name();
+            .state()
+            .as_str();
         let mut recent = self.recent_calls.borrow_mut();
         recent.forget_old();
         let failures = recent.0.iter().filter(|call| call.failed).count();
--- a/crates/coralstep-server/src/runs/applications/mod.rs
+++ b/crates/coralstep-server/src/runs/applications/mod.rs
@@ -131,7 +131,8 @@
                 failure_rate,
             } = transition;
             tracing::info!(
-                target: "breaker", dependency, from, to, failure_rate, "circuit breaker changed state"
+                target: "breaker", dependency,
+                from = from.as_str(), to = to.as_str(), failure_rate, "circuit breaker changed state"
             );
         }
     }
--- a/crates/coralstep/src/actions.rs
+++ b/crates/coralstep/src/actions.rs
@@ -1,5 +1,6 @@
 //! Where the decisions of a [`crate::Scheduler`] go.
-use crate::event::{Event, Transition};
+use crate::circuit_breaker::Transition;
+use crate::event::Event;
 use crate::request::RpcId;
 use crate::time::Span;
 
--- a/crates/coralstep/src/circuit_breaker.rs
+++ b/crates/coralstep/src/circuit_breaker.rs
@@ -1,8 +1,10 @@
 //! The circuit breaker: stops calls to a dependency that fails, and lets one probe call decide when to go
 //! on.
+use std::fmt;
+
 use nanorand::{Rng, WyRand};
 
-use crate::event::Transition;
+use crate::flow::Flow;
 use crate::request::RpcId;
 use crate::time::{Span, Time};
 
@@ -18,15 +20,72 @@
 /// The shortest part of a cooldown that jitter leaves.
 const MIN_COOLDOWN_PART: f64 = 0.75;
 
-/// What a stage does with a request or a call.
+/// The state of a circuit breaker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flow {
-    /// It goes on to the next stage.
-    Continue,
-    /// It waits at this stage.
-    Wait,
-    /// It ends here.
-    Reject,
+pub enum BreakerState {
+    /// Calls pass freely.
+    Closed,
+    /// No call passes until the cooldown is over.
+    Open,
+    /// One probe call decides.
+    HalfOpen,
+}
+
+impl BreakerState {
+    /// Its name in logs: `closed`, `open` or `half-open`.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            BreakerState::Closed => "closed",
+            BreakerState::Open => "open",
+            BreakerState::HalfOpen => "half-open",
+        }
+    }
+}
+
+impl fmt::Display for BreakerState {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.as_str())
+    }
+}
+
+/// A change of a circuit breaker's state.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Transition {
+    /// The state that it left.
+    pub from: BreakerState,
+    /// The state that it entered.
+    pub to: BreakerState,
+    /// The part of the calls that failed, from 0 to 1, which led to the change.
+    pub failure_rate: f64,
+}
+
+impl fmt::Display for Transition {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let Transition {
+            from,
+            to,
+            failure_rate,
+        } = self;
+        write!(f, "{from} -> {to}, failed {failure_rate:.2}")
+    }
+}
+
+/// What is done with a call.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct CallDecision {
+    /// Whether it passes.
+    pub flow: Flow,
+    /// The change of state that this led to.
+    pub transition: Option<Transition>,
+}
+
+impl CallDecision {
+    fn unchanged(flow: Flow) -> CallDecision {
+        CallDecision {
+            flow,
+            transition: None,
+        }
+    }
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -42,11 +101,11 @@
 }
 
 impl State {
-    fn name(self) -> &'static str {
+    fn kind(self) -> BreakerState {
         match self {
-            State::Closed => "closed",
-            State::Open { .. } => "open",
-            State::HalfOpen { .. } => "half-open",
+            State::Closed => BreakerState::Closed,
+            State::Open { .. } => BreakerState::Open,
+            State::HalfOpen { .. } => BreakerState::HalfOpen,
         }
     }
 }
@@ -78,9 +137,9 @@
         }
     }
 
-    /// The name of its state: `closed`, `open` or `half-open`.
-    pub fn state_name(&self) -> &'static str {
-        self.state.name()
+    /// Its state.
+    pub fn state(&self) -> BreakerState {
+        self.state.kind()
     }
 
     /// Whether calls pass freely.
@@ -121,17 +180,20 @@
 
     /// Lets a call pass or not: while open none, after the cooldown one probe at a time, for which the
     /// others wait.
-    pub fn admit_call(&mut self, now: Time, id: RpcId) -> (Flow, Option<Transition>) {
+    pub fn admit_call(&mut self, now: Time, id: RpcId) -> CallDecision {
         let half_open = State::HalfOpen { probe: Some(id) };
         match self.state {
-            State::Closed => (Flow::Continue, None),
-            State::Open { until } if until > now => (Flow::Reject, None),
-            State::HalfOpen { probe: Some(_) } => (Flow::Wait, None),
+            State::Closed => CallDecision::unchanged(Flow::Continue),
+            State::Open { until } if until > now => CallDecision::unchanged(Flow::Reject),
+            State::HalfOpen { probe: Some(_) } => CallDecision::unchanged(Flow::Wait),
             State::HalfOpen { probe: None } => {
                 self.state = half_open;
-                (Flow::Continue, None)
+                CallDecision::unchanged(Flow::Continue)
             }
-            State::Open { .. } => (Flow::Continue, Some(self.change_state(now, half_open))),
+            State::Open { .. } => CallDecision {
+                flow: Flow::Continue,
+                transition: Some(self.change_state(now, half_open)),
+            },
         }
     }
 
@@ -202,8 +264,8 @@
 
     fn change_state(&mut self, now: Time, to: State) -> Transition {
         let transition = Transition {
-            from: self.state.name(),
-            to: to.name(),
+            from: self.state.kind(),
+            to: to.kind(),
             failure_rate: self.failure_rate(),
         };
         (self.state, self.state_since) = (to, now);
--- a/crates/coralstep/src/deduplication.rs
+++ b/crates/coralstep/src/deduplication.rs
@@ -1,7 +1,7 @@
 //! Runs a keyed request once: a repeat of one that may have run is answered with its result and never runs.
 use crate::actions::Actions;
-use crate::circuit_breaker::Flow;
 use crate::config::{Idempotency, SchedulerConfig};
+use crate::flow::Flow;
 use crate::memory_limit;
 use crate::request::{EarlierAttempt, RpcId};
 use crate::request_table::Phase;
--- a/crates/coralstep/src/event.rs
+++ b/crates/coralstep/src/event.rs
@@ -1,30 +1,9 @@
 //! What is worth a line in the log.
 use std::fmt;
 
+use crate::circuit_breaker::Transition;
 use crate::time::Span;
 
-/// A change of a circuit breaker's state.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Transition {
-    /// The state that it left: `closed`, `open` or `half-open`.
-    pub from: &'static str,
-    /// The state that it entered.
-    pub to: &'static str,
-    /// The part of the calls that failed, from 0 to 1, which led to the change.
-    pub failure_rate: f64,
-}
-
-impl fmt::Display for Transition {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Transition {
-            from,
-            to,
-            failure_rate,
-        } = self;
-        write!(f, "{from} -> {to}, failed {failure_rate:.2}")
-    }
-}
-
 /// A run whose request is answered and which has had no end for too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrphanedRun {
--- a/crates/coralstep/src/lib.rs
+++ b/crates/coralstep/src/lib.rs
@@ -42,6 +42,7 @@
 mod degradation;
 mod drain;
 mod event;
+mod flow;
 mod health;
 mod learned_state;
 mod load_report;
@@ -60,12 +61,13 @@
 mod timer;
 
 pub use actions::Actions;
-pub use circuit_breaker::{CircuitBreaker, Flow};
+pub use circuit_breaker::{BreakerState, CallDecision, CircuitBreaker, Transition};
 pub use config::{
     Dependency, GoalWeights, Idempotency, LoadReportKind, Method, Preemption, SchedulerConfig,
 };
 pub use degradation::DegradationLevel;
-pub use event::{Event, OrphanedRun, Transition};
+pub use event::{Event, OrphanedRun};
+pub use flow::Flow;
 pub use learned_state::LearnedState;
 pub use request::{EarlierAttempt, Gauges, Outcome, Request, RpcId};
 pub use scheduler::Scheduler;
--- a/crates/coralstep/src/scheduler/dispatch.rs
+++ b/crates/coralstep/src/scheduler/dispatch.rs
@@ -3,7 +3,8 @@
 use crate::actions::Actions;
 use crate::bulkhead::{self, Bulkhead};
 use crate::call_timeout::call_timeout;
-use crate::circuit_breaker::Flow;
+use crate::circuit_breaker::CallDecision;
+use crate::flow::Flow;
 use crate::memory_limit;
 use crate::queue;
 use crate::request::RpcId;
@@ -29,7 +30,7 @@
         if !self.bulkhead.has_permit(&self.shared) {
             return false;
         }
-        let (flow, transition) = self.breaker.admit_call(self.shared.now, id);
+        let CallDecision { flow, transition } = self.breaker.admit_call(self.shared.now, id);
         if let Some(transition) = transition {
             out.breaker_transition(transition);
         }
--- a/crates/coralstep/tests/pinned.rs
+++ b/crates/coralstep/tests/pinned.rs
@@ -124,7 +124,7 @@
     fn breaker_transition(&mut self, transition: Transition) {
         self.record(
             15,
-            RpcId(transition.to.len() as u32),
+            RpcId(transition.to.as_str().len() as u32),
             transition.failure_rate.to_bits(),
         );
     }
