--- a/crates/coralstep-fleet/benches/fleet.rs
+++ b/crates/coralstep-fleet/benches/fleet.rs
@@ -3,6 +3,8 @@
 use std::hint::black_box;
 use std::net::SocketAddr;
 
+use coralstep_fleet::fleet::Transmit;
+use coralstep_fleet::rollout::RpcCounts;
 use coralstep_fleet::{Fleet, FleetConfig, Member};
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 
@@ -36,14 +38,14 @@
     for other in 1..=count {
         let mut other = one(other);
         now += 1;
-        other.tick(now, now, (0, 0));
-        for (_, bytes) in other.take_datagrams() {
+        other.tick(now, now, RpcCounts::default());
+        for Transmit { bytes, .. } in other.take_datagrams() {
             let _ = hub.handle_datagram(now, now, &bytes);
             last = bytes;
         }
         hub.take_datagrams();
     }
-    hub.tick(now, now, (0, 0));
+    hub.tick(now, now, RpcCounts::default());
     hub.take_datagrams();
     (hub, last, now)
 }
@@ -53,7 +55,7 @@
         let (mut hub, last, start) = known(count);
         let mut group = criterion.benchmark_group(format!("{count} others"));
         group.bench_function("look before an RPC", |bencher| {
-            bencher.iter(|| black_box(hub.retry_after(start)))
+            bencher.iter(|| black_box(hub.retry_after(start)));
         });
         if count > 0 {
             group.bench_function("a datagram", |bencher| {
--- a/crates/coralstep-fleet/src/audit/tests.rs
+++ b/crates/coralstep-fleet/src/audit/tests.rs
@@ -1,19 +1,20 @@
 use super::*;
-use crate::status::tests::word;
+use crate::status::tests::status;
+use crate::status::{ChainHead, PastVersion};
 
 #[test]
-fn a_gap_and_a_changed_entry_are_told() {
+fn a_missing_and_a_modified_audit_entry_are_detected() {
     let mut chain = AuditChain::default();
     for number in 0..4 {
-        chain.add(
-            VersionId {
+        chain.append(PastVersion {
+            version: VersionId {
                 number,
                 ..VersionId::default()
             },
-            number * 10,
-            number * 10 + 10,
-            number,
-        );
+            from_ms: number * 10,
+            to_ms: number * 10 + 10,
+            rpcs: number,
+        });
     }
     let entries: Vec<AuditEntry> = chain.entries().cloned().collect();
     assert_eq!(verify(entries.iter()), Ok(()));
@@ -28,20 +29,23 @@
 }
 
 #[test]
-fn rows_are_closed_by_the_servers_own_word_and_silence_is_no_guess() {
-    let mut others = PeerAudits::default();
-    let mut first = word("a", 1, 1);
+fn audit_rows_end_by_the_servers_own_status_and_a_silent_server_is_unknown() {
+    let mut peers = PeerAudits::default();
+    let mut first = status("a", 1, 1);
     (
         first.active_version.number,
         first.active_since_ms,
         first.rpcs,
     ) = (1, 1_000, 5);
-    assert!(others.observe(0, &first));
+    assert!(peers.observe(0, &first));
     let mut next = first.clone();
     (next.active_version.number, next.active_since_ms, next.rpcs) = (2, 3_000, 0);
-    (next.audit_length, next.audit_head) = (1, [1; 8]);
-    assert!(others.observe(500, &next));
-    let rows: Vec<AuditRow> = others.rows(600).collect();
+    next.audit = ChainHead {
+        hash: [1; 8],
+        length: 1,
+    };
+    assert!(peers.observe(500, &next));
+    let rows: Vec<AuditRow> = peers.rows(600).collect();
     assert_eq!(
         (rows[0].to_ms, rows[0].rpcs, rows[0].known),
         (Some(3_000), 5, true)
@@ -50,7 +54,7 @@
         (rows[1].to_ms, rows[1].age_ms, rows[1].known),
         (None, 100, true)
     );
-    let late: Vec<AuditRow> = others.rows(500 + KNOWN + 1).collect();
+    let late: Vec<AuditRow> = peers.rows(500 + MAX_KNOWN_AGE_MS + 1).collect();
     assert!(late[0].known && !late[1].known);
     let at = |at_ms| AuditFilter {
         at_ms: Some(at_ms),
@@ -61,6 +65,6 @@
     );
     // Its record is another one of the same length.
     let mut forged = next.clone();
-    forged.audit_head = [2; 8];
-    assert!(!others.observe(700, &forged));
+    forged.audit.hash = [2; 8];
+    assert!(!peers.observe(700, &forged));
 }
--- a/crates/coralstep-fleet/src/clock/tests.rs
+++ b/crates/coralstep-fleet/src/clock/tests.rs
@@ -1,7 +1,7 @@
 use super::HybridClock;
 
 #[test]
-fn it_never_runs_back_and_no_clock_an_hour_off_drags_it_along() {
+fn the_clock_never_runs_back_and_ignores_timestamps_an_hour_ahead() {
     let clock = HybridClock::new(7);
     let first = clock.timestamp(1_000_000);
     assert!(first.abs_diff(1_000_000) <= 1, "{first}");
--- a/crates/coralstep-fleet/src/datagram/tests.rs
+++ b/crates/coralstep-fleet/src/datagram/tests.rs
@@ -1,13 +1,16 @@
 use super::*;
 
 #[test]
-fn what_was_changed_on_the_way_or_is_of_another_fleet_is_not_believed() {
+fn corrupt_datagrams_and_those_of_another_fleet_or_format_are_rejected() {
     let mut datagram = Datagram::new(
         fleet_id("alps"),
         Member::new("n1", "127.0.0.1:1".parse().unwrap(), 5),
         9,
     );
-    datagram.parts.push((PayloadKind::Statuses, vec![1, 2, 3]));
+    datagram.payloads.push(Payload {
+        kind: PayloadKind::Statuses,
+        bytes: vec![1, 2, 3],
+    });
     let bytes = datagram.encode();
     assert_eq!(Datagram::decode(&bytes, fleet_id("alps")), Ok(datagram));
     assert_eq!(
--- a/crates/coralstep-fleet/src/exclusion.rs
+++ b/crates/coralstep-fleet/src/exclusion.rs
@@ -1,72 +1,92 @@
-//! When a server admits nothing: it is behind what is to be acted on, turned down what must be, was stopped and has not caught up, hears
-//! nobody, or an operator says so. By itself, since nobody else can; what is known of the fleet is passed in with each look.
+//! When a server admits no requests: it lags behind the version to be active, rejected a
+//! mandatory one, was paused and has not caught up, hears no other member, or an operator
+//! ordered it.
+//!
+//! Each server decides for itself, since no other one can; what it knows of the fleet is passed
+//! in with each evaluation.
 use serde::Serialize;
 
 use crate::Millis;
 use crate::versions::VersionId;
 
-/// Part of the fleet that may be shut out at once for being behind; beyond it the version or the network is at fault.
+/// Fraction of the fleet that may be excluded at once for a version; beyond it the version or the
+/// network is at fault.
 pub const MAX_EXCLUDED_FRACTION: f64 = 0.3;
-/// A gap of so long between two ticks is a pause of this process: what it knew before may be long over.
+/// A fleet of so many servers may always exclude one.
+const MIN_FLEET_WITH_EXCLUSION: usize = 3;
+/// A gap of more than this between two ticks is a pause of the process, in milliseconds: what it
+/// knew before may be long outdated.
 pub const MIN_PAUSE_MS: Millis = 2_000;
-/// After a pause it admits nothing until a member that holds what it acts on was heard, or for so long at the most; and as long again while
-/// it fetches what is newer.
+/// After a pause a server admits nothing until a member has answered it, for so many milliseconds
+/// at the most; and for as long again while it fetches what is newer.
 pub const MAX_RESUME_MS: Millis = 3_000;
-/// Who would shut itself out says so first, and waits so long to hear who else would: then the same few go, whoever reckons.
+/// A server that would exclude itself announces so, and waits for so many milliseconds to receive
+/// the announcements of others: then all pick the same few.
 pub const ANNOUNCE_DELAY_MS: Millis = 2_000;
-/// Advice of a server that is shut out and can't tell for how long.
+/// What callers are told to wait, in milliseconds, where the end of an exclusion is not known: a
+/// few rounds of gossip.
 const RETRY_AFTER_MS: Millis = 5_000;
 
-/// Why a server admits nothing.
+/// Why a server admits no requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExclusionReason {
-    /// An operator said so.
+    /// An operator ordered it.
     #[serde(rename = "by_hand")]
     ByOperator,
-    /// It turned down a version that must be acted on.
+    /// It rejected this mandatory version.
     #[serde(rename = "turned_down")]
     RejectedVersion(VersionId),
+    /// It has not activated this version for too long.
     #[serde(rename = "behind")]
     Lagging(VersionId),
-    /// It hears nobody.
+    /// It receives nothing from any member.
     #[serde(rename = "silent")]
     Isolated,
-    /// It was paused, and has not heard from the others since.
+    /// It was paused, and has not caught up since.
     Paused,
 }
 
-/// What operators set.
+/// The operators' settings.
 #[derive(Clone, Copy, Debug, Hash)]
 pub struct ExclusionLimits {
-    /// Behind what is to be acted on for longer than that: shut out.
+    /// A server that lags for longer excludes itself, in milliseconds.
     pub max_lag: Millis,
-    /// Without any other member for longer than that: shut out where `silent_shuts`.
+    /// A server that receives nothing for longer is isolated, in milliseconds.
     pub max_silence: Millis,
+    /// Whether an isolated server excludes itself.
     pub exclude_when_isolated: bool,
 }
 
-/// What is known of the version that is to be acted on, and of the fleet.
+/// What a server knows of the fleet and of the version to be active.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ExclusionInputs {
+    /// The version that is active here.
     pub active_version: VersionId,
-    /// The newest that is known, held or not; and the newest that is held and was not turned down.
+    /// The newest version that is known, held or not.
     pub newest: VersionId,
+    /// The newest version that is held and was not rejected.
     pub newest_accepted: VersionId,
+    /// Whether the newest known version is mandatory.
     pub mandatory: bool,
+    /// Whether the newest known version was rejected here.
     pub rejected: bool,
-    /// Of what should be acted on: here, its wave's delay, its wave has come, its wave goes no further.
+    /// Whether the [target](ExclusionInputs::target) is held here.
     pub held: bool,
+    /// Delay of this server's rollout stage of the target, in milliseconds.
     pub stage_delay: Millis,
+    /// Whether this server's rollout stage of the target has come.
     pub stage_due: bool,
+    /// Whether the rollout of the target was halted here.
     pub halted: bool,
-    /// PeerAudits, and those of them that want to go or have gone before this server.
+    /// Other members that are present.
     pub others: usize,
+    /// Those of them that want to be excluded, or are, and go before this server.
     pub ahead: usize,
 }
 
 impl ExclusionInputs {
-    /// What this server should act on by now.
+    /// Returns the version that should be active here.
     pub fn target(&self) -> VersionId {
         if self.rejected {
             self.newest_accepted
@@ -76,185 +96,263 @@
     }
 }
 
-/// What a look came to.
+/// The result of an evaluation.
 #[derive(Debug, Default, PartialEq)]
 pub struct ExclusionDecision {
-    /// Something that is said to the others has changed.
+    /// Whether what the status reports of the exclusion has changed.
     pub status_changed: bool,
-    /// ExclusionReason out or let in, where that changed.
+    /// The new reason of the exclusion, or none for admission, where that has changed.
     pub changed: Option<Option<ExclusionReason>>,
-    /// More would be shut out than may be, told once a version.
+    /// Set where more servers would be excluded for this version than may be; once a version.
     pub limit_reached: Option<VersionId>,
 }
 
+/// A version that is not active here, and when that has lasted for too long.
+#[derive(Clone, Copy, Debug, Hash)]
+struct Lag {
+    target: VersionId,
+    deadline: Millis,
+}
+
+/// The end of a pause.
+#[derive(Clone, Copy, Debug, Hash)]
+struct Resumption {
+    at: Millis,
+    /// Sequence number of the first datagram that is sent afterwards.
+    first_datagram: u64,
+}
+
+/// Decides whether this server is excluded.
 #[derive(Clone, Debug, Hash)]
 pub struct ExclusionState {
-    bounds: ExclusionLimits,
-    by_hand: bool,
+    limits: ExclusionLimits,
+    by_operator: bool,
     reason: Option<ExclusionReason>,
-    /// What it is behind, and when that is too long.
-    behind: Option<(VersionId, Millis)>,
-    /// Since when it would shut itself out for a version.
-    wants_exclusion: Option<Millis>,
-    /// When it last heard anybody.
-    alone: Millis,
-    /// Since when it goes on after a pause, and its first datagram from then on: what doesn't echo that may have been said before.
-    resumed: Option<(Millis, u64)>,
-    /// Since when it has heard again: what it hears of then is fetched before anything is admitted, if that comes soon.
-    caught_up: Option<Millis>,
-    told_too_many: Option<VersionId>,
+    lag: Option<Lag>,
+    /// Since when it would exclude itself for a version.
+    wants_exclusion_since: Option<Millis>,
+    last_received: Millis,
+    /// The last pause, until a member has answered.
+    resumption: Option<Resumption>,
+    /// When a member answered after a pause.
+    answered_at: Option<Millis>,
+    /// The version for which `limit_reached` was reported last.
+    reported_limit: Option<VersionId>,
 }
 
 impl ExclusionState {
-    pub fn new(bounds: ExclusionLimits, now: Millis) -> ExclusionState {
+    /// Returns the state of a server that starts `now` and admits requests.
+    pub fn new(limits: ExclusionLimits, now: Millis) -> ExclusionState {
         ExclusionState {
-            bounds,
-            by_hand: false,
+            limits,
+            by_operator: false,
             reason: None,
-            behind: None,
-            wants_exclusion: None,
-            alone: now,
-            resumed: None,
-            caught_up: None,
-            told_too_many: None,
+            lag: None,
+            wants_exclusion_since: None,
+            last_received: now,
+            resumption: None,
+            answered_at: None,
+            reported_limit: None,
         }
     }
 
+    /// Returns why the server is excluded; none while it admits requests.
     pub fn reason(&self) -> Option<&ExclusionReason> {
         self.reason.as_ref()
     }
 
+    /// Returns whether the server would exclude itself for a version, if not too many did.
     pub fn wants_exclusion(&self) -> bool {
-        self.wants_exclusion.is_some()
+        self.wants_exclusion_since.is_some()
     }
 
-    pub fn set_by_operator(&mut self, shut: bool) {
-        self.by_hand = shut;
+    /// Follows an operator's order from the next evaluation on.
+    pub fn set_by_operator(&mut self, exclude: bool) {
+        self.by_operator = exclude;
     }
 
-    /// Any datagram came. Not by the members: a large fleet is taken for gone one by one, which takes minutes.
+    /// Notes that a datagram arrived. Isolation goes by datagrams, not by the members that are
+    /// present: those of a large fleet are found to be unreachable one by one, over minutes.
     pub fn datagram_received(&mut self, now: Millis) {
-        self.alone = now;
+        self.last_received = now;
     }
 
-    /// Guards against a process that was stopped and goes on as if no time had passed. `first`: its next datagram's number. Whether it was.
-    pub fn detect_pause(&mut self, now: Millis, gap: Millis, first: u64, others: usize) -> bool {
-        let is = gap > MIN_PAUSE_MS && self.resumed.is_none();
-        if is && others > 0 {
-            self.resumed = Some((now, first));
+    /// Returns whether the process was paused, `gap` milliseconds after its last tick.
+    ///
+    /// Guards against a process that was stopped and continues as if no time had passed.
+    /// `next_datagram` is the sequence number of the next datagram that it sends.
+    pub fn detect_pause(
+        &mut self,
+        now: Millis,
+        gap: Millis,
+        next_datagram: u64,
+        others: usize,
+    ) -> bool {
+        let was_paused = gap > MIN_PAUSE_MS && self.resumption.is_none();
+        if was_paused && others > 0 {
+            self.resumption = Some(Resumption {
+                at: now,
+                first_datagram: next_datagram,
+            });
         }
-        is
+        was_paused
     }
 
-    /// A member's own word came in answer to datagram `echo`. Guards against words from before a pause, which lay in the socket meanwhile.
+    /// Notes a member's own status that was sent in answer to datagram `echo`.
+    ///
+    /// Guards against statuses from before a pause, which lay in the socket meanwhile.
     pub fn answer_received(&mut self, now: Millis, echo: u64) {
-        if self.resumed.is_some_and(|(_, first)| echo >= first) {
-            self.resumed = None;
-            self.caught_up = Some(now);
+        let is_answer = |resumption: &Resumption| echo >= resumption.first_datagram;
+        if self.resumption.as_ref().is_some_and(is_answer) {
+            self.resumption = None;
+            self.answered_at = Some(now);
         }
     }
 
-    /// Whether this server is to be shut out, or let in again.
-    pub fn evaluate(&mut self, now: Millis, facts: &ExclusionInputs) -> ExclusionDecision {
-        let mut judged = ExclusionDecision::default();
-        let target = facts.target();
-        if target == facts.active_version || facts.halted || target < facts.active_version {
-            self.behind = None;
-        } else if self.behind.is_none_or(|(id, _)| id != target) {
-            self.behind = Some((target, now + facts.stage_delay + self.bounds.max_lag));
+    /// Decides whether the server is excluded or admits requests.
+    pub fn evaluate(&mut self, now: Millis, inputs: &ExclusionInputs) -> ExclusionDecision {
+        let mut decision = ExclusionDecision::default();
+        self.update_lag(now, inputs);
+        let version_reason = self.version_reason(now, inputs);
+        if version_reason.is_some() != self.wants_exclusion() {
+            self.wants_exclusion_since = version_reason.as_ref().map(|_| now);
+            decision.status_changed = true;
         }
-        // What it hears of after a pause comes first; a wave that is still to come is nothing to wait for.
-        let fetches = self
-            .caught_up
-            .is_some_and(|since| now < since + MAX_RESUME_MS)
-            && target > facts.active_version;
-        let waits = facts.held && (facts.halted || !facts.stage_due);
-        let behind = self
-            .behind
-            .filter(|(_, until)| now >= *until)
-            .map(|(id, _)| ExclusionReason::Lagging(id));
-        let refused = facts.mandatory && facts.rejected;
-        let out = refused
-            .then_some(ExclusionReason::RejectedVersion(facts.newest))
-            .or(behind);
-        if out.is_some() != self.wants_exclusion.is_some() {
-            self.wants_exclusion = out.as_ref().map(|_| now);
-            judged.status_changed = true;
+        let version_reason =
+            version_reason.filter(|_| self.may_exclude_itself(now, inputs, &mut decision));
+        let reason = self.first_reason(now, inputs, version_reason);
+        if reason != self.reason {
+            self.reason.clone_from(&reason);
+            decision.changed = Some(reason);
+            decision.status_changed = true;
         }
-        let out = out.filter(|_| self.may(now, facts, &mut judged));
-        // Who has nobody to hear is not cut off.
-        let silent = self.bounds.exclude_when_isolated
-            && now.saturating_sub(self.alone) > self.bounds.max_silence;
-        let cause = match () {
-            () if self.by_hand => Some(ExclusionReason::ByOperator),
-            () if self
-                .resumed
-                .is_some_and(|(resumed, _)| now < resumed + MAX_RESUME_MS) =>
-            {
-                Some(ExclusionReason::Paused)
-            }
-            () if fetches && !waits => Some(ExclusionReason::Paused),
-            () if out.is_some() => out,
-            () if silent => Some(ExclusionReason::Isolated),
-            () => None,
-        };
-        if cause != self.reason {
-            self.reason = cause.clone();
-            judged.changed = Some(cause);
-            judged.status_changed = true;
+        decision
+    }
+
+    fn update_lag(&mut self, now: Millis, inputs: &ExclusionInputs) {
+        let target = inputs.target();
+        if target <= inputs.active_version || inputs.halted {
+            self.lag = None;
+        } else if self.lag.is_none_or(|lag| lag.target != target) {
+            self.lag = Some(Lag {
+                target,
+                deadline: now + inputs.stage_delay + self.limits.max_lag,
+            });
+        }
+    }
+
+    /// Returns the reason to be excluded for a version, whatever the others do.
+    fn version_reason(&self, now: Millis, inputs: &ExclusionInputs) -> Option<ExclusionReason> {
+        if inputs.mandatory && inputs.rejected {
+            return Some(ExclusionReason::RejectedVersion(inputs.newest));
         }
-        judged
+        self.lag
+            .filter(|lag| now >= lag.deadline)
+            .map(|lag| ExclusionReason::Lagging(lag.target))
     }
 
-    /// Guards against a version or a network at fault that takes the whole fleet away: of those who would go only so many do, first
-    /// those who have gone, then by name, which all reckon alike.
-    fn may(
+    /// Guards against a version or a network at fault that excludes the whole fleet: of the
+    /// servers that want it only so many go, the excluded ones first, then by name, which all
+    /// servers work out alike.
+    fn may_exclude_itself(
         &mut self,
         now: Millis,
-        facts: &ExclusionInputs,
-        judged: &mut ExclusionDecision,
+        inputs: &ExclusionInputs,
+        decision: &mut ExclusionDecision,
     ) -> bool {
-        if self
-            .wants_exclusion
-            .is_none_or(|since| now < since + ANNOUNCE_DELAY_MS)
-        {
+        let has_waited = self
+            .wants_exclusion_since
+            .is_some_and(|since| now >= since + ANNOUNCE_DELAY_MS);
+        if !has_waited {
             return false;
         }
-        let all = facts.others + 1;
-        let most = (all as f64 * MAX_EXCLUDED_FRACTION) as usize;
-        let may = facts.ahead < if all >= 3 { most.max(1) } else { most };
-        if !may && self.told_too_many != Some(facts.newest) {
-            self.told_too_many = Some(facts.newest);
-            judged.limit_reached = Some(facts.newest);
+        let servers = inputs.others + 1;
+        let share = (servers as f64 * MAX_EXCLUDED_FRACTION) as usize;
+        let max_excluded = if servers >= MIN_FLEET_WITH_EXCLUSION {
+            share.max(1)
+        } else {
+            share
+        };
+        let may = inputs.ahead < max_excluded;
+        if !may && self.reported_limit != Some(inputs.newest) {
+            self.reported_limit = Some(inputs.newest);
+            decision.limit_reached = Some(inputs.newest);
         }
         may
     }
 
-    /// The same with all times reckoned from `now`, and those that are over as one: what acts alike from now on is alike.
+    /// Returns the reason that comes first; none where the server admits requests.
+    fn first_reason(
+        &self,
+        now: Millis,
+        inputs: &ExclusionInputs,
+        version_reason: Option<ExclusionReason>,
+    ) -> Option<ExclusionReason> {
+        if self.by_operator {
+            return Some(ExclusionReason::ByOperator);
+        }
+        if self.awaits_answer(now) || self.catches_up(now, inputs) {
+            return Some(ExclusionReason::Paused);
+        }
+        if version_reason.is_some() {
+            return version_reason;
+        }
+        self.is_isolated(now).then_some(ExclusionReason::Isolated)
+    }
+
+    /// Returns whether no member has answered since a pause.
+    fn awaits_answer(&self, now: Millis) -> bool {
+        self.resumption
+            .is_some_and(|resumption| now < resumption.at + MAX_RESUME_MS)
+    }
+
+    /// Returns whether a newer version is fetched after a pause. A rollout stage that is still to
+    /// come is not waited for.
+    fn catches_up(&self, now: Millis, inputs: &ExclusionInputs) -> bool {
+        let is_recent = self
+            .answered_at
+            .is_some_and(|answered_at| now < answered_at + MAX_RESUME_MS);
+        let awaits_stage = inputs.held && (inputs.halted || !inputs.stage_due);
+        is_recent && inputs.target() > inputs.active_version && !awaits_stage
+    }
+
+    fn is_isolated(&self, now: Millis) -> bool {
+        let silence = now.saturating_sub(self.last_received);
+        self.limits.exclude_when_isolated && silence > self.limits.max_silence
+    }
+
+    /// Returns the same state with all times counted from `now`, and all times that have run out
+    /// set equal: two states that lead to the same decisions become equal.
     pub fn relative(&self, now: Millis) -> ExclusionState {
-        let since = |at: Millis, most: Millis| now.saturating_sub(at).min(most + 1);
+        let since = |at: Millis, bound: Millis| now.saturating_sub(at).min(bound + 1);
         ExclusionState {
-            behind: self
-                .behind
-                .map(|(id, until)| (id, until.saturating_sub(now))),
-            wants_exclusion: self.wants_exclusion.map(|at| since(at, ANNOUNCE_DELAY_MS)),
-            alone: since(self.alone, self.bounds.max_silence),
-            resumed: self
-                .resumed
-                .map(|(at, first)| (since(at, MAX_RESUME_MS), first)),
-            caught_up: self.caught_up.map(|at| since(at, MAX_RESUME_MS)),
+            lag: self.lag.map(|lag| Lag {
+                deadline: lag.deadline.saturating_sub(now),
+                ..lag
+            }),
+            wants_exclusion_since: self
+                .wants_exclusion_since
+                .map(|at| since(at, ANNOUNCE_DELAY_MS)),
+            last_received: since(self.last_received, self.limits.max_silence),
+            resumption: self.resumption.map(|resumption| Resumption {
+                at: since(resumption.at, MAX_RESUME_MS),
+                ..resumption
+            }),
+            answered_at: self.answered_at.map(|at| since(at, MAX_RESUME_MS)),
             ..self.clone()
         }
     }
 
-    /// How long those that are turned away should stay away; none while this server admits.
+    /// Returns how long rejected callers should wait, in milliseconds; none while the server
+    /// admits requests.
     pub fn retry_after(&self, now: Millis) -> Option<Millis> {
-        let left = self.resumed.map_or(0, |(resumed, _)| {
-            (resumed + MAX_RESUME_MS).saturating_sub(now)
-        });
         match self.reason.as_ref()? {
-            ExclusionReason::Paused => Some(left.max(1)),
-            // Nobody knows when: another look is worth while after a few rounds of words.
+            ExclusionReason::Paused => {
+                let resumed_by = self
+                    .resumption
+                    .map_or(0, |resumption| resumption.at + MAX_RESUME_MS);
+                Some(resumed_by.saturating_sub(now).max(1))
+            }
             _ => Some(RETRY_AFTER_MS),
         }
     }
--- a/crates/coralstep-fleet/src/extension.rs
+++ b/crates/coralstep-fleet/src/extension.rs
@@ -1,7 +1,11 @@
-//! What rides on the fleet's one channel beside the fleet's own words and versions. A rider knows who is there and what it wants said; it
-//! knows neither sockets nor other riders. What it spreads fills the room that datagrams have left, in turn with the others; its
-//! letters go to one server each, now. A message that comes twice, late or never must not harm it.
+//! Other protocols that share the fleet's channel.
+//!
+//! An extension knows who is in the fleet and what it wants to send; it knows neither sockets nor
+//! other extensions. What it spreads by gossip fills the room that datagrams have left, in turn
+//! with the others; its messages go to one server each, at once. A message that arrives twice,
+//! late or never must not harm it.
 use std::cell::RefCell;
+use std::fmt;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -9,7 +13,7 @@
 use crate::datagram::PayloadKind;
 use crate::membership::Member;
 
-/// A letter of a rider's, and to whom.
+/// A message of an extension to one server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// Address of the server that it is for.
@@ -25,54 +29,48 @@
     }
 }
 
-/// Who is there, as this server knows it now.
+/// The members of the fleet as this server knows them now.
+#[derive(Clone, Debug)]
 pub struct MembershipView<'a> {
+    /// This server.
     pub own: &'a Member,
-    /// PeerAudits that are there as far as anybody knows.
+    /// The other members that are not known to have left or failed.
     pub present: Vec<&'a Member>,
-    /// Those of them whose reports count: current, not shut out, not leaving.
+    /// Those of them whose reports count: up to date, not excluded and not leaving.
     pub current: Vec<&'a Member>,
-    /// Those that are known to be shut out.
+    /// Those of them that are known to be excluded.
     pub excluded: Vec<&'a Member>,
-    /// This server leaves, or is shut out: it gives back what it holds.
+    /// Whether this server is leaving or excluded, and has to give back what it holds.
     pub leaving: bool,
 }
 
-impl MembershipView<'_> {
-    /// This server and those whose reports count.
-    pub fn counted(&self) -> usize {
-        self.current.len() + 1
-    }
-
-    pub fn is_current(&self, member: &Member) -> bool {
-        self.current.contains(&member)
-    }
-}
-
+/// A protocol that shares the fleet's channel.
 pub trait GossipExtension {
-    /// Something to be spread, of at most `_max_bytes` bytes.
+    /// Returns something to be spread, of at most `max_bytes` bytes.
     fn next_gossip(&mut self, _now: Millis, _max_bytes: usize) -> Option<Vec<u8>> {
         None
     }
 
-    /// What was spread came from a member.
+    /// Takes in what a member spread.
     fn handle_gossip(&mut self, _now: Millis, _own: &Member, _bytes: &[u8]) {}
 
-    /// A letter came; what it is answered with at once.
+    /// Takes in a message to this server; returns the replies.
     fn handle_message(&mut self, _now: Millis, _from: &Member, _bytes: &[u8]) -> Vec<Message> {
         Vec::new()
     }
 
-    /// Time passes; letters to be sent.
+    /// Lets time pass; returns the messages that are due.
     fn tick(&mut self, _now: Millis, _view: &MembershipView<'_>) -> Vec<Message> {
         Vec::new()
     }
 }
 
-/// Who a rider's bytes are for.
+/// Names an extension.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExtensionId {
+    /// Limits whose quotas are shared among the servers.
     Quota,
+    /// Health of dependencies, shared among the servers.
     SharedHealth,
 }
 
@@ -107,3 +105,11 @@
         Registration { id, extension }
     }
 }
+
+impl fmt::Debug for Registration {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Registration")
+            .field("id", &self.id)
+            .finish_non_exhaustive()
+    }
+}
--- a/crates/coralstep-fleet/src/gossip.rs
+++ b/crates/coralstep-fleet/src/gossip.rs
@@ -1,44 +1,86 @@
-//! What may be stale: each server's newest saying of itself, handed on to all. Newest per source wins, by the process's start and the
-//! number of the saying; its age is known, and past a stated age it is worth nothing. What was times_relayed least goes first, so none starves.
+//! Dissemination of values that may be stale: each server's newest report of itself, relayed by
+//! all.
+//!
+//! The newest value of an origin wins, by the incarnation of the process and the sequence number
+//! of the value. Each value travels with its age and is dropped past a stated one.
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-use serde::Serialize;
 use serde::de::DeserializeOwned;
+use serde::{Deserialize, Serialize};
 
 use crate::Millis;
 use crate::membership::Member;
 
-/// Sources that are kept; more are not listened to.
+/// Origins whose values are kept; further ones are ignored.
 pub const MAX_SOURCES: usize = 8_192;
-/// Sayings of others in one datagram at the most.
+/// Values of other servers in one payload.
 const MAX_RELAYED: usize = 32;
+/// Bytes of a payload beside its values.
+const PAYLOAD_OVERHEAD_BYTES: usize = 2;
 
-/// Something that a server says of itself.
+/// A value that a server publishes of itself.
 pub trait Gossip: Clone + Serialize + DeserializeOwned {
-    /// Who has not been heard of for so long is forgotten.
+    /// A value of this age, in milliseconds, is dropped.
     const MAX_AGE_MS: Millis;
+
+    /// Returns the server that published it.
     fn origin(&self) -> &Member;
-    /// Rises with each saying of one process.
+
+    /// Returns a number that rises with each value of one process.
     fn sequence(&self) -> u64;
-    /// Whether a peer may have said so.
+
+    /// Returns whether a correct peer could have published it.
     fn is_valid(&self) -> bool;
 }
 
+/// A value of another server.
 #[derive(Clone, Debug)]
 pub struct Received<T> {
+    /// The value.
     pub value: T,
-    /// When it was said, on this server's clock.
+    /// When its origin published it, on this server's clock.
     pub sent_at: Millis,
     times_relayed: u32,
 }
 
-type Key = (String, SocketAddr);
+/// A value on its way.
+#[derive(Clone, Serialize, Deserialize)]
+struct AgedValue<T> {
+    value: T,
+    age_ms: u32,
+}
+
+/// An origin, whatever its incarnation.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+struct Origin {
+    name: String,
+    address: SocketAddr,
+}
+
+impl Origin {
+    fn of(member: &Member) -> Origin {
+        Origin {
+            name: member.name.clone(),
+            address: member.address,
+        }
+    }
+}
 
+/// Place of a value among those to be relayed: the least relayed first, then by origin.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct RelayPosition {
+    times_relayed: u32,
+    origin: Origin,
+}
+
+/// This server's own value and the newest ones of the others.
+///
+/// The least relayed values are sent first, so that none starves.
 pub struct Disseminator<T> {
-    received: HashMap<Key, Received<T>>,
-    /// The same by how often each was times_relayed: what is said next is found without a look at all.
-    order: BTreeSet<(u32, Key)>,
+    received: HashMap<Origin, Received<T>>,
+    /// The same values in the order in which they are relayed.
+    relay_order: BTreeSet<RelayPosition>,
     own: Option<T>,
 }
 
@@ -46,112 +88,142 @@
     fn default() -> Disseminator<T> {
         Disseminator {
             received: HashMap::new(),
-            order: BTreeSet::new(),
+            relay_order: BTreeSet::new(),
             own: None,
         }
     }
 }
 
-fn key(member: &Member) -> Key {
-    (member.name.clone(), member.address)
+impl<T> std::fmt::Debug for Disseminator<T> {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.debug_struct("Disseminator")
+            .field("received", &self.received.len())
+            .finish_non_exhaustive()
+    }
 }
 
-fn length<S: Serialize>(what: &S) -> usize {
-    postcard::to_allocvec(what).map_or(usize::MAX / 2, |bytes| bytes.len())
+fn encoded_bytes<S: Serialize>(value: &S) -> usize {
+    postcard::to_allocvec(value).map_or(usize::MAX / 2, |bytes| bytes.len())
 }
 
 impl<T: Gossip> Disseminator<T> {
+    /// Publishes this server's own value in place of the one before.
     pub fn set_own(&mut self, value: T) {
         self.own = Some(value);
     }
 
-    /// What goes into `max_bytes` bytes: this server's own first.
+    /// Returns what fits `max_bytes`: this server's own value, then the least relayed of the
+    /// others'. None where there is nothing to send or no room for it.
     pub fn next_payload(&mut self, now: Millis, max_bytes: usize) -> Option<Vec<u8>> {
-        let mut out: Vec<(T, u32)> = self.own.iter().map(|own| (own.clone(), 0)).collect();
-        // Of two times_relayed as often names decide: the order is the same everywhere.
-        let next: Vec<(u32, Key)> = self.order.iter().take(MAX_RELAYED).cloned().collect();
-        let mut size = length(&out) + 2;
-        for entry in next {
-            let Some(received) = self.received.get_mut(&entry.1) else {
+        let mut payload: Vec<AgedValue<T>> = Vec::new();
+        payload.extend(self.own.iter().map(|own| AgedValue {
+            value: own.clone(),
+            age_ms: 0,
+        }));
+        let mut bytes = encoded_bytes(&payload) + PAYLOAD_OVERHEAD_BYTES;
+        let next: Vec<RelayPosition> = self.relay_order.iter().take(MAX_RELAYED).cloned().collect();
+        for position in next {
+            let Some(received) = self.received.get_mut(&position.origin) else {
                 continue;
             };
-            let age = now
-                .saturating_sub(received.sent_at)
-                .min(u64::from(u32::MAX)) as u32;
-            let passed = (received.value.clone(), age);
-            let more = length(&passed);
-            if size.saturating_add(more) > max_bytes {
+            let age = now.saturating_sub(received.sent_at);
+            let relayed = AgedValue {
+                value: received.value.clone(),
+                age_ms: age.min(u64::from(u32::MAX)) as u32,
+            };
+            let more = encoded_bytes(&relayed);
+            if bytes.saturating_add(more) > max_bytes {
                 break;
             }
-            size += more;
+            bytes += more;
             received.times_relayed = received.times_relayed.saturating_add(1);
             let times_relayed = received.times_relayed;
-            self.order.remove(&entry);
-            self.order.insert((times_relayed, entry.1));
-            out.push(passed);
+            self.relay_order.remove(&position);
+            self.relay_order.insert(RelayPosition {
+                times_relayed,
+                origin: position.origin,
+            });
+            payload.push(relayed);
         }
-        postcard::to_allocvec(&out)
+        postcard::to_allocvec(&payload)
             .ok()
-            .filter(|bytes| !out.is_empty() && bytes.len() <= max_bytes)
+            .filter(|bytes| !payload.is_empty() && bytes.len() <= max_bytes)
     }
 
-    /// The sayings that were news.
-    pub fn receive(&mut self, now: Millis, own: &Member, bytes: &[u8]) -> Vec<T> {
-        let Ok(values) = postcard::from_bytes::<Vec<(T, u32)>>(bytes) else {
+    /// Takes in a payload of another server and returns the values that were new. What can't be
+    /// read, is invalid or claims to be of this server is ignored.
+    pub fn receive(&mut self, now: Millis, own: &Member, payload: &[u8]) -> Vec<T> {
+        let Ok(values) = postcard::from_bytes::<Vec<AgedValue<T>>>(payload) else {
             return Vec::new();
         };
         let mut news = Vec::new();
-        for (value, age) in values {
-            // Nobody else speaks for this server.
-            let mine = value.origin().name == own.name && value.origin().address == own.address;
-            if !value.is_valid() || Millis::from(age) > T::MAX_AGE_MS || mine {
+        for AgedValue { value, age_ms } in values {
+            let age = Millis::from(age_ms);
+            let origin = value.origin();
+            let is_own = origin.name == own.name && origin.address == own.address;
+            if !value.is_valid() || age > T::MAX_AGE_MS || is_own {
                 continue;
             }
-            let key = key(value.origin());
-            let newest = (value.origin().incarnation, value.sequence());
-            let known = self.received.get(&key);
-            let old = known.is_some_and(|known| {
-                (known.value.origin().incarnation, known.value.sequence()) >= newest
-            });
-            if old || (known.is_none() && self.received.len() >= MAX_SOURCES) {
-                continue;
+            if self.insert(now.saturating_sub(age), &value) {
+                news.push(value);
             }
-            known
-                .map(|known| known.times_relayed)
-                .inspect(|times_relayed| {
-                    self.order.remove(&(*times_relayed, key.clone()));
-                });
-            self.order.insert((0, key.clone()));
-            let sent_at = now.saturating_sub(Millis::from(age));
-            self.received.insert(
-                key,
-                Received {
-                    value: value.clone(),
-                    sent_at,
-                    times_relayed: 0,
-                },
-            );
-            news.push(value);
         }
         news
     }
 
+    /// Returns false where the value is not newer than the known one, or where there is no room.
+    fn insert(&mut self, sent_at: Millis, value: &T) -> bool {
+        let origin = Origin::of(value.origin());
+        let known = self.received.get(&origin);
+        let rank = |value: &T| (value.origin().incarnation, value.sequence());
+        if known.is_some_and(|known| rank(&known.value) >= rank(value)) {
+            return false;
+        }
+        if known.is_none() && self.received.len() >= MAX_SOURCES {
+            return false;
+        }
+        if let Some(known) = known {
+            self.relay_order.remove(&RelayPosition {
+                times_relayed: known.times_relayed,
+                origin: origin.clone(),
+            });
+        }
+        self.relay_order.insert(RelayPosition {
+            times_relayed: 0,
+            origin: origin.clone(),
+        });
+        self.received.insert(
+            origin,
+            Received {
+                value: value.clone(),
+                sent_at,
+                times_relayed: 0,
+            },
+        );
+        true
+    }
+
+    /// Drops the values that are too old.
     pub fn expire(&mut self, now: Millis) {
-        let order = &mut self.order;
-        self.received.retain(|key, received| {
+        let relay_order = &mut self.relay_order;
+        self.received.retain(|origin, received| {
             let keep = now.saturating_sub(received.sent_at) <= T::MAX_AGE_MS;
             if !keep {
-                order.remove(&(received.times_relayed, key.clone()));
+                relay_order.remove(&RelayPosition {
+                    times_relayed: received.times_relayed,
+                    origin: origin.clone(),
+                });
             }
             keep
         });
     }
 
-    /// What is known of a process.
+    /// Returns the newest value of the server with the name and address of `member`.
     pub fn get(&self, member: &Member) -> Option<&Received<T>> {
-        self.received.get(&key(member))
+        self.received.get(&Origin::of(member))
     }
 
+    /// Iterates over the newest values of the others, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Received<T>> {
         self.received.values()
     }
--- a/crates/coralstep-fleet/src/status.rs
+++ b/crates/coralstep-fleet/src/status.rs
@@ -1,73 +1,104 @@
-//! What each server says of itself: what it acts on, what it holds, whether it is shut out. A rider of the channel, spread by [`Disseminator`].
+//! What each server reports of itself to the fleet by gossip.
 use serde::{Deserialize, Serialize};
 
-use crate::Millis;
 use crate::gossip::{Disseminator, Gossip};
 use crate::membership::{MAX_NAME_BYTES, Member};
-use crate::versions::VersionId;
+use crate::versions::{MAX_REASON_BYTES, VersionId};
+use crate::{Millis, UnixMillis};
 
-/// Letters of a reason.
-pub const MAX_REASON_BYTES: usize = 96;
-/// A server's own word is made anew this often, so that its silence shows.
+/// A server renews its status this often, so that its silence shows.
 pub const ANNOUNCE_INTERVAL_MS: Millis = 1_000;
-/// Who has not been heard of for so long is forgotten here; the audit still has its rows.
+/// A status that was not renewed for so long is dropped; the audit keeps its rows.
 pub const MAX_AGE_MS: Millis = 120_000;
-/// Orders of operators that a server hands on for others: its last ones.
+/// Membership orders that a server passes on for others: its last ones.
 pub const MAX_ORDERS: usize = 4;
+/// Greatest sequence number of an order that is accepted. Guards against one forged order that
+/// no later one could exceed.
+const MAX_ORDER_SEQUENCE: u64 = u64::MAX / 2 - 1;
 
-/// An operator shuts a server out, or lets it in, by way of another one. Of two for one server the greater number holds; it rises with each
-/// that is known, so no clock decides.
+/// An operator's order to exclude a server from the fleet, or to readmit it.
+///
+/// Of two orders for one server the one with the greater number holds. Each new order is numbered
+/// above all that are known, so no clock decides.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipOrder {
+    /// Name of the server that it is for.
     pub member: String,
+    /// Number among the orders for that server.
     pub sequence: u64,
+    /// True to exclude, false to readmit.
     pub exclude: bool,
 }
 
 impl MembershipOrder {
     fn is_valid(&self) -> bool {
-        // The bound leaves room: guards against one forged order that no later one could exceed.
         !self.member.is_empty()
             && self.member.len() <= MAX_NAME_BYTES
-            && self.sequence < u64::MAX / 2
+            && self.sequence <= MAX_ORDER_SEQUENCE
     }
 }
 
-/// A version that a server acted on, from when to when.
+/// A version that a server had active for some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PastVersion {
+    /// The version.
     pub version: VersionId,
-    pub from_ms: u64,
-    pub to_ms: u64,
+    /// When it was activated, in Unix milliseconds of the hybrid clock.
+    pub from_ms: UnixMillis,
+    /// When the next one was activated, in Unix milliseconds of the hybrid clock.
+    pub to_ms: UnixMillis,
+    /// RPCs that were decided under it.
     pub rpcs: u64,
 }
 
+/// The end of a server's audit chain, for others to compare.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ChainHead {
+    /// First bytes of the hash of the last entry.
+    pub hash: [u8; 8],
+    /// Entries that the chain has had so far.
+    pub length: u32,
+}
+
+/// A version that a server refused to activate.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Rejection {
+    /// The version.
+    pub version: VersionId,
+    /// Why, in at most [`MAX_REASON_BYTES`] bytes.
+    pub reason: String,
+}
+
+/// What a server reports of itself. The order of the fields is that of their bytes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeStatus {
+    /// The server.
     pub member: Member,
-    /// Rises with each word of one process.
+    /// Rises with each status of one process.
     pub sequence: u64,
+    /// Whether the server is shutting down.
     pub leaving: bool,
-    /// ExclusionReason out, by itself or by an operator.
+    /// Whether it is excluded, by itself or by an operator.
     pub excluded: bool,
-    /// It would shut itself out for a version, if not too many do.
+    /// Whether it would exclude itself for a version, if not too many did.
     pub wants_exclusion: bool,
-    /// The version it acts on, and since when (hybrid clock, Unix milliseconds).
+    /// The version that it has active.
     pub active_version: VersionId,
-    pub active_since_ms: u64,
-    /// RPCs decided under it, and of these those that got their result.
+    /// Since when, in Unix milliseconds of the hybrid clock.
+    pub active_since_ms: UnixMillis,
+    /// RPCs decided under that version.
     pub rpcs: u64,
+    /// Those of them that got their result.
     pub succeeded: u64,
-    /// What it acted on before that, as it stands in its record.
+    /// The version before that, as it stands in the server's audit chain.
     pub previous: Option<PastVersion>,
-    /// The newest version it holds.
+    /// The newest version that it holds.
     pub newest_held: VersionId,
-    /// What it would not take, and why.
-    pub rejected: Option<(VersionId, String)>,
-    /// The end of its record, and how many entries that has.
-    pub audit_head: [u8; 8],
-    pub audit_length: u32,
-    /// What its operators want of other servers.
+    /// Its rejection of that version, if it rejected it.
+    pub rejected: Option<Rejection>,
+    /// The end of its audit chain.
+    pub audit: ChainHead,
+    /// Orders that its operators gave for other servers.
     pub orders: Vec<MembershipOrder>,
 }
 
@@ -83,18 +114,21 @@
     }
 
     fn is_valid(&self) -> bool {
-        let reason = self
+        let has_valid_reason = self
             .rejected
             .as_ref()
-            .is_none_or(|(_, why)| why.len() <= MAX_REASON_BYTES);
-        let orders =
+            .is_none_or(|rejection| rejection.reason.len() <= MAX_REASON_BYTES);
+        let has_valid_orders =
             self.orders.len() <= MAX_ORDERS && self.orders.iter().all(MembershipOrder::is_valid);
-        self.member.is_valid() && reason && orders && self.succeeded <= self.rpcs
+        self.member.is_valid()
+            && has_valid_reason
+            && has_valid_orders
+            && self.succeeded <= self.rpcs
     }
 }
 
-/// What all servers say of themselves, as far as it was heard here.
+/// The newest status of each server, as far as it arrived here.
 pub type NodeStatuses = Disseminator<NodeStatus>;
 
 #[cfg(test)]
-pub mod tests;
+pub(crate) mod tests;
--- a/crates/coralstep-fleet/src/status/tests.rs
+++ b/crates/coralstep-fleet/src/status/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-pub fn word(name: &str, started: u64, number: u64) -> NodeStatus {
+pub(crate) fn status(name: &str, incarnation: u64, sequence: u64) -> NodeStatus {
     NodeStatus {
-        member: Member::new(name, "127.0.0.1:1".parse().unwrap(), started),
-        sequence: number,
+        member: Member::new(name, "127.0.0.1:1".parse().unwrap(), incarnation),
+        sequence,
         leaving: false,
         excluded: false,
         wants_exclusion: false,
@@ -14,77 +14,107 @@
         previous: None,
         newest_held: VersionId::default(),
         rejected: None,
-        audit_head: [0; 8],
-        audit_length: 0,
+        audit: ChainHead::default(),
         orders: Vec::new(),
     }
 }
 
-fn pass(words: &[(NodeStatus, u32)]) -> Vec<u8> {
-    postcard::to_allocvec(words).unwrap()
+fn payload(statuses: &[(NodeStatus, u32)]) -> Vec<u8> {
+    postcard::to_allocvec(statuses).unwrap()
 }
 
 #[test]
-fn the_newest_word_of_a_source_wins_whatever_way_it_came() {
-    let (mut words, own) = (
+fn the_newest_status_of_an_origin_wins_by_whatever_path_it_arrives() {
+    let (mut statuses, own) = (
         NodeStatuses::default(),
         Member::new("me", "127.0.0.1:9".parse().unwrap(), 1),
     );
     assert_eq!(
-        words
-            .receive(1_000, &own, &pass(&[(word("a", 5, 2), 300)]))
+        statuses
+            .receive(1_000, &own, &payload(&[(status("a", 5, 2), 300)]))
             .len(),
         1
     );
-    assert_eq!(words.get(&word("a", 5, 2).member).unwrap().sent_at, 700);
+    assert_eq!(
+        statuses.get(&status("a", 5, 2).member).unwrap().sent_at,
+        700
+    );
     // Older, the same again, of the process before, and of this server itself.
     for (old, age) in [
-        (word("a", 5, 1), 0),
-        (word("a", 5, 2), 0),
-        (word("a", 4, 9), 0),
+        (status("a", 5, 1), 0),
+        (status("a", 5, 2), 0),
+        (status("a", 4, 9), 0),
     ] {
-        assert!(words.receive(1_000, &own, &pass(&[(old, age)])).is_empty());
+        assert!(
+            statuses
+                .receive(1_000, &own, &payload(&[(old, age)]))
+                .is_empty()
+        );
     }
-    let mut mine = word("me", 7, 7);
+    let mut mine = status("me", 7, 7);
     mine.member.address = own.address;
-    assert!(words.receive(1_000, &own, &pass(&[(mine, 0)])).is_empty());
+    assert!(
+        statuses
+            .receive(1_000, &own, &payload(&[(mine, 0)]))
+            .is_empty()
+    );
     // A restart.
     assert_eq!(
-        words
-            .receive(1_000, &own, &pass(&[(word("a", 6, 1), 0)]))
+        statuses
+            .receive(1_000, &own, &payload(&[(status("a", 6, 1), 0)]))
             .len(),
         1
     );
-    // Figures that nobody could have are not taken, nor is what can't be read.
-    let mut wild = word("b", 1, 1);
+}
+
+#[test]
+fn invalid_unreadable_and_expired_statuses_are_dropped() {
+    let own = Member::new("me", "127.0.0.1:9".parse().unwrap(), 1);
+    let mut statuses = NodeStatuses::default();
+    assert_eq!(
+        statuses
+            .receive(1_000, &own, &payload(&[(status("a", 6, 1), 0)]))
+            .len(),
+        1
+    );
+    // More succeeded than were decided.
+    let mut wild = status("b", 1, 1);
     wild.succeeded = 5;
-    assert!(words.receive(1_000, &own, &pass(&[(wild, 0)])).is_empty());
     assert!(
-        words
+        statuses
+            .receive(1_000, &own, &payload(&[(wild, 0)]))
+            .is_empty()
+    );
+    assert!(
+        statuses
             .receive(1_000, &own, b"\xff\xff\xff\xff\x0f")
             .is_empty()
     );
-    words.expire(1_000 + MAX_AGE_MS + 1);
-    assert_eq!(words.iter().count(), 0);
+    statuses.expire(1_000 + MAX_AGE_MS + 1);
+    assert_eq!(statuses.iter().count(), 0);
 }
 
 #[test]
-fn what_was_told_least_goes_first_and_the_room_is_kept() {
-    let (mut words, own) = (
+fn the_least_relayed_statuses_are_sent_first_within_the_room() {
+    let (mut statuses, own) = (
         NodeStatuses::default(),
         Member::new("me", "127.0.0.1:9".parse().unwrap(), 1),
     );
     for number in 0..40 {
-        words.receive(0, &own, &pass(&[(word(&format!("n{number}"), 1, 1), 0)]));
+        statuses.receive(
+            0,
+            &own,
+            &payload(&[(status(&format!("n{number}"), 1, 1), 0)]),
+        );
     }
-    words.set_own(word("me", 1, 1));
+    statuses.set_own(status("me", 1, 1));
     let mut seen = std::collections::HashSet::new();
     for _ in 0..8 {
-        let bytes = words.next_payload(0, 400).unwrap();
+        let bytes = statuses.next_payload(0, 400).unwrap();
         assert!(bytes.len() <= 400);
-        let said: Vec<(NodeStatus, u32)> = postcard::from_bytes(&bytes).unwrap();
-        assert_eq!(said[0].0.member.name, "me");
-        seen.extend(said.into_iter().map(|(word, _)| word.member.name));
+        let sent: Vec<(NodeStatus, u32)> = postcard::from_bytes(&bytes).unwrap();
+        assert_eq!(sent[0].0.member.name, "me");
+        seen.extend(sent.into_iter().map(|(status, _)| status.member.name));
     }
     assert_eq!(seen.len(), 41, "none starves");
 }
--- a/crates/coralstep-fleet/src/versions/tests.rs
+++ b/crates/coralstep-fleet/src/versions/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::membership::Member;
 
 fn version(number: u64, replaces: VersionId, content: &str) -> Version {
     Version {
@@ -25,12 +26,13 @@
 ) -> Option<VersionId> {
     let mut count = 0;
     for now in (0..200_000).step_by(100) {
-        for (_, want) in to.poll_fetch(now, |_| vec![holder("a"), holder("b")], 0.5) {
-            for piece in from.handle_message(now, want).0 {
+        for request in to.poll_fetch(now, |_| vec![holder("a"), holder("b")], 0.5) {
+            for chunk in from.handle_message(now, request.message).replies {
                 count += 1;
-                let whole = spoil(count, piece).and_then(|piece| to.handle_message(now, piece).1);
-                if whole.is_some() {
-                    return whole;
+                let completed =
+                    spoil(count, chunk).and_then(|chunk| to.handle_message(now, chunk).completed);
+                if completed.is_some() {
+                    return completed;
                 }
             }
         }
@@ -39,7 +41,7 @@
 }
 
 #[test]
-fn a_version_comes_whole_or_not_at_all() {
+fn a_version_arrives_complete_or_not_at_all() {
     let content: String = (0..9_000)
         .map(|at| char::from(b'a' + (at % 23) as u8))
         .collect();
@@ -95,7 +97,7 @@
 }
 
 #[test]
-fn a_fork_is_resolved_alike_and_told() {
+fn a_fork_is_resolved_alike_and_reported() {
     let (mut left, mut right) = (VersionStore::default(), VersionStore::default());
     let root = left
         .publish(0, version(1, VersionId::default(), "{}"))
@@ -116,55 +118,42 @@
     // Only the smaller side has to fetch; what it acts on then is what the other does.
     assert_eq!(left.newest(), right.newest());
     assert_eq!(left.newest(), a.max(b));
+    let fork = Fork {
+        superseded: a.min(b),
+        winner: a.max(b),
+    };
     let loser = if a < b { &left } else { &right };
-    assert_eq!(loser.newest_accepted().unwrap().0, a.max(b));
-    assert_eq!(loser.forks(), [(a.min(b), a.max(b))]);
+    assert_eq!(loser.newest_accepted().unwrap().id, a.max(b));
+    assert_eq!(loser.forks(), [fork]);
 }
 
 #[test]
-fn what_was_turned_down_is_not_wanted_again_and_the_one_before_stays() {
+fn a_rejected_version_is_not_accepted_again_and_the_one_before_stays() {
     let mut versions = VersionStore::default();
     let first = versions
         .publish(0, version(1, VersionId::default(), "{}"))
         .unwrap();
     let second = versions.publish(0, version(2, first, "{\"x\":1}")).unwrap();
     versions.reject(second, &"é".repeat(MAX_REASON_BYTES));
-    assert_eq!(versions.newest_accepted().unwrap().0, first);
+    assert_eq!(versions.newest_accepted().unwrap().id, first);
     assert!(versions.rejection_reason(second).unwrap().len() <= MAX_REASON_BYTES);
 }
 
 #[test]
-fn waves_take_stated_parts_one_after_another() {
-    let mut waved = version(1, VersionId::default(), "{}");
-    (waved.stages, waved.stage_pause_ms) = (vec![0.05, 0.3, 1.0], 10_000);
+fn stages_take_their_fractions_one_after_another() {
+    let mut staged = version(1, VersionId::default(), "{}");
+    (staged.stages, staged.stage_pause_ms) = (vec![0.05, 0.3, 1.0], 10_000);
     let mut counts = [0; 3];
-    (0..1_000).for_each(|at| counts[waved.stage(&format!("n{at}")).unwrap()] += 1);
+    (0..1_000).for_each(|at| counts[staged.stage(&format!("n{at}")).unwrap()] += 1);
     assert!(
         (20..90).contains(&counts[0]) && (200..300).contains(&counts[1]),
         "{counts:?}"
     );
-    assert!((0..1_000).all(|at| waved.stage_delay_ms(&format!("n{at}")).unwrap() <= 20_000));
-}
-
-#[test]
-fn a_wave_is_worse_only_where_chance_is_no_excuse() {
-    assert!(
-        !is_significantly_worse((90, 100), (950, 1_000)),
-        "a few more by chance"
-    );
-    assert!(is_significantly_worse((500, 1_000), (950, 1_000)));
-    assert!(
-        !is_significantly_worse((0, 50), (1_000, 1_000)),
-        "too few to say"
-    );
-    assert!(
-        !is_significantly_worse((1_000, 1_000), (1_000, 1_000))
-            && !is_significantly_worse((1_000, 1_000), (900, 1_000))
-    );
+    assert!((0..1_000).all(|at| staged.stage_delay_ms(&format!("n{at}")).unwrap() <= 20_000));
 }
 
 #[test]
-fn ids_are_written_and_read() {
+fn version_ids_are_written_and_parsed() {
     let id = VersionId {
         number: 7,
         hash: hash(b"x"),
--- a/crates/coralstep-fleet/tests/golden.rs
+++ b/crates/coralstep-fleet/tests/golden.rs
@@ -4,9 +4,13 @@
 use std::net::SocketAddr;
 
 use coralstep_fleet::audit::{AuditChain, AuditEntry, verify};
-use coralstep_fleet::datagram::{Datagram, PayloadKind, fleet_id};
+use coralstep_fleet::datagram::{Datagram, Payload, PayloadKind, fleet_id};
+use coralstep_fleet::fleet::{Publication, Snapshot, Transmit};
 use coralstep_fleet::membership::{Membership, MembershipChange};
-use coralstep_fleet::status::{MembershipOrder, NodeStatus, NodeStatuses, PastVersion};
+use coralstep_fleet::rollout::RpcCounts;
+use coralstep_fleet::status::{
+    ChainHead, MembershipOrder, NodeStatus, NodeStatuses, PastVersion, Rejection,
+};
 use coralstep_fleet::versions::{Version, VersionMessage, hash};
 use coralstep_fleet::{Fleet, FleetConfig, Member, VersionId};
 use serde::Serialize;
@@ -115,9 +119,9 @@
     ]
 }
 
-/// What a server says of itself at its start, with every field set, and with each flag alone.
-fn words() -> Vec<(&'static str, NodeStatus)> {
-    let first = NodeStatus {
+/// The status of a server at its start.
+fn first_status() -> NodeStatus {
+    NodeStatus {
         member: far(),
         sequence: 1,
         leaving: false,
@@ -130,11 +134,14 @@
         previous: None,
         newest_held: VersionId::default(),
         rejected: None,
-        audit_head: [0; 8],
-        audit_length: 0,
+        audit: ChainHead::default(),
         orders: Vec::new(),
-    };
-    let full = NodeStatus {
+    }
+}
+
+/// A status with every field set but the flags.
+fn full_status() -> NodeStatus {
+    NodeStatus {
         member: near(),
         sequence: 300,
         active_version: id(300),
@@ -143,15 +150,25 @@
         succeeded: (1 << 33) + 1,
         previous: Some(past()),
         newest_held: id(1 << 36),
-        rejected: Some((id(301), "limits[0].rps: −1 is not from 0.01".to_owned())),
-        audit_head: std::array::from_fn(|at| 0x80 + at as u8),
-        audit_length: 70_000,
+        rejected: Some(Rejection {
+            version: id(301),
+            reason: "limits[0].rps: −1 is not from 0.01".to_owned(),
+        }),
+        audit: ChainHead {
+            hash: std::array::from_fn(|at| 0x80 + at as u8),
+            length: 70_000,
+        },
         orders: orders(),
-        ..first.clone()
-    };
+        ..first_status()
+    }
+}
+
+/// Statuses at the start, with every field set, and with each flag alone.
+fn statuses() -> Vec<(&'static str, NodeStatus)> {
+    let first = first_status();
     vec![
         ("first", first.clone()),
-        ("full", full),
+        ("full", full_status()),
         (
             "leaving",
             NodeStatus {
@@ -191,14 +208,22 @@
 
 fn chain() -> AuditChain {
     let mut chain = AuditChain::default();
-    chain.add(
+    let mut append = |version, from_ms, to_ms, rpcs| {
+        chain.append(PastVersion {
+            version,
+            from_ms,
+            to_ms,
+            rpcs,
+        });
+    };
+    append(
         VersionId::default(),
         1_789_000_000_000,
         1_789_999_000_000,
         0,
     );
-    chain.add(id(299), 1_789_999_000_000, 1_790_000_000_001, (1 << 34) + 9);
-    chain.add(id(300), 1_790_000_000_001, 1_790_000_000_002, 130);
+    append(id(299), 1_789_999_000_000, 1_790_000_000_001, (1 << 34) + 9);
+    append(id(300), 1_790_000_000_001, 1_790_000_000_002, 130);
     chain
 }
 
@@ -216,7 +241,7 @@
     Fleet::new(terms, 0, WALL_MS)
 }
 
-/// Guards against a rider of another number, or a head that servers of an earlier release can't read.
+/// Guards against a payload kind of another number, or a header that earlier releases can't read.
 #[test]
 fn a_datagram_keeps_its_bytes() {
     let all = [
@@ -228,13 +253,15 @@
         PayloadKind::HealthGossip,
         PayloadKind::HealthMessage,
     ];
-    let datagram = |from: Member, number, echo| {
-        let parts = all
-            .iter()
-            .enumerate()
-            .map(|(at, rider)| (*rider, vec![0xf0 + at as u8; at * 30]));
+    let datagram = |from: Member, sequence, echo| {
+        let payloads = all.iter().enumerate().map(|(at, kind)| Payload {
+            kind: *kind,
+            bytes: vec![0xf0 + at as u8; at * 30],
+        });
         let mut datagram = Datagram::new(fleet_id("alps"), from, 1_790_000_000_456);
-        (datagram.number, datagram.echo, datagram.parts) = (number, echo, parts.collect());
+        datagram.sequence = sequence;
+        datagram.echo = echo;
+        datagram.payloads = payloads.collect();
         datagram
     };
     let values = [
@@ -253,12 +280,12 @@
     }
 }
 
-/// Guards against a field or letter whose place changes: servers of two releases would misread it.
+/// Guards against a field or message whose place changes: servers of two releases would misread it.
 #[test]
-fn words_and_letters_keep_their_bytes() {
-    both_ways("words", &words());
+fn statuses_and_version_messages_keep_their_bytes() {
+    both_ways("words", &statuses());
     let piece = (0..=255).collect();
-    let letters = [
+    let messages = [
         (
             "want",
             VersionMessage::Request {
@@ -276,21 +303,21 @@
             },
         ),
     ];
-    both_ways("letters", &letters);
+    both_ways("letters", &messages);
 }
 
-/// Guards against a list of words, with their ages, that other servers read otherwise.
+/// Guards against a list of statuses, with their ages, that other servers read otherwise.
 #[test]
-fn words_on_their_way_keep_their_bytes() {
-    let mut all = words().into_iter().map(|(_, word)| word);
+fn a_payload_of_statuses_keeps_its_bytes() {
+    let mut all = statuses().into_iter().map(|(_, word)| word);
     let (passed, own) = (all.next().unwrap(), all.next().unwrap());
-    let mut spread = NodeStatuses::default();
+    let mut disseminator = NodeStatuses::default();
     let told = postcard::to_allocvec(&vec![(passed.clone(), 5_000u32)]).unwrap();
-    spread.receive(100_000, &own.member, &told);
-    spread.set_own(own.clone());
+    disseminator.receive(100_000, &own.member, &told);
+    disseminator.set_own(own.clone());
     let written = [(
         "own_and_passed".to_owned(),
-        spread.next_payload(165_535, 1_000).unwrap(),
+        disseminator.next_payload(165_535, 1_000).unwrap(),
     )];
     let bytes = golden("spread", &written).remove(0);
     let mut other = NodeStatuses::default();
@@ -308,9 +335,9 @@
     );
 }
 
-/// Guards against another blob, id or wave of one version: two releases have to check it and take it alike.
+/// Guards against another encoding, id or stage of one version: two releases have to agree on them.
 #[test]
-fn a_version_keeps_its_bytes_id_and_waves() {
+fn a_version_keeps_its_bytes_id_and_stages() {
     let plain = Version {
         mandatory: false,
         stages: Vec::new(),
@@ -324,7 +351,7 @@
         .map(|(name, one)| ((*name).to_owned(), one.encode()))
         .collect();
     for (name, one) in &all {
-        let (id, _) = Version::decode(&one.encode()).unwrap();
+        let id = Version::decode(&one.encode()).unwrap().id;
         let waves = (0..64)
             .map(|at| one.stage(&format!("n{at}")).unwrap() as u8)
             .collect();
@@ -334,15 +361,17 @@
     let bytes = golden("versions", &written);
     for (blob, (_, one)) in bytes.iter().zip(&all) {
         assert_eq!(
-            Version::decode(blob).map(|(_, version)| version).as_ref(),
+            Version::decode(blob)
+                .map(|published| published.version)
+                .as_ref(),
             Some(one)
         );
     }
 }
 
-/// Guards against a record that a restart throws away: its entries' bytes and the hashes that chain them.
+/// Guards against a snapshot that a restart discards: its entries' bytes and the hashes that chain them.
 #[test]
-fn a_fleet_record_keeps_its_bytes_and_is_believed() {
+fn a_fleet_snapshot_keeps_its_bytes_and_is_restored() {
     let chain = chain();
     let entries: Vec<AuditEntry> = chain.entries().cloned().collect();
     let names = ["none", "older", "newer"];
@@ -354,12 +383,12 @@
             .collect::<Vec<_>>(),
     );
     assert_eq!(verify(entries.iter()), Ok(()));
-    let (head, count) = chain.head();
+    let head = chain.head();
     golden(
         "chain_head",
         &[(
             "head".to_owned(),
-            [&head[..], &count.to_le_bytes()].concat(),
+            [&head.hash[..], &head.length.to_le_bytes()].concat(),
         )],
     );
 
@@ -368,12 +397,14 @@
         .iter()
         .map(|entry| postcard::to_allocvec(entry).unwrap())
         .collect();
-    let (id, _) = Version::decode(&version().encode()).unwrap();
-    assert_eq!(fleet.restore(&version().encode(), &kept), Some(id));
-    assert_eq!(
-        (fleet.take_events(), fleet.snapshot().1),
-        (Vec::new(), kept)
-    );
+    let id = Version::decode(&version().encode()).unwrap().id;
+    let snapshot = Snapshot {
+        active_version: version().encode(),
+        audit_entries: kept.clone(),
+    };
+    assert_eq!(fleet.restore(&snapshot), Some(id));
+    assert_eq!(fleet.take_events(), []);
+    assert_eq!(fleet.snapshot().audit_entries, kept);
 }
 
 /// Guards against members of two releases that don't find each other: an identity or message in other bytes.
@@ -387,9 +418,9 @@
     for now in (0..2_500).step_by(100) {
         for from in 0..2 {
             all[from].tick(now);
-            for (_, bytes) in all[from].take_messages() {
-                all[1 - from].receive(now, &bytes);
-                written.push((format!("{now}_from_{from}"), bytes));
+            for message in all[from].take_messages() {
+                all[1 - from].receive(now, &message.bytes);
+                written.push((format!("{now}_from_{from}"), message.bytes));
             }
         }
     }
@@ -403,7 +434,7 @@
     let gone = all[0]
         .take_messages()
         .into_iter()
-        .map(|(_, bytes)| ("leaves".to_owned(), bytes));
+        .map(|message| ("leaves".to_owned(), message.bytes));
     written.extend(gone);
     let bytes = golden("members", &written);
     // Another process in the second one's place hears the golden bytes.
@@ -421,9 +452,9 @@
     assert_eq!(other.take_changes(), [MembershipChange::Down(near())]);
 }
 
-/// What two servers of a fleet send each other within five seconds: one publishes two versions, the other takes
-/// the first and turns down the second, is shut out and let in; then the first leaves.
-fn play() -> Vec<(String, Vec<u8>)> {
+/// The datagrams between two servers within five seconds: one publishes two versions, the other
+/// activates the first and rejects the second, is excluded and readmitted; then the first leaves.
+fn scenario() -> Vec<(String, Vec<u8>)> {
     let mut all = [
         server(near(), vec![far().address]),
         server(far(), vec![near().address]),
@@ -433,10 +464,13 @@
         let wall_ms = WALL_MS + now;
         match now {
             1_500 | 2_500 => {
-                let content = format!("{{\"limits\":[],\"at\":{now}}}");
-                let id = all[0]
-                    .publish(now, wall_ms, content, now > 2_000, Vec::new(), 0)
-                    .unwrap();
+                let publication = Publication {
+                    content: format!("{{\"limits\":[],\"at\":{now}}}"),
+                    mandatory: now > 2_000,
+                    stages: Vec::new(),
+                    stage_pause_ms: 0,
+                };
+                let id = all[0].publish(now, wall_ms, publication).unwrap();
                 all[0].activate(now, wall_ms, id);
             }
             3_000 => all[0].set_excluded(now, &far().name, true).unwrap(),
@@ -444,15 +478,19 @@
             4_500 => all[0].leave(now, wall_ms),
             _ => {}
         }
-        if let Some((id, _)) = all[1].pending_version(now) {
+        if let Some(pending) = all[1].pending_version(now) {
             match now < 2_500 {
-                true => all[1].activate(now, wall_ms, id),
-                false => all[1].reject(now, id, "limits: unknown"),
+                true => all[1].activate(now, wall_ms, pending.id),
+                false => all[1].reject(now, pending.id, "limits: unknown"),
             }
         }
+        let rpcs = RpcCounts {
+            decided: now * 3,
+            succeeded: now * 2,
+        };
         for from in 0..2 {
-            all[from].tick(now, wall_ms, (now * 3, now * 2));
-            for (_, bytes) in all[from].take_datagrams() {
+            all[from].tick(now, wall_ms, rpcs);
+            for Transmit { bytes, .. } in all[from].take_datagrams() {
                 all[1 - from].handle_datagram(now, wall_ms, &bytes).unwrap();
                 sent.push((format!("{now}_from_{from}"), bytes));
             }
@@ -463,17 +501,17 @@
 
 /// Guards against a figure that lands in another field of the same type, and against other datagrams.
 #[test]
-fn all_datagrams_of_a_play_keep_their_bytes() {
-    let sent = play();
-    let letters = |(_, bytes): &&(String, Vec<u8>)| {
+fn all_datagrams_of_a_scenario_keep_their_bytes() {
+    let sent = scenario();
+    let messages = |(_, bytes): &&(String, Vec<u8>)| {
         let datagram = Datagram::decode(bytes, fleet_id("alps")).unwrap();
         datagram
-            .parts
+            .payloads
             .iter()
-            .any(|(rider, _)| *rider == PayloadKind::Versions)
+            .any(|payload| payload.kind == PayloadKind::Versions)
     };
     // Two versions are asked for, and come in a piece each.
-    assert_eq!(sent.iter().filter(letters).count(), 4);
+    assert_eq!(sent.iter().filter(messages).count(), 4);
     // Their hashes, and the last ones whole.
     let mut written: Vec<_> = sent
         .iter()
--- a/crates/coralstep-fleet/tests/virtual_time.rs
+++ b/crates/coralstep-fleet/tests/virtual_time.rs
@@ -6,8 +6,10 @@
 use std::net::SocketAddr;
 
 use coralstep_fleet::audit::AuditFilter;
-use coralstep_fleet::membership::MemberState;
-use coralstep_fleet::{Event, ExclusionReason, Fleet, FleetConfig, Member, VersionId};
+use coralstep_fleet::fleet::Publication;
+use coralstep_fleet::rollout::{HaltReason, RpcCounts};
+use coralstep_fleet::versions::{Fork, PublishedVersion};
+use coralstep_fleet::{Event, ExclusionReason, Fleet, FleetConfig, Member, MemberState, VersionId};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rand::rngs::SmallRng;
@@ -44,7 +46,7 @@
     off: i64,
     paused: bool,
     /// RPCs decided so far, and of these those that got their result.
-    counts: (u64, u64),
+    counts: RpcCounts,
     events: Vec<(u64, Event)>,
     /// What it would turn down.
     rejects: bool,
@@ -65,6 +67,10 @@
     terms: (u64, u64, bool),
 }
 
+fn counts(decided: u64, succeeded: u64) -> RpcCounts {
+    RpcCounts { decided, succeeded }
+}
+
 fn at(server: usize) -> SocketAddr {
     SocketAddr::from((
         [127, 0, (server / 250) as u8, (server % 250) as u8 + 1],
@@ -95,7 +101,7 @@
         let (max_lag, max_silence, exclude_when_isolated) = self.terms;
         let seed = self.chance.random();
         let peers = self.seeds.clone();
-        let terms = FleetConfig {
+        let config = FleetConfig {
             name: "alps".to_owned(),
             own,
             peers,
@@ -104,12 +110,12 @@
             exclude_when_isolated,
             seed,
         };
-        let fleet = Fleet::new(terms, self.now, WALL + self.now);
+        let fleet = Fleet::new(config, self.now, WALL + self.now);
         let server_ = Server {
             fleet,
             off: 0,
             paused: false,
-            counts: (0, 0),
+            counts: RpcCounts::default(),
             events: Vec::new(),
             rejects: false,
         };
@@ -150,7 +156,9 @@
             for (number, server) in self.servers.iter_mut().filter(|(_, server)| !server.paused) {
                 let wall = World::wall(self.now, server);
                 server.fleet.tick(self.now, wall, server.counts);
-                if let Some((id, version)) = server.fleet.pending_version(self.now) {
+                if let Some(PublishedVersion { id, version }) =
+                    server.fleet.pending_version(self.now)
+                {
                     match server.rejects || version.content.contains("bad") {
                         true => server
                             .fleet
@@ -170,7 +178,7 @@
                         .fleet
                         .take_datagrams()
                         .into_iter()
-                        .map(|(to, bytes)| (*number, to, bytes)),
+                        .map(|transmit| (*number, transmit.destination, transmit.bytes)),
                 );
             }
             for (from, to, bytes) in out {
@@ -210,15 +218,19 @@
         &mut self,
         server: usize,
         content: &str,
-        must: bool,
-        waves: Vec<f32>,
-        pause_ms: u64,
+        mandatory: bool,
+        stages: Vec<f32>,
+        stage_pause_ms: u64,
     ) -> VersionId {
         let (now, wall) = (self.now, World::wall(self.now, &self.servers[&server]));
+        let publication = Publication {
+            content: content.to_owned(),
+            mandatory,
+            stages,
+            stage_pause_ms,
+        };
         let fleet = &mut self.servers.get_mut(&server).unwrap().fleet;
-        fleet
-            .publish(now, wall, content.to_owned(), must, waves, pause_ms)
-            .unwrap()
+        fleet.publish(now, wall, publication).unwrap()
     }
 
     fn on(&self, id: VersionId) -> usize {
@@ -252,7 +264,7 @@
         let members = self.servers[&server].fleet.members(self.now);
         members
             .iter()
-            .filter(|(_, state, ..)| matches!(state, MemberState::Alive))
+            .filter(|view| view.state == MemberState::Alive)
             .count()
     }
 
@@ -265,7 +277,7 @@
 }
 
 #[test]
-fn all_meet_and_a_version_reaches_all() {
+fn all_members_meet_and_a_version_reaches_all() {
     let mut world = World::new(7, CALM, 1);
     world.pass(4_000);
     assert!((0..7).all(|server| world.alive(server) == 7));
@@ -303,7 +315,7 @@
 }
 
 #[test]
-fn it_comes_through_loss_delay_doubling_and_garbling() {
+fn versions_spread_through_loss_delay_duplication_and_corruption() {
     let mut world = World::new(7, ROUGH, 2);
     world.pass(20_000);
     let id = world.publish(0, &"x".repeat(20_000), false, Vec::new(), 0);
@@ -314,7 +326,7 @@
 }
 
 #[test]
-fn two_operators_on_two_sides_of_a_cut_give_a_fork_that_all_resolve_alike() {
+fn two_operators_on_two_sides_of_a_partition_create_a_fork_that_all_resolve_alike() {
     let mut world = World::new(6, CALM, 3);
     world.pass(4_000);
     let first = world.publish(0, "{}", false, Vec::new(), 0);
@@ -328,7 +340,11 @@
     assert_eq!((world.on(left), world.on(right)), (3, 3));
     world.cut.clear();
     world.until_all_on(left.max(right), 60_000);
-    let forked = |event: &Event| *event == Event::VersionFork(left.min(right), left.max(right));
+    let fork = Fork {
+        superseded: left.min(right),
+        winner: left.max(right),
+    };
+    let forked = |event: &Event| *event == Event::VersionFork(fork);
     assert!((0..6).any(|server| world.has(server, forked)));
     // The audit shows for good who acted on which.
     let rows = world.servers[&0].fleet.audit(
@@ -342,7 +358,7 @@
 }
 
 #[test]
-fn a_publisher_killed_in_the_middle_leaves_no_half_and_nobody_behind_what_nobody_has() {
+fn a_publisher_killed_midway_leaves_no_partial_version_and_no_server_lagging() {
     for seed in 0..20 {
         let mut world = World::new(5, CALM, 100 + seed);
         world.pass(4_000);
@@ -368,7 +384,7 @@
 }
 
 #[test]
-fn who_was_paused_admits_nothing_until_it_has_heard_and_comes_up() {
+fn a_paused_server_admits_nothing_until_it_has_caught_up() {
     let mut world = World::new(5, CALM, 5);
     world.pass(4_000);
     let first = world.publish(0, "{}", false, Vec::new(), 0);
@@ -394,7 +410,7 @@
 const RESUMED: u64 = 4_000;
 
 #[test]
-fn one_that_turns_down_what_must_be_acted_on_is_shut_out_and_a_bad_version_stops_the_wave() {
+fn a_server_that_rejects_a_mandatory_version_is_excluded_and_a_bad_version_halts_the_rollout() {
     let mut world = World::new(5, CALM, 6);
     world.pass(4_000);
     world.servers.get_mut(&2).unwrap().rejects = true;
@@ -430,12 +446,12 @@
     assert!(shut <= 1, "{shut} of 5 are shut out");
     assert!((0..5).any(|server| world.has(
         server,
-        |event| matches!(event, Event::RolloutHalted(id, _) if *id == bad)
+        |event| matches!(event, Event::RolloutHalted { version, .. } if *version == bad)
     )));
 }
 
 #[test]
-fn a_wave_that_does_worse_goes_no_further() {
+fn a_stage_with_worse_results_halts_the_rollout() {
     let mut world = World::new(8, CALM, 7);
     world.pass(5_000);
     let first = world.publish(0, "{}", false, Vec::new(), 0);
@@ -443,33 +459,35 @@
     world
         .servers
         .values_mut()
-        .for_each(|server| server.counts = (1_000, 990));
+        .for_each(|server| server.counts = counts(1_000, 990));
     world.pass(2_000);
-    let waved = world.publish(0, "{\"slow\":1}", false, vec![0.4, 1.0], 8_000);
+    let staged = world.publish(0, "{\"slow\":1}", false, vec![0.4, 1.0], 8_000);
     let mut early = 0;
     for _ in 0..60 {
         world.pass(100);
         let on: Vec<usize> = (0..8)
-            .filter(|at| world.servers[at].fleet.active_version() == waved)
+            .filter(|at| world.servers[at].fleet.active_version() == staged)
             .collect();
         early = on.len();
         for at in on {
             let server = world.servers.get_mut(&at).unwrap();
             // Half of its RPCs fail.
-            server.counts = (server.counts.0 + 20, server.counts.1 + 10);
+            server.counts.decided += 20;
+            server.counts.succeeded += 10;
         }
         for server in world
             .servers
             .values_mut()
-            .filter(|server| server.fleet.active_version() != waved)
+            .filter(|server| server.fleet.active_version() != staged)
         {
-            server.counts = (server.counts.0 + 20, server.counts.1 + 20);
+            server.counts.decided += 20;
+            server.counts.succeeded += 20;
         }
     }
     assert!((1..8).contains(&early), "{early} in the first wave");
     world.pass(20_000);
-    assert_eq!(world.on(waved), early);
-    let stopped = |event: &Event| matches!(event, Event::RolloutHalted(id, why) if *id == waved && why.contains("ok"));
+    assert_eq!(world.on(staged), early);
+    let stopped = |event: &Event| matches!(event, Event::RolloutHalted { version, reason: HaltReason::WorseResults { .. } } if *version == staged);
     assert!((0..8).any(|server| world.has(server, stopped)));
     assert!(
         world
@@ -481,7 +499,7 @@
 }
 
 #[test]
-fn a_clock_an_hour_off_and_one_set_back_change_nobodys_order() {
+fn clocks_an_hour_off_or_set_back_change_no_order() {
     let mut world = World::new(5, CALM, 8);
     world.servers.get_mut(&1).unwrap().off = 3_600_000;
     world.servers.get_mut(&2).unwrap().off = -3_600_000;
@@ -501,7 +519,7 @@
 }
 
 #[test]
-fn restarts_twins_and_leavers_are_told_apart() {
+fn restarts_duplicate_names_and_departures_are_told_apart() {
     let mut world = World::new(5, CALM, 9);
     world.pass(4_000);
     // Killed and started again, under the same name.
@@ -512,7 +530,7 @@
     assert_eq!(world.alive(0), 5);
     // A second process under a name that another holds.
     let own = Member::new("n1", at(7), WALL + world.now);
-    let terms = FleetConfig {
+    let config = FleetConfig {
         name: "alps".to_owned(),
         own,
         peers: vec![at(0)],
@@ -521,19 +539,20 @@
         exclude_when_isolated: false,
         seed: 77,
     };
-    let fleet = Fleet::new(terms, world.now, WALL + world.now);
+    let fleet = Fleet::new(config, world.now, WALL + world.now);
     let twin = Server {
         fleet,
         off: 0,
         paused: false,
-        counts: (0, 0),
+        counts: RpcCounts::default(),
         events: Vec::new(),
         rejects: false,
     };
     world.servers.insert(7, twin);
     world.pass(6_000);
     assert!(
-        (0..5).any(|server| world.has(server, |event| matches!(event, Event::DuplicateName(..))))
+        (0..5)
+            .any(|server| world.has(server, |event| matches!(event, Event::DuplicateName { .. })))
     );
     // One that leaves says so.
     let now = world.now;
@@ -550,13 +569,13 @@
     assert!(
         members
             .iter()
-            .any(|(member, state, ..)| member.name == "n3" && *state == MemberState::Leaving),
+            .any(|view| view.member.name == "n3" && view.state == MemberState::Leaving),
         "{members:?}"
     );
 }
 
 #[test]
-fn one_cut_off_serves_or_is_shut_out_as_its_operator_chose() {
+fn an_isolated_server_serves_or_is_excluded_as_configured() {
     for shuts in [false, true] {
         let mut world = World::new(4, CALM, 10);
         world.terms.2 = shuts;
@@ -589,7 +608,7 @@
 }
 
 /// Time until all, and half, are on a version; bytes a second and server.
-fn spread(count: usize, faults: Faults, seed: u64) -> (u64, u64, u64) {
+fn measure_spread(count: usize, faults: Faults, seed: u64) -> (u64, u64, u64) {
     let mut world = World::new(count, faults, seed);
     world.pass(30_000);
     // Where a third of all is lost somebody is always suspected by somebody.
@@ -639,7 +658,7 @@
         if std::env::var("COUNT").is_ok_and(|one| one != count.to_string()) {
             continue;
         }
-        let (half, all, bytes) = spread(count, faults, 1);
+        let (half, all, bytes) = measure_spread(count, faults, 1);
         println!(
             "{count} {name}: half after {half} ms, all after {all} ms, {bytes} bytes a second and server"
         );
@@ -648,51 +667,56 @@
 
 /// What befalls a fleet of seven; a list of these is made short by the library where it breaks something.
 #[derive(Clone, Debug)]
-enum Act {
+enum Action {
     Cut(usize),
     Heal,
     Pause(usize),
     Restart(usize),
     Publish(usize),
-    MembershipOrder(usize, usize, bool),
+    Order(usize, usize, bool),
 }
 
-fn acts() -> impl Strategy<Value = Vec<(Act, u64)>> {
+fn actions() -> impl Strategy<Value = Vec<(Action, u64)>> {
     let act = prop_oneof![
-        (1..6usize).prop_map(Act::Cut),
-        Just(Act::Heal),
-        (0..7usize).prop_map(Act::Pause),
-        (0..7usize).prop_map(Act::Restart),
-        (0..7usize).prop_map(Act::Publish),
+        (1..6usize).prop_map(Action::Cut),
+        Just(Action::Heal),
+        (0..7usize).prop_map(Action::Pause),
+        (0..7usize).prop_map(Action::Restart),
+        (0..7usize).prop_map(Action::Publish),
         (0..7usize, 0..7usize, any::<bool>())
-            .prop_map(|(at, of, shut)| Act::MembershipOrder(at, of, shut)),
+            .prop_map(|(at, of, exclude)| Action::Order(at, of, exclude)),
     ];
     proptest::collection::vec((act, 500..6_000u64), 1..8)
 }
 
-/// After all of it all act on one version, and nobody is shut out but by an operator.
-fn comes_free(seed: u64, acts: &[(Act, u64)]) -> Result<(), TestCaseError> {
+fn perform(world: &mut World, number: usize, action: &Action) {
+    match action {
+        Action::Cut(part) => {
+            world.cut(0..*part, *part..7);
+            world.cut(*part..7, 0..*part);
+        }
+        Action::Heal => world.cut.clear(),
+        Action::Pause(one) => world.servers.get_mut(one).unwrap().paused ^= true,
+        Action::Restart(one) => world.start(*one),
+        Action::Publish(one) => {
+            let content = format!("{{\"{number}\":1}}");
+            world.publish(*one, &content, false, Vec::new(), 0);
+        }
+        Action::Order(at, of, exclude) => {
+            let now = world.now;
+            let fleet = &mut world.servers.get_mut(at).unwrap().fleet;
+            // Fails where the one does not know the other.
+            let _ = fleet.set_excluded(now, &format!("n{of}"), *exclude);
+        }
+    }
+}
+
+/// After all faults all servers activate one version, and none is excluded but by an operator.
+fn recovers(seed: u64, actions: &[(Action, u64)]) -> Result<(), TestCaseError> {
     let mut world = World::new(7, ROUGH, seed);
     world.pass(10_000);
-    for (number, (act, pause)) in acts.iter().enumerate() {
-        match act {
-            Act::Cut(part) => {
-                world.cut(0..*part, *part..7);
-                world.cut(*part..7, 0..*part);
-            }
-            Act::Heal => world.cut.clear(),
-            Act::Pause(one) => world.servers.get_mut(one).unwrap().paused ^= true,
-            Act::Restart(one) => world.start(*one),
-            Act::Publish(one) => {
-                _ = world.publish(*one, &format!("{{\"{number}\":1}}"), false, Vec::new(), 0)
-            }
-            Act::MembershipOrder(at, of, shut) => {
-                let now = world.now;
-                let fleet = &mut world.servers.get_mut(at).unwrap().fleet;
-                // Who doesn't know the other says so.
-                let _ = fleet.set_excluded(now, &format!("n{of}"), *shut);
-            }
-        }
+    for (number, (action, pause)) in actions.iter().enumerate() {
+        perform(&mut world, number, action);
         world.pass(*pause);
     }
     world.cut.clear();
@@ -728,7 +752,7 @@
     Ok(())
 }
 
-fn play(cases: u32) {
+fn run_histories(cases: u32) {
     // The same cases every time.
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(
@@ -739,49 +763,49 @@
         },
         rng,
     );
-    let told = runner.run(&(any::<u64>(), acts()), |(seed, acts)| {
-        comes_free(seed, &acts)
+    let told = runner.run(&(any::<u64>(), actions()), |(seed, actions)| {
+        recovers(seed, &actions)
     });
     assert!(told.is_ok(), "{}", told.unwrap_err());
 }
 
 #[test]
-fn a_few_histories_of_trouble_come_free() {
-    play(4);
+fn fleets_recover_after_a_few_random_fault_histories() {
+    run_histories(4);
 }
 
 #[test]
 #[ignore = "minutes: thousands of histories of cuts, stops, restarts, publishers and orders, made short where one fails"]
-fn by_hand_thousands_of_histories_come_free() {
-    play(std::env::var("CASES").map_or(2_000, |cases| cases.parse().unwrap()));
+fn by_hand_fleets_recover_after_thousands_of_fault_histories() {
+    run_histories(std::env::var("CASES").map_or(2_000, |cases| cases.parse().unwrap()));
 }
 
 #[test]
-fn who_was_paused_through_a_wave_does_not_begin_to_count_where_all_are_done() {
+fn a_server_paused_through_a_stage_does_not_wait_where_all_others_are_done() {
     let mut world = World::new(6, CALM, 12);
     world.pass(4_000);
     let first = world.publish(0, "{}", false, Vec::new(), 0);
     world.until_all_on(first, 5_000);
     // One of the second wave is away meanwhile.
-    let waved = world.publish(0, "{\"two\":1}", false, vec![0.3, 1.0], 5_000);
+    let staged = world.publish(0, "{\"two\":1}", false, vec![0.3, 1.0], 5_000);
     let second = (1..6).find(|at| {
-        let version = world.servers[&0].fleet.versions().get(waved).unwrap();
+        let version = world.servers[&0].fleet.versions().get(staged).unwrap();
         version.stage(&format!("n{at}")) == Some(1)
     });
     let second = second.unwrap();
     world.servers.get_mut(&second).unwrap().paused = true;
     world.pass(12_000);
-    assert_eq!(world.on(waved), 5);
+    assert_eq!(world.on(staged), 5);
     world.servers.get_mut(&second).unwrap().paused = false;
     // It admits nothing until it has caught up, and does so at once.
     for _ in 0..40 {
         world.pass(TICK);
         let fleet = &world.servers[&second].fleet;
         assert!(
-            fleet.active_version() == waved || fleet.exclusion().is_some(),
+            fleet.active_version() == staged || fleet.exclusion().is_some(),
             "let in under {}",
             fleet.active_version()
         );
     }
-    assert_eq!(world.servers[&second].fleet.active_version(), waved);
+    assert_eq!(world.servers[&second].fleet.active_version(), staged);
 }
--- a/crates/coralstep-lab/src/explore/fleet.rs
+++ b/crates/coralstep-lab/src/explore/fleet.rs
@@ -106,7 +106,7 @@
         let holds: Vec<Vec<VersionId>> = self
             .servers
             .iter()
-            .map(|server| server.versions.iter().map(|(id, _)| id).collect())
+            .map(|server| server.versions.iter().map(|stored| stored.id).collect())
             .collect();
         let holders = |id: VersionId| {
             (0..SERVERS)
@@ -115,10 +115,10 @@
                 .collect()
         };
         let now = self.now;
-        for (of, letter) in self.servers[at].versions.poll_fetch(now, holders, 0.0) {
-            let to = usize::from(of.address.port()) - 1;
+        for request in self.servers[at].versions.poll_fetch(now, holders, 0.0) {
+            let to = usize::from(request.holder.address.port()) - 1;
             if self.servers[to].way.len() < WAY_MOST {
-                self.servers[to].way.push((at, letter));
+                self.servers[to].way.push((at, request.message));
             }
         }
     }
@@ -138,13 +138,13 @@
         {
             self.holds(*id, format!("{piece:?}"));
         }
-        let (answers, whole) = self.servers[at].versions.handle_message(self.now, letter);
-        for answer in answers {
+        let outcome = self.servers[at].versions.handle_message(self.now, letter);
+        for answer in outcome.replies {
             if self.servers[from].way.len() < WAY_MOST {
                 self.servers[from].way.push((at, answer));
             }
         }
-        if let Some(id) = whole
+        if let Some(id) = outcome.completed
             && self.cheat != Cheat::Unchecked
         {
             let content = self.servers[at]
@@ -160,9 +160,9 @@
     fn takes(&mut self, at: usize) {
         let server = &mut self.servers[at];
         if self.cheat != Cheat::Sticks
-            && let Some((id, _)) = server.versions.newest_accepted()
+            && let Some(newest) = server.versions.newest_accepted()
         {
-            server.acts_on = server.acts_on.max(id);
+            server.acts_on = server.acts_on.max(newest.id);
         }
     }
 
@@ -255,7 +255,7 @@
         let mut hasher = DefaultHasher::new();
         // Times are left out: every question is due at every move.
         let told = |server: &Server| {
-            let held: Vec<VersionId> = server.versions.iter().map(|(id, _)| id).collect();
+            let held: Vec<VersionId> = server.versions.iter().map(|stored| stored.id).collect();
             format!(
                 "{held:?} {:?} {:?} {:?} {:?}",
                 server.versions.newest(),
--- a/crates/coralstep-lab/src/fleet/guest.rs
+++ b/crates/coralstep-lab/src/fleet/guest.rs
@@ -7,6 +7,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use coralstep_fleet::extension::Registration;
+use coralstep_fleet::rollout::RpcCounts;
 use coralstep_fleet::{Fleet as Part, FleetConfig, Member};
 
 use super::Fleet;
@@ -65,15 +66,15 @@
                 }
                 if ticked.elapsed() >= TICK {
                     ticked = Instant::now();
-                    part.tick(now(), unix + now(), (0, 0));
+                    part.tick(now(), unix + now(), RpcCounts::default());
                     // It acts on whatever is there: nobody shuts it out for that.
-                    if let Some((id, _)) = part.pending_version(now()) {
-                        part.activate(now(), unix + now(), id);
+                    if let Some(pending) = part.pending_version(now()) {
+                        part.activate(now(), unix + now(), pending.id);
                     }
                 }
                 part.take_events();
-                for (to, bytes) in part.take_datagrams() {
-                    let _ = socket.send_to(&bytes, to);
+                for datagram in part.take_datagrams() {
+                    let _ = socket.send_to(&datagram.bytes, datagram.destination);
                 }
             }
         });
--- a/crates/coralstep-server/src/fleet/carrier.rs
+++ b/crates/coralstep-server/src/fleet/carrier.rs
@@ -13,6 +13,9 @@
 use coralstep_fleet::audit::AuditFilter;
 use coralstep_fleet::datagram::MAX_RECEIVED_BYTES;
 use coralstep_fleet::extension::{ExtensionId, Registration};
+use coralstep_fleet::fleet::{MemberView, Publication, Snapshot, Transmit};
+use coralstep_fleet::rollout::RpcCounts;
+use coralstep_fleet::versions::{Fork, PublishedVersion, StoredVersion};
 use coralstep_fleet::{Event, Fleet, Member, MemberState, Millis, VersionId};
 use coralstep_quota::holder::{Pass, Which};
 use coralstep_quota::{Limit, Limits, terms};
@@ -86,24 +89,28 @@
 
 fn tell(event: &Event) {
     let said = match event {
-        Event::MemberStateChanged(member, state) => {
+        Event::MemberStateChanged { member, state } => {
             format!("{} is {}", named(member), state.name())
         }
         Event::Rejoined => "the others took this server for gone; it is back".to_owned(),
-        Event::DuplicateName(one, other) => {
+        Event::DuplicateName { known, joined } => {
             format!(
                 "one name, two processes: {} and {}",
-                named(one),
-                named(other)
+                named(known),
+                named(joined)
             )
         }
         Event::VersionReceived(id) => format!("version {id} is here"),
         Event::VersionActivated(id) => format!("acts on version {id}"),
-        Event::VersionRejected(id, why) => format!("turned version {id} down: {why}"),
-        Event::VersionFork(one, other) => {
-            format!("a fork: {one} and {other} replace the same version; {other} holds")
+        Event::VersionRejected { version, reason } => {
+            format!("turned version {version} down: {reason}")
+        }
+        Event::VersionFork(Fork { superseded, winner }) => {
+            format!("a fork: {superseded} and {winner} replace the same version; {winner} holds")
+        }
+        Event::RolloutHalted { version, reason } => {
+            format!("the wave of version {version} goes no further: {reason}")
         }
-        Event::RolloutHalted(id, why) => format!("the wave of version {id} goes no further: {why}"),
         Event::Excluded(why) => format!("shut out: {why:?}"),
         Event::Readmitted => "let in".to_owned(),
         Event::ExclusionLimitReached(id) => {
@@ -118,7 +125,7 @@
     // Guards against members that come and go without end, and talk all other lines away: their lines are a peer's.
     if matches!(
         event,
-        Event::MemberStateChanged(..) | Event::DuplicateName(..) | Event::ClockSkewed(_)
+        Event::MemberStateChanged { .. } | Event::DuplicateName { .. } | Event::ClockSkewed(_)
     ) && log::admitted(Instant::now(), true).is_none()
     {
         return;
@@ -176,8 +183,12 @@
             verdicts
         });
         let recorder = folder.and_then(Recorder::start).map(|(recorder, found)| {
-            if !(found.acts_on.is_empty() && found.entries.is_empty())
-                && let Some(id) = fleet.restore(&found.acts_on, &found.entries)
+            let found = Snapshot {
+                active_version: found.acts_on,
+                audit_entries: found.entries,
+            };
+            if found != Snapshot::default()
+                && let Some(id) = fleet.restore(&found)
             {
                 note!("fleet: version {id} was acted on before the restart");
             }
@@ -284,11 +295,11 @@
 
     fn tick(&self, facade: &Facade, take: &Take, watch: &Watch) {
         let now = self.now();
-        self.fleet
-            .borrow_mut()
-            .tick(now, self.wall_ms(), facade.counts());
+        let (decided, succeeded) = facade.counts();
+        let rpcs = RpcCounts { decided, succeeded };
+        self.fleet.borrow_mut().tick(now, self.wall_ms(), rpcs);
         let pending = self.fleet.borrow_mut().pending_version(now);
-        if let Some((id, version)) = pending {
+        if let Some(PublishedVersion { id, version }) = pending {
             // Taken up without a hold on the fleet: what it changes may ask.
             let taken = take(&version.content);
             let mut fleet = self.fleet.borrow_mut();
@@ -306,9 +317,12 @@
         if self.changed.get()
             && let Some(recorder) = &self.recorder
         {
-            let (acts_on, entries) = self.fleet.borrow().snapshot();
-            self.changed
-                .set(!recorder.save(Record { acts_on, entries }));
+            let kept = self.fleet.borrow().snapshot();
+            let record = Record {
+                acts_on: kept.active_version,
+                entries: kept.audit_entries,
+            };
+            self.changed.set(!recorder.save(record));
         }
         facade.obey();
     }
@@ -351,8 +365,8 @@
         let Some(limits) = &self.limits else { return };
         let fleet = self.fleet.borrow();
         let (acts_on, wanted) = (fleet.active_version(), fleet.versions().newest_accepted());
-        let to_come = wanted.filter(|(id, _)| *id > acts_on);
-        let hold = (acts_on, to_come.map(|(id, _)| id).unwrap_or_default());
+        let to_come = wanted.filter(|stored| stored.id > acts_on);
+        let hold = (acts_on, to_come.map(|stored| stored.id).unwrap_or_default());
         if self.hold.replace(Some(hold)) == Some(hold) {
             return;
         }
@@ -361,8 +375,9 @@
             .get(acts_on)
             .map(|version| version.content.as_str());
         let mut all = (self.limits_of)(content);
-        if let Some((_, version)) = to_come {
-            all = terms::lower(&all, &(self.limits_of)(Some(&version.content)));
+        if let Some(stored) = to_come {
+            let content = &stored.version.content;
+            all = terms::lower(&all, &(self.limits_of)(Some(content)));
         }
         limits.borrow_mut().set(now, &all);
     }
@@ -385,7 +400,7 @@
             (fleet.take_events(), fleet.take_datagrams())
         };
         events.iter().for_each(tell);
-        for (to, bytes) in send {
+        for Transmit { destination, bytes } in send {
             let (left, since) = self.budget.get();
             let left = (left + since.elapsed().as_secs_f64() * BYTES_A_SECOND).min(BYTES_A_SECOND);
             let may = left >= bytes.len() as f64;
@@ -393,7 +408,7 @@
                 left - if may { bytes.len() as f64 } else { 0.0 },
                 Instant::now(),
             ));
-            if !may || self.socket.get_ref().send_to(&bytes, to).is_err() {
+            if !may || self.socket.get_ref().send_to(&bytes, destination).is_err() {
                 self.held_back.set(self.held_back.get() + 1);
             }
         }
@@ -408,10 +423,10 @@
     /// Members, an object each.
     pub fn members(&self) -> Value {
         let fleet = self.fleet.borrow();
-        let one = |(member, state, version, age): (Member, MemberState, Option<VersionId>, u64)| {
+        let one = |view: MemberView| {
             json!({
-                "server": member.name, "address": member.address.to_string(), "state": state.name(),
-                "version": version.map(|id| id.to_string()), "age_ms": (age < u64::MAX).then_some(age),
+                "server": view.member.name, "address": view.member.address.to_string(), "state": view.state.name(),
+                "version": view.active_version.map(|id| id.to_string()), "age_ms": view.age_ms,
             })
         };
         let members: Vec<Value> = fleet.members(self.now()).into_iter().map(one).collect();
@@ -423,7 +438,7 @@
         let members = self.fleet.borrow().members(self.now());
         members
             .iter()
-            .filter(|(_, state, ..)| !matches!(state, MemberState::Down))
+            .filter(|view| view.state != MemberState::Down)
             .count()
             .max(1)
     }
@@ -431,17 +446,17 @@
     pub fn versions(&self) -> Value {
         let fleet = self.fleet.borrow();
         let versions = fleet.versions();
-        let one = |(id, version): (VersionId, &coralstep_fleet::versions::Version)| {
+        let one = |StoredVersion { id, version, .. }: &StoredVersion| {
             json!({
                 "version": id.to_string(), "replaces": version.replaces.to_string(), "by": version.publisher, "at_ms": version.published_at_ms,
                 "must": version.mandatory, "waves": version.stages, "pause_ms": version.stage_pause_ms, "bytes": version.content.len(),
-                "acts_on": fleet.active_version() == id, "turned_down": versions.rejection_reason(id),
+                "acts_on": fleet.active_version() == *id, "turned_down": versions.rejection_reason(*id),
             })
         };
         let forks: Vec<[String; 2]> = versions
             .forks()
             .iter()
-            .map(|(one, other)| [one.to_string(), other.to_string()])
+            .map(|fork| [fork.superseded.to_string(), fork.winner.to_string()])
             .collect();
         json!({ "versions": versions.iter().map(one).collect::<Vec<Value>>(), "forks": forks })
     }
@@ -464,14 +479,17 @@
         waves: Vec<f32>,
         pause_ms: u64,
     ) -> Result<VersionId, String> {
-        let id = self.fleet.borrow_mut().publish(
-            self.now(),
-            self.wall_ms(),
+        let publication = Publication {
             content,
-            must,
-            waves,
-            pause_ms,
-        )?;
+            mandatory: must,
+            stages: waves,
+            stage_pause_ms: pause_ms,
+        };
+        let published = self
+            .fleet
+            .borrow_mut()
+            .publish(self.now(), self.wall_ms(), publication);
+        let id = published.map_err(|error| error.to_string())?;
         self.flush();
         Ok(id)
     }
@@ -480,7 +498,8 @@
     pub fn by_hand(&self, server: &str, shut: bool) -> Result<(), String> {
         self.fleet
             .borrow_mut()
-            .set_excluded(self.now(), server, shut)?;
+            .set_excluded(self.now(), server, shut)
+            .map_err(|error| error.to_string())?;
         self.flush();
         Ok(())
     }
--- a/crates/coralstep-server/src/operators/ops.rs
+++ b/crates/coralstep-server/src/operators/ops.rs
@@ -11,6 +11,7 @@
 use async_io::{Async, Timer};
 use coralstep_config::site::Listen;
 use coralstep_fleet::audit::AuditFilter;
+use coralstep_fleet::versions::ParseVersionIdError;
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, FutureExt};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -236,7 +237,8 @@
             let version = version
                 .as_ref()
                 .map(|version| version.parse())
-                .transpose()?;
+                .transpose()
+                .map_err(|error: ParseVersionIdError| error.to_string())?;
             Ok(carrier.audit(&AuditFilter {
                 version,
                 server: server.clone(),
--- a/crates/coralstep-state/tests/golden.rs
+++ b/crates/coralstep-state/tests/golden.rs
@@ -3,6 +3,8 @@
 use std::path::{Path, PathBuf};
 
 use coralstep::Learned;
+use coralstep_fleet::fleet::{Publication, Snapshot};
+use coralstep_fleet::rollout::RpcCounts;
 use coralstep_fleet::{Fleet, FleetConfig, Member, VersionId};
 use coralstep_state::faulty::Faulty;
 use coralstep_state::files::Look;
@@ -123,15 +125,29 @@
     let mut fleet = fleet();
     for second in 1..=2 {
         let (now, wall_ms) = (second * 1_000, (WRITTEN_S[0] + second) * 1_000);
-        fleet.tick(now, wall_ms, (second << 33, second * 200));
-        let content = format!("{{\"limits\":[],\"größe\":{second}}}");
-        let id = fleet
-            .publish(now, wall_ms, content, second == 2, vec![0.25, 1.0], 70_000)
-            .unwrap();
+        fleet.tick(
+            now,
+            wall_ms,
+            RpcCounts {
+                decided: second << 33,
+                succeeded: second * 200,
+            },
+        );
+        let publication = Publication {
+            content: format!("{{\"limits\":[],\"größe\":{second}}}"),
+            mandatory: second == 2,
+            stages: vec![0.25, 1.0],
+            stage_pause_ms: 70_000,
+        };
+        let id = fleet.publish(now, wall_ms, publication).unwrap();
         fleet.activate(now, wall_ms, id);
     }
-    let (acts_on, entries) = fleet.snapshot();
-    (Record { acts_on, entries }, fleet.active_version())
+    let kept = fleet.snapshot();
+    let record = Record {
+        acts_on: kept.active_version,
+        entries: kept.audit_entries,
+    };
+    (record, fleet.active_version())
 }
 
 /// A run of each end, each known from then on as the verdict says.
@@ -240,13 +256,14 @@
     let (read, spoilt) = record::load(&folder).unwrap().unwrap();
     assert_eq!((&read, spoilt), (&expected, 0));
     let mut restarted = fleet();
-    assert_eq!(
-        restarted.restore(&read.acts_on, &read.entries),
-        Some(acts_on)
-    );
+    let kept = Snapshot {
+        active_version: read.acts_on,
+        audit_entries: read.entries,
+    };
+    assert_eq!(restarted.restore(&kept), Some(acts_on));
     // Its chain of entries hangs together, else there were an event.
     assert_eq!(
-        (restarted.take_events(), restarted.snapshot().1),
+        (restarted.take_events(), restarted.snapshot().audit_entries),
         (Vec::new(), expected.entries)
     );
     // The older generation counts where the newer one is gone.
