--- a/crates/coralstep-server/src/life/reload.rs
+++ b/crates/coralstep-server/src/life/reload.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use async_signal::{Signal, Signals};
-use coralstep::Terms;
+use coralstep::SchedulerConfig;
 use coralstep_config::Names;
 use coralstep_config::site::SiteTerms;
 use coralstep_config::starves;
@@ -14,7 +14,7 @@
 use crate::base::config::{Config, Source};
 use crate::base::endpoints::Endpoints;
 use crate::callers::scgi::Scgi;
-use crate::decisions::levels::Kept;
+use crate::decisions::degradation::DegradationController;
 use crate::note;
 use crate::runs::applications::Applications;
 
@@ -28,7 +28,7 @@
 pub struct Movable {
     pub scgi: Option<Rc<Scgi>>,
     pub applications: Option<Rc<Applications>>,
-    pub levels: Option<Rc<Kept>>,
+    pub levels: Option<Rc<DegradationController>>,
     /// These sections are those of a version of the fleet's; the site file's stay behind them.
     pub versioned: Cell<bool>,
     /// The version's, where one was taken.
@@ -95,7 +95,7 @@
     content: &str,
     site: &SiteTerms,
     names: &Names,
-    terms: &Terms,
+    terms: &SchedulerConfig,
     movable: &Movable,
 ) -> Result<(), String> {
     let new = site.with_version(content, names)?;
