--- a/crates/coralstep-server/src/decisions/actions.rs
+++ b/crates/coralstep-server/src/decisions/actions.rs
@@ -43,6 +43,22 @@
     }
 }
 
+impl PendingActions {
+    /// Each change of the circuit breaker is an event of its own target and never left out.
+    fn log_breaker(&self, transition: Transition) {
+        let Transition {
+            from,
+            to,
+            failure_rate,
+        } = transition;
+        let instance = self.instance.as_str();
+        tracing::info!(
+            target: "breaker", dependency = "store", instance,
+            from = from.as_str(), to = to.as_str(), failure_rate, "circuit breaker changed state"
+        );
+    }
+}
+
 impl Actions for PendingActions {
     fn admit(&mut self, rpc: RpcId) {
         let entry = self.requests.get_mut(rpc);
@@ -121,20 +137,25 @@
     }
 
     fn log(&mut self, event: Event) {
-        note!("{event}");
-    }
-
-    fn breaker_transition(&mut self, transition: Transition) {
-        let Transition {
-            from,
-            to,
-            failure_rate,
-        } = transition;
-        let instance = self.instance.as_str();
-        tracing::info!(
-            target: "breaker", dependency = "store", instance,
-            from = from.as_str(), to = to.as_str(), failure_rate, "circuit breaker changed state"
-        );
+        match event {
+            Event::BreakerChanged(transition) => self.log_breaker(transition),
+            Event::RunOrphaned(run) | Event::RunOrphanedAtCall(run) => note!(
+                since_answer_ms = run.since_answer_ms(),
+                orphaned = run.orphaned,
+                max_orphaned = run.max_orphaned,
+                "{}",
+                event.message()
+            ),
+            Event::OrphanLimit {
+                reached,
+                orphaned,
+                max_orphaned,
+            } => note!(reached, orphaned, max_orphaned, "{}", event.message()),
+            Event::HealthChanged {
+                stalled,
+                read_backlog,
+            } => note!(stalled, read_backlog, "{}", event.message()),
+        }
     }
 
     fn release_id(&mut self, rpc: RpcId) {
