--- a/crates/coralstep-state/src/fingerprint/tests.rs
+++ b/crates/coralstep-state/src/fingerprint/tests.rs
@@ -7,7 +7,10 @@
         concurrency_limit: Some(5),
         call_permits: Some(4.0),
         best_call_time: Some(90),
-        tenants: vec![[9.0, 8.0]],
+        tenants: vec![coralstep::TenantService {
+            requested: 9.0,
+            served: 8.0,
+        }],
     }
 }
 
--- a/crates/coralstep-state/src/snapshot/format.rs
+++ b/crates/coralstep-state/src/snapshot/format.rs
@@ -1,6 +1,6 @@
 //! The bytes of a snapshot. The order of fields is the format, as postcard encodes by position; the
 //! JSON keys are what operators' tools read of an export.
-use coralstep::LearnedState;
+use coralstep::{LearnedState, TenantService};
 use serde::{Deserialize, Serialize};
 
 use super::{Corruption, FORMAT_VERSION, SnapshotError};
@@ -76,7 +76,7 @@
             .tenants
             .iter()
             .zip(&learned.tenants)
-            .map(|(name, counts)| StoredTenant(name.clone(), *counts))
+            .map(|(name, tenant)| StoredTenant(name.clone(), [tenant.requested, tenant.served]))
             .collect();
         let base = StoredV1 {
             sequence_number,
@@ -118,7 +118,14 @@
             concurrency_limit: base.concurrency_limit,
             call_permits: base.call_permits,
             best_call_time: base.best_call_time,
-            tenants: self.tenants.iter().map(|tenant| tenant.1).collect(),
+            tenants: self
+                .tenants
+                .iter()
+                .map(|StoredTenant(_, [requested, served])| TenantService {
+                    requested: *requested,
+                    served: *served,
+                })
+                .collect(),
         }
     }
 
--- a/crates/coralstep-state/src/snapshot/tests.rs
+++ b/crates/coralstep-state/src/snapshot/tests.rs
@@ -20,7 +20,10 @@
         concurrency_limit: Some(limit),
         call_permits: Some(3.5),
         best_call_time: Some(90),
-        tenants: vec![[4.0, 2.0]],
+        tenants: vec![coralstep::TenantService {
+            requested: 4.0,
+            served: 2.0,
+        }],
     }
 }
 
@@ -205,7 +208,11 @@
     let read = restored.learned;
     assert_eq!(
         (read.concurrency_limit, read.run_times, read.tenants),
-        (Some(5), vec![[7; 12]], vec![[0.0; 2]])
+        (
+            Some(5),
+            vec![[7; 12]],
+            vec![coralstep::TenantService::default()]
+        )
     );
     let mut later = framing::file_header(FileKind::Learned, FORMAT_VERSION + 1);
     later.extend_from_slice(b"whatever it is");
--- a/crates/coralstep-state/tests/golden.rs
+++ b/crates/coralstep-state/tests/golden.rs
@@ -73,6 +73,10 @@
     }
 }
 
+fn tenant(requested: f64, served: f64) -> coralstep::TenantService {
+    coralstep::TenantService { requested, served }
+}
+
 fn learned(limit: u32) -> LearnedState {
     LearnedState {
         run_times: (0..3)
@@ -82,7 +86,7 @@
         concurrency_limit: Some(limit),
         call_permits: Some(3.625),
         best_call_time: Some((1 << 33) + 7),
-        tenants: vec![[4096.5, 2048.25], [1.0e9, 0.0]],
+        tenants: vec![tenant(4096.5, 2048.25), tenant(1.0e9, 0.0)],
     }
 }
 
@@ -308,7 +312,7 @@
 fn a_snapshot_of_version_1_is_believed_without_tenants() {
     let (_copied, folder) = Copied::new("version_1", "version_1");
     let expected = LearnedState {
-        tenants: vec![[0.0; 2]; 2],
+        tenants: vec![tenant(0.0, 0.0); 2],
         ..learned(300)
     };
     assert_eq!(
--- a/crates/coralstep/src/learned_state.rs
+++ b/crates/coralstep/src/learned_state.rs
@@ -16,8 +16,17 @@
     pub call_permits: Option<f64>,
     /// The best usual time of a call, in ticks of 0.1 ms.
     pub best_call_time: Option<u64>,
-    /// Requests of each tenant of late, and those answered within their latency objective.
-    pub tenants: Vec<[f64; 2]>,
+    /// How each tenant was served of late.
+    pub tenants: Vec<TenantService>,
+}
+
+/// How a tenant was served of late; counts lose weight with time, so they need not be whole.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct TenantService {
+    /// First attempts that were read.
+    pub requested: f64,
+    /// Those that were answered within their latency objective.
+    pub served: f64,
 }
 
 /// Guards against a record that nobody wrote so: a bin never holds more than this.
@@ -52,11 +61,11 @@
             *run_times = restored_histogram(bins, confidence);
         }
         self.call_times = restored_histogram(&learned.call_times, confidence);
-        for (tenant, [requested, served]) in self.tenants.iter_mut().zip(&learned.tenants) {
-            if is_sound(*requested) && is_sound(*served) {
-                *tenant = ServiceRatio {
-                    requested: requested * confidence,
-                    served: served.min(*requested) * confidence,
+        for (ratio, tenant) in self.tenants.iter_mut().zip(&learned.tenants) {
+            if is_sound(tenant.requested) && is_sound(tenant.served) {
+                *ratio = ServiceRatio {
+                    requested: tenant.requested * confidence,
+                    served: tenant.served.min(tenant.requested) * confidence,
                 };
             }
         }
--- a/crates/coralstep/src/lib.rs
+++ b/crates/coralstep/src/lib.rs
@@ -68,7 +68,7 @@
 pub use degradation::DegradationLevel;
 pub use event::{Event, OrphanedRun};
 pub use flow::Flow;
-pub use learned_state::LearnedState;
+pub use learned_state::{LearnedState, TenantService};
 pub use request::{EarlierAttempt, Gauges, Outcome, Request, RpcId};
 pub use scheduler::Scheduler;
 pub use signals::Signals;
--- a/crates/coralstep/src/scheduler/observation.rs
+++ b/crates/coralstep/src/scheduler/observation.rs
@@ -5,7 +5,7 @@
 use crate::actions::Actions;
 use crate::circuit_breaker::CircuitBreaker;
 use crate::degradation::DegradationLevel;
-use crate::learned_state::LearnedState;
+use crate::learned_state::{LearnedState, TenantService};
 use crate::measurements::Histogram;
 use crate::queue;
 use crate::request::RpcId;
@@ -103,7 +103,10 @@
             tenants: measured
                 .tenants
                 .iter()
-                .map(|tenant| [tenant.requested, tenant.served])
+                .map(|ratio| TenantService {
+                    requested: ratio.requested,
+                    served: ratio.served,
+                })
                 .collect(),
         }
     }
--- a/crates/coralstep/tests/learned_state.rs
+++ b/crates/coralstep/tests/learned_state.rs
@@ -22,6 +22,10 @@
     Scheduler::start(&config, 7, Time(0), &mut NoActions)
 }
 
+fn tenant(requested: f64, served: f64) -> TenantService {
+    TenantService { requested, served }
+}
+
 #[test]
 fn learned_state_is_restored_as_far_as_it_is_believed() {
     let mut bins = [0; 12];
@@ -32,7 +36,7 @@
         concurrency_limit: Some(7),
         call_permits: Some(14.0),
         best_call_time: Some(700),
-        tenants: vec![[10.0, 5.0]],
+        tenants: vec![tenant(10.0, 5.0)],
     };
     let mut warm = scheduler();
     warm.restore(&learned, 1.0);
@@ -67,7 +71,7 @@
         concurrency_limit: Some(u32::MAX),
         call_permits: Some(f64::INFINITY),
         best_call_time: Some(u64::MAX),
-        tenants: vec![[f64::NAN, 1e300]; 3],
+        tenants: vec![tenant(f64::NAN, 1e300); 3],
     };
     let mut scheduler = scheduler();
     scheduler.restore(&wild, 1.0);
@@ -82,7 +86,7 @@
     );
     assert_eq!(
         (learned.run_times.len(), learned.tenants.clone()),
-        (1, vec![[0.0, 0.0]])
+        (1, vec![tenant(0.0, 0.0)])
     );
     assert!(
         learned.call_times.iter().all(|bin| *bin <= 160),
