--- a/crates/coralstep-lab/src/fleet/mixed_builds.rs
+++ b/crates/coralstep-lab/src/fleet/mixed_builds.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use coralstep_quota::bounds::DRIFT;
+use coralstep_quota::lease::MAX_CLOCK_DRIFT;
 use serde_json::{Value, json};
 
 use super::judge::excess;
@@ -219,7 +219,7 @@
         }
         let excess = excess(
             &drive.answers(),
-            LIMIT_RPS * (1.0 + DRIFT),
+            LIMIT_RPS * (1.0 + MAX_CLOCK_DRIFT),
             f64::from(LIMIT_BURST),
         );
         self.report.limit_excess = excess;
