--- a/crates/coralstep-adapter/src/log_words/tests.rs
+++ b/crates/coralstep-adapter/src/log_words/tests.rs
@@ -1,4 +1,4 @@
-use coralstep::{Event, OrphanedRun, Span, Transition};
+use coralstep::{BreakerState, Event, OrphanedRun, Span, Transition};
 
 use super::LogWords;
 
@@ -6,8 +6,8 @@
 #[test]
 fn log_lines_keep_the_words_of_the_wire() {
     let transition = Transition {
-        from: "closed",
-        to: "open",
+        from: BreakerState::Closed,
+        to: BreakerState::Open,
         failure_rate: 0.5,
     };
     let run = OrphanedRun {
