--- a/crates/coralstep-adapter/src/instance.rs
+++ b/crates/coralstep-adapter/src/instance.rs
@@ -142,7 +142,10 @@
                     request.tenant = position(&self.names.tenants, value);
                 }
                 "due" => request.deadline = non_zero(parse(name, value)?).map(time),
-                "predicted" => request.work = non_zero(parse(name, value)?).map(span_up),
+                // Checked only: no rule uses the predicted work.
+                "predicted" => {
+                    parse::<u64>(name, value)?;
+                }
                 "footprint" => request.queued_kb = parse_amount(name, value)?,
                 "again_by_client" => request.is_retry = parse_flag(name, value)?,
                 "queued_for" => request.age = span_up(parse(name, value)?),
--- a/crates/coralstep/src/config.rs
+++ b/crates/coralstep/src/config.rs
@@ -27,7 +27,7 @@
     pub retry_window: Span,
     /// What an answer within the latency objective is worth, beside other methods.
     pub priority_weight: f64,
-    /// The part of the priority weight that an answer past the latency objective still earns.
+    /// The part of the priority weight that an answer past the latency objective still earns. No rule uses it.
     pub late_value: f64,
     /// The part of the priority weight that an answer without the dependency call earns; 0 where the call
     /// can't be skipped.
@@ -140,7 +140,7 @@
     pub overall: f64,
     /// Of the service of the worst-served method.
     pub worst_method: f64,
-    /// Of the service of the worst-served tenant.
+    /// Of the service of the worst-served tenant. No rule uses it.
     pub worst_tenant: f64,
 }
 
--- a/crates/coralstep/src/request.rs
+++ b/crates/coralstep/src/request.rs
@@ -30,8 +30,6 @@
     pub tenant: Option<usize>,
     /// When its caller stops waiting, where that is stated.
     pub deadline: Option<Time>,
-    /// Its expected time on a core, where that is stated. No decision uses it.
-    pub work: Option<Span>,
     /// The memory it takes while it is queued, in kilobytes.
     pub queued_kb: f64,
     /// Whether it is not its caller's first attempt.
--- a/crates/coralstep/tests/pinned.rs
+++ b/crates/coralstep/tests/pinned.rs
@@ -201,7 +201,6 @@
         method: rng.below(4) as usize,
         tenant: rng.below(3).checked_sub(1).map(|tenant| tenant as usize),
         deadline: (rng.below(3) == 0).then_some(out.now + Span(rng.below(20_000))),
-        work: None,
         queued_kb: 1.0 + rng.below(40) as f64,
         is_retry: earlier_attempt != EarlierAttempt::None || rng.below(6) == 0,
         age: Span(rng.below(400)),
