--- a/crates/coralstep-state/tests/golden.rs
+++ b/crates/coralstep-state/tests/golden.rs
@@ -3,6 +3,8 @@
 use std::path::{Path, PathBuf};
 
 use coralstep::LearnedState;
+use coralstep_fleet::fleet::{Publication, Snapshot};
+use coralstep_fleet::rollout::RpcCounts;
 use coralstep_fleet::{Fleet, FleetConfig, Member, VersionId};
 use coralstep_state::confidence;
 use coralstep_state::faulty_storage::FaultyStorage;
@@ -129,21 +131,29 @@
     let mut fleet = fleet();
     for second in 1..=2 {
         let (now, wall_ms) = (second * 1_000, (WRITTEN_S[0] + second) * 1_000);
-        fleet.tick(now, wall_ms, (second << 33, second * 200));
-        let content = format!("{{\"limits\":[],\"größe\":{second}}}");
-        let id = fleet
-            .publish(now, wall_ms, content, second == 2, vec![0.25, 1.0], 70_000)
-            .unwrap();
+        fleet.tick(
+            now,
+            wall_ms,
+            RpcCounts {
+                decided: second << 33,
+                succeeded: second * 200,
+            },
+        );
+        let publication = Publication {
+            content: format!("{{\"limits\":[],\"größe\":{second}}}"),
+            mandatory: second == 2,
+            stages: vec![0.25, 1.0],
+            stage_pause_ms: 70_000,
+        };
+        let id = fleet.publish(now, wall_ms, publication).unwrap();
         fleet.activate(now, wall_ms, id);
     }
-    let (active_version, history) = fleet.snapshot();
-    (
-        FleetRecord {
-            active_version,
-            history,
-        },
-        fleet.active_version(),
-    )
+    let snapshot = fleet.snapshot();
+    let record = FleetRecord {
+        active_version: snapshot.active_version,
+        history: snapshot.audit_entries,
+    };
+    (record, fleet.active_version())
 }
 
 /// A run of each end, each known from then on as the verdict says.
@@ -263,13 +273,14 @@
     } = fleet_record::load(&folder).unwrap().unwrap();
     assert_eq!((&record, corrupt_bytes), (&expected, 0));
     let mut restarted = fleet();
-    assert_eq!(
-        restarted.restore(&record.active_version, &record.history),
-        Some(acts_on)
-    );
+    let snapshot = Snapshot {
+        active_version: record.active_version,
+        audit_entries: record.history,
+    };
+    assert_eq!(restarted.restore(&snapshot), Some(acts_on));
     // Its chain of entries hangs together, else there were an event.
     assert_eq!(
-        (restarted.take_events(), restarted.snapshot().1),
+        (restarted.take_events(), restarted.snapshot().audit_entries),
         (Vec::new(), expected.history)
     );
     // The older generation counts where the newer one is gone.
