--- a/crates/coralstep/src/call_timeout.rs
+++ b/crates/coralstep/src/call_timeout.rs
@@ -7,7 +7,7 @@
 use crate::time::Span;
 
 /// In multiples of the median call: almost all end sooner.
-const MEDIANS: u64 = 8;
+const TIMEOUT_IN_MEDIANS: u64 = 8;
 /// A short pause of the dependency fits in.
 pub(crate) const MIN_CALL_TIMEOUT: Span = Span::ms(300);
 
@@ -21,7 +21,7 @@
     let run_time = shared.measurements.mean_run_time(request.method);
     let last_useful = request.arrived_at + method.latency_objective - run_time;
     let useful = last_useful - shared.now;
-    let usual = shared.measurements.call_times.median(ASSUMED_TIME) * MEDIANS;
+    let usual = shared.measurements.call_times.median(ASSUMED_TIME) * TIMEOUT_IN_MEDIANS;
     let timeout = if method.idempotency == Idempotency::Idempotent {
         usual.min(useful)
     } else {
--- a/crates/coralstep/src/config.rs
+++ b/crates/coralstep/src/config.rs
@@ -27,7 +27,8 @@
     pub retry_window: Span,
     /// What an answer within the latency objective is worth, beside other methods.
     pub priority_weight: f64,
-    /// The part of the priority weight that an answer past the latency objective still earns. No rule uses it.
+    /// The part of the priority weight that an answer past the latency objective still earns. No rule uses
+    /// it.
     pub late_value: f64,
     /// The part of the priority weight that an answer without the dependency call earns; 0 where the call
     /// can't be skipped.
--- a/crates/coralstep/src/drain.rs
+++ b/crates/coralstep/src/drain.rs
@@ -4,7 +4,7 @@
 use crate::timer::TICK;
 
 /// The last answers leave so long before the process is stopped: a pause of the process fits in.
-const LAST_ANSWERS: Span = Span::ms(400);
+const LAST_ANSWER_MARGIN: Span = Span::ms(400);
 
 /// Whether and until when the server drains.
 #[derive(Debug)]
@@ -41,6 +41,6 @@
 
     /// Whether the process stops so soon that all must be answered now.
     pub(crate) fn must_answer_all(&self, now: Time) -> bool {
-        now + LAST_ANSWERS >= self.stop_at
+        now + LAST_ANSWER_MARGIN >= self.stop_at
     }
 }
--- a/crates/coralstep/src/health.rs
+++ b/crates/coralstep/src/health.rs
@@ -13,7 +13,7 @@
 const MAX_TIME_WITHOUT_PROGRESS: Span = Span::ms(1_500);
 /// A read backlog begins when work is read later than this many latency objectives after its arrival, and
 /// ends when it is read within its queue limit.
-const READ_BACKLOG_OBJECTIVES: f64 = 2.0;
+const MAX_READ_DELAY_OBJECTIVES: f64 = 2.0;
 /// Kept of the longest wait unread at each review.
 const READ_DELAY_DECAY: f64 = 0.8;
 
@@ -113,7 +113,7 @@
         if self.read_backlog {
             1.0
         } else {
-            READ_BACKLOG_OBJECTIVES / queue::MAX_WAIT
+            MAX_READ_DELAY_OBJECTIVES / queue::MAX_WAIT_PART
         }
     }
 }
--- a/crates/coralstep/src/orphans.rs
+++ b/crates/coralstep/src/orphans.rs
@@ -8,7 +8,7 @@
 use crate::actions::Actions;
 use crate::event::{Event, OrphanedRun};
 use crate::request::RpcId;
-use crate::request_table::Phase;
+use crate::request_table::{Phase, TrackedRequest};
 use crate::shared_state::SharedState;
 use crate::time::Span;
 
@@ -37,29 +37,38 @@
     is_lost.then(|| shared.now - request.phase_since)
 }
 
-/// Asks after a run whose request is answered where that is due, and counts it as orphaned where it is
-/// time.
-pub(crate) fn reap_run(
-    shared: &mut SharedState,
-    id: RpcId,
-    max_started: usize,
-    out: &mut dyn Actions,
-) {
+/// Whether a request is answered while its run has no end.
+fn has_no_end(request: &TrackedRequest) -> bool {
+    request.answered
+        && matches!(
+            request.phase,
+            Phase::Running | Phase::AwaitingCall | Phase::Orphaned | Phase::OrphanedAtCall
+        )
+}
+
+/// Asks after a run without an end, where that is due.
+pub(crate) fn query_run(shared: &mut SharedState, id: RpcId, out: &mut dyn Actions) {
     let now = shared.now;
-    let Some(request) = shared.get_mut(id).filter(|request| request.answered) else {
+    let Some(request) = shared.get_mut(id).filter(|request| has_no_end(request)) else {
         return;
     };
-    let (phase, since_answer) = (request.phase, now - request.answered_at);
-    if !matches!(
-        phase,
-        Phase::Running | Phase::AwaitingCall | Phase::Orphaned | Phase::OrphanedAtCall
-    ) {
-        return;
-    }
     if now - request.queried_at >= QUERY_PERIOD {
         request.queried_at = now;
         out.query_run(id);
     }
+}
+
+/// Counts a run without an end as orphaned, where it is time.
+pub(crate) fn mark_orphaned(
+    shared: &mut SharedState,
+    id: RpcId,
+    max_started: usize,
+    out: &mut dyn Actions,
+) {
+    let Some(request) = shared.get(id).filter(|request| has_no_end(request)) else {
+        return;
+    };
+    let (phase, since_answer) = (request.phase, shared.now - request.answered_at);
     let max_orphaned = max_orphans(max_started);
     let orphaned_as = |orphaned| OrphanedRun {
         since_answer,
--- a/crates/coralstep/src/queue.rs
+++ b/crates/coralstep/src/queue.rs
@@ -7,7 +7,7 @@
 
 /// How long a request may be queued, as a part of its latency objective: its caller needs time for another
 /// server.
-pub(crate) const MAX_WAIT: f64 = 0.25;
+pub(crate) const MAX_WAIT_PART: f64 = 0.25;
 /// The least part of the queue limit that a degradation level leaves.
 const MIN_LIMIT_FACTOR: f64 = 0.01;
 
@@ -15,7 +15,7 @@
 pub(crate) fn part_of_limit(shared: &SharedState, request: &TrackedRequest, span: Span) -> f64 {
     let objective = shared.method(request).latency_objective.0.max(1) as f64;
     let factor = shared.level_of(request).queue_limit_factor;
-    span.0 as f64 / (objective * MAX_WAIT * factor.max(MIN_LIMIT_FACTOR))
+    span.0 as f64 / (objective * MAX_WAIT_PART * factor.max(MIN_LIMIT_FACTOR))
 }
 
 /// How long a request has waited, as a part of its queue limit; it waited too long from 1 on.
@@ -25,7 +25,10 @@
 pub(crate) fn waited_part(shared: &SharedState, request: &TrackedRequest) -> f64 {
     let read_delay = request.phase_since - request.arrived_at;
     let usual_read_delay = shared.measurements.read_delays.median(Span::ZERO);
-    let limit = shared.method(request).latency_objective.scaled(MAX_WAIT);
+    let limit = shared
+        .method(request)
+        .latency_objective
+        .scaled(MAX_WAIT_PART);
     let uncounted = read_delay.min(usual_read_delay).min(limit);
     let waited = shared.now - request.arrived_at;
     part_of_limit(shared, request, waited - uncounted)
--- a/crates/coralstep/src/scheduler.rs
+++ b/crates/coralstep/src/scheduler.rs
@@ -306,6 +306,7 @@
             self.handle_call_result(self.shared.now, id, Outcome::TimedOut, duration, out);
         }
         let max_started = self.concurrency.max_started(&self.shared);
-        orphans::reap_run(&mut self.shared, id, max_started, out);
+        orphans::query_run(&mut self.shared, id, out);
+        orphans::mark_orphaned(&mut self.shared, id, max_started, out);
     }
 }
