--- a/crates/coralstep-server/src/base/log.rs
+++ b/crates/coralstep-server/src/base/log.rs
@@ -83,6 +83,8 @@
     written.then_some(before)
 }
 
+/// Writes an event at level info, as `tracing::info!` would: fields, then a message. So many a second are written; the next one
+/// after that has the number left out in the field `lines_left_out`. With `client:` in front, a client is the cause.
 #[macro_export]
 macro_rules! note {
     (client: $($text:tt)*) => { $crate::note!(@true, $($text)*) };
@@ -90,7 +92,7 @@
         match $crate::base::log::admitted(std::time::Instant::now(), $client) {
             None => {}
             Some(0) => tracing::info!($($text)*),
-            Some(left_out) => tracing::info!("{} ({left_out} lines left out before)", format_args!($($text)*)),
+            Some(lines_left_out) => tracing::info!(lines_left_out, $($text)*),
         }
     };
     ($($text:tt)*) => { $crate::note!(@false, $($text)*) };
--- a/crates/coralstep-server/src/cli/state.rs
+++ b/crates/coralstep-server/src/cli/state.rs
@@ -1,11 +1,13 @@
-//! `coralstep state`: what is kept in a folder, also while a server has it.
-use std::path::PathBuf;
+//! `coralstep state`: what is kept in a state folder, also while a server has it.
+use std::path::{Path, PathBuf};
+use std::time::SystemTime;
 
+use coralstep_state::StorageError;
 use coralstep_state::snapshot::{self, SnapshotSummary};
 use coralstep_state::storage::ReadOnlyDir;
 use lexopt::Arg::{Long, Short, Value};
 
-pub const USAGE: &str = "\
+const USAGE: &str = "\
 usage: coralstep state show FOLDER [--json]      the snapshots: number, age, what is believed of them
        coralstep state verify FOLDER [--json]    the same; exit status 1 where a file is spoilt or can't be read
        coralstep state export FOLDER             all that the newest good snapshot holds, as JSON
@@ -14,93 +16,162 @@
 call that is not understood.
 ";
 
-pub enum What {
+/// What is to be done with the folder.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Action {
+    /// Print a summary of each snapshot.
     Show,
+    /// The same, and fail if nothing is believed of one of them.
     Verify,
+    /// Print the newest good snapshot as JSON.
     Export,
 }
 
-pub enum Call {
+/// The parsed command line.
+#[derive(Debug)]
+pub(crate) enum Call {
     Help,
-    Look {
-        what: What,
+    Inspect {
+        action: Action,
         folder: PathBuf,
         json: bool,
     },
 }
 
-pub fn call(parser: &mut lexopt::Parser) -> Result<Call, lexopt::Error> {
-    let (mut what, mut folder, mut json) = (None, None, false);
+/// Whether the folder is as the call requires.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Verdict {
+    Good,
+    Bad,
+}
+
+/// Why a folder could not be inspected.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum InspectError {
+    #[error("{}: {source}", folder.display())]
+    Storage {
+        folder: PathBuf,
+        source: StorageError,
+    },
+    #[error("{}: no good snapshot", folder.display())]
+    NoSnapshot { folder: PathBuf },
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+}
+
+/// Parses what follows `coralstep state`.
+pub(crate) fn call(parser: &mut lexopt::Parser) -> Result<Call, lexopt::Error> {
+    let mut action = None;
+    let mut folder = None;
+    let mut json = false;
     while let Some(arg) = parser.next()? {
         match arg {
             Short('h') | Long("help") => return Ok(Call::Help),
             Long("json") => json = true,
-            Value(word) if what.is_none() => {
-                what = Some(match word.to_str() {
-                    Some("show") => What::Show,
-                    Some("verify") => What::Verify,
-                    Some("export") => What::Export,
-                    _ => {
-                        return Err(format!(
-                            "state: {word:?} is not understood; see coralstep state --help"
-                        )
-                        .into());
-                    }
-                });
-            }
-            Value(word) if folder.is_none() => folder = Some(PathBuf::from(word)),
+            Value(word) if action.is_none() => action = Some(parse_action(&word)?),
+            Value(path) if folder.is_none() => folder = Some(PathBuf::from(path)),
             other => return Err(other.unexpected()),
         }
     }
-    let what = what.ok_or("state: show, verify or export; see coralstep state --help")?;
-    Ok(Call::Look {
-        what,
+    Ok(Call::Inspect {
+        action: action.ok_or("state: show, verify or export; see coralstep state --help")?,
         folder: folder.ok_or("state: no folder")?,
         json,
     })
 }
 
-fn line(view: &SnapshotSummary) -> String {
-    match view.sequence_number {
-        Some(number) => format!(
-            "{}\tnumber {number}\tserver {}\t{} s old\t{}",
-            view.file, view.server, view.age_s, view.status
-        ),
-        None => format!("{}\t{}", view.file, view.status),
+fn parse_action(word: &std::ffi::OsStr) -> Result<Action, lexopt::Error> {
+    match word.to_str() {
+        Some("show") => Ok(Action::Show),
+        Some("verify") => Ok(Action::Verify),
+        Some("export") => Ok(Action::Export),
+        _ => Err(format!("state: {word:?} is not understood; see coralstep state --help").into()),
     }
 }
 
-/// Whether all is well.
-pub fn run(call: Call) -> Result<bool, String> {
-    let Call::Look { what, folder, json } = call else {
+/// Carries out the call and prints what it asks for.
+pub(crate) fn run(call: Call) -> Result<Verdict, InspectError> {
+    let Call::Inspect {
+        action,
+        folder,
+        json,
+    } = call
+    else {
         print!("{USAGE}");
-        return Ok(true);
+        return Ok(Verdict::Good);
     };
-    let now_s = std::time::SystemTime::now().duration_since(std::time::SystemTime::UNIX_EPOCH);
-    let look = ReadOnlyDir::open(&folder).map_err(|why| format!("{}: {why}", folder.display()))?;
-    let views = snapshot::list_snapshots(&look, now_s.map_or(0, |since| since.as_secs()));
-    match what {
-        What::Export => {
-            let newest = views
-                .iter()
-                .filter(|view| view.sequence_number.is_some())
-                .max_by_key(|view| view.sequence_number);
-            let newest = newest.ok_or_else(|| format!("{}: no good snapshot", folder.display()))?;
-            println!(
-                "{}",
-                snapshot::export_json(&look, &newest.file).unwrap_or_default()
-            );
-        }
-        _ if json => {
-            for view in &views {
-                println!(
-                    "{}",
-                    serde_json::to_string(view).map_err(|why| why.to_string())?
-                );
-            }
+    let directory = ReadOnlyDir::open(&folder).map_err(|source| InspectError::Storage {
+        folder: folder.clone(),
+        source,
+    })?;
+    let summaries = snapshot::list_snapshots(&directory, unix_time_s());
+    match action {
+        Action::Export => export(&directory, &folder, &summaries)?,
+        Action::Show | Action::Verify if json => print_json(&summaries)?,
+        Action::Show | Action::Verify => print_text(&summaries),
+    }
+    let all_good = summaries.iter().all(is_good);
+    if action == Action::Verify && !all_good {
+        return Ok(Verdict::Bad);
+    }
+    Ok(Verdict::Good)
+}
+
+fn unix_time_s() -> u64 {
+    SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .map_or(0, |since_epoch| since_epoch.as_secs())
+}
+
+fn is_good(summary: &SnapshotSummary) -> bool {
+    summary.sequence_number.is_some()
+}
+
+fn export(
+    directory: &ReadOnlyDir,
+    folder: &Path,
+    summaries: &[SnapshotSummary],
+) -> Result<(), InspectError> {
+    let newest = summaries
+        .iter()
+        .filter(|summary| is_good(summary))
+        .max_by_key(|summary| summary.sequence_number)
+        .ok_or_else(|| InspectError::NoSnapshot {
+            folder: folder.to_owned(),
+        })?;
+    let json = snapshot::export_json(directory, &newest.file).unwrap_or_default();
+    println!("{json}");
+    Ok(())
+}
+
+fn print_json(summaries: &[SnapshotSummary]) -> Result<(), InspectError> {
+    for summary in summaries {
+        println!("{}", serde_json::to_string(summary)?);
+    }
+    Ok(())
+}
+
+fn print_text(summaries: &[SnapshotSummary]) {
+    if summaries.is_empty() {
+        println!("nothing is kept here");
+    }
+    for summary in summaries {
+        println!("{}", text_line(summary));
+    }
+}
+
+fn text_line(summary: &SnapshotSummary) -> String {
+    let SnapshotSummary {
+        file,
+        sequence_number,
+        server,
+        age_s,
+        status,
+    } = summary;
+    match sequence_number {
+        Some(number) => {
+            format!("{file}\tnumber {number}\tserver {server}\t{age_s} s old\t{status}")
         }
-        _ if views.is_empty() => println!("nothing is kept here"),
-        _ => views.iter().for_each(|view| println!("{}", line(view))),
+        None => format!("{file}\t{status}"),
     }
-    Ok(!matches!(what, What::Verify) || views.iter().all(|view| view.sequence_number.is_some()))
 }
--- a/crates/coralstep-server/src/lib.rs
+++ b/crates/coralstep-server/src/lib.rs
@@ -26,7 +26,7 @@
 pub mod decisions;
 pub mod dependency;
 pub mod fleet;
-pub mod life;
+pub mod lifecycle;
 pub mod operators;
 pub mod runs;
 
@@ -40,9 +40,9 @@
 use decisions::SchedulerHandle;
 use dependency::store::Store;
 use fleet::carrier::{Carrier, Take, Watch};
-use life::keep::Keeper;
-use life::reload::Movable;
-use life::{control, drain, reload};
+use lifecycle::reload::Movable;
+use lifecycle::snapshots::SnapshotService;
+use lifecycle::{control, drain, reload};
 use operators::ops::Operator;
 use runs::Backend;
 use runs::applications::Applications;
@@ -176,10 +176,10 @@
         note!("{} hears its fleet at {at}", config.name);
     }
     // Nothing is decided before the executor runs: what was learned comes in time.
-    let keeper = site
+    let snapshots = site
         .state
         .as_ref()
-        .and_then(|terms| Keeper::start(terms, &config, &facade));
+        .and_then(|terms| SnapshotService::start(terms, &config, &facade));
     let movable = Rc::new(Movable {
         scgi,
         applications,
@@ -222,8 +222,8 @@
                 config.seed,
             ))),
         }
-        if let Some(keeper) = &keeper {
-            parts.push(Box::pin(keeper.run(&facade)));
+        if let Some(snapshots) = &snapshots {
+            parts.push(Box::pin(snapshots.run(&facade)));
         }
         if let Some(operator) = &operator {
             parts.push(Box::pin(operator.listen(
@@ -256,8 +256,8 @@
     let told = || carrier.iter().for_each(|carrier| carrier.leave());
     let leave = drain::wait(leave, &facade, &connections, config.stop, &leaving, &told);
     block_on(executor.run(leave.or(forever)));
-    if let Some(keeper) = &keeper {
-        keeper.end(&facade);
+    if let Some(snapshots) = &snapshots {
+        snapshots.finish(&facade);
     }
     Ok(())
 }
--- a/crates/coralstep-server/src/main.rs
+++ b/crates/coralstep-server/src/main.rs
@@ -126,9 +126,9 @@
         Ok(Command::Levels(call)) => levels::run(call),
         Ok(Command::Fleet(call)) => fleet::run(call),
         Ok(Command::State(call)) => match state::run(call) {
-            Ok(true) => Ok(()),
-            Ok(false) => return ExitCode::FAILURE,
-            Err(why) => Err(why),
+            Ok(state::Verdict::Good) => Ok(()),
+            Ok(state::Verdict::Bad) => return ExitCode::FAILURE,
+            Err(error) => Err(error.to_string()),
         },
         Ok(Command::Check((config, site))) => {
             match Source::new(config, site).and_then(|source| source.load()) {
--- a/crates/coralstep-server/tests/rooms.rs
+++ b/crates/coralstep-server/tests/rooms.rs
@@ -10,7 +10,7 @@
     "runs",
     "callers",
     "operators",
-    "life",
+    "lifecycle",
 ];
 
 /// The part of a file before its tests, which may use what they like.
--- a/crates/coralstep-server/tests/state.rs
+++ b/crates/coralstep-server/tests/state.rs
@@ -64,7 +64,8 @@
     assert_eq!(bins, 3 * 8, "{all}");
     // Killed, not stopped: the snapshot of an interval is there.
     let mut rig = Rig::site(&site(&folder));
-    rig.logged("is taken in, trusted 1.00");
+    let restored = rig.logged("snapshot restored sequence_number=");
+    assert!(restored.contains("confidence=1.00"), "{restored}");
     let runs = rig.engine(0, "old 1000").go_on("0.5 1 0.1 3", true);
     let number = || state(&["export", folder.to_str().unwrap()]).1;
     let before = number();
@@ -77,7 +78,8 @@
     rig.child.wait().unwrap();
     drop((rig, runs));
     let rig = Rig::site(&site(&folder));
-    rig.logged("is taken in, trusted 1.00");
+    let restored = rig.logged("snapshot restored sequence_number=");
+    assert!(restored.contains("confidence=1.00"), "{restored}");
     drop(rig);
     std::fs::remove_dir_all(&folder).unwrap();
 }
@@ -98,8 +100,8 @@
         (0, 1, 1)
     );
     let mut rig = Rig::site(&site(&folder));
-    rig.logged("learned.0 is of version 9, later than ours; it is left alone");
-    rig.logged("learned.1 is spoilt");
+    rig.logged("snapshot of a later version, left alone file=\"learned.0\" version=9");
+    rig.logged("snapshot corrupt file=\"learned.1\"");
     let runs = rig.engine(0, "old 1000").go_on("0.5 1 0.1 3", true);
     serves(&rig, 1);
     rig.terminate();
@@ -119,9 +121,13 @@
     let folder = folder("two");
     let first = Rig::site(&site(&folder));
     let second = Rig::site(&site(&folder));
-    second.logged("another process has this folder; nothing is kept");
+    let told = second.logged("state folder unavailable, keeping no snapshots");
+    assert!(
+        told.contains("error=another process has this folder"),
+        "{told}"
+    );
     let none = Rig::site(&site(Path::new("/dev/null/nowhere")));
-    none.logged("nothing is kept");
+    none.logged("state folder unavailable, keeping no snapshots");
     for rig in [&first, &second, &none] {
         let runs = rig.engine(0, "old 1000").go_on("0.5 1 0.1 3", true);
         serves(rig, 1);
@@ -137,10 +143,10 @@
     let rig = Rig::site(&site(&folder));
     let runs = rig.engine(0, "old 1000").go_on("0.5 1 0.1 3", true);
     std::fs::remove_dir_all(&folder).unwrap();
-    rig.logged("state: no snapshot: ");
+    rig.logged("snapshot not written, retrying at each interval error=");
     serves(&rig, 1);
     std::fs::create_dir_all(&folder).unwrap();
-    rig.logged("state: snapshots are written again");
+    rig.logged("snapshots are written again");
     drop((rig, runs));
     std::fs::remove_dir_all(&folder).unwrap();
 }
