--- a/crates/coralstep-adapter/src/log_words.rs
+++ b/crates/coralstep-adapter/src/log_words.rs
@@ -43,3 +43,6 @@
         "a run is {word}: no end {ms} ms after its answer, {orphaned} of {max}"
     )
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/coralstep-server/src/lifecycle/snapshots.rs
+++ b/crates/coralstep-server/src/lifecycle/snapshots.rs
@@ -10,7 +10,7 @@
 
 use async_io::Timer;
 use coralstep::LearnedState;
-use coralstep_config::site::StateTerms;
+use coralstep_config::site::StateConfig;
 use coralstep_state::DirStorage;
 use coralstep_state::background::{BackgroundScheduler, Budget, StepCost, TaskConfig};
 use coralstep_state::fingerprint::Fingerprint;
@@ -56,7 +56,7 @@
     /// Returns `None` if the folder or the thread is not to be had, which is logged: serving goes on
     /// without.
     pub fn start(
-        terms: &StateTerms,
+        terms: &StateConfig,
         config: &Config,
         scheduler: &SchedulerHandle,
     ) -> Option<SnapshotService> {
--- a/crates/coralstep-server/tests/verdicts.rs
+++ b/crates/coralstep-server/tests/verdicts.rs
@@ -149,9 +149,7 @@
     println!("{came:?}");
     // Alone each would need twenty outcomes of its own, ten seconds of them: no breaker would open within the eight.
     let opened = (0..8)
-        .filter(|at| {
-            fleet.logged(*at, "closed -> open") || fleet.logged(*at, "from closed to open")
-        })
+        .filter(|at| fleet.logged(*at, "from=\"closed\" to=\"open\""))
         .count();
     let told: Vec<String> = (0..8)
         .flat_map(|at| fleet.log(at))
