--- a/crates/coralstep-server/benches/front.rs
+++ b/crates/coralstep-server/benches/front.rs
@@ -22,7 +22,7 @@
 use coralstep_server::callers::gateway::Thrift;
 use coralstep_server::callers::scgi::Scgi;
 use coralstep_server::decisions::{RunOutcome, SchedulerHandle};
-use coralstep_server::dependency::store::Store;
+use coralstep_server::dependency::store::StoreClient;
 use coralstep_server::runs::request_handler::RequestHandler;
 use coralstep_server::runs::{Backend, Run, RunEvent, RunEvents, RunRequest};
 use criterion::{Criterion, criterion_group, criterion_main};
@@ -146,7 +146,7 @@
     let course = Rc::new(RequestHandler::new(
         facade.clone(),
         Rc::new(Echo),
-        Store(Rc::new(endpoints)),
+        StoreClient(Rc::new(endpoints)),
         &limits,
     ));
     let executor = Rc::new(LocalExecutor::new());
--- a/crates/coralstep-server/src/callers/connections/tests.rs
+++ b/crates/coralstep-server/src/callers/connections/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::base::endpoints::{Endpoint, Endpoints};
 use crate::callers::gateway::Thrift;
-use crate::dependency::store::Store;
+use crate::dependency::store::StoreClient;
 use crate::runs::engine::Engine;
 
 fn connections() -> Connections {
@@ -29,7 +29,7 @@
         descriptors: Rc::new(Descriptors::new(64)),
     };
     let (engine, descriptors) = (Rc::new(Engine::default()), endpoints.descriptors.clone());
-    let store = Store(Rc::new(endpoints));
+    let store = StoreClient(Rc::new(endpoints));
     let course = Rc::new(RequestHandler::new(facade.clone(), engine, store, &limits));
     Connections::new(
         Rc::new(LocalExecutor::new()),
--- a/crates/coralstep-server/src/dependency/mod.rs
+++ b/crates/coralstep-server/src/dependency/mod.rs
@@ -1,2 +1,2 @@
-//! The dependency that RPCs call.
+//! The dependency that all servers share.
 pub mod store;
--- a/crates/coralstep-server/src/lib.rs
+++ b/crates/coralstep-server/src/lib.rs
@@ -38,11 +38,12 @@
 use callers::gateway::Thrift;
 use callers::scgi::Scgi;
 use decisions::SchedulerHandle;
-use dependency::store::Store;
+use dependency::store::StoreClient;
 use fleet::carrier::{Carrier, Take, Watch};
-use lifecycle::reload::Movable;
+use lifecycle::drain::Shutdown;
+use lifecycle::reload::ReloadableParts;
 use lifecycle::snapshots::SnapshotService;
-use lifecycle::{control, drain, reload};
+use lifecycle::{drain, registration, reload};
 use operators::ops::Operator;
 use runs::Backend;
 use runs::applications::Applications;
@@ -105,7 +106,7 @@
     let course = Rc::new(RequestHandler::new(
         facade.clone(),
         runs,
-        Store(endpoints.clone()),
+        StoreClient(endpoints.clone()),
         &config.limits,
     ));
     let connections = Rc::new(Connections::new(
@@ -180,17 +181,21 @@
         .state
         .as_ref()
         .and_then(|terms| SnapshotService::start(terms, &config, &facade));
-    let movable = Rc::new(Movable {
+    let movable = Rc::new(ReloadableParts {
         scgi,
         applications,
         levels: facade.degradation().cloned(),
         versioned: Cell::new(false),
-        holds: RefCell::default(),
+        version: RefCell::default(),
     });
     let take: Take = {
         let (movable, site) = (movable.clone(), site.clone());
         let (names, terms) = (config.names.clone(), config.terms.clone());
-        Box::new(move |content| reload::take_version(content, &site, &names, &terms, &movable))
+        Box::new(move |content| {
+            movable
+                .apply_version(content, &site, &names, &terms)
+                .map_err(|error| error.to_string())
+        })
     };
     let watch: Watch = {
         let applications = movable.applications.clone();
@@ -202,13 +207,13 @@
     };
     let forever = async {
         let mut parts: Vec<Part<'_>> = vec![
-            Box::pin(control::report(
+            Box::pin(registration::send_heartbeats(
                 &config.name,
                 &endpoints.control,
                 &facade,
                 &leaving,
             )),
-            Box::pin(reload::wait(again, &source, &config, &endpoints, &movable)),
+            Box::pin(reload::run(again, &source, &config, &endpoints, &movable)),
             Box::pin(connections.sweep()),
             Box::pin(connections.make_way()),
             Box::pin(beat(&facade, &engine)),
@@ -254,8 +259,14 @@
         all(parts).await
     };
     let told = || carrier.iter().for_each(|carrier| carrier.leave());
-    let leave = drain::wait(leave, &facade, &connections, config.stop, &leaving, &told);
-    block_on(executor.run(leave.or(forever)));
+    let shutdown = Shutdown {
+        scheduler: &facade,
+        connections: &connections,
+        stop_after: config.stop,
+        draining: &leaving,
+        announce: &told,
+    };
+    block_on(executor.run(shutdown.run(leave).or(forever)));
     if let Some(snapshots) = &snapshots {
         snapshots.finish(&facade);
     }
--- a/crates/coralstep-server/src/lifecycle/drain.rs
+++ b/crates/coralstep-server/src/lifecycle/drain.rs
@@ -1,4 +1,4 @@
-//! From the notice to leave to the end of the process.
+//! Graceful shutdown, from the signal to the end of the process.
 use std::cell::Cell;
 use std::io;
 use std::time::{Duration, Instant};
@@ -11,43 +11,68 @@
 use crate::decisions::SchedulerHandle;
 use crate::note;
 
-/// So long before the stop nobody is let in any more: the decisions give their last answers before that, and what
-/// is read later gets one at once.
-const SHUT: Duration = Duration::from_millis(300);
-/// So long before the stop the connections that are still there are ended, and so long before it the process, whoever is
-/// still connected: a pause of the process fits in.
-const END: Duration = Duration::from_millis(160);
-const EXIT: Duration = Duration::from_millis(100);
+/// New connections are refused so long before the stop. The scheduler gives its last answers earlier; what is read later is
+/// answered at once.
+const CLOSE_LISTENERS_BEFORE: Duration = Duration::from_millis(300);
+/// Connections that are still open are closed so long before the stop.
+const CLOSE_CONNECTIONS_BEFORE: Duration = Duration::from_millis(160);
+/// The process ends so long before the stop, whoever is still connected: a pause of the process fits in.
+const EXIT_BEFORE: Duration = Duration::from_millis(100);
 
-/// From here on the notice is waited for. To be called before anybody can connect: guards against a notice that ends
-/// the process while requests lie in the backlog.
+/// Catches SIGTERM and SIGINT from now on.
+///
+/// Guards against a signal that ends the process while requests lie in the backlog: call it before a port opens.
+///
+/// # Errors
+/// The system refuses to deliver the signals.
 pub fn signals() -> io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int])
 }
 
-/// Ends when the process should.
-pub async fn wait(
-    mut signals: Signals,
-    facade: &SchedulerHandle,
-    connections: &Connections,
-    stop: Duration,
-    leaving: &Cell<bool>,
-    told: &dyn Fn(),
-) {
-    signals.next().await;
-    let stop_at = Instant::now() + stop;
-    note!("leaving within {} ms", stop.as_millis());
-    leaving.set(true);
-    // The others hear it before anything else changes.
-    told();
-    facade.begin_drain(stop);
-    Timer::at(stop_at.checked_sub(SHUT).unwrap_or(stop_at)).await;
-    connections.shut();
-    let end = async {
-        Timer::at(stop_at.checked_sub(END).unwrap_or(stop_at)).await;
-        connections.end();
-        Timer::at(stop_at.checked_sub(EXIT).unwrap_or(stop_at)).await;
-    };
-    connections.empty().or(end).await;
-    note!("left after {} RPCs", facade.request_counts().submitted);
+/// What takes part in a graceful shutdown.
+pub struct Shutdown<'a> {
+    /// Answers what has been read, and rejects what arrives after the grace period.
+    pub scheduler: &'a SchedulerHandle,
+    /// The callers' connections.
+    pub connections: &'a Connections,
+    /// From the signal to the moment at which the platform kills the process.
+    pub stop_after: Duration,
+    /// Set when the signal has come: this server reports to the control plane no more.
+    pub draining: &'a Cell<bool>,
+    /// Tells the other members of the fleet.
+    pub announce: &'a dyn Fn(),
+}
+
+impl Shutdown<'_> {
+    /// Waits for a signal, then ends when the process should.
+    pub async fn run(&self, mut signals: Signals) {
+        signals.next().await;
+        let stop_at = Instant::now() + self.stop_after;
+        note!(
+            stop_after_ms = self.stop_after.as_millis() as u64,
+            "draining"
+        );
+        self.draining.set(true);
+        // The others hear of it before anything else changes.
+        (self.announce)();
+        self.scheduler.begin_drain(self.stop_after);
+        wait_until_before(stop_at, CLOSE_LISTENERS_BEFORE).await;
+        self.connections.shut();
+        self.connections
+            .empty()
+            .or(self.close_connections(stop_at))
+            .await;
+        let rpcs = self.scheduler.request_counts().submitted;
+        note!(rpcs, "drained");
+    }
+
+    async fn close_connections(&self, stop_at: Instant) {
+        wait_until_before(stop_at, CLOSE_CONNECTIONS_BEFORE).await;
+        self.connections.end();
+        wait_until_before(stop_at, EXIT_BEFORE).await;
+    }
+}
+
+async fn wait_until_before(stop_at: Instant, margin: Duration) {
+    Timer::at(stop_at.checked_sub(margin).unwrap_or(stop_at)).await;
 }
--- a/crates/coralstep-server/src/lifecycle/mod.rs
+++ b/crates/coralstep-server/src/lifecycle/mod.rs
@@ -1,5 +1,5 @@
 //! The life of the process: reports, reload, drain, and what outlives it.
-pub mod control;
 pub mod drain;
+pub mod registration;
 pub mod reload;
 pub mod snapshots;
--- a/crates/coralstep-server/src/lifecycle/reload.rs
+++ b/crates/coralstep-server/src/lifecycle/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the configuration is read again, and the links move to the addresses that it now states.
+//! Reload: SIGHUP reads the files again, and a version of the fleet's settings takes the place of some sections.
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -10,6 +10,7 @@
 use coralstep_config::site::SiteConfig;
 use coralstep_config::starvation;
 use futures_lite::StreamExt;
+use thiserror::Error;
 
 use crate::base::config::{Config, Source};
 use crate::base::endpoints::Endpoints;
@@ -18,109 +19,171 @@
 use crate::note;
 use crate::runs::applications::Applications;
 
-/// From here on SIGHUP is waited for. Guards against a reload that ends the process, also before the configuration
-/// was first read.
+/// Catches SIGHUP from now on.
+///
+/// Guards against a reload that ends the process, also before the configuration was first read.
+///
+/// # Errors
+/// The system refuses to deliver the signal.
 pub fn signals() -> io::Result<Signals> {
     Signals::new([Signal::Hup])
 }
 
-/// What the operator's own file can change without a restart.
-pub struct Movable {
+/// The parts of the server that take up new sections of the site file without a restart.
+pub struct ReloadableParts {
+    /// Callers that speak SCGI.
     pub scgi: Option<Rc<Scgi>>,
+    /// Applications that run the RPCs.
     pub applications: Option<Rc<Applications>>,
+    /// Degradation levels.
     pub levels: Option<Rc<DegradationController>>,
-    /// These sections are those of a version of the fleet's; the site file's stay behind them.
+    /// Whether the sections are those of a version; the site file's are not taken then.
     pub versioned: Cell<bool>,
-    /// The version's, where one was taken.
-    pub holds: RefCell<Option<SiteConfig>>,
+    /// The site file with the version in its place.
+    pub version: RefCell<Option<SiteConfig>>,
 }
 
-/// Takes up each new configuration; one that is at fault changes nothing.
-pub async fn wait(
+/// Why a version of the fleet's settings is rejected.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum VersionError {
+    /// The version is faulty.
+    #[error("{0}")]
+    Config(String),
+    /// A part refused its section; the sections from before hold again.
+    #[error("{0}")]
+    Refused(String),
+    /// A part refused its section, and another one that from before.
+    #[error("{refused}; and what was there before: {restored}")]
+    NotRestored {
+        /// Why the new section was refused.
+        refused: String,
+        /// Why the old section was refused.
+        restored: String,
+    },
+}
+
+impl ReloadableParts {
+    /// Takes up a version of the fleet's settings on top of the site file `site`.
+    ///
+    /// # Errors
+    /// A faulty version, or a section that its part refuses; what was there before holds again.
+    pub fn apply_version(
+        &self,
+        content: &str,
+        site: &SiteConfig,
+        names: &Names,
+        config: &SchedulerConfig,
+    ) -> Result<(), VersionError> {
+        let new = site
+            .with_version(content, names)
+            .map_err(|error| VersionError::Config(error.to_string()))?;
+        starvation::check(&new, Some(site), names, config)
+            .map_err(|error| VersionError::Config(error.to_string()))?;
+        let before = self.version.replace(Some(new.clone()));
+        let Err(refused) = self.apply(&new, names) else {
+            self.versioned.set(true);
+            return Ok(());
+        };
+        // Guards against a version that is rejected and yet leaves some of its sections behind.
+        let old = before.clone().unwrap_or_else(|| site.clone());
+        self.version.replace(before);
+        match self.apply(&old, names) {
+            Ok(()) => Err(VersionError::Refused(refused)),
+            Err(restored) => Err(VersionError::NotRestored { refused, restored }),
+        }
+    }
+
+    /// Gives each part its section of `site`; ends with the first that refuses it.
+    fn apply(&self, site: &SiteConfig, names: &Names) -> Result<(), String> {
+        if let (Some(levels), Some(section)) = (&self.levels, &site.levels) {
+            levels.reload(section)?;
+        }
+        if let (Some(scgi), Some(section)) = (&self.scgi, &site.scgi) {
+            scgi.reload(section, names)?;
+        }
+        if let (Some(applications), Some(section)) = (&self.applications, &site.applications) {
+            applications.reload(section);
+        }
+        Ok(())
+    }
+
+    /// Takes up the sections of a site file that was read again.
+    fn apply_file(&self, new: &Config, start: &Config) {
+        if self.versioned.get() {
+            // Guards against a server that reports a version as active and runs with the file's settings.
+            return note!(
+                "reload: sections of the fleet's version stay, those of the file are ignored"
+            );
+        }
+        let site = &new.site;
+        if let (Some(scgi), Some(section)) = (&self.scgi, &site.scgi)
+            && let Err(error) = scgi.reload(section, &new.names)
+        {
+            note!(%error, "reload: scgi refused");
+        }
+        if let (Some(levels), Some(section)) = (&self.levels, &site.levels)
+            && start.site.levels.as_ref() != Some(section)
+            && let Err(error) = levels.reload(section)
+        {
+            note!(%error, "reload: levels refused");
+        }
+        if let (Some(applications), Some(section)) = (&self.applications, &site.applications) {
+            applications.reload(section);
+            note!(
+                count = section.addresses.len(),
+                "reload: applications replaced"
+            );
+        }
+    }
+}
+
+/// Takes up the files on each signal; files at fault change nothing. `start` is the configuration that the process began with.
+pub async fn run(
     mut signals: Signals,
     source: &Source,
     start: &Config,
     endpoints: &Endpoints,
-    movable: &Movable,
+    parts: &ReloadableParts,
 ) {
     while signals.next().await.is_some() {
         match source.load() {
-            Ok(config) => {
-                take_up(&config, start, endpoints);
-                take_up_site(&config, start, movable);
+            Ok(new) => {
+                log_fixed_settings(&new, start);
+                move_endpoints(&new, endpoints);
+                log_fixed_sections(&new.site, &start.site);
+                parts.apply_file(&new, start);
             }
-            Err(why) => note!("reload: {why}; all stays as it was"),
+            Err(error) => note!(%error, "reload failed, nothing changed"),
         }
     }
 }
 
-fn take_up(config: &Config, start: &Config, endpoints: &Endpoints) {
-    for (key, _) in config
-        .fixed
-        .iter()
-        .zip(&start.fixed)
-        .filter(|(new, old)| new != old)
-        .map(|(new, _)| new)
-    {
-        note!("reload: {key}: changes only with a restart");
+fn log_fixed_settings(new: &Config, start: &Config) {
+    let changed = new.fixed.iter().zip(&start.fixed);
+    for ((key, _), _) in changed.filter(|(new, old)| new != old) {
+        note!(key, "reload: setting changes only with a restart");
     }
-    endpoints.engine.set(config.engine);
-    endpoints.store.set(config.store);
-    endpoints.control.set(config.control);
-    let named = |at: Option<SocketAddr>| at.map_or("nowhere".to_owned(), |at| at.to_string());
-    let (engine, store, control) = (
-        named(config.engine),
-        named(config.store),
-        named(config.control),
-    );
-    note!("reload: engine at {engine}, store at {store}, control plane at {control}");
 }
 
-/// The sections that a version may set are those of `site` from now on, or the first that can't be, and why.
-fn put(site: &SiteConfig, names: &Names, movable: &Movable) -> Result<(), String> {
-    if let (Some(levels), Some(terms)) = (&movable.levels, &site.levels) {
-        levels.reload(terms)?;
-    }
-    if let (Some(front), Some(terms)) = (&movable.scgi, &site.scgi) {
-        front.reload(terms, names)?;
-    }
-    if let (Some(applications), Some(terms)) = (&movable.applications, &site.applications) {
-        applications.reload(terms);
-    }
-    Ok(())
-}
-
-/// Takes up a version of the fleet's settings on top of what the site file says, or says why not; then nothing has changed.
-pub fn take_version(
-    content: &str,
-    site: &SiteConfig,
-    names: &Names,
-    terms: &SchedulerConfig,
-    movable: &Movable,
-) -> Result<(), String> {
-    let new = site
-        .with_version(content, names)
-        .map_err(|error| error.to_string())?;
-    starvation::check(&new, Some(site), names, terms).map_err(|error| error.to_string())?;
-    let before = movable.holds.replace(Some(new.clone()));
-    if let Err(why) = put(&new, names, movable) {
-        // Guards against a version that is turned down and yet leaves some of its sections behind.
-        let old = before.clone().unwrap_or_else(|| site.clone());
-        movable.holds.replace(before);
-        return match put(&old, names, movable) {
-            Ok(()) => Err(why),
-            Err(worse) => Err(format!("{why}; and what was there before: {worse}")),
-        };
-    }
-    movable.versioned.set(true);
-    Ok(())
+fn move_endpoints(new: &Config, endpoints: &Endpoints) {
+    endpoints.engine.set(new.engine);
+    endpoints.store.set(new.store);
+    endpoints.control.set(new.control);
+    let text = |address: Option<SocketAddr>| {
+        address.map_or_else(|| "nowhere".to_owned(), |address| address.to_string())
+    };
+    note!(
+        engine = text(new.engine),
+        store = text(new.store),
+        control_plane = text(new.control),
+        "reload: endpoints replaced"
+    );
 }
 
-fn take_up_site(config: &Config, start: &Config, movable: &Movable) {
-    let (new, old) = (&config.site, &start.site);
-    let listens = |site: &SiteConfig| site.scgi.as_ref().map(|scgi| scgi.listen.clone());
+fn log_fixed_sections(new: &SiteConfig, old: &SiteConfig) {
+    let listeners = |site: &SiteConfig| site.scgi.as_ref().map(|scgi| scgi.listen.clone());
     let sections = [
-        ("scgi.listen", listens(new) != listens(old)),
+        ("scgi.listen", listeners(new) != listeners(old)),
         (
             "applications",
             new.applications.is_some() != old.applications.is_some(),
@@ -132,28 +195,9 @@
         ("limits", new.limits != old.limits),
     ];
     for (key, _) in sections.iter().filter(|(_, differs)| *differs) {
-        note!("reload: {key}: changes only with a restart, or where it may, a version");
-    }
-    if movable.versioned.get() {
-        // Guards against a server that says it acts on a version and has the file's settings.
-        return note!(
-            "reload: levels, scgi and applications are those of the fleet's version; the file's are not taken"
+        note!(
+            key,
+            "reload: section changes only with a restart or a version"
         );
     }
-    if let (Some(front), Some(terms)) = (&movable.scgi, &new.scgi) {
-        // It was checked when it was read.
-        if let Err(why) = front.reload(terms, &config.names) {
-            note!("reload: {why}");
-        }
-    }
-    if let (Some(levels), Some(terms)) = (&movable.levels, &new.levels)
-        && old.levels.as_ref() != Some(terms)
-        && let Err(why) = levels.reload(terms)
-    {
-        note!("reload: {why}");
-    }
-    if let (Some(applications), Some(terms)) = (&movable.applications, &new.applications) {
-        applications.reload(terms);
-        note!("reload: {} applications", terms.addresses.len());
-    }
 }
--- a/crates/coralstep-server/src/runs/request_handler.rs
+++ b/crates/coralstep-server/src/runs/request_handler.rs
@@ -20,7 +20,7 @@
     AdmissionError, Decision, Progress, QuotaGuard, RequestTicket, RpcRequest, RunOutcome,
     SchedulerHandle,
 };
-use crate::dependency::store::{self, Call, Store};
+use crate::dependency::store::{self, CallResult, StoreCall, StoreClient};
 use crate::note;
 use crate::runs::request_ids::{ClaimError, IdClaim, RequestIds};
 use crate::runs::{Backend, Run, RunEvent, RunRequest};
@@ -90,7 +90,7 @@
 pub struct RequestHandler {
     scheduler: Rc<SchedulerHandle>,
     backend: Rc<dyn Backend>,
-    store: Store,
+    store: StoreClient,
     request_ids: Rc<RequestIds>,
     /// Keyed, so that nobody can foresee the digest of a body.
     digest_keys: RandomState,
@@ -110,7 +110,7 @@
     pub fn new(
         scheduler: Rc<SchedulerHandle>,
         backend: Rc<dyn Backend>,
-        store: Store,
+        store: StoreClient,
         limits: &Limits,
     ) -> RequestHandler {
         RequestHandler {
@@ -241,19 +241,19 @@
 enum Event {
     Decision(Decision),
     Run(RunEvent),
-    CallEnded(store::Ended),
+    CallEnded(CallResult),
     CallerGone,
 }
 
 /// An RPC in service: admitted, and not yet finished. Fields are released in this order.
 struct ActiveRequest<'a, R> {
-    store: &'a Store,
+    store: &'a StoreClient,
     run_request: RunRequest<'a>,
     /// For so long after its start a run's id stays claimed, where a second run would do harm.
     claim_after_start: Option<Duration>,
     /// What the run has asked the store; sent again should the call be repeated.
     call_body: Vec<u8>,
-    call: Option<Call>,
+    call: Option<StoreCall>,
     /// `None` once the RPC is answered.
     reply: Option<R>,
     ticket: RequestTicket,
@@ -289,7 +289,7 @@
         let call = &mut self.call;
         let decision = async { Event::Decision(ticket.next_decision().await) };
         let run_event = async { Event::Run(poll_fn(|cx| run.poll_event(cx)).await) };
-        let call_ended = async { Event::CallEnded(store::ended(call).await) };
+        let call_ended = async { Event::CallEnded(store::result_of(call).await) };
         let caller_gone = async {
             caller_gone.await;
             Event::CallerGone
@@ -343,14 +343,14 @@
         self.ticket.report(Progress::CallNeeded);
     }
 
-    fn on_call_ended(&mut self, ended: store::Ended) {
+    fn on_call_ended(&mut self, ended: CallResult) {
         self.call = None;
-        if let Some(result) = &ended.answer {
-            self.run.resume(result);
+        if let Some(reply) = &ended.reply {
+            self.run.resume(reply);
         }
         self.ticket.report(Progress::CallEnded {
-            outcome: ended.end,
-            elapsed: ended.took,
+            outcome: ended.outcome,
+            elapsed: ended.elapsed,
         });
     }
 
--- a/crates/coralstep-server/tests/applications.rs
+++ b/crates/coralstep-server/tests/applications.rs
@@ -298,7 +298,7 @@
     let open = rig.ask("/pay", &[], b"open");
     until(|| first.runs() == 1);
     rig.reload_site(&site(&[second.address], ""));
-    rig.logged("reload: 1 applications");
+    rig.logged("reload: applications replaced count=1");
     for index in 0..8 {
         assert_eq!(rig.ask("/read/x", &[], &body(index)).status(), 200);
     }
@@ -306,7 +306,8 @@
     assert_eq!(first.open.load(Ordering::SeqCst), 1);
     // It still gets its one answer, and a list that is at fault changes nothing.
     rig.reload_site(&site(&[second.address, second.address], ""));
-    rig.logged("comes twice; all stays as it was");
+    let line = rig.logged("reload failed, nothing changed error=");
+    assert!(line.contains("comes twice"), "{line}");
     let mut caller = rig.connect();
     caller.write(&request("POST", "/lock", &[], b"on"));
     assert_eq!(caller.status(), 200);
@@ -321,7 +322,7 @@
     until(|| hangs.runs() == 1);
     assert_eq!(rig.ask("/pay", &[], b"no room").status(), 503);
     rig.reload_site(&site(&[hangs.address], ", \"each_most\": 2"));
-    rig.logged("reload: 1 applications");
+    rig.logged("reload: applications replaced count=1");
     let _second = rig.ask("/pay", &[], b"second");
     until(|| hangs.runs() == 2);
 }
--- a/crates/coralstep-server/tests/leave.rs
+++ b/crates/coralstep-server/tests/leave.rs
@@ -24,7 +24,7 @@
     let seq = gate.invoke("pay", &id(1), b"", &[]);
     engine.expect_run(&id(1), "pay");
     rig.terminate();
-    rig.logged("leaving within 1500 ms");
+    rig.logged("draining stop_after_ms=1500");
     rig.terminate();
     rig.signal("INT");
     engine.done(1, &id(1), "good", "done");
@@ -51,7 +51,7 @@
     assert_eq!(engine.busy_command().0, format!("RUN {} pay", id(2)));
     assert_eq!(engine.busy_command().0, format!("RUN {} pay", id(3)));
     rig.terminate();
-    rig.logged("leaving");
+    rig.logged("draining stop_after_ms=");
     // After the notice: the call comes back, a run needs its end, and the held one begins, for it came before the notice.
     store.send(&format!("{} OK 1\r\nr\r\n", id(1)));
     engine.done(2, &id(2), "good", "2");
@@ -93,7 +93,7 @@
     assert_eq!(engine.line_but_gauges(), "STAT settled");
     let seq = gate.invoke("pay", &id(1), b"", &[]);
     rig.terminate();
-    rig.logged("leaving");
+    rig.logged("draining stop_after_ms=");
     engine.send("STATS settled 0.5 1 0.1 3\r\n");
     assert!(engine.ended());
     let mut engine = rig.engine(0, "old 3600000");
@@ -135,7 +135,7 @@
     half.write(&second[..30]);
     assert!(rig.gate().ping());
     rig.terminate();
-    rig.logged("leaving");
+    rig.logged("draining stop_after_ms=");
     whole.write(&first[30..]);
     engine.expect_run(&ids[0], "pay");
     engine.done(1, &ids[0], "good", "whole");
@@ -174,7 +174,7 @@
         assert!(asked < 20_000, "it is read for ever");
     }
     rig.terminate();
-    rig.logged("leaving");
+    rig.logged("draining stop_after_ms=");
     // The last one was written and lay unread: it too is answered.
     let mut answers = 0;
     for seq in 1..=asked as i32 {
@@ -258,7 +258,8 @@
     let said = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(0), "{said}");
     assert!(
-        said.contains("leaving within 600 ms") && said.contains("all stays as it was"),
+        said.contains("draining stop_after_ms=600")
+            && said.contains("reload failed, nothing changed"),
         "{said}"
     );
     let _ = std::fs::remove_file(&path);
--- a/crates/coralstep-server/tests/ramp.rs
+++ b/crates/coralstep-server/tests/ramp.rs
@@ -26,7 +26,7 @@
     for rig in &rigs {
         assert_eq!(rig.ask("/read/x", &[], b"x").status(), 200);
         rig.reload_site(&site(&addresses, &more));
-        rig.logged("reload: 4 applications");
+        rig.logged("reload: applications replaced count=4");
     }
     let start = Instant::now();
     let end = start + Duration::from_secs_f64(WINDOW * WINDOWS as f64);
--- a/crates/coralstep-server/tests/scgi.rs
+++ b/crates/coralstep-server/tests/scgi.rs
@@ -168,7 +168,7 @@
         (200, &b"good\n"[..])
     );
     rig.terminate();
-    rig.logged("leaving within");
+    rig.logged("draining stop_after_ms=");
     assert_eq!(ask(&rig).status, 503);
     drop(engine);
 }
@@ -341,7 +341,7 @@
     cut.write(&bytes[..bytes.len() - 6]);
     stays.write(&bytes[..bytes.len() - 6]);
     rig.terminate();
-    rig.logged("leaving within");
+    rig.logged("draining stop_after_ms=");
     let start = Instant::now();
     cut.stream.shutdown(Shutdown::Both).unwrap();
     engine.done(1, &id(1), "good", "all the same");
@@ -350,7 +350,7 @@
     assert!(stays.answer().is_none_or(|answer| answer.status == 408));
     assert!(rig.ended().success());
     assert!(start.elapsed() < Duration::from_millis(1_500));
-    rig.logged("left after 1 RPCs");
+    rig.logged("drained rpcs=1");
     let mut rest = String::new();
     while let Some((head, _)) = engine.until_the_end() {
         rest += &head;
@@ -362,7 +362,7 @@
 fn what_comes_after_the_grace_is_pushed_back_and_told_to_go_elsewhere() {
     let (rig, engine) = ready();
     rig.terminate();
-    rig.logged("leaving within");
+    rig.logged("draining stop_after_ms=");
     std::thread::sleep(Duration::from_millis(300));
     let late = rig.ask("/pay", &[], b"").answer().unwrap();
     assert_eq!(
@@ -465,14 +465,18 @@
 fn a_reload_changes_routes_and_headers_and_nothing_where_the_file_is_at_fault() {
     let (rig, mut engine) = ready();
     rig.reload_site(&FRONT.replace("\"/book\"", "\"/reserve\""));
-    rig.logged("reload: engine at");
+    rig.logged("reload: endpoints replaced engine=");
     assert_eq!(rig.ask("/book", &[], b"").status(), 404);
     let caller = rig.ask("/reserve", &[(with_id(1).0, &id(1))], b"");
     engine.expect_run(&id(1), "book");
     engine.done(1, &id(1), "good", "");
     assert_eq!(caller.status(), 200);
     rig.reload_site(&FRONT.replace("\"book\"", "\"fly\""));
-    rig.logged("scgi.routes[1].method: \"fly\" is unknown; all stays as it was");
+    let line = rig.logged("reload failed, nothing changed error=");
+    assert!(
+        line.contains("scgi.routes[1].method: \"fly\" is unknown"),
+        "{line}"
+    );
     rig.reload_site(&FRONT.replace("127.0.0.1:0", "127.0.0.1:1"));
-    rig.logged("reload: scgi.listen: changes only with a restart");
+    rig.logged("reload: section changes only with a restart or a version key=\"scgi.listen\"");
 }
--- a/crates/coralstep-server/tests/serve.rs
+++ b/crates/coralstep-server/tests/serve.rs
@@ -471,12 +471,12 @@
             .replacen("\"n3\"", "\"n4\"", 1)
             .replacen("\"cores\":2", "\"cores\":3", 1),
     );
-    rig.logged("reload: name: changes only with a restart");
-    rig.logged("reload: settings: changes only with a restart");
+    rig.logged("reload: setting changes only with a restart key=\"name\"");
+    rig.logged("reload: setting changes only with a restart key=\"settings\"");
     let mut engine = rig.engine(0, "old 3600000");
     let mut gate = rig.gate();
     rig.terminate();
-    rig.logged("leaving");
+    rig.logged("draining stop_after_ms=");
     rig.reload("{}");
     rig.logged("seed: missing");
     let seq = gate.invoke("pay", &id(1), b"", &[]);
@@ -504,7 +504,7 @@
     engine.expect_run(&id(1), "book");
     rig.terminate();
     let notice = Instant::now();
-    rig.logged("leaving");
+    rig.logged("draining stop_after_ms=");
     assert!(!other.ping());
     // One core hangs, the other does what it is given.
     let runs = engine.go_on("0.5 1 0.1 3", true);
--- a/crates/coralstep-server/tests/settings.rs
+++ b/crates/coralstep-server/tests/settings.rs
@@ -116,9 +116,9 @@
         ),
     ] {
         rig.reload(&bad);
-        let line = rig.logged("reload: ");
+        let line = rig.logged("reload failed, nothing changed");
         assert!(
-            line.contains("config.json: ") && line.contains(event) && line.contains("all stays"),
+            line.contains("config.json: ") && line.contains(event),
             "{line}"
         );
     }
@@ -128,7 +128,7 @@
         "\"name\":\"give\"",
         1,
     ));
-    rig.logged("reload: settings: changes only with a restart");
+    rig.logged("reload: setting changes only with a restart key=\"settings\"");
     let mut gate = rig.gate();
     let seq = gate.invoke("pay", &id(1), b"", &[]);
     engine.expect_run(&id(1), "pay");
