--- a/crates/coralstep/src/lib.rs
+++ b/crates/coralstep/src/lib.rs
@@ -2,7 +2,19 @@
 //!
 //! A [`Scheduler`] makes every decision. It is told what happens (`handle_request`, `handle_completion`, ...)
 //! with the time at which it happens, and its decisions go at once to the [`Actions`] it is given. It has no
-//! I/O, clock or threads. Each rule is a function in a module named for it; `scheduler` joins them.
+//! I/O, clock or threads. Each rule is a function in a module named for it; `scheduler` joins them:
+//!
+//! | question | module |
+//! | --- | --- |
+//! | Is this a repeat of a request that may have run? | `deduplication` |
+//! | Is it rejected as soon as it is read, and why? | `admission`, `deadline`, `drain`, `memory_limit` |
+//! | How long may it be queued, and which starts first? | `queue`, `priority` |
+//! | How many run at once? | `concurrency_limit` |
+//! | May it call the dependency, for how long, and again? | `bulkhead`, `circuit_breaker`, `call_timeout`, `call_retry` |
+//! | What is its caller told? | `answer`, `retry_after` |
+//! | What happens when its time is over, or its run never ends? | `scheduler::enforcement`, `orphans` |
+//! | What do callers and the health check see? | `load_report`, `connection_limit`, `health` |
+//! | What changes under a degradation level? | `degradation` |
 //!
 //! ```
 //! use coralstep::*;
