--- a/crates/coralstep-config/src/site.rs
+++ b/crates/coralstep-config/src/site.rs
@@ -6,7 +6,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use coralstep_degradation::LevelTerms;
+use coralstep_degradation::DegradationConfig;
 use coralstep_quota::config::resolve_limits;
 use coralstep_quota::{Limit, LimitConfig};
 use coralstep_route::RouteTable;
@@ -40,7 +40,7 @@
     pub applications: Option<ApplicationTerms>,
     /// Levels of reduced service; `{}` takes the built-in ones. Without it there are none.
     #[serde(default)]
-    pub levels: Option<LevelTerms>,
+    pub levels: Option<DegradationConfig>,
     /// Where operators ask.
     #[serde(default)]
     pub operator: Option<OperatorTerms>,
@@ -452,7 +452,9 @@
             format!("{path}: {why}")
         })?;
         reader.end().map_err(|why| format!("site file: {why}"))?;
-        site.levels.as_ref().map_or(Ok(()), LevelTerms::check)?;
+        if let Some(levels) = &site.levels {
+            levels.validate().map_err(|error| error.to_string())?;
+        }
         Ok(site)
     }
 
--- a/crates/coralstep-config/src/starves.rs
+++ b/crates/coralstep-config/src/starves.rs
@@ -15,27 +15,29 @@
     terms: &SchedulerConfig,
 ) -> Result<(), String> {
     // The first level holds while no condition is met, so what it turns away is turned away always.
-    if let Some(does) = site
+    if let Some(actions) = site
         .levels
         .as_ref()
-        .and_then(|levels| levels.list.first())
-        .map(|level| &level.does)
+        .and_then(|levels| levels.levels.first())
+        .map(|level| &level.actions)
     {
         for (name, method) in names.methods.iter().zip(&terms.methods) {
             let why = match () {
-                () if does.closed => "closed",
-                () if does.effects_only && method.idempotency == Idempotency::Idempotent => {
+                () if actions.reject_all => "closed",
+                () if actions.reject_idempotent
+                    && method.idempotency == Idempotency::Idempotent =>
+                {
                     "effects_only"
                 }
-                () if method.priority_weight < does.least_criticality => "least_criticality",
-                () if does.hold < HOLD_LEAST => "hold",
+                () if method.priority_weight < actions.min_priority_weight => "least_criticality",
+                () if actions.queue_limit_factor < HOLD_LEAST => "hold",
                 () => continue,
             };
             return Err(format!(
                 "levels.list[0].does.{why}: starves {name:?}, for the first level always holds"
             ));
         }
-        if does.value <= 0.0 {
+        if actions.load_report_factor <= 0.0 {
             return Err(
                 "levels.list[0].does.value: starves all, for nothing is ever asked for".to_owned(),
             );
--- a/crates/coralstep-degradation/benches/observe.rs
+++ b/crates/coralstep-degradation/benches/observe.rs
@@ -1,8 +1,8 @@
-//! What one beat of the levels costs, beside a plain comparison of the same figures with one threshold each.
+//! What one tick of the levels costs, beside a plain comparison of the same figures with one threshold each.
 use std::hint::black_box;
 
 use coralstep::{Signals, Span, Time};
-use coralstep_degradation::{LevelTerms, Levels, Signal};
+use coralstep_degradation::{DegradationConfig, LevelStateMachine, Signal};
 use criterion::{Criterion, criterion_group, criterion_main};
 
 fn observe(criterion: &mut Criterion) {
@@ -12,15 +12,15 @@
         memory: Some(0.4),
         ..Signals::default()
     };
-    let terms = LevelTerms::default();
-    let mut levels = Levels::new(&terms, Time(0)).expect("sound terms");
+    let config = DegradationConfig::default();
+    let mut levels = LevelStateMachine::new(&config, Time(0)).expect("valid config");
     let mut now = Time(0);
     let mut group = criterion.benchmark_group("levels");
     group.bench_function("a beat", |b| {
         b.iter(|| {
             now = now + Span::ms(100);
             levels.observe(now, black_box(&signals)).is_some()
-        })
+        });
     });
     group.bench_function("baseline: one threshold a figure", |b| {
         b.iter(|| {
@@ -28,11 +28,11 @@
                 .iter()
                 .filter(|signal| {
                     signal
-                        .of(black_box(&signals))
+                        .figure(black_box(&signals))
                         .is_some_and(|figure| figure > 0.9)
                 })
                 .count()
-        })
+        });
     });
     group.finish();
 }
--- a/crates/coralstep-degradation/src/replay.rs
+++ b/crates/coralstep-degradation/src/replay.rs
@@ -1,107 +1,162 @@
-//! Recorded figures played through other terms: what would have happened. A record is lines of JSON as the server logs
-//! them, one a second or so; lines without `at_ms` are something else and passed over.
-use std::io::BufRead;
+//! Plays recorded figures through other settings: what would have happened.
+use std::io::{self, BufRead};
 
 use coralstep::{Signals, Span, Time};
 use serde::{Deserialize, Serialize};
 
-use crate::machine::{Change, Levels};
-use crate::terms::LevelTerms;
+use crate::change::LevelChange;
+use crate::config::{DegradationConfig, DegradationConfigError};
+use crate::state_machine::LevelStateMachine;
 
-/// One line of a record.
+/// Figures are observed this often at the least, in milliseconds. Between two samples further apart the earlier one is
+/// taken to have held.
+const TICK_MS: u64 = 100;
+/// Between samples further apart than this, in milliseconds, nothing is made up.
+const MAX_GAP_MS: u64 = 5_000;
+
+/// One line of a record, as the server logs it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
-    /// Since any moment that is the same for the whole record, in milliseconds.
+    /// Milliseconds since any moment that is the same for the whole record.
     pub at_ms: u64,
-    #[serde(default)]
-    pub hold: Option<f64>,
-    #[serde(default)]
-    pub pushed_back: Option<f64>,
-    #[serde(default)]
-    pub running: Option<f64>,
-    #[serde(default)]
-    pub breaker: Option<f64>,
-    #[serde(default)]
-    pub slowness: Option<f64>,
+    /// See [`Signals::queue_wait`].
+    #[serde(default, rename = "hold")]
+    pub queue_wait: Option<f64>,
+    /// See [`Signals::rejected`].
+    #[serde(default, rename = "pushed_back")]
+    pub rejected: Option<f64>,
+    /// See [`Signals::concurrency`].
+    #[serde(default, rename = "running")]
+    pub concurrency: Option<f64>,
+    /// See [`Signals::breaker_open`].
+    #[serde(default, rename = "breaker")]
+    pub breaker_open: Option<f64>,
+    /// See [`Signals::call_slowness`].
+    #[serde(default, rename = "slowness")]
+    pub call_slowness: Option<f64>,
+    /// See [`Signals::memory`].
     #[serde(default)]
     pub memory: Option<f64>,
-    #[serde(default)]
-    pub unread: Option<f64>,
-    #[serde(default)]
-    pub cold: Option<f64>,
+    /// See [`Signals::read_delay`].
+    #[serde(default, rename = "unread")]
+    pub read_delay: Option<f64>,
+    /// See [`Signals::warming_up`].
+    #[serde(default, rename = "cold")]
+    pub warming_up: Option<f64>,
 }
 
 impl Sample {
-    pub fn new(at_ms: u64, of: &Signals) -> Sample {
+    /// The line for `signals` at `at_ms` milliseconds.
+    pub fn new(at_ms: u64, signals: &Signals) -> Sample {
         Sample {
             at_ms,
-            hold: of.queue_wait,
-            pushed_back: of.rejected,
-            running: of.concurrency,
-            breaker: of.breaker_open,
-            slowness: of.call_slowness,
-            memory: of.memory,
-            unread: of.read_delay,
-            cold: of.warming_up,
+            queue_wait: signals.queue_wait,
+            rejected: signals.rejected,
+            concurrency: signals.concurrency,
+            breaker_open: signals.breaker_open,
+            call_slowness: signals.call_slowness,
+            memory: signals.memory,
+            read_delay: signals.read_delay,
+            warming_up: signals.warming_up,
         }
     }
 
+    /// The figures of the line.
     pub fn signals(&self) -> Signals {
         Signals {
-            queue_wait: self.hold,
-            rejected: self.pushed_back,
-            concurrency: self.running,
-            breaker_open: self.breaker,
-            call_slowness: self.slowness,
+            queue_wait: self.queue_wait,
+            rejected: self.rejected,
+            concurrency: self.concurrency,
+            breaker_open: self.breaker_open,
+            call_slowness: self.call_slowness,
             memory: self.memory,
-            read_delay: self.unread,
-            warming_up: self.cold,
+            read_delay: self.read_delay,
+            warming_up: self.warming_up,
         }
     }
 }
 
-/// Figures are seen this often at the least; between two samples further apart the earlier one is taken to have held, for so
-/// long as the levels believe it.
-const BEAT_MS: u64 = 100;
-/// A gap longer than this is a gap: nothing is made up for it.
-const GAP_MS: u64 = 5_000;
+/// Why a record can't be replayed.
+#[derive(Debug, thiserror::Error)]
+pub enum ReplayError {
+    /// The settings are at fault.
+    #[error(transparent)]
+    Config(#[from] DegradationConfigError),
+    /// A line can't be read.
+    #[error("line {line}: {source}")]
+    Read {
+        /// Number of the line, from 1.
+        line: usize,
+        /// What went wrong.
+        source: io::Error,
+    },
+    /// No line is a sample.
+    #[error("no line holds signals")]
+    NoSample,
+}
 
-/// The changes that `terms` would have made, each with its time in the record. Lines are read as they come; memory doesn't grow
-/// with the record.
+/// Reports the changes that `config` would have made, each with its time in the record in milliseconds, and returns how
+/// many samples there are.
+///
+/// Lines that are no sample are passed over. They are read as they come, so memory doesn't grow with the record.
+///
+/// # Errors
+///
+/// Where the settings are at fault, a line can't be read, or none is a sample.
 pub fn replay(
-    terms: &LevelTerms,
+    config: &DegradationConfig,
     record: impl BufRead,
-    mut change: impl FnMut(u64, Change),
-) -> Result<u64, String> {
-    let mut levels: Option<Levels> = None;
-    let (mut last, mut count) = (Sample::default(), 0);
-    let time = |ms: u64| Time(0) + Span::ms(ms);
+    mut report: impl FnMut(u64, LevelChange),
+) -> Result<u64, ReplayError> {
+    let mut levels: Option<LevelStateMachine> = None;
+    let mut last = None;
+    let mut count = 0;
     for (number, line) in record.lines().enumerate() {
-        let line = line.map_err(|why| format!("line {}: {why}", number + 1))?;
+        let line = line.map_err(|source| ReplayError::Read {
+            line: number + 1,
+            source,
+        })?;
         let Ok(sample) = serde_json::from_str::<Sample>(&line) else {
             continue;
         };
         let levels = match &mut levels {
             Some(levels) => levels,
-            None => levels.insert(Levels::new(terms, time(sample.at_ms))?),
+            None => levels.insert(LevelStateMachine::new(config, time_at(sample.at_ms))?),
         };
-        if count > 0 && sample.at_ms.saturating_sub(last.at_ms) <= GAP_MS {
-            let mut at = last.at_ms + BEAT_MS;
-            while at < sample.at_ms {
-                if let Some(one) = levels.observe(time(at), &last.signals()) {
-                    change(at, one);
-                }
-                at += BEAT_MS;
-            }
+        if let Some(last) = &last {
+            fill_gap(levels, last, sample.at_ms, &mut report);
         }
-        if let Some(one) = levels.observe(time(sample.at_ms), &sample.signals()) {
-            change(sample.at_ms, one);
+        if let Some(change) = levels.observe(time_at(sample.at_ms), &sample.signals()) {
+            report(sample.at_ms, change);
         }
-        (last, count) = (sample, count + 1);
+        last = Some(sample);
+        count += 1;
     }
     if count == 0 {
-        Err("no line holds signals".to_owned())
-    } else {
-        Ok(count)
+        return Err(ReplayError::NoSample);
+    }
+    Ok(count)
+}
+
+/// Observes the last sample for as long as it is taken to have held.
+fn fill_gap(
+    levels: &mut LevelStateMachine,
+    last: &Sample,
+    until_ms: u64,
+    report: &mut impl FnMut(u64, LevelChange),
+) {
+    if until_ms.saturating_sub(last.at_ms) > MAX_GAP_MS {
+        return;
     }
+    let mut at_ms = last.at_ms + TICK_MS;
+    while at_ms < until_ms {
+        if let Some(change) = levels.observe(time_at(at_ms), &last.signals()) {
+            report(at_ms, change);
+        }
+        at_ms += TICK_MS;
+    }
+}
+
+fn time_at(ms: u64) -> Time {
+    Time(0) + Span::ms(ms)
 }
--- a/crates/coralstep-degradation/tests/fleet.rs
+++ b/crates/coralstep-degradation/tests/fleet.rs
@@ -1,10 +1,10 @@
-//! Levels on the real decisions, in virtual time: four servers at 120% through a rolling deploy whose successors start cold,
-//! each with its own levels and nobody's state but its own.
+//! Degradation levels on the real scheduler, in virtual time: four servers at 120% through a rolling deploy whose
+//! successors start cold, each with its own levels and nobody's state but its own.
 use coralstep::{
     Actions, DegradationLevel, Dependency, Gauges, Idempotency, Method, Outcome, Request, RpcId,
     Scheduler, SchedulerConfig, Span, Time,
 };
-use coralstep_degradation::{LevelTerms, Levels};
+use coralstep_degradation::{DegradationConfig, LevelStateMachine};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -49,7 +49,7 @@
 
 struct Node {
     server: Scheduler,
-    levels: Levels,
+    levels: LevelStateMachine,
     out: Answers,
     /// Since when and how long each index's run still takes.
     rpcs: Vec<(u64, usize)>,
@@ -106,7 +106,7 @@
         let mut out = Answers::default();
         Node {
             server: Scheduler::start(&terms(cold), ms + 1, at(ms), &mut out),
-            levels: Levels::new(&LevelTerms::default(), at(ms)).unwrap(),
+            levels: LevelStateMachine::new(&DegradationConfig::default(), at(ms)).unwrap(),
             out,
             rpcs: Vec::new(),
             free: Vec::new(),
@@ -154,8 +154,21 @@
         self.free.append(&mut self.out.released);
     }
 
-    /// One step; the criticality answered in time.
+    /// One step; the priority weight answered in time.
     fn step(&mut self, ms: u64, with_levels: bool, call_ms: u64) -> f64 {
+        self.work(ms);
+        self.end_calls(ms);
+        self.begin_calls(ms);
+        let answered = self.complete(ms);
+        self.tick(ms);
+        if with_levels && ms.is_multiple_of(100) {
+            self.observe_levels(ms);
+        }
+        self.settle(ms, call_ms);
+        answered
+    }
+
+    fn work(&mut self, ms: u64) {
         let warmth = (ms - self.began) as f64 / WARMING_MS as f64;
         let speed = if self.cold {
             (COLD_SPEED + (1.0 - COLD_SPEED) * warmth).min(1.0)
@@ -165,6 +178,9 @@
         let each =
             STEP_MS as f64 * speed * (CORES as f64 / self.running.len().max(1) as f64).min(1.0);
         self.running.iter_mut().for_each(|(_, left)| *left -= each);
+    }
+
+    fn end_calls(&mut self, ms: u64) {
         let ended: Vec<_> = self
             .calling
             .iter()
@@ -185,14 +201,17 @@
                 self.running.push((id, WORK_MS / 2.0));
             }
         }
+    }
+
+    /// The first method calls halfway.
+    fn begin_calls(&mut self, ms: u64) {
         let calls = |id: &RpcId| self.rpcs[id.0 as usize].1 == 0;
-        // The first method calls halfway.
-        let half = |(id, left): &&mut (RpcId, f64)| {
+        let half = |(id, left): &&(RpcId, f64)| {
             *left <= WORK_MS / 2.0 && calls(id) && !self.halfway.contains(id)
         };
         let need: Vec<RpcId> = self
             .running
-            .iter_mut()
+            .iter()
             .filter(half)
             .map(|(id, _)| *id)
             .collect();
@@ -201,6 +220,9 @@
             self.running.retain(|(other, _)| *other != id);
             self.server.handle_call_needed(at(ms), id, &mut self.out);
         }
+    }
+
+    fn complete(&mut self, ms: u64) -> f64 {
         let over: Vec<RpcId> = self
             .running
             .iter()
@@ -208,36 +230,36 @@
             .map(|(id, _)| *id)
             .collect();
         self.running.retain(|(_, left)| *left > 0.0);
-        let mut good = 0.0;
+        let mut answered = 0.0;
         for id in over {
             let (since, method) = self.rpcs[id.0 as usize];
             if ms - since <= TARGET_MS {
                 let part = if self.bare.contains(&id) { SKIP } else { 1.0 };
-                good += [0.5, 1.0, 3.0][method] * part;
+                answered += [0.5, 1.0, 3.0][method] * part;
             }
             self.halfway.retain(|other| *other != id);
             self.bare.retain(|other| *other != id);
             self.server
                 .handle_completion(at(ms), id, Outcome::Ok, &mut self.out);
         }
-        let busy = Some((self.running.len() as f64 / CORES as f64).min(1.0));
-        self.server.handle_timeout(
-            at(ms),
-            Gauges {
-                cpu_busy: busy,
-                open_connections: None,
-            },
-            &mut self.out,
-        );
-        if with_levels && ms.is_multiple_of(100) {
-            if let Some(change) = self.levels.observe(at(ms), &self.server.signals()) {
-                self.changes.push((ms, change.to));
-            }
-            let level: DegradationLevel = self.levels.effect();
-            self.server.set_degradation(at(ms), level, &mut self.out);
+        answered
+    }
+
+    fn tick(&mut self, ms: u64) {
+        let busy = (self.running.len() as f64 / CORES as f64).min(1.0);
+        let gauges = Gauges {
+            cpu_busy: Some(busy),
+            open_connections: None,
+        };
+        self.server.handle_timeout(at(ms), gauges, &mut self.out);
+    }
+
+    fn observe_levels(&mut self, ms: u64) {
+        if let Some(change) = self.levels.observe(at(ms), &self.server.signals()) {
+            self.changes.push((ms, change.to));
         }
-        self.settle(ms, call_ms);
-        good
+        let level: DegradationLevel = self.levels.degradation();
+        self.server.set_degradation(at(ms), level, &mut self.out);
     }
 }
 
--- a/crates/coralstep-degradation/tests/golden.rs
+++ b/crates/coralstep-degradation/tests/golden.rs
@@ -1,7 +1,10 @@
 //! What operators and tools read of degradation levels, and each change of a drawn history, held still by the files under
 //! `tests/golden`. `GOLDEN_WRITE=1` writes these anew.
 use coralstep::{Signals, Span, Time};
-use coralstep_degradation::{Condition, LevelTerms, Levels, Sample, Signal, replay};
+use coralstep_degradation::{
+    Condition, DegradationConfig, LevelActions, LevelConfig, LevelStateMachine, Sample, Signal,
+    replay,
+};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -47,7 +50,7 @@
 #[test]
 fn a_drawn_history_stays_the_same() {
     let mut rng = SmallRng::seed_from_u64(17);
-    let mut levels = Levels::new(&LevelTerms::default(), at(0)).unwrap();
+    let mut levels = LevelStateMachine::new(&DegradationConfig::default(), at(0)).unwrap();
     let mut signals = Signals::default();
     let mut text = String::new();
     for ms in (0..HISTORY_MS).step_by(TICK_MS as usize) {
@@ -55,18 +58,20 @@
             signals = drawn(&mut rng);
         }
         if ms == HISTORY_MS / 2 {
-            levels.hold(at(ms), "essentials", Span::ms(60_000)).unwrap();
-            text += &serde_json::to_string(&levels.view(at(ms))).unwrap();
+            levels
+                .set_override(at(ms), "essentials", Span::ms(60_000))
+                .unwrap();
+            text += &serde_json::to_string(&levels.status(at(ms))).unwrap();
             text.push('\n');
         }
         if let Some(change) = levels.observe(at(ms), &signals) {
             let json = serde_json::to_string(&change).unwrap();
-            let retry_after = levels.effect().retry_after.0;
+            let retry_after = levels.degradation().retry_after.0;
             text += &format!("{ms} {change}\n{json} {retry_after}\n");
         }
     }
-    let view = levels.view(at(HISTORY_MS));
-    text += &serde_json::to_string_pretty(&view).unwrap();
+    let status = levels.status(at(HISTORY_MS));
+    text += &serde_json::to_string_pretty(&status).unwrap();
     same_text("history.txt", &text);
 }
 
@@ -83,59 +88,77 @@
 /// Guards against settings that are read or written by other keys.
 #[test]
 fn the_built_in_settings_keep_their_keys() {
-    let text = serde_json::to_string_pretty(&LevelTerms::default()).unwrap();
+    let text = serde_json::to_string_pretty(&DegradationConfig::default()).unwrap();
     same_text("settings.json", &text);
-    let read: LevelTerms = serde_json::from_str(&text).unwrap();
-    assert_eq!(read, LevelTerms::default());
+    let read: DegradationConfig = serde_json::from_str(&text).unwrap();
+    assert_eq!(read, DegradationConfig::default());
 }
 
 /// Guards against messages that operators know changing with the types of errors.
 #[test]
 fn faults_keep_their_messages() {
     let hold = Condition {
-        signal: Signal::Hold,
+        signal: Signal::QueueWait,
         enter: 0.5,
         leave: 0.3,
         enter_ms: 1_000,
         leave_ms: 1_000,
     };
-    let changes: [&dyn Fn(&mut LevelTerms); 18] = [
-        &|t| t.list.clear(),
-        &|t| t.stay_ms = 0,
-        &|t| t.smooth_ms = 70_000,
-        &|t| t.list[1].name = "full".to_owned(),
-        &|t| t.list[1].name = "two words".to_owned(),
-        &|t| t.list[0].when.push(hold),
-        &|t| t.list[2].when.clear(),
-        &|t| t.list[1].when = vec![hold; 17],
-        &|t| t.list[1].when[0].leave = 0.9,
-        &|t| t.list[1].when[0].leave = -0.1,
-        &|t| t.list[1].when[1].enter = 1.0,
-        &|t| t.list[1].when.push(hold),
-        &|t| t.list[2].when.push(hold),
-        &|t| t.list[1].when[0].enter_ms = 0,
-        &|t| t.list[1].when[0].leave_ms = 700_000,
-        &|t| t.list[1].does.hold = 1.5,
-        &|t| t.list[1].does.value = f64::NAN,
-        &|t| t.list[1].does.least_criticality = -1.0,
+    let changes: [&dyn Fn(&mut DegradationConfig); 18] = [
+        &|t| t.levels.clear(),
+        &|t| t.min_stay_ms = 0,
+        &|t| t.half_life_ms = 70_000,
+        &|t| t.levels[1].name = "full".to_owned(),
+        &|t| t.levels[1].name = "two words".to_owned(),
+        &|t| t.levels[0].conditions.push(hold),
+        &|t| t.levels[2].conditions.clear(),
+        &|t| t.levels[1].conditions = vec![hold; 17],
+        &|t| t.levels[1].conditions[0].leave = 0.9,
+        &|t| t.levels[1].conditions[0].leave = -0.1,
+        &|t| t.levels[1].conditions[1].enter = 1.0,
+        &|t| t.levels[1].conditions.push(hold),
+        &|t| t.levels[2].conditions.push(hold),
+        &|t| t.levels[1].conditions[0].enter_ms = 0,
+        &|t| t.levels[1].conditions[0].leave_ms = 700_000,
+        &|t| t.levels[1].actions.queue_limit_factor = 1.5,
+        &|t| t.levels[1].actions.load_report_factor = f64::NAN,
+        &|t| t.levels[1].actions.min_priority_weight = -1.0,
     ];
     let mut text = String::new();
     for change in changes {
-        let mut terms = LevelTerms::default();
-        change(&mut terms);
-        text += &format!("{}\n", terms.check().unwrap_err());
+        let mut config = DegradationConfig::default();
+        change(&mut config);
+        text += &format!("{}\n", config.validate().unwrap_err());
     }
-    let mut levels = Levels::new(&LevelTerms::default(), at(0)).unwrap();
+    let mut levels = LevelStateMachine::new(&DegradationConfig::default(), at(0)).unwrap();
     for (level, span) in [
         ("none", Span::ms(1)),
         ("full", Span::ZERO),
         ("full", Span::ms(90_000_000)),
     ] {
-        text += &format!("{}\n", levels.hold(at(0), level, span).unwrap_err());
+        text += &format!("{}\n", levels.set_override(at(0), level, span).unwrap_err());
     }
-    let terms = LevelTerms::default();
-    let nothing = replay(&terms, &b"nothing\n"[..], |_, _| {});
-    let no_text = replay(&terms, &b"\xff\n"[..], |_, _| {});
+    let config = DegradationConfig::default();
+    let nothing = replay(&config, &b"nothing\n"[..], |_, _| {});
+    let no_text = replay(&config, &b"\xff\n"[..], |_, _| {});
     text += &format!("{}\n{}\n", nothing.unwrap_err(), no_text.unwrap_err());
     same_text("messages.txt", &text);
 }
+
+/// Guards against messages of faulty settings changing with the names of types.
+#[test]
+fn settings_of_a_wrong_type_keep_their_message() {
+    let errors = [
+        serde_json::from_str::<DegradationConfig>("3").unwrap_err(),
+        serde_json::from_str::<LevelConfig>("3").unwrap_err(),
+        serde_json::from_str::<LevelActions>("3").unwrap_err(),
+        serde_json::from_str::<Condition>("3").unwrap_err(),
+    ];
+    let names = ["LevelTerms", "OneLevel", "Does", "Condition"];
+    for (error, name) in errors.iter().zip(names) {
+        assert_eq!(
+            error.to_string(),
+            format!("invalid type: integer `3`, expected struct {name} at line 1 column 1")
+        );
+    }
+}
--- a/crates/coralstep-degradation/tests/levels.rs
+++ b/crates/coralstep-degradation/tests/levels.rs
@@ -1,33 +1,35 @@
-//! Levels in virtual time: load that hovers at each boundary, causes that come and go, and figures that are missing or
-//! nonsense.
+//! Degradation levels in virtual time: load that hovers at each boundary, causes that come and go, and figures that are
+//! missing or nonsense.
 use coralstep::{Signals, Span, Time};
-use coralstep_degradation::{Change, LevelTerms, Levels, Sample, Signal, replay};
+use coralstep_degradation::{
+    DegradationConfig, LevelChange, LevelStateMachine, Sample, Signal, replay,
+};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-const BEAT: u64 = 100;
+const TICK_MS: u64 = 100;
 
 fn at(ms: u64) -> Time {
     Time(1_000_000) + Span::ms(ms)
 }
 
-fn levels() -> Levels {
-    Levels::new(&LevelTerms::default(), at(0)).unwrap()
+fn levels() -> LevelStateMachine {
+    LevelStateMachine::new(&DegradationConfig::default(), at(0)).unwrap()
 }
 
 /// Only one signal, at `figure`; the others are as on a calm day.
 fn only(signal: Signal, figure: f64) -> Signals {
     let mut signals = calm();
     let place = match signal {
-        Signal::Hold => &mut signals.queue_wait,
-        Signal::PushedBack => &mut signals.rejected,
-        Signal::Running => &mut signals.concurrency,
-        Signal::Breaker => &mut signals.breaker_open,
-        Signal::Slowness => &mut signals.call_slowness,
+        Signal::QueueWait => &mut signals.queue_wait,
+        Signal::Rejected => &mut signals.rejected,
+        Signal::Concurrency => &mut signals.concurrency,
+        Signal::BreakerOpen => &mut signals.breaker_open,
+        Signal::CallSlowness => &mut signals.call_slowness,
         Signal::Memory => &mut signals.memory,
-        Signal::Unread => &mut signals.read_delay,
-        Signal::Cold => &mut signals.warming_up,
+        Signal::ReadDelay => &mut signals.read_delay,
+        Signal::WarmingUp => &mut signals.warming_up,
     };
     *place = Some(figure);
     signals
@@ -48,21 +50,21 @@
 
 /// Lets `figures` come for so long, from `from` on; the changes.
 fn play(
-    levels: &mut Levels,
+    levels: &mut LevelStateMachine,
     from: u64,
     ms: u64,
     mut figures: impl FnMut(u64) -> Signals,
-) -> Vec<(u64, Change)> {
-    let beats = (from..from + ms).step_by(BEAT as usize);
-    beats
+) -> Vec<(u64, LevelChange)> {
+    let ticks = (from..from + ms).step_by(TICK_MS as usize);
+    ticks
         .filter_map(|ms| Some((ms, levels.observe(at(ms), &figures(ms))?)))
         .collect()
 }
 
 /// Every threshold of the built-in levels, for entering and leaving.
 fn boundaries() -> Vec<(Signal, f64)> {
-    let terms = LevelTerms::default();
-    let all = terms.list.iter().flat_map(|level| &level.when);
+    let config = DegradationConfig::default();
+    let all = config.levels.iter().flat_map(|level| &level.conditions);
     all.flat_map(|condition| {
         [
             (condition.signal, condition.enter),
@@ -73,8 +75,8 @@
 }
 
 /// The longest that a worse level may last once nothing speaks for it: each step takes its least stay.
-fn back_ms(terms: &LevelTerms) -> u64 {
-    (terms.list.len() as u64 - 1) * u64::from(terms.stay_ms) + 40_000
+fn back_ms(config: &DegradationConfig) -> u64 {
+    (config.levels.len() as u64 - 1) * u64::from(config.min_stay_ms) + 40_000
 }
 
 #[test]
@@ -83,14 +85,14 @@
     let boundaries = boundaries();
     let mut changes = 0;
     for seed in 0..1_000u64 {
-        let mut chance = SmallRng::seed_from_u64(seed);
+        let mut rng = SmallRng::seed_from_u64(seed);
         let (signal, boundary) = boundaries[seed as usize % boundaries.len()];
-        let period = [700.0, 3_000.0, 9_000.0, 31_000.0, 67_000.0][chance.random_range(0..5)];
+        let period = [700.0, 3_000.0, 9_000.0, 31_000.0, 67_000.0][rng.random_range(0..5)];
         let (swing, noise) = (
-            boundary * chance.random_range(0.0..0.6),
-            boundary * chance.random_range(0.0..0.4),
+            boundary * rng.random_range(0.0..0.6),
+            boundary * rng.random_range(0.0..0.4),
         );
-        let shape = chance.random_range(0..4);
+        let shape = rng.random_range(0..4);
         let mut levels = levels();
         let played = play(&mut levels, 0, 600_000, |ms| {
             let phase = ms as f64 / period * std::f64::consts::TAU;
@@ -109,7 +111,7 @@
             };
             only(
                 signal,
-                (boundary + wave * swing + chance.random_range(-1.0..1.0) * noise).max(0.0),
+                (boundary + wave * swing + rng.random_range(-1.0..1.0) * noise).max(0.0),
             )
         });
         for pair in played.windows(2) {
@@ -120,7 +122,7 @@
         play(
             &mut levels,
             600_000,
-            back_ms(&LevelTerms::default()),
+            back_ms(&DegradationConfig::default()),
             |_| calm(),
         );
         assert_eq!(levels.name(), "full", "seed {seed}");
@@ -132,16 +134,16 @@
 #[test]
 fn each_level_is_entered_and_left_by_its_own_cause() {
     for (signal, figure, level) in [
-        (Signal::Hold, 1.2, "no-extras"),
-        (Signal::Slowness, 6.0, "no-extras"),
-        (Signal::Breaker, 1.0, "no-extras"),
-        (Signal::PushedBack, 0.3, "no-extras"),
-        (Signal::PushedBack, 0.65, "essentials"),
-        (Signal::Unread, 2.0, "essentials"),
-        (Signal::PushedBack, 0.95, "effects-only"),
+        (Signal::QueueWait, 1.2, "no-extras"),
+        (Signal::CallSlowness, 6.0, "no-extras"),
+        (Signal::BreakerOpen, 1.0, "no-extras"),
+        (Signal::Rejected, 0.3, "no-extras"),
+        (Signal::Rejected, 0.65, "essentials"),
+        (Signal::ReadDelay, 2.0, "essentials"),
+        (Signal::Rejected, 0.95, "effects-only"),
         (Signal::Memory, 0.92, "effects-only"),
         (Signal::Memory, 0.99, "closed"),
-        (Signal::Unread, 15.0, "closed"),
+        (Signal::ReadDelay, 15.0, "closed"),
     ] {
         let mut levels = levels();
         let entered = play(&mut levels, 0, 60_000, |_| only(signal, figure));
@@ -171,9 +173,12 @@
     let mut levels = levels();
     play(&mut levels, 0, 20_000, |_| calm());
     // Two seconds of a batch; then a pause of ten minutes after which one bad figure comes.
-    assert!(play(&mut levels, 20_000, 2_000, |_| only(Signal::Hold, 1.2)).is_empty());
+    assert!(play(&mut levels, 20_000, 2_000, |_| only(Signal::QueueWait, 1.2)).is_empty());
     assert!(play(&mut levels, 22_000, 10_000, |_| calm()).is_empty());
-    assert_eq!(levels.observe(at(632_000), &only(Signal::Hold, 4.0)), None);
+    assert_eq!(
+        levels.observe(at(632_000), &only(Signal::QueueWait, 4.0)),
+        None
+    );
     assert!(play(&mut levels, 632_100, 20_000, |_| calm()).is_empty());
     // A clock that jumps back, too.
     assert!(play(&mut levels, 10, 20_000, |_| calm()).is_empty());
@@ -191,12 +196,12 @@
     let mut levels = levels();
     let both = Signals {
         call_slowness: Some(8.0),
-        ..only(Signal::PushedBack, 0.7)
+        ..only(Signal::Rejected, 0.7)
     };
     let entered = play(&mut levels, 0, 40_000, |_| both);
     assert_eq!(entered.last().unwrap().1.to, "essentials");
     let left = play(&mut levels, 40_000, 300_000, |_| {
-        only(Signal::Slowness, 8.0)
+        only(Signal::CallSlowness, 8.0)
     });
     assert_eq!(
         left.iter()
@@ -206,7 +211,7 @@
     );
     // A slow store with idle cores is told from a crowd by what stands in the event.
     let mut alone = self::levels();
-    let slow = play(&mut alone, 0, 10_000, |_| only(Signal::Slowness, 8.0));
+    let slow = play(&mut alone, 0, 10_000, |_| only(Signal::CallSlowness, 8.0));
     assert_eq!(
         slow[0]
             .1
@@ -214,7 +219,7 @@
             .iter()
             .map(|cause| cause.signal)
             .collect::<Vec<_>>(),
-        [Signal::Slowness]
+        [Signal::CallSlowness]
     );
 }
 
@@ -231,7 +236,7 @@
     assert!(play(&mut levels, 60_000, 60_000, |_| nonsense).is_empty());
     // What is no longer seen speaks for no level any more.
     play(&mut levels, 120_000, 40_000, |_| {
-        only(Signal::Slowness, 9.0)
+        only(Signal::CallSlowness, 9.0)
     });
     assert_eq!(levels.name(), "no-extras");
     play(&mut levels, 160_000, 90_000, |_| Signals::default());
@@ -239,70 +244,76 @@
 }
 
 #[test]
-fn a_hold_by_hand_holds_in_overload_and_expires() {
+fn a_level_set_by_hand_holds_in_overload_and_expires() {
     let mut levels = levels();
     play(&mut levels, 0, 10_000, |_| calm());
-    assert!(levels.hold(at(10_000), "nothing", Span::ms(1)).is_err());
-    assert!(levels.hold(at(10_000), "full", Span::ZERO).is_err());
-    levels.hold(at(10_000), "full", Span::ms(120_000)).unwrap();
+    assert!(
+        levels
+            .set_override(at(10_000), "nothing", Span::ms(1))
+            .is_err()
+    );
+    assert!(levels.set_override(at(10_000), "full", Span::ZERO).is_err());
+    levels
+        .set_override(at(10_000), "full", Span::ms(120_000))
+        .unwrap();
     let worst = only(Signal::Memory, 1.0);
     assert!(play(&mut levels, 10_000, 119_900, |_| worst).is_empty());
-    assert!(levels.view(at(100_000)).held_ms.is_some());
+    assert!(levels.status(at(100_000)).override_left_ms.is_some());
     // With its end the evidence decides, at once.
     let after = play(&mut levels, 129_900, 2_000, |_| worst);
     assert_eq!(after[0].1.to, "closed");
     levels
-        .hold(at(140_000), "essentials", Span::ms(60_000))
+        .set_override(at(140_000), "essentials", Span::ms(60_000))
         .unwrap();
     let held = play(&mut levels, 140_000, 1_000, |_| calm());
     assert!(held[0].1.by_hand && held[0].1.to == "essentials");
-    assert!(levels.release() && !levels.release());
+    assert!(levels.clear_override() && !levels.clear_override());
 }
 
 #[test]
-fn other_terms_keep_the_level_of_the_same_name() {
+fn a_reload_keeps_the_level_of_the_same_name() {
     let mut levels = levels();
-    play(&mut levels, 0, 40_000, |_| only(Signal::Slowness, 9.0));
-    let mut terms = LevelTerms::default();
-    terms.list.remove(2);
-    assert_eq!(levels.reload(&terms, at(40_000)), Ok(None));
+    play(&mut levels, 0, 40_000, |_| only(Signal::CallSlowness, 9.0));
+    let mut config = DegradationConfig::default();
+    config.levels.remove(2);
+    assert_eq!(levels.reload(&config, at(40_000)), Ok(None));
     assert_eq!(levels.name(), "no-extras");
-    terms.list[1].name = "lean".to_owned();
-    let change = levels.reload(&terms, at(41_000)).unwrap().unwrap();
+    config.levels[1].name = "lean".to_owned();
+    let change = levels.reload(&config, at(41_000)).unwrap().unwrap();
     assert_eq!(
         (change.from.as_str(), change.to.as_str(), change.by_hand),
         ("no-extras", "full", true)
     );
-    terms.list[1].when.clear();
-    assert!(levels.reload(&terms, at(42_000)).is_err());
+    config.levels[1].conditions.clear();
+    assert!(levels.reload(&config, at(42_000)).is_err());
     assert_eq!(levels.name(), "full");
 }
 
 #[test]
-fn the_view_tells_what_would_change_it_and_how_far_that_is() {
+fn the_status_tells_what_would_change_the_level_and_how_far_that_is() {
     let mut levels = levels();
-    play(&mut levels, 0, 40_000, |_| only(Signal::Slowness, 9.0));
-    let view = levels.view(at(40_000));
+    play(&mut levels, 0, 40_000, |_| only(Signal::CallSlowness, 9.0));
+    let status = levels.status(at(40_000));
     assert_eq!(
-        (view.level.as_str(), view.why[0].signal),
-        ("no-extras", Signal::Slowness)
+        (status.level.as_str(), status.causes[0].signal),
+        ("no-extras", Signal::CallSlowness)
     );
-    assert!(view.does.skip_calls && view.since_ms > 30_000);
-    let slow = view
+    assert!(status.actions.skip_calls && status.since_ms > 30_000);
+    let slow = status
         .conditions
         .iter()
-        .find(|standing| standing.signal == Signal::Slowness)
+        .find(|condition| condition.signal == Signal::CallSlowness)
         .unwrap();
-    assert!(slow.met_ms > 30_000 && slow.gone_ms == 0 && slow.figure.unwrap() > slow.enter);
-    assert!(levels.effect().retry_after <= Span::ms(30_000));
-    serde_json::to_string(&view).unwrap();
+    assert!(slow.met_ms > 30_000 && slow.cleared_ms == 0 && slow.figure.unwrap() > slow.enter);
+    assert!(levels.degradation().retry_after <= Span::ms(30_000));
+    serde_json::to_string(&status).unwrap();
 }
 
 #[test]
 fn a_record_replayed_says_what_the_server_would_have_done() {
     let figure = |ms: u64| {
         if (20_000..90_000).contains(&ms) {
-            only(Signal::Hold, 1.5)
+            only(Signal::QueueWait, 1.5)
         } else {
             calm()
         }
@@ -315,9 +326,11 @@
         lines.push('\n');
     }
     let mut changes = Vec::new();
-    let count = replay(&LevelTerms::default(), lines.as_bytes(), |ms, change| {
-        changes.push((ms, change.to))
-    })
+    let count = replay(
+        &DegradationConfig::default(),
+        lines.as_bytes(),
+        |ms, change| changes.push((ms, change.to)),
+    )
     .unwrap();
     assert_eq!(count, 200);
     assert_eq!(
@@ -329,13 +342,13 @@
     );
     assert!((23_000..30_000).contains(&changes[0].0), "{changes:?}");
     // A boundary moved: it would not have happened.
-    let mut terms = LevelTerms::default();
-    terms.list[1].when[0].enter = 2.0;
-    terms.list[1].when[0].leave = 1.6;
+    let mut config = DegradationConfig::default();
+    config.levels[1].conditions[0].enter = 2.0;
+    config.levels[1].conditions[0].leave = 1.6;
     let mut none = 0;
-    replay(&terms, lines.as_bytes(), |_, _| none += 1).unwrap();
+    replay(&config, lines.as_bytes(), |_, _| none += 1).unwrap();
     assert_eq!(none, 0);
-    assert!(replay(&terms, &b"nothing\n"[..], |_, _| {}).is_err());
+    assert!(replay(&config, &b"nothing\n"[..], |_, _| {}).is_err());
 }
 
 proptest! {
@@ -351,8 +364,8 @@
         let (mut now, mut last): (u64, Option<u64>) = (0, None);
         for (signal, figure, ms, what) in steps {
             match what {
-                0 => drop(levels.hold(at(now), "essentials", Span::ms(ms))),
-                1 => drop(levels.release()),
+                0 => drop(levels.set_override(at(now), "essentials", Span::ms(ms))),
+                1 => drop(levels.clear_override()),
                 // Nothing is seen at all.
                 2 => now += ms,
                 _ => {
@@ -364,8 +377,8 @@
                 }
             }
         }
-        levels.release();
-        play(&mut levels, now, back_ms(&LevelTerms::default()), |_| calm());
+        levels.clear_override();
+        play(&mut levels, now, back_ms(&DegradationConfig::default()), |_| calm());
         prop_assert_eq!(levels.name(), "full");
     }
 }
--- a/crates/coralstep-lab/src/explore/shares.rs
+++ b/crates/coralstep-lab/src/explore/shares.rs
@@ -4,7 +4,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use coralstep_quota::LimitKind;
-use coralstep_quota::config::CutOffPolicy;
+use coralstep_quota::config::CutOff;
 use coralstep_quota::election::TERM_MS;
 use coralstep_quota::guarantees::{max_failover_time, max_reclaim_time};
 use coralstep_quota::lease::lengthened_by_drift;
@@ -64,8 +64,8 @@
 
     fn start(scope: &Scope) -> Shares {
         let limits = [
-            limit(LimitKind::InFlight(5), CutOffPolicy::Strict),
-            limit(LimitKind::Rate { rps: 4.0, burst: 8 }, CutOffPolicy::Strict),
+            limit(LimitKind::InFlight(5), CutOff::Strict),
+            limit(LimitKind::Rate { rps: 4.0, burst: 8 }, CutOff::Strict),
         ];
         let mut world = World::new(SERVERS, SERVERS, &limits, LEASE, 7, scope.cheat);
         if scope.prelude == Prelude::Settled {
--- a/crates/coralstep-lab/src/shares.rs
+++ b/crates/coralstep-lab/src/shares.rs
@@ -6,7 +6,7 @@
 
 use coralstep_fleet::Member;
 use coralstep_fleet::extension::{GossipExtension, MembershipView};
-use coralstep_quota::config::CutOffPolicy;
+use coralstep_quota::config::CutOff;
 use coralstep_quota::guarantees::max_admitted;
 use coralstep_quota::lease::MAX_CLOCK_DRIFT;
 use coralstep_quota::limit::{LimitKey, LimitScope};
@@ -92,7 +92,7 @@
 }
 
 /// A limit on all RPCs of the one method there is.
-pub fn limit(kind: LimitKind, cut_off: CutOffPolicy) -> Limit {
+pub fn limit(kind: LimitKind, cut_off: CutOff) -> Limit {
     let key = if matches!(kind, LimitKind::Rate { .. }) {
         1
     } else {
@@ -388,9 +388,7 @@
                 let hands: usize = self.servers.values().map(hands).sum();
                 let seen = self.seen.entry(limit.key.0).or_default();
                 seen.greatest = seen.greatest.max(hands as f64);
-                if hands as f64 > max_admitted(limit.kind, 0)
-                    && limit.cut_off == CutOffPolicy::Strict
-                {
+                if hands as f64 > max_admitted(limit.kind, 0) && limit.cut_off == CutOff::Strict {
                     self.breaks(format!("{hands} in hand of {most}"));
                 }
             }
@@ -431,7 +429,7 @@
                 let leaks = rps * (1.0 + MAX_CLOCK_DRIFT) * (now - seen.at) as f64 / 1000.0;
                 (seen.level, seen.at) = ((seen.level - leaks).max(0.0) + 1.0, now);
                 seen.greatest = seen.greatest.max(seen.level);
-                if seen.level > f64::from(burst) + 1e-6 && limit.cut_off == CutOffPolicy::Strict {
+                if seen.level > f64::from(burst) + 1e-6 && limit.cut_off == CutOff::Strict {
                     let level = seen.level;
                     self.breaks(format!("{level:.2} over the rate, {burst} may be"));
                 }
--- a/crates/coralstep-lab/src/simulate/mod.rs
+++ b/crates/coralstep-lab/src/simulate/mod.rs
@@ -5,7 +5,7 @@
     Dependency, GoalWeights, Idempotency, Method, Outcome, RpcId, SchedulerConfig, Span,
 };
 use coralstep_balancer::{Pick, Pool};
-use coralstep_degradation::Levels;
+use coralstep_degradation::LevelStateMachine;
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -123,7 +123,7 @@
 
 struct Node {
     server: Option<Decider>,
-    levels: Option<Levels>,
+    levels: Option<LevelStateMachine>,
     /// At a level of reduced service.
     reduced: bool,
     /// The breaker is not closed.
--- a/crates/coralstep-lab/src/simulate/server.rs
+++ b/crates/coralstep-lab/src/simulate/server.rs
@@ -3,7 +3,7 @@
 
 use coralstep::{Gauges, Outcome, RpcId, Span, Time};
 use coralstep_balancer::{Pool, PoolTerms};
-use coralstep_degradation::Levels;
+use coralstep_degradation::LevelStateMachine;
 use rand::Rng;
 
 use super::{Cheat, Event, Rpc, Sim, terms, ticks};
@@ -30,7 +30,7 @@
             .world
             .levels
             .as_ref()
-            .and_then(|levels| Levels::new(levels, Time(now)).ok());
+            .and_then(|levels| LevelStateMachine::new(levels, Time(now)).ok());
         let pool = self.world.applications.as_ref().map(|of| {
             let mut pool = Pool::new(
                 PoolTerms {
@@ -92,7 +92,7 @@
             return;
         };
         if levels.observe(now, &signals).is_some() {
-            let effect = levels.effect();
+            let effect = levels.degradation();
             let reduced = effect != coralstep::DegradationLevel::default();
             self.reduced -= u32::from(node.reduced);
             self.reduced += u32::from(reduced);
--- a/crates/coralstep-lab/src/world.rs
+++ b/crates/coralstep-lab/src/world.rs
@@ -1,5 +1,5 @@
 //! A world: a fleet of servers, what they depend on, who asks, and what goes wrong. JSON of one shape; messages name the key.
-use coralstep_degradation::LevelTerms;
+use coralstep_degradation::DegradationConfig;
 use rand::Rng;
 use rand_distr::{Distribution, Exp, Gamma, LogNormal, Pareto, Weibull};
 use schemars::JsonSchema;
@@ -35,7 +35,7 @@
     pub applications: Option<Applications>,
     /// Levels of reduced service in each server; none: full service.
     #[serde(default)]
-    pub levels: Option<LevelTerms>,
+    pub levels: Option<DegradationConfig>,
     #[serde(default)]
     pub troubles: Vec<Trouble>,
 }
@@ -404,7 +404,7 @@
             within("applications.fails", applications.fails, 0.0, 1.0)?;
         }
         if let Some(levels) = &self.levels {
-            levels.check().map_err(|why| format!("levels: {why}"))?;
+            levels.validate().map_err(|why| format!("levels: {why}"))?;
         }
         if let Some(dependency) = &self.dependency {
             within("dependency.capacity", dependency.capacity, 0.0, 1e9)?;
--- a/crates/coralstep-lab/tests/limits.rs
+++ b/crates/coralstep-lab/tests/limits.rs
@@ -6,7 +6,7 @@
 
 use coralstep_lab::shares::{Cheat, World, limit};
 use coralstep_quota::LimitKind;
-use coralstep_quota::config::CutOffPolicy;
+use coralstep_quota::config::CutOff;
 use coralstep_quota::guarantees::{max_admitted_cut_off, max_failover_time, max_reclaim_time};
 use coralstep_quota::lease::lengthened_by_drift;
 use rand::rngs::SmallRng;
@@ -24,7 +24,7 @@
     let mut world = World::new(
         count,
         3,
-        &[limit(kind, CutOffPolicy::Strict)],
+        &[limit(kind, CutOff::Strict)],
         LEASE,
         seed,
         Cheat::None,
@@ -140,7 +140,7 @@
     assert!(busy(&mut world, 6_000) >= 30);
     // Two of the three that may give are on this side; the others hear of nothing.
     world.cut(&[0, 1, 3, 4], &[2, 5, 6, 7, 8]);
-    let low = [limit(LimitKind::InFlight(4), CutOffPolicy::Strict)];
+    let low = [limit(LimitKind::InFlight(4), CutOff::Strict)];
     [0, 1, 3, 4]
         .into_iter()
         .for_each(|server| world.set(server, &low));
@@ -150,19 +150,14 @@
     let held = busy(&mut world, 4_000);
     assert!(held <= 4, "{held} in hand of 4");
     world.heal();
-    (0..9).for_each(|server| {
-        world.set(
-            server,
-            &[limit(LimitKind::InFlight(40), CutOffPolicy::Strict)],
-        )
-    });
+    (0..9).for_each(|server| world.set(server, &[limit(LimitKind::InFlight(40), CutOff::Strict)]));
     assert!(busy(&mut world, 8_000) >= 30);
     assert_eq!(world.broken, None);
 }
 
 #[test]
 fn what_is_open_lets_through_no_more_than_its_floor_where_nobody_gives() {
-    let open = CutOffPolicy::Open {
+    let open = CutOff::Open {
         per_server: 2.0,
         fleet_total: 6.0,
     };
@@ -191,11 +186,11 @@
 
 /// One history of faults under load; what broke.
 fn history(count: usize, seed: u64, acts: usize) -> Option<String> {
-    played(count, seed, acts, CutOffPolicy::Strict).broken
+    played(count, seed, acts, CutOff::Strict).broken
 }
 
 /// The fleet after one history of faults under load.
-fn played(count: usize, seed: u64, acts: usize, cut_off: CutOffPolicy) -> World {
+fn played(count: usize, seed: u64, acts: usize, cut_off: CutOff) -> World {
     let mut chance = SmallRng::seed_from_u64(seed);
     let limits = [
         limit(rate(20.0, 20), cut_off),
@@ -248,7 +243,7 @@
     most_in_flight: f64,
 }
 
-fn history_figures(seed: u64, cut_off: CutOffPolicy) -> HistoryFigures {
+fn history_figures(seed: u64, cut_off: CutOff) -> HistoryFigures {
     let world = played(9, seed, 25, cut_off);
     let (admitted, rejected, _) = world.figures(1);
     let (_, _, most_in_flight) = world.figures(2);
@@ -263,8 +258,8 @@
 /// Guards against a decision on quotas that changes unnoticed: each history is the very same.
 #[test]
 fn histories_of_faults_stay_the_same() {
-    let strict = CutOffPolicy::Strict;
-    let open = CutOffPolicy::Open {
+    let strict = CutOff::Strict;
+    let open = CutOff::Open {
         per_server: 2.0,
         fleet_total: 6.0,
     };
--- a/crates/coralstep-quota/benches/limits.rs
+++ b/crates/coralstep-quota/benches/limits.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use coralstep_quota::client::QuotaClient;
-use coralstep_quota::config::CutOffPolicy;
+use coralstep_quota::config::CutOff;
 use coralstep_quota::limit::{LimitKey, LimitScope};
 use coralstep_quota::message::{Grant, GrantBatch, QuotaRequest, TermId};
 use coralstep_quota::{Limit, LimitKind, RequestKey};
@@ -22,7 +22,7 @@
             rps: 1e6,
             burst: 1_000_000,
         },
-        cut_off: CutOffPolicy::Strict,
+        cut_off: CutOff::Strict,
     }
 }
 
--- a/crates/coralstep-quota/src/client/tests.rs
+++ b/crates/coralstep-quota/src/client/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::config::CutOffPolicy;
+use crate::config::CutOff;
 use crate::limit::LimitKind;
 use crate::message::Grant;
 
@@ -15,7 +15,7 @@
             ..LimitScope::default()
         },
         kind: LimitKind::InFlight(2),
-        cut_off: CutOffPolicy::Strict,
+        cut_off: CutOff::Strict,
     };
     let mut client = QuotaClient::new(std::slice::from_ref(&limit), 0);
     let grant = |client: &mut QuotaClient, now: Millis| {
--- a/crates/coralstep-quota/src/config.rs
+++ b/crates/coralstep-quota/src/config.rs
@@ -1,4 +1,6 @@
 //! What operators state of a limit, and its check when the settings are read.
+//!
+//! `rename` and `expecting` keep the names that the schema and messages of faulty settings have for the types.
 mod consistency;
 mod error;
 mod resolve;
@@ -12,9 +14,12 @@
 /// The settings of a limit: RPCs of a tenant, a method, a dependency, or of what is all of these, for the whole
 /// fleet. Either `rps` (with `burst`) or `in_flight` is set.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-#[schemars(
+#[serde(
     rename = "LimitTerms",
+    expecting = "struct LimitTerms",
+    deny_unknown_fields
+)]
+#[schemars(
     description = "RPCs of a tenant, a method, a dependency, or of what is all of these, for the whole fleet: `rps` with `burst`, or `in_hand`."
 )]
 pub struct LimitConfig {
@@ -47,21 +52,18 @@
     #[serde(default, rename = "in_hand")]
     #[schemars(description = "RPCs that are read and not answered, 1 to 1000000.")]
     pub in_flight: Option<u32>,
-    /// What a server admits that no leader grants anything; [`CutOffPolicy::Strict`] where left out.
+    /// What a server admits that no leader grants anything; [`CutOff::Strict`] where left out.
     #[serde(default)]
     #[schemars(description = "What a server does that nobody gives anything.")]
-    pub cut_off: CutOffPolicy,
+    pub cut_off: CutOff,
 }
 
 /// What a server admits of a limit while it is cut off from whoever grants quota; the rule is in
 /// [`crate::cut_off`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-#[schemars(
-    rename = "CutOff",
-    description = "What a server that is cut off admits."
-)]
-pub enum CutOffPolicy {
+#[schemars(description = "What a server that is cut off admits.")]
+pub enum CutOff {
     /// What it has been granted, until the lease ends; then nothing. The limit holds always.
     #[default]
     #[schemars(
--- a/crates/coralstep-quota/src/config/resolve.rs
+++ b/crates/coralstep-quota/src/config/resolve.rs
@@ -4,7 +4,7 @@
 use sha2::{Digest, Sha256};
 
 use super::consistency::check_consistency;
-use super::{CutOffPolicy, LimitConfig, LimitConfigError};
+use super::{CutOff, LimitConfig, LimitConfigError};
 use crate::limit::{Limit, LimitKey, LimitKind, LimitScope};
 
 /// Limits that settings may have.
@@ -188,7 +188,7 @@
     }
 
     fn check_cut_off(&self) -> Result<(), LimitConfigError> {
-        let CutOffPolicy::Open {
+        let CutOff::Open {
             per_server,
             fleet_total,
         } = self.config.cut_off
--- a/crates/coralstep-quota/src/config/tests.rs
+++ b/crates/coralstep-quota/src/config/tests.rs
@@ -51,7 +51,7 @@
     assert!(
         good[3].scope.calls_dependency
             && good[3].cut_off
-                == CutOffPolicy::Open {
+                == CutOff::Open {
                     per_server: 1.0,
                     fleet_total: 20.0
                 }
--- a/crates/coralstep-quota/src/cut_off.rs
+++ b/crates/coralstep-quota/src/cut_off.rs
@@ -1,6 +1,6 @@
 //! What a server admits of a limit that no leader grants it anything of.
 use crate::Millis;
-use crate::config::CutOffPolicy;
+use crate::config::CutOff;
 use crate::lease::TOKEN_LIFETIME_MS;
 
 /// A server that was granted nothing for longer than this counts as cut off, in milliseconds.
@@ -14,20 +14,20 @@
 ///
 /// Any server, cut off or not, admits by the units that it holds until their lease ends. After that it admits:
 ///
-/// - under [`CutOffPolicy::Strict`] nothing, so the limit holds always;
-/// - under [`CutOffPolicy::Open`], once no leader has granted it anything for [`CUT_OFF_AFTER_MS`] or ever,
+/// - under [`CutOff::Strict`] nothing, so the limit holds always;
+/// - under [`CutOff::Open`], once no leader has granted it anything for [`CUT_OFF_AFTER_MS`] or ever,
 ///   `per_server`, or `fleet_total` divided by `members` if that is less. `members` are the most members that this
 ///   server ever knew, itself among them.
 ///
 /// Of a rate the allowance comes in evenly and at most one RPC is admitted at once (`CutOffBucket`). What all servers
 /// together may admit is [`crate::guarantees::max_admitted_cut_off`].
 pub fn cut_off_allowance(
-    policy: CutOffPolicy,
+    policy: CutOff,
     last_grant: Option<Millis>,
     now: Millis,
     members: usize,
 ) -> f64 {
-    let CutOffPolicy::Open {
+    let CutOff::Open {
         per_server,
         fleet_total,
     } = policy
--- a/crates/coralstep-quota/src/extension/leader_contact.rs
+++ b/crates/coralstep-quota/src/extension/leader_contact.rs
@@ -6,12 +6,11 @@
 use rand::{RngExt, SeedableRng};
 
 use crate::Millis;
+use crate::cut_off::CUT_OFF_AFTER_MS;
 use crate::election::TERM_MS;
 
 /// A leader that hasn't answered for longer than this is not relied on, in milliseconds.
 const MAX_LEADER_SILENCE_MS: Millis = TERM_MS / 4;
-/// Without any answer for longer than this a server is cut off, in milliseconds.
-const CUT_OFF_AFTER_MS: Millis = 3_000;
 /// Keeps these draws apart from those of the election, which begin from the same seed.
 const SEED_OFFSET: u64 = 2;
 
--- a/crates/coralstep-quota/src/leader/tests.rs
+++ b/crates/coralstep-quota/src/leader/tests.rs
@@ -1,6 +1,6 @@
 use super::fair_share::fair_share;
 use super::*;
-use crate::config::CutOffPolicy;
+use crate::config::CutOff;
 use crate::limit::{LimitKind, LimitScope};
 
 fn limit(kind: LimitKind) -> Limit {
@@ -12,7 +12,7 @@
             ..LimitScope::default()
         },
         kind,
-        cut_off: CutOffPolicy::Strict,
+        cut_off: CutOff::Strict,
     }
 }
 
--- a/crates/coralstep-quota/src/limit.rs
+++ b/crates/coralstep-quota/src/limit.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::config::CutOffPolicy;
+use crate::config::CutOff;
 
 /// Identifies a limit across the fleet: the same wherever what it applies to is the same, whatever its figures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -117,7 +117,7 @@
     /// What it counts, and its figures.
     pub kind: LimitKind,
     /// What a server admits that no leader grants anything.
-    pub cut_off: CutOffPolicy,
+    pub cut_off: CutOff,
 }
 
 /// Joins two versions of the limits: of each limit the lower figures, and all limits of either. Sorted by key.
--- a/crates/coralstep-quota/tests/golden.rs
+++ b/crates/coralstep-quota/tests/golden.rs
@@ -3,7 +3,7 @@
 use coralstep_fleet::Member;
 use coralstep_fleet::extension::{GossipExtension, MembershipView};
 use coralstep_quota::QuotaExtension;
-use coralstep_quota::config::{CutOffPolicy, LimitConfig, Names, resolve_limits};
+use coralstep_quota::config::{CutOff, LimitConfig, Names, resolve_limits};
 use coralstep_quota::extension::ShareRow;
 use coralstep_quota::limit::{Limit, LimitKey, RequestKey};
 use coralstep_quota::message::{Grant, GrantBatch, Message, QuotaRequest, TermId};
@@ -209,7 +209,7 @@
         rps: Some(1_000.5),
         burst: Some(2_000),
         in_flight: None,
-        cut_off: CutOffPolicy::Open {
+        cut_off: CutOff::Open {
             per_server: 50.0,
             fleet_total: 400.0,
         },
@@ -311,3 +311,18 @@
         [("a", 40, 0, 6), ("b", 10, 0, 6), ("c", 300, 300, 6)].map(named)
     );
 }
+
+/// Guards against messages of faulty settings changing with the names of types.
+#[test]
+fn settings_of_a_wrong_type_keep_their_message() {
+    let error = serde_json::from_str::<LimitConfig>("3").unwrap_err();
+    assert_eq!(
+        error.to_string(),
+        "invalid type: integer `3`, expected struct LimitTerms at line 1 column 1"
+    );
+    let error = serde_json::from_str::<CutOff>(r#"{"open": 3}"#).unwrap_err();
+    assert_eq!(
+        error.to_string(),
+        "invalid type: integer `3`, expected struct variant CutOff::Open at line 1 column 10"
+    );
+}
--- a/crates/coralstep-server/src/cli/levels.rs
+++ b/crates/coralstep-server/src/cli/levels.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use coralstep_config::site::{Listen, SiteTerms};
-use coralstep_degradation::{LevelTerms, replay};
+use coralstep_degradation::{DegradationConfig, replay};
 use coralstep_server::operators::ops::Question;
 use lexopt::Arg::{Long, Short, Value};
 use lexopt::ValueExt;
@@ -233,7 +233,7 @@
 
 fn replayed(file: &PathBuf, site: Option<PathBuf>, json: bool) -> Result<(), String> {
     let terms = match site {
-        None => LevelTerms::default(),
+        None => DegradationConfig::default(),
         Some(path) => {
             let named = |why: String| format!("{}: {why}", path.display());
             let text = std::fs::read_to_string(&path).map_err(|why| named(why.to_string()))?;
@@ -258,7 +258,7 @@
             false => println!("{:.1} s\t{change}", at_ms as f64 / 1000.0),
         }
     })
-    .map_err(named)?;
+    .map_err(|error| named(error.to_string()))?;
     match json {
         true => println!(
             "{}",
--- a/crates/coralstep-server/src/decisions/facade.rs
+++ b/crates/coralstep-server/src/decisions/facade.rs
@@ -13,7 +13,7 @@
     Scheduler, SchedulerConfig, Span, Time, Transition,
 };
 use coralstep_config::Names;
-use coralstep_degradation::LevelTerms;
+use coralstep_degradation::DegradationConfig;
 use coralstep_quota::{Permit, RequestKey};
 use event_listener::Event;
 
@@ -440,7 +440,7 @@
     }
 
     /// With levels of reduced service.
-    pub fn with_levels(mut self, terms: &LevelTerms) -> Result<Facade, String> {
+    pub fn with_levels(mut self, terms: &DegradationConfig) -> Result<Facade, String> {
         self.levels = Some(Rc::new(Kept::new(terms, self.clock)?));
         Ok(self)
     }
--- a/crates/coralstep-server/src/decisions/facade/tests.rs
+++ b/crates/coralstep-server/src/decisions/facade/tests.rs
@@ -109,7 +109,7 @@
         ..SchedulerConfig::default()
     };
     let facade = Facade::new(terms, Names::default(), 1, &limits());
-    let facade = Rc::new(facade.with_levels(&LevelTerms::default()).unwrap());
+    let facade = Rc::new(facade.with_levels(&DegradationConfig::default()).unwrap());
     facade.start(Some(false), Duration::ZERO);
     let levels = facade.levels().unwrap();
     levels.hold("closed", 60_000).unwrap();
