--- a/crates/coralstep-server/src/operators/ops.rs
+++ b/crates/coralstep-server/src/operators/ops.rs
@@ -11,11 +11,12 @@
 use async_io::{Async, Timer};
 use coralstep_config::site::Listen;
 use coralstep_fleet::audit::AuditFilter;
+use coralstep_fleet::versions::ParseVersionIdError;
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, FutureExt};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use crate::decisions::facade::Facade;
+use crate::decisions::SchedulerHandle;
 use crate::fleet::carrier::Carrier;
 use crate::note;
 
@@ -130,7 +131,7 @@
     pub async fn listen(
         &self,
         executor: &Rc<LocalExecutor<'static>>,
-        facade: &Rc<Facade>,
+        facade: &Rc<SchedulerHandle>,
         carrier: Option<Rc<Carrier>>,
     ) {
         loop {
@@ -186,7 +187,7 @@
 
 async fn answer(
     mut stream: Box<dyn Talk>,
-    facade: &Facade,
+    facade: &SchedulerHandle,
     carrier: Option<&Carrier>,
 ) -> std::io::Result<()> {
     let mut bytes = Vec::new();
@@ -236,7 +237,8 @@
             let version = version
                 .as_ref()
                 .map(|version| version.parse())
-                .transpose()?;
+                .transpose()
+                .map_err(|error: ParseVersionIdError| error.to_string())?;
             Ok(carrier.audit(&AuditFilter {
                 version,
                 server: server.clone(),
@@ -274,8 +276,8 @@
     })
 }
 
-fn said(question: Question, facade: &Facade) -> Value {
-    let levels = facade.levels();
+fn said(question: Question, facade: &SchedulerHandle) -> Value {
+    let levels = facade.degradation();
     let Some(levels) = levels else {
         return json!({"error": "this server has no levels: its site file names none"});
     };
--- a/crates/coralstep/src/actions.rs
+++ b/crates/coralstep/src/actions.rs
@@ -1,6 +1,6 @@
 //! Where the decisions of a [`crate::Scheduler`] go.
-use std::fmt;
-
+use crate::circuit_breaker::Transition;
+use crate::event::Event;
 use crate::request::RpcId;
 use crate::time::Span;
 
@@ -9,8 +9,8 @@
 pub trait Actions {
     /// Begins the run of a request.
     fn admit(&mut self, rpc: RpcId) {}
-    /// Answers a request that has not run with a rejection: the caller may come back after `retry_after`, and should not
-    /// try another server where the rejection is `is_final`.
+    /// Answers a request that has not run with a rejection: the caller may come back after `retry_after`,
+    /// and should not try another server where the rejection is `is_final`.
     fn reject(&mut self, rpc: RpcId, retry_after: Span, is_final: bool) {}
     /// Answers a request, whose run may have had an effect, with an error.
     fn fail(&mut self, rpc: RpcId) {}
@@ -27,7 +27,8 @@
     fn retain_key(&mut self, rpc: RpcId, span: Span) {}
     /// Forgets the idempotency key of a request.
     fn release_key(&mut self, rpc: RpcId) {}
-    /// Answers a request with the result of its earlier attempt, and reports [`crate::Scheduler::handle_completion`].
+    /// Answers a request with the result of its earlier attempt, and reports
+    /// [`crate::Scheduler::handle_completion`].
     fn replay(&mut self, rpc: RpcId) {}
     /// Sets what the health check answers.
     fn set_health(&mut self, healthy: bool) {}
@@ -37,34 +38,12 @@
     fn set_idle_timeout(&mut self, span: Span) {}
     /// Asks for [`crate::Scheduler::handle_timeout`] after `span`, in place of what was asked for before.
     fn set_timer(&mut self, span: Span) {}
-    /// Logs a line.
-    fn log(&mut self, text: fmt::Arguments<'_>) {}
-    /// The circuit breaker changed its state.
+    /// Logs an event.
+    fn log(&mut self, event: Event) {}
+    /// The circuit breaker changed its state. Logs that, unless an implementation does otherwise.
     fn breaker_transition(&mut self, transition: Transition) {
-        self.log(format_args!("breaker {transition}"));
+        self.log(Event::BreakerChanged(transition));
     }
     /// The scheduler is done with this index.
     fn release_id(&mut self, rpc: RpcId) {}
 }
-
-/// A change of a circuit breaker's state.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Transition {
-    /// The state that it left: `closed`, `open` or `half-open`.
-    pub from: &'static str,
-    /// The state that it entered.
-    pub to: &'static str,
-    /// The part of the calls that failed, from 0 to 1, which led to the change.
-    pub failure_rate: f64,
-}
-
-impl fmt::Display for Transition {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Transition {
-            from,
-            to,
-            failure_rate,
-        } = self;
-        write!(f, "{from} -> {to}, failed {failure_rate:.2}")
-    }
-}
