--- a/crates/coralstep-config/src/site/error.rs
+++ b/crates/coralstep-config/src/site/error.rs
@@ -1,4 +1,5 @@
 //! Errors of the operator's file.
+use coralstep_degradation::DegradationConfigError;
 use coralstep_quota::config::LimitConfigError;
 use coralstep_route::InsertError;
 use thiserror::Error;
@@ -49,8 +50,8 @@
         key: &'static str,
     },
     /// The section of degradation levels is refused.
-    #[error("{0}")]
-    Levels(String),
+    #[error(transparent)]
+    Levels(#[from] DegradationConfigError),
     /// The section of fleet-wide limits is refused.
     #[error(transparent)]
     Limits(#[from] LimitConfigError),
--- a/crates/coralstep-config/src/site/mod.rs
+++ b/crates/coralstep-config/src/site/mod.rs
@@ -10,7 +10,7 @@
 mod scgi;
 mod state;
 
-use coralstep_degradation::LevelTerms;
+use coralstep_degradation::DegradationConfig;
 use coralstep_quota::LimitConfig;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -48,7 +48,7 @@
     pub applications: Option<ApplicationsConfig>,
     /// Levels of reduced service; `{}` takes the built-in ones. Without it there are none.
     #[serde(default)]
-    pub levels: Option<LevelTerms>,
+    pub levels: Option<DegradationConfig>,
     /// Where operators ask.
     #[serde(default)]
     pub operator: Option<OperatorConfig>,
@@ -94,9 +94,7 @@
             source,
         })?;
         if let Some(levels) = &site.levels {
-            levels
-                .check()
-                .map_err(|error| SiteError::Levels(error.to_string()))?;
+            levels.validate()?;
         }
         Ok(site)
     }
--- a/crates/coralstep-server/src/decisions/handle.rs
+++ b/crates/coralstep-server/src/decisions/handle.rs
@@ -8,7 +8,7 @@
     Gauges, Idempotency, LearnedState, Method, Outcome, Scheduler, SchedulerConfig, Span, Time,
 };
 use coralstep_config::Names;
-use coralstep_degradation::LevelTerms;
+use coralstep_degradation::DegradationConfig;
 use event_listener::{Event, EventListener};
 
 use crate::base::clock::{self, Clock};
@@ -109,7 +109,10 @@
     /// # Errors
     ///
     /// The levels contradict each other.
-    pub fn with_degradation(mut self, terms: &LevelTerms) -> Result<SchedulerHandle, String> {
+    pub fn with_degradation(
+        mut self,
+        terms: &DegradationConfig,
+    ) -> Result<SchedulerHandle, String> {
         let controller = DegradationController::new(terms, self.clock)?;
         self.degradation = Some(Rc::new(controller));
         Ok(self)
--- a/crates/coralstep-server/src/decisions/handle/tests.rs
+++ b/crates/coralstep-server/src/decisions/handle/tests.rs
@@ -120,7 +120,11 @@
         ..SchedulerConfig::default()
     };
     let scheduler = SchedulerHandle::new(terms, Names::default(), 1, &limits());
-    let scheduler = Rc::new(scheduler.with_degradation(&LevelTerms::default()).unwrap());
+    let scheduler = Rc::new(
+        scheduler
+            .with_degradation(&DegradationConfig::default())
+            .unwrap(),
+    );
     scheduler.start(Some(false), Duration::ZERO);
     let levels = scheduler.degradation().unwrap();
     levels.hold("closed", 60_000).unwrap();
