--- a/crates/coralstep-server/src/fleet/carrier.rs
+++ b/crates/coralstep-server/src/fleet/carrier.rs
@@ -16,8 +16,8 @@
 use coralstep_fleet::{Event, Fleet, Member, MemberState, Millis, VersionId};
 use coralstep_quota::holder::{Pass, Which};
 use coralstep_quota::{Limit, Limits, terms};
-use coralstep_shared_health::{Own, State as BreakerState, Verdicts};
-use coralstep_state::record::Record;
+use coralstep_shared_health::{BreakerState, LocalHealth, SharedHealth};
+use coralstep_state::fleet_record::FleetRecord;
 use futures_lite::FutureExt;
 use futures_lite::future::yield_now;
 use ipnet::IpNet;
@@ -68,7 +68,7 @@
     limits: Option<Rc<RefCell<Limits>>>,
     limits_of: LimitsOf,
     /// What is said of dependencies, where that is gone by.
-    verdicts: Option<Rc<RefCell<Verdicts>>>,
+    verdicts: Option<Rc<RefCell<SharedHealth>>>,
     hold: Cell<Option<(VersionId, VersionId)>>,
     /// For tests: whether the wall clock may be stepped, and by how much it is.
     steps: bool,
@@ -164,7 +164,7 @@
             limits
         });
         let verdicts = terms.verdicts.map(|parts| {
-            let verdicts = Rc::new(RefCell::new(Verdicts::new(
+            let verdicts = Rc::new(RefCell::new(SharedHealth::new(
                 fleet.local_member(),
                 parts,
                 seed,
@@ -176,8 +176,8 @@
             verdicts
         });
         let recorder = folder.and_then(Recorder::start).map(|(recorder, found)| {
-            if !(found.acts_on.is_empty() && found.entries.is_empty())
-                && let Some(id) = fleet.restore(&found.acts_on, &found.entries)
+            if !(found.active_version.is_empty() && found.history.is_empty())
+                && let Some(id) = fleet.restore(&found.active_version, &found.history)
             {
                 note!("fleet: version {id} was acted on before the restart");
             }
@@ -306,9 +306,11 @@
         if self.changed.get()
             && let Some(recorder) = &self.recorder
         {
-            let (acts_on, entries) = self.fleet.borrow().snapshot();
-            self.changed
-                .set(!recorder.save(Record { acts_on, entries }));
+            let (active_version, history) = self.fleet.borrow().snapshot();
+            self.changed.set(!recorder.save(FleetRecord {
+                active_version,
+                history,
+            }));
         }
         facade.apply_fence();
     }
@@ -328,16 +330,19 @@
                 .into_iter()
                 .find(|one| one.name() == state)
                 .unwrap_or_default();
-            let advice = verdicts.borrow_mut().see(
+            let advice = verdicts.borrow_mut().observe(
                 now,
                 name,
-                Own {
+                LocalHealth {
                     state,
                     failures,
                     calls,
                 },
             );
-            (advice.need, advice.left.map(Duration::from_millis))
+            (
+                advice.min_outcomes,
+                advice.cooldown_left_ms.map(Duration::from_millis),
+            )
         };
         if let Some(status) = facade.breaker_status() {
             let BreakerStatus {
@@ -380,7 +385,7 @@
                 .for_each(|event| tracing::info!(target: "limits", "limits: {event}"));
         }
         if let Some(verdicts) = &self.verdicts {
-            let events = verdicts.borrow_mut().events();
+            let events = verdicts.borrow_mut().take_events();
             events
                 .iter()
                 .for_each(|event| tracing::info!(target: "verdicts", "verdicts: {event}"));
@@ -506,9 +511,9 @@
             return json!({ "verdicts": [] });
         };
         let verdicts = verdicts.borrow();
-        let whose: std::collections::BTreeMap<&str, String> = verdicts
-            .whose()
-            .map(|(name, whose)| (name, format!("{whose:?}")))
+        let whose: std::collections::BTreeMap<&str, &str> = verdicts
+            .fault_sources()
+            .map(|(name, source)| (name, source.json_name()))
             .collect();
         json!({ "verdicts": verdicts.rows(self.now()), "whose": whose })
     }
