--- a/crates/coralstep-server/src/callers/connections.rs
+++ b/crates/coralstep-server/src/callers/connections.rs
@@ -19,7 +19,8 @@
 use crate::callers::front::{Front, Writer};
 use crate::decisions::{RpcRequest, SchedulerHandle};
 use crate::note;
-use crate::runs::request_handler::{Reply, RequestHandler};
+use crate::runs::reply::Reply;
+use crate::runs::request_handler::RequestHandler;
 
 /// Pause where nobody can be accepted, unless a place comes free sooner.
 const FULL: Duration = Duration::from_millis(100);
--- a/crates/coralstep-server/src/callers/front.rs
+++ b/crates/coralstep-server/src/callers/front.rs
@@ -9,7 +9,7 @@
 use crate::callers::connection::Connection;
 use crate::callers::connections::Connections;
 use crate::decisions::ServerStatus;
-use crate::runs::request_handler::Reply;
+use crate::runs::reply::Reply;
 
 pub type Reading<'a> = Pin<Box<dyn Future<Output = Result<(), String>> + 'a>>;
 
--- a/crates/coralstep-server/src/callers/gateway.rs
+++ b/crates/coralstep-server/src/callers/gateway.rs
@@ -15,7 +15,7 @@
 use crate::callers::thrift::{self, Fault, Message};
 use crate::decisions::{RpcRequest, ServerStatus};
 use crate::note;
-use crate::runs::request_handler::Reply;
+use crate::runs::reply::Reply;
 
 /// Open requests on one connection, by the protocol.
 const OPEN_MOST: usize = 32;
--- a/crates/coralstep-server/src/callers/scgi.rs
+++ b/crates/coralstep-server/src/callers/scgi.rs
@@ -23,7 +23,7 @@
 use crate::callers::said::{AGE_MOST, AHEAD_MOST, PATIENCE_MOST_MS, ROOM_MOST, TOKEN_MOST, within};
 use crate::decisions::{RpcRequest, ServerStatus};
 use crate::note;
-use crate::runs::request_handler::Reply;
+use crate::runs::reply::Reply;
 
 /// Headers and bytes of headers of one request at the most.
 const HEADERS_MOST: usize = 128;
--- a/crates/coralstep-server/src/callers/tests.rs
+++ b/crates/coralstep-server/src/callers/tests.rs
@@ -4,7 +4,7 @@
 use crate::callers::front::Writer;
 use crate::callers::{gateway, scgi, thrift};
 use crate::decisions::ServerStatus;
-use crate::runs::request_handler::Reply;
+use crate::runs::reply::Reply;
 
 const REPLIES: [(&str, Reply<'static>); 7] = [
     ("ok", Reply::Ok(b"\0\r\n\xff")),
--- a/crates/coralstep-server/src/decisions/actions.rs
+++ b/crates/coralstep-server/src/decisions/actions.rs
@@ -1,4 +1,5 @@
-//! Carries the scheduler's actions to those who wait for them: decisions to the tasks of RPCs, the rest to the server's state.
+//! Carries the scheduler's actions to those who wait for them: decisions to the tasks of RPCs, the
+//! rest to the server's state.
 use std::time::Duration;
 
 use coralstep::{Actions, Event, RpcId, Span, Transition};
@@ -121,9 +122,10 @@
     }
 
     fn log(&mut self, event: Event) {
-        note!("{event}");
+        log_event(event);
     }
 
+    /// Never left out: a breaker's changes are few by design.
     fn breaker_transition(&mut self, transition: Transition) {
         let Transition {
             from,
@@ -132,7 +134,13 @@
         } = transition;
         let instance = self.instance.as_str();
         tracing::info!(
-            target: "breaker", dependency = "store", instance, from, to, failure_rate, "circuit breaker changed state"
+            target: "breaker",
+            dependency = "store",
+            instance,
+            from,
+            to,
+            failure_rate,
+            "circuit breaker changed state"
         );
     }
 
@@ -140,3 +148,29 @@
         self.requests.finish(rpc);
     }
 }
+
+fn log_event(event: Event) {
+    let message = event.message();
+    match event {
+        Event::BreakerChanged(Transition {
+            from,
+            to,
+            failure_rate,
+        }) => note!(from, to, failure_rate, "{message}"),
+        Event::RunOrphaned(run) | Event::RunOrphanedAtCall(run) => note!(
+            since_answer_ms = run.since_answer_ms(),
+            orphaned = run.orphaned,
+            max_orphaned = run.max_orphaned,
+            "{message}"
+        ),
+        Event::OrphanLimit {
+            reached,
+            orphaned,
+            max_orphaned,
+        } => note!(reached, orphaned, max_orphaned, "{message}"),
+        Event::HealthChanged {
+            stalled,
+            read_backlog,
+        } => note!(stalled, read_backlog, "{message}"),
+    }
+}
--- a/crates/coralstep-server/src/decisions/admission.rs
+++ b/crates/coralstep-server/src/decisions/admission.rs
@@ -1,4 +1,5 @@
-//! An RPC's way through the decisions: it is submitted, its progress is reported, its decisions are waited for.
+//! An RPC's way through the decisions: it is submitted, its progress is reported, its decisions are
+//! waited for.
 use std::future::poll_fn;
 use std::rc::Rc;
 use std::time::Duration;
@@ -54,7 +55,7 @@
         self.apply_fence();
         self.submitted.set(self.submitted.get() + 1);
         self.drive(|scheduler, now, actions| {
-            scheduler.handle_request(now, scheduler_request, actions)
+            scheduler.handle_request(now, scheduler_request, actions);
         });
         Ok(RequestTicket {
             scheduler: self.clone(),
@@ -93,7 +94,8 @@
         id: RpcId,
         repeats: Option<RpcId>,
     ) -> Request {
-        // A stated timeout makes an RPC due sooner, never later: nobody may have kept what its method promises.
+        // A stated timeout makes an RPC due sooner, never later: nobody may have kept what its
+        // method promises.
         let deadline = request.timeout.map(|timeout| {
             let timeout = timeout.min(self.method(request.method).deadline);
             self.clock.now() - request.age + timeout
@@ -147,7 +149,7 @@
         match progress {
             Progress::CallNeeded => {
                 scheduler.drive(|scheduler, now, actions| {
-                    scheduler.handle_call_needed(now, id, actions)
+                    scheduler.handle_call_needed(now, id, actions);
                 });
             }
             Progress::CallEnded { outcome, elapsed } => {
@@ -156,7 +158,7 @@
             Progress::RunEnded(outcome) => scheduler.report_run(id, &outcome),
             Progress::CallerGone => {
                 scheduler.drive(|scheduler, now, actions| {
-                    scheduler.handle_cancellation(now, id, actions)
+                    scheduler.handle_cancellation(now, id, actions);
                 });
             }
         }
--- a/crates/coralstep-server/src/decisions/breaker.rs
+++ b/crates/coralstep-server/src/decisions/breaker.rs
@@ -66,12 +66,12 @@
         })
     }
 
-    /// What other servers saw of the store: a breaker may open on `min_outcomes` of its own; a cooldown that runs ends
-    /// after `cooldown_left`.
+    /// What other servers saw of the store: a breaker may open on `min_outcomes` of its own; a
+    /// cooldown that runs ends after `cooldown_left`.
     pub fn apply_peer_reports(&self, min_outcomes: u32, cooldown_left: Option<Duration>) {
         let cooldown_left = cooldown_left.map(clock::span);
         self.drive(|scheduler, now, _| {
-            scheduler.apply_peer_reports(now, min_outcomes, cooldown_left)
+            scheduler.apply_peer_reports(now, min_outcomes, cooldown_left);
         });
     }
 }
--- a/crates/coralstep-server/src/decisions/degradation.rs
+++ b/crates/coralstep-server/src/decisions/degradation.rs
@@ -1,5 +1,5 @@
-//! The degradation levels of this server: fed with what the scheduler observes, their changes logged and remembered. What a
-//! level does is carried out by the scheduler.
+//! The degradation levels of this server: fed with what the scheduler observes, their changes
+//! logged and remembered. What a level does is carried out by the scheduler.
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::time::{Duration, SystemTime};
@@ -154,7 +154,17 @@
         cold,
     } = Sample::new(now.0 / 10, signals);
     tracing::info!(
-        target: "signals", at_ms, hold, pushed_back, running, breaker, slowness, memory, unread, cold, "signals"
+        target: "signals",
+        at_ms,
+        hold,
+        pushed_back,
+        running,
+        breaker,
+        slowness,
+        memory,
+        unread,
+        cold,
+        "signals"
     );
 }
 
@@ -162,7 +172,13 @@
     let causes = serde_json::to_string(&change.causes).unwrap_or_default();
     let does = serde_json::to_string(&change.does).unwrap_or_default();
     tracing::info!(
-        target: "level", from = change.from, to = change.to, by_hand = change.by_hand, lasted_ms = change.lasted_ms,
-        causes, does, "{change}"
+        target: "level",
+        from = change.from,
+        to = change.to,
+        by_hand = change.by_hand,
+        lasted_ms = change.lasted_ms,
+        causes,
+        does,
+        "{change}"
     );
 }
--- a/crates/coralstep-server/src/decisions/fence.rs
+++ b/crates/coralstep-server/src/decisions/fence.rs
@@ -14,7 +14,8 @@
         *self.fence_check.borrow_mut() = Some(check);
     }
 
-    /// Looks whether this server is excluded. Queued RPCs are then answered at once, what has run goes on to its end.
+    /// Looks whether this server is excluded. Queued RPCs are then answered at once, what has run
+    /// goes on to its end.
     pub fn apply_fence(&self) {
         let Some(check) = self.fence_check.borrow().clone() else {
             return;
@@ -31,7 +32,8 @@
                 retry_after,
                 ..DegradationLevel::default()
             },
-            // Guards against a moment of full service before the degradation level that holds takes over.
+            // Guards against a moment of full service before the degradation level that holds takes
+            // over.
             None => self.degradation_level(),
         };
         self.drive(|scheduler, now, actions| scheduler.set_degradation(now, level, actions));
--- a/crates/coralstep-server/src/decisions/handle.rs
+++ b/crates/coralstep-server/src/decisions/handle.rs
@@ -1,4 +1,5 @@
-//! The scheduler as network code sees it: started once the engine is up, driven by events and ticks, asked for its state.
+//! The scheduler as network code sees it: started once the engine is up, driven by events and
+//! ticks, asked for its state.
 use std::cell::{Cell, RefCell};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Starts the scheduler, once: the engine is up since `uptime`, and not yet warm where `cold` or, without that, the settings
-    /// say so.
+    /// Starts the scheduler, once: the engine is up since `uptime`, and not yet warm where `cold`
+    /// or, without that, the settings say so.
     pub fn start(&self, cold: Option<bool>, uptime: Duration) {
         let mut inner = self.inner.borrow_mut();
         let Inner { scheduler, actions } = &mut *inner;
@@ -179,7 +180,8 @@
             .unwrap_or(0.0)
     }
 
-    /// Passes an event to the scheduler, and to it again all that follows from it; does nothing before the start.
+    /// Passes an event to the scheduler, and to it again all that follows from it; does nothing
+    /// before the start.
     pub(super) fn drive(&self, event: impl FnOnce(&mut Scheduler, Time, &mut PendingActions)) {
         let mut inner = self.inner.borrow_mut();
         let Inner { scheduler, actions } = &mut *inner;
@@ -224,7 +226,8 @@
         gauges
     }
 
-    /// Guards against a fault among the levels that takes the tick along: the last level then holds.
+    /// Guards against a fault among the levels that takes the tick along: the last level then
+    /// holds.
     fn update_degradation(&self) {
         let Some(degradation) = &self.degradation else {
             return;
--- a/crates/coralstep-server/src/decisions/idempotency_keys.rs
+++ b/crates/coralstep-server/src/decisions/idempotency_keys.rs
@@ -1,5 +1,5 @@
-//! The idempotency keys by which repeats are known: of which RPC each is, whether that has run, and for how long one that ran
-//! must not run again. Reads no clock; the caller passes the time in.
+//! The idempotency keys by which repeats are known: of which RPC each is, whether that has run, and
+//! for how long one that ran must not run again. Reads no clock; the caller passes the time in.
 use std::collections::{HashMap, VecDeque};
 
 use coralstep::{RpcId, Span, Time};
@@ -82,14 +82,16 @@
     /// What an RPC that came to the machine at `arrived` repeats.
     pub fn find(&self, key: &IdempotencyKey, fingerprint: Fingerprint, arrived: Time) -> Lookup {
         if let Some(kept) = self.kept.get(key) {
-            // Guards against a stranger who has seen a key: neither is the result theirs, nor may theirs run in its place.
+            // Guards against a stranger who has seen a key: neither is the result theirs, nor may
+            // theirs run in its place.
             return if kept.fingerprint.matches(fingerprint) {
                 Lookup::RepeatOf(kept.rpc)
             } else {
                 Lookup::Conflict
             };
         }
-        // Guards against a second run of what came within the window and was read after it: after a pause, or from a full socket.
+        // Guards against a second run of what came within the window and was read after it: after a
+        // pause, or from a full socket.
         if self.past.get(key).is_some_and(|until| arrived <= *until) {
             return Lookup::Conflict;
         }
@@ -123,7 +125,8 @@
         }
     }
 
-    /// `key` need not be kept for `rpc` any more. An attempt of it may lie unread for `unread` at the most.
+    /// `key` need not be kept for `rpc` any more. An attempt of it may lie unread for `unread` at
+    /// the most.
     pub fn release(&mut self, now: Time, key: &IdempotencyKey, rpc: RpcId, unread: Span) {
         self.forget_expired(now, unread);
         if self.kept.get(key).is_none_or(|kept| kept.rpc != rpc) {
--- a/crates/coralstep-server/src/decisions/mod.rs
+++ b/crates/coralstep-server/src/decisions/mod.rs
@@ -1,5 +1,5 @@
-//! The way to the decisions. Only here do the scheduler's ids, times and actions show; the rest of the server submits an
-//! [`RpcRequest`], carries out each [`Decision`] and reports [`Progress`].
+//! The way to the decisions. Only here do the scheduler's ids, times and actions show; the rest of
+//! the server submits an [`RpcRequest`], carries out each [`Decision`] and reports [`Progress`].
 pub mod degradation;
 pub mod idempotency_keys;
 
@@ -16,7 +16,7 @@
 pub use breaker::BreakerStatus;
 pub use fence::FenceCheck;
 pub use handle::{RequestCounts, SchedulerHandle};
-pub use quota::{QuotaGuard, QuotaLimiter};
+pub use quota::{QuotaExhausted, QuotaGuard, QuotaLimiter};
 pub use request::{
     AdmissionError, CallOutcome, Decision, Progress, RpcRequest, RunOutcome, ServerStatus,
 };
--- a/crates/coralstep-server/src/decisions/quota.rs
+++ b/crates/coralstep-server/src/decisions/quota.rs
@@ -1,4 +1,5 @@
-//! The fleet's quotas: what an RPC takes of them before the scheduler weighs it, given back when it is answered.
+//! The fleet's quotas: what an RPC takes of them before the scheduler weighs it, given back when it
+//! is answered.
 use std::rc::Rc;
 
 use coralstep_quota::holder::{Pass, Which};
@@ -7,14 +8,23 @@
 use crate::decisions::idempotency_keys::IdempotencyKey;
 use crate::decisions::request::RpcRequest;
 
+/// A quota holds no unit for an RPC.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("a quota is used up for {retry_after_ms} ms")]
+pub struct QuotaExhausted {
+    /// After how long the caller should come back, in milliseconds.
+    pub retry_after_ms: u64,
+}
+
 /// The fleet's quotas, as an RPC takes of them.
 pub trait QuotaLimiter {
-    /// Takes a unit of each quota that holds for an RPC, which is answered within `covers_ms` milliseconds.
+    /// Takes a unit of each quota that holds for an RPC, which is answered within `covers_ms`
+    /// milliseconds.
     ///
     /// # Errors
     ///
-    /// A quota is used up: the milliseconds after which the caller should come back.
-    fn take(&self, which: Which, covers_ms: u64) -> Result<Pass, u64>;
+    /// A quota is used up.
+    fn take(&self, which: Which, covers_ms: u64) -> Result<Pass, QuotaExhausted>;
 
     /// Gives back what an RPC took.
     fn give_back(&self, pass: Pass);
@@ -42,13 +52,13 @@
         *self.quota_limiter.borrow_mut() = Some(limiter);
     }
 
-    /// Takes what `request` needs of the fleet's quotas, before anything else is decided of it. A repeat of what is here, or
-    /// has run, costs nothing: it is not run again.
+    /// Takes what `request` needs of the fleet's quotas, before anything else is decided of it. A
+    /// repeat of what is here, or has run, costs nothing: it is not run again.
     ///
     /// # Errors
     ///
-    /// A quota is used up: the milliseconds after which the caller should come back.
-    pub fn reserve_quota(&self, request: &RpcRequest) -> Result<QuotaGuard, u64> {
+    /// A quota is used up.
+    pub fn reserve_quota(&self, request: &RpcRequest) -> Result<QuotaGuard, QuotaExhausted> {
         let limiter = self.quota_limiter.borrow().clone();
         let Some(limiter) = limiter.filter(|_| !self.fenced.get()) else {
             return Ok(QuotaGuard(None));
@@ -68,9 +78,9 @@
         let covers_ms = (timeout.0.saturating_sub(request.age.0)).div_ceil(10);
         match limiter.take(which, covers_ms) {
             Ok(pass) => Ok(QuotaGuard(Some(Reservation { limiter, pass }))),
-            Err(retry_after_ms) => {
+            Err(error) => {
                 self.submitted.set(self.submitted.get() + 1);
-                Err(retry_after_ms)
+                Err(error)
             }
         }
     }
--- a/crates/coralstep-server/src/decisions/request.rs
+++ b/crates/coralstep-server/src/decisions/request.rs
@@ -25,7 +25,8 @@
     pub body_digest: u64,
     /// How long its caller said that it waits, from when it came to the machine.
     pub timeout: Option<Span>,
-    /// Where its id is taken another will do: callers of such a front keep an id over their attempts.
+    /// Where its id is taken another will do: callers of such a front keep an id over their
+    /// attempts.
     pub accepts_new_id: bool,
 }
 
@@ -64,7 +65,8 @@
     /// The table of requests is full.
     #[error("the request table is full")]
     TableFull,
-    /// Its idempotency key is another RPC's, or ran and came again within its window; it must not run.
+    /// Its idempotency key is another RPC's, or ran and came again within its window; it must not
+    /// run.
     #[error("the idempotency key is another request's, or has run")]
     KeyConflict,
 }
--- a/crates/coralstep-server/src/decisions/request_table.rs
+++ b/crates/coralstep-server/src/decisions/request_table.rs
@@ -1,4 +1,5 @@
-//! The RPCs known to the scheduler, by its ids: decisions that their tasks have not taken yet, and the results kept for repeats.
+//! The RPCs known to the scheduler, by its ids: decisions that their tasks have not taken yet, and
+//! the results kept for repeats.
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
--- a/crates/coralstep-server/src/fleet/carrier.rs
+++ b/crates/coralstep-server/src/fleet/carrier.rs
@@ -24,7 +24,7 @@
 use serde_json::{Value, json};
 
 use crate::base::log;
-use crate::decisions::{BreakerStatus, QuotaLimiter, SchedulerHandle};
+use crate::decisions::{BreakerStatus, QuotaExhausted, QuotaLimiter, SchedulerHandle};
 use crate::fleet::record::Recorder;
 use crate::note;
 
@@ -529,11 +529,12 @@
 }
 
 impl QuotaLimiter for Carrier {
-    fn take(&self, which: Which, covers_ms: u64) -> Result<Pass, u64> {
+    fn take(&self, which: Which, covers_ms: u64) -> Result<Pass, QuotaExhausted> {
         let Some(limits) = &self.limits else {
             return Ok(Pass::default());
         };
-        limits.borrow_mut().admit(self.now(), which, covers_ms)
+        let admitted = limits.borrow_mut().admit(self.now(), which, covers_ms);
+        admitted.map_err(|retry_after_ms| QuotaExhausted { retry_after_ms })
     }
 
     fn give_back(&self, pass: Pass) {
--- /dev/null
+++ b/crates/coralstep-server/src/runs/active_request.rs
@@ -0,0 +1,160 @@
+//! An RPC in service, from the scheduler's first decision on it to its end: each event is carried
+//! out as it comes, by one function a kind of event.
+use std::future::poll_fn;
+use std::ops::ControlFlow;
+use std::pin::Pin;
+use std::time::{Duration, Instant};
+
+use futures_lite::FutureExt;
+
+use crate::decisions::{Decision, Progress, QuotaGuard, RequestTicket, RunOutcome};
+use crate::dependency::store::{self, Call, Store};
+use crate::runs::reply::Reply;
+use crate::runs::request_ids::IdClaim;
+use crate::runs::{Run, RunEvent, RunRequest};
+
+/// What an RPC in service waits for.
+enum Event {
+    Decision(Decision),
+    Run(RunEvent),
+    CallEnded(store::Ended),
+    CallerGone,
+}
+
+/// An RPC in service: admitted, and not yet finished. Fields are released in this order.
+pub(super) struct ActiveRequest<'a, R> {
+    pub(super) store: &'a Store,
+    pub(super) run_request: RunRequest<'a>,
+    /// For so long after its start a run's id stays claimed, where a second run would do harm.
+    pub(super) claim_after_start: Option<Duration>,
+    /// What the run has asked the store; sent again should the call be repeated.
+    pub(super) call_body: Vec<u8>,
+    pub(super) call: Option<Call>,
+    /// `None` once the RPC is answered.
+    pub(super) reply: Option<R>,
+    pub(super) ticket: RequestTicket,
+    /// Given back with the answer.
+    pub(super) quota: Option<QuotaGuard>,
+    pub(super) run: Box<dyn Run>,
+    pub(super) claim: IdClaim,
+}
+
+impl<R: FnOnce(Reply<'_>)> ActiveRequest<'_, R> {
+    /// Serves the RPC until the scheduler is done with it. `caller_gone` ends when its caller has
+    /// left.
+    pub(super) async fn serve(
+        mut self,
+        first_decision: Decision,
+        mut caller_gone: Pin<&mut impl Future<Output = ()>>,
+    ) {
+        let mut caller_present = true;
+        let mut event = Event::Decision(first_decision);
+        while self.apply(event).is_continue() {
+            let gone = async {
+                if !caller_present {
+                    std::future::pending::<()>().await;
+                }
+                caller_gone.as_mut().await;
+            };
+            event = self.next_event(gone).await;
+            caller_present &= !matches!(event, Event::CallerGone);
+        }
+    }
+
+    /// The next event; decisions come first where several are ready.
+    async fn next_event(&mut self, caller_gone: impl Future<Output = ()>) -> Event {
+        let (ticket, run) = (&self.ticket, &self.run);
+        let call = &mut self.call;
+        let decision = async { Event::Decision(ticket.next_decision().await) };
+        let run_event = async { Event::Run(poll_fn(|cx| run.poll_event(cx)).await) };
+        let call_ended = async { Event::CallEnded(store::ended(call).await) };
+        let caller_gone = async {
+            caller_gone.await;
+            Event::CallerGone
+        };
+        decision.or(run_event).or(call_ended).or(caller_gone).await
+    }
+
+    fn apply(&mut self, event: Event) -> ControlFlow<()> {
+        match event {
+            Event::Decision(Decision::Finished) => return ControlFlow::Break(()),
+            Event::Decision(decision) => self.carry_out(decision),
+            Event::Run(RunEvent::CallNeeded(body)) => self.on_call_needed(body),
+            Event::Run(RunEvent::Ended(outcome)) => self.on_run_ended(outcome),
+            Event::CallEnded(ended) => self.on_call_ended(ended),
+            Event::CallerGone => self.on_caller_gone(),
+        }
+        ControlFlow::Continue(())
+    }
+
+    fn carry_out(&mut self, decision: Decision) {
+        match decision {
+            Decision::Run => self.start_run(),
+            Decision::Call { timeout } => {
+                let call = self.store.call(self.claim.id(), timeout, &self.call_body);
+                self.call = Some(call);
+            }
+            Decision::CancelRun => self.run.cancel(),
+            Decision::ProbeRun => self.run.probe(&self.run_request),
+            Decision::Reject {
+                retry_after_ms,
+                is_final,
+            } => self.answer(Reply::Rejected {
+                retry_after_ms,
+                is_final,
+            }),
+            Decision::Abort => self.answer(Reply::Aborted),
+            Decision::Replay(result) => self.answer(Reply::Ok(&result)),
+            Decision::Finished => {}
+        }
+    }
+
+    fn start_run(&mut self) {
+        if let Some(span) = self.claim_after_start {
+            self.claim.mark_started(Instant::now() + span);
+        }
+        self.run.start(&self.run_request);
+    }
+
+    fn on_call_needed(&mut self, body: Vec<u8>) {
+        self.call_body = body;
+        self.ticket.report(Progress::CallNeeded);
+    }
+
+    fn on_call_ended(&mut self, ended: store::Ended) {
+        self.call = None;
+        if let Some(result) = &ended.answer {
+            self.run.resume(result);
+        }
+        self.ticket.report(Progress::CallEnded {
+            outcome: ended.end,
+            elapsed: ended.took,
+        });
+    }
+
+    fn on_run_ended(&mut self, outcome: RunOutcome) {
+        // Nobody waits for its call any more.
+        self.call = None;
+        match &outcome {
+            RunOutcome::Ok(result) => self.answer(Reply::Ok(result)),
+            RunOutcome::Error => self.answer(Reply::Aborted),
+            RunOutcome::NeverStarted { .. } => self.claim.mark_never_started(),
+            RunOutcome::Cancelled | RunOutcome::NoLongerNeeded => {}
+        }
+        self.ticket.report(Progress::RunEnded(outcome));
+    }
+
+    fn on_caller_gone(&mut self) {
+        self.answer(Reply::Aborted);
+        self.ticket.report(Progress::CallerGone);
+    }
+
+    /// The first answer is the only one; with it the RPC counts no longer against its quotas.
+    fn answer(&mut self, reply: Reply<'_>) {
+        if let Some(send) = self.reply.take() {
+            send(reply);
+            self.run.mark_answered();
+            self.quota = None;
+        }
+    }
+}
--- a/crates/coralstep-server/src/runs/applications/attempt.rs
+++ b/crates/coralstep-server/src/runs/applications/attempt.rs
@@ -97,7 +97,12 @@
         let (end, result) = match exchanged {
             Ok(response) => judge_response(response),
             Err(error) => {
-                note!(application = %address, rpc_id = %job.id, %error, "application attempt failed");
+                note!(
+                    application = %address,
+                    rpc_id = %job.id,
+                    %error,
+                    "application attempt failed"
+                );
                 let end = judge_failure(&error, bytes_left.get());
                 (end, AttemptResult::Inconclusive(end))
             }
@@ -106,7 +111,8 @@
         result
     }
 
-    /// Sends the request and reads the answer. `bytes_left` is set once any byte may have reached the application.
+    /// Sends the request and reads the answer. `bytes_left` is set once any byte may have reached
+    /// the application.
     async fn exchange(
         &self,
         address: SocketAddr,
--- a/crates/coralstep-server/src/runs/applications/mod.rs
+++ b/crates/coralstep-server/src/runs/applications/mod.rs
@@ -1,5 +1,6 @@
-//! SCGI applications that run RPCs: one connection an attempt. Which application, and whether there is another attempt, is
-//! decided by the balancer (`coralstep-balancer`); what an attempt proves is found out here.
+//! SCGI applications that run RPCs: one connection an attempt. Which application, and whether there
+//! is another attempt, is decided by the balancer (`coralstep-balancer`); what an attempt proves is
+//! found out here.
 //!
 //! | file | job |
 //! | --- | --- |
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Takes up another list of applications, and all else that is stated of them; what is open stays where it is.
+    /// Takes up another list of applications, and all else that is stated of them; what is open
+    /// stays where it is.
     pub fn reload(&self, terms: &ApplicationTerms) {
         let mut pool = self.pool.borrow_mut();
         pool.reload(pool_terms(terms));
@@ -103,8 +105,8 @@
         self.pool.borrow_mut().processes(count);
     }
 
-    /// Passes on what is seen of each application, and takes in what other servers saw: the outcomes that its breaker needs,
-    /// and when a cooldown ends.
+    /// Passes on what is seen of each application, and takes in what other servers saw: the
+    /// outcomes that its breaker needs, and when a cooldown ends.
     pub fn exchange_health(&self, see: See<'_>) {
         let now = self.now();
         let views = self.pool.borrow().view(now);
@@ -131,7 +133,12 @@
                 failure_rate,
             } = transition;
             tracing::info!(
-                target: "breaker", dependency, from, to, failure_rate, "circuit breaker changed state"
+                target: "breaker",
+                dependency,
+                from,
+                to,
+                failure_rate,
+                "circuit breaker changed state"
             );
         }
     }
--- a/crates/coralstep-server/src/runs/applications/run.rs
+++ b/crates/coralstep-server/src/runs/applications/run.rs
@@ -24,7 +24,8 @@
 
 impl Drop for ApplicationRun {
     fn drop(&mut self) {
-        // With the task its connection ends, and its pick goes back: not while the table is borrowed.
+        // With the task its connection ends, and its pick goes back: not while the table is
+        // borrowed.
         let state = self.applications.runs.borrow_mut().remove(&self.id);
         drop(state);
     }
--- a/crates/coralstep-server/src/runs/engine/connection.rs
+++ b/crates/coralstep-server/src/runs/engine/connection.rs
@@ -1,4 +1,5 @@
-//! Keeps a link to the engine up: attached anew after a break, moved when the engine's address changes.
+//! Keeps a link to the engine up: attached anew after a break, moved when the engine's address
+//! changes.
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::panic::AssertUnwindSafe;
@@ -18,8 +19,8 @@
 use crate::runs::engine::link::Link;
 use crate::runs::engine::protocol::{self, Command};
 
-/// Bounds of the wait between two attempts to connect. What runs meanwhile can't be told anything, and the engine is on this
-/// machine: the waits stay short.
+/// Bounds of the wait between two attempts to connect. What runs meanwhile can't be told anything,
+/// and the engine is on this machine: the waits stay short.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(20);
 const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(200);
 /// The longest wait for a connection.
@@ -83,8 +84,8 @@
             };
             let opened = Instant::now();
             replacement = self.serve_link(connection, endpoints, scheduler).await;
-            // Guards against a peer that takes each link and ends it without a word: only a link on which the engine spoke is
-            // made anew at once.
+            // Guards against a peer that takes each link and ends it without a word: only a link on
+            // which the engine spoke is made anew at once.
             let engine_spoke = self.close_link();
             if engine_spoke {
                 backoff.fresh();
@@ -95,7 +96,8 @@
         }
     }
 
-    /// Serves one link to its end; where the engine has moved, with the connection to where it is now.
+    /// Serves one link to its end; where the engine has moved, with the connection to where it is
+    /// now.
     async fn serve_link(
         &self,
         connection: Connection,
@@ -202,8 +204,8 @@
         Ok(used)
     }
 
-    /// Ends when the engine has moved, with a connection to where it is now, after all that was sent on the old link was
-    /// read there: guards against commands that are lost with it.
+    /// Ends when the engine has moved, with a connection to where it is now, after all that was
+    /// sent on the old link was read there: guards against commands that are lost with it.
     async fn replacement(&self, endpoints: &Endpoints, from: SocketAddr) -> Connection {
         let endpoint = &endpoints.engine;
         loop {
--- a/crates/coralstep-server/src/runs/engine/dispatch.rs
+++ b/crates/coralstep-server/src/runs/engine/dispatch.rs
@@ -7,7 +7,8 @@
 use crate::runs::engine::Engine;
 use crate::runs::engine::protocol::{Command, Message, Notification, Parsed};
 
-/// The start of an engine is only known to a few milliseconds; one that moved by more is another engine.
+/// The start of an engine is only known to a few milliseconds; one that moved by more is another
+/// engine.
 const MAX_START_JITTER: Duration = Duration::from_millis(500);
 
 impl Engine {
@@ -73,7 +74,8 @@
         *self.gauge_readings.borrow_mut() = readings;
     }
 
-    /// One that was read before is nothing new: the engine sends again what a broken link may have lost.
+    /// One that was read before is nothing new: the engine sends again what a broken link may have
+    /// lost.
     fn on_notification(&self, number: u64, notification: Notification<'_>, words: &[&str]) {
         if number <= self.last_notification.get() {
             return;
--- a/crates/coralstep-server/src/runs/engine/in_flight.rs
+++ b/crates/coralstep-server/src/runs/engine/in_flight.rs
@@ -1,4 +1,5 @@
-//! The runs registered at the engine, and the last command of each until a notification proves that it was read.
+//! The runs registered at the engine, and the last command of each until a notification proves that
+//! it was read.
 use std::collections::hash_map::{Entry, HashMap};
 use std::time::{Duration, Instant};
 
@@ -111,7 +112,8 @@
         true
     }
 
-    /// Sends all commands that wait, with a question behind them, once all that was sent before is known to be read.
+    /// Sends all commands that wait, with a question behind them, once all that was sent before is
+    /// known to be read.
     pub(super) fn send_waiting(&mut self, link: &mut Link) {
         if !link.may_send() {
             return;
@@ -129,8 +131,8 @@
         }
     }
 
-    /// Guards against a run that never began but counts as one for good: once its RPC is over nothing can begin any more, so
-    /// the same command draws its end.
+    /// Guards against a run that never began but counts as one for good: once its RPC is over
+    /// nothing can begin any more, so the same command draws its end.
     pub(super) fn resolve_doubts(&mut self, link: &Link) {
         let runs = &mut self.runs;
         self.in_doubt.retain(|id| {
@@ -148,7 +150,8 @@
         });
     }
 
-    /// Notes what is known of all commands as `link` ends; the rest is in doubt until the notifications are replayed.
+    /// Notes what is known of all commands as `link` ends; the rest is in doubt until the
+    /// notifications are replayed.
     pub(super) fn handle_link_lost(&mut self, link: &Link) {
         let commands = self
             .runs
@@ -157,7 +160,8 @@
         commands.for_each(|command| link.resolve(command));
     }
 
-    /// All notifications since the last link were read: what is still without one is sent on `link`, where that is safe.
+    /// All notifications since the last link were read: what is still without one is sent on
+    /// `link`, where that is safe.
     pub(super) fn send_again(&mut self, link: &Link) {
         for (id, run) in &mut self.runs {
             if run.cancelled {
--- a/crates/coralstep-server/src/runs/engine/link.rs
+++ b/crates/coralstep-server/src/runs/engine/link.rs
@@ -7,7 +7,8 @@
 use crate::runs::engine::in_flight::PendingCommand;
 use crate::runs::engine::protocol::Command;
 
-/// A link whose question stays unanswered for so long is made anew; a pause of the machine costs no more than that.
+/// A link whose question stays unanswered for so long is made anew; a pause of the machine costs no
+/// more than that.
 const MAX_ANSWER_DELAY: Duration = Duration::from_secs(2);
 
 /// Where a command is among what was sent.
@@ -70,8 +71,8 @@
         });
     }
 
-    /// Whether a batch of commands may be sent: guards against commands lost with a link, for only the last batch can be
-    /// in doubt.
+    /// Whether a batch of commands may be sent: guards against commands lost with a link, for only
+    /// the last batch can be in doubt.
     pub(super) fn may_send(&self) -> bool {
         self.ready && self.open_question.is_none()
     }
@@ -85,13 +86,14 @@
         });
     }
 
-    /// Asks for the gauges unless it is asked already; ends the link where the engine has stopped to answer.
+    /// Asks for the gauges unless it is asked already; ends the link where the engine has stopped
+    /// to answer.
     pub(super) fn poll_gauges(&mut self) {
         let Some(question) = &self.open_question else {
             return self.ask_gauges();
         };
-        // Guards against a link that looks alive and isn't read any more. At the second tick: after a pause of the process the
-        // answer lies unread at the first.
+        // Guards against a link that looks alive and isn't read any more. At the second tick: after
+        // a pause of the process the answer lies unread at the first.
         if question.asked_at.elapsed() > MAX_ANSWER_DELAY
             && std::mem::replace(&mut self.overdue, true)
         {
@@ -112,7 +114,8 @@
         self.read_before = u64::MAX;
     }
 
-    /// Notes what is known of a command as the link ends: what never left is unread, what a later answer proves is read.
+    /// Notes what is known of a command as the link ends: what never left is unread, what a later
+    /// answer proves is read.
     pub(super) fn resolve(&self, command: &mut PendingCommand) {
         let Some(sent) = command.sent.filter(|sent| sent.link == self.number) else {
             return;
--- a/crates/coralstep-server/src/runs/engine/mod.rs
+++ b/crates/coralstep-server/src/runs/engine/mod.rs
@@ -44,7 +44,8 @@
 }
 
 impl Engine {
-    /// Asks for the gauges, once at a time. The answer also proves that all commands before it were read.
+    /// Asks for the gauges, once at a time. The answer also proves that all commands before it were
+    /// read.
     pub fn poll_gauges(&self) {
         if let Some(link) = self.link.borrow_mut().as_mut().filter(|link| link.ready) {
             link.poll_gauges();
--- a/crates/coralstep-server/src/runs/engine/protocol.rs
+++ b/crates/coralstep-server/src/runs/engine/protocol.rs
@@ -1,4 +1,5 @@
-//! The engine's protocol: lines of words, some with a body behind them. Pure; the only place that knows its words.
+//! The engine's protocol: lines of words, some with a body behind them. Pure; the only place that
+//! knows its words.
 use std::time::Duration;
 
 use crate::base::lines::{self, Ref};
--- a/crates/coralstep-server/src/runs/engine/run.rs
+++ b/crates/coralstep-server/src/runs/engine/run.rs
@@ -41,7 +41,8 @@
         self.engine.queue_command(self.id, command);
     }
 
-    /// Never sent again: the run may have come to its next call, which another result would then answer.
+    /// Never sent again: the run may have come to its next call, which another result would then
+    /// answer.
     fn resume(&self, call_result: &[u8]) {
         let command = Command::Resume {
             id: self.id,
@@ -57,8 +58,9 @@
         }
     }
 
-    /// The RPC is over, so nothing can begin any more: the same command again draws the end of a run that has ended, and
-    /// nothing of one that goes on. Guards against ends that were never told, which would keep their places.
+    /// The RPC is over, so nothing can begin any more: the same command again draws the end of a
+    /// run that has ended, and nothing of one that goes on. Guards against ends that were never
+    /// told, which would keep their places.
     fn probe(&self, request: &RunRequest<'_>) {
         let mut runs = self.engine.runs.borrow_mut();
         if runs
--- a/crates/coralstep-server/src/runs/mod.rs
+++ b/crates/coralstep-server/src/runs/mod.rs
@@ -1,7 +1,10 @@
-//! Where RPCs run. A [`Backend`] registers a [`Run`] for each RPC; there are two, the link to an engine and a pool of SCGI
-//! applications. [`request_handler`] leads an RPC through its life without knowing which of them it is on.
+//! Where RPCs run. A [`Backend`] registers a [`Run`] for each RPC; there are two, the link to an
+//! engine and a pool of SCGI applications. [`request_handler`] leads an RPC through its life
+//! without knowing which of them it is on.
+mod active_request;
 pub mod applications;
 pub mod engine;
+pub mod reply;
 pub mod request_handler;
 pub mod request_ids;
 
--- a/crates/coralstep-server/src/runs/request_ids.rs
+++ b/crates/coralstep-server/src/runs/request_ids.rs
@@ -1,7 +1,7 @@
 //! The ids of RPCs, one table for all fronts: the same id is the same RPC, whichever way it comes.
 //!
-//! Guards against a second run of what must not run twice: a non-idempotent RPC's id stays claimed until its deadline has
-//! passed. Reads no clock; the caller passes the time in.
+//! Guards against a second run of what must not run twice: a non-idempotent RPC's id stays claimed
+//! until its deadline has passed. Reads no clock; the caller passes the time in.
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
