--- a/crates/coralstep-server/src/decisions/actions.rs
+++ b/crates/coralstep-server/src/decisions/actions.rs
@@ -137,8 +137,8 @@
             target: "breaker",
             dependency = "store",
             instance,
-            from,
-            to,
+            from = from.as_str(),
+            to = to.as_str(),
             failure_rate,
             "circuit breaker changed state"
         );
@@ -156,7 +156,12 @@
             from,
             to,
             failure_rate,
-        }) => note!(from, to, failure_rate, "{message}"),
+        }) => note!(
+            from = from.as_str(),
+            to = to.as_str(),
+            failure_rate,
+            "{message}"
+        ),
         Event::RunOrphaned(run) | Event::RunOrphanedAtCall(run) => note!(
             since_answer_ms = run.since_answer_ms(),
             orphaned = run.orphaned,
--- a/crates/coralstep-server/src/decisions/mod.rs
+++ b/crates/coralstep-server/src/decisions/mod.rs
@@ -16,7 +16,7 @@
 pub use breaker::BreakerStatus;
 pub use fence::FenceCheck;
 pub use handle::{RequestCounts, SchedulerHandle};
-pub use quota::{QuotaExhausted, QuotaGuard, QuotaLimiter};
+pub use quota::{QuotaGuard, QuotaLimiter};
 pub use request::{
     AdmissionError, CallOutcome, Decision, Progress, RpcRequest, RunOutcome, ServerStatus,
 };
--- a/crates/coralstep-server/src/decisions/quota.rs
+++ b/crates/coralstep-server/src/decisions/quota.rs
@@ -2,20 +2,12 @@
 //! is answered.
 use std::rc::Rc;
 
-use coralstep_quota::holder::{Pass, Which};
+use coralstep_quota::{Permit, QuotaExhausted, RequestKey};
 
 use crate::decisions::handle::SchedulerHandle;
 use crate::decisions::idempotency_keys::IdempotencyKey;
 use crate::decisions::request::RpcRequest;
 
-/// A quota holds no unit for an RPC.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a quota is used up for {retry_after_ms} ms")]
-pub struct QuotaExhausted {
-    /// After how long the caller should come back, in milliseconds.
-    pub retry_after_ms: u64,
-}
-
 /// The fleet's quotas, as an RPC takes of them.
 pub trait QuotaLimiter {
     /// Takes a unit of each quota that holds for an RPC, which is answered within `covers_ms`
@@ -24,15 +16,15 @@
     /// # Errors
     ///
     /// A quota is used up.
-    fn take(&self, which: Which, covers_ms: u64) -> Result<Pass, QuotaExhausted>;
+    fn take(&self, request: RequestKey, covers_ms: u64) -> Result<Permit, QuotaExhausted>;
 
     /// Gives back what an RPC took.
-    fn give_back(&self, pass: Pass);
+    fn give_back(&self, permit: Permit);
 }
 
 struct Reservation {
     limiter: Rc<dyn QuotaLimiter>,
-    pass: Pass,
+    permit: Permit,
 }
 
 /// What an RPC took of the fleet's quotas, if anything; given back when dropped.
@@ -40,8 +32,8 @@
 
 impl Drop for QuotaGuard {
     fn drop(&mut self) {
-        if let Some(Reservation { limiter, pass }) = self.0.take() {
-            limiter.give_back(pass);
+        if let Some(Reservation { limiter, permit }) = self.0.take() {
+            limiter.give_back(permit);
         }
     }
 }
@@ -67,17 +59,17 @@
             return Ok(QuotaGuard(None));
         }
         let method = self.method(request.method);
-        let which = Which {
+        let key = RequestKey {
             tenant: request.tenant,
             method: request.method,
-            calls: method.calls,
+            calls_dependency: method.calls,
         };
         let timeout = request
             .timeout
             .map_or(method.deadline, |timeout| timeout.min(method.deadline));
         let covers_ms = (timeout.0.saturating_sub(request.age.0)).div_ceil(10);
-        match limiter.take(which, covers_ms) {
-            Ok(pass) => Ok(QuotaGuard(Some(Reservation { limiter, pass }))),
+        match limiter.take(key, covers_ms) {
+            Ok(permit) => Ok(QuotaGuard(Some(Reservation { limiter, permit }))),
             Err(error) => {
                 self.submitted.set(self.submitted.get() + 1);
                 Err(error)
--- a/crates/coralstep-server/src/runs/request_handler.rs
+++ b/crates/coralstep-server/src/runs/request_handler.rs
@@ -10,13 +10,13 @@
 use std::time::{Duration, Instant};
 
 use coralstep::Idempotency;
+use coralstep_quota::QuotaExhausted;
 
 use crate::base::clock;
 use crate::base::config::Limits;
 use crate::base::lines::Ref;
 use crate::decisions::{
-    AdmissionError, Decision, QuotaExhausted, QuotaGuard, RequestTicket, RpcRequest,
-    SchedulerHandle,
+    AdmissionError, Decision, QuotaGuard, RequestTicket, RpcRequest, SchedulerHandle,
 };
 use crate::dependency::store::Store;
 use crate::note;
