--- a/crates/coralstep-server/src/decisions/mod.rs
+++ b/crates/coralstep-server/src/decisions/mod.rs
@@ -1,5 +1,5 @@
-//! The way to the decisions. Only here do the scheduler's ids, times and actions show; the rest of the server submits an
-//! [`RpcRequest`], carries out each [`Decision`] and reports [`Progress`].
+//! The way to the decisions. Only here do the scheduler's ids, times and actions show; the rest of
+//! the server submits an [`RpcRequest`], carries out each [`Decision`] and reports [`Progress`].
 pub mod degradation;
 pub mod idempotency_keys;
 
