--- a/crates/coralstep-server/src/fleet/carrier.rs
+++ b/crates/coralstep-server/src/fleet/carrier.rs
@@ -185,7 +185,7 @@
         let recorder = folder.and_then(Recorder::start).map(|(recorder, found)| {
             let found = Snapshot {
                 active_version: found.active_version,
-                audit_entries: found.history,
+                audit_entries: found.audit_entries,
             };
             if found != Snapshot::default()
                 && let Some(id) = fleet.restore(&found)
@@ -323,7 +323,7 @@
             let snapshot = self.fleet.borrow().snapshot();
             let record = FleetRecord {
                 active_version: snapshot.active_version,
-                history: snapshot.audit_entries,
+                audit_entries: snapshot.audit_entries,
             };
             self.changed.set(!recorder.save(record));
         }
--- a/crates/coralstep-server/src/lifecycle/snapshots.rs
+++ b/crates/coralstep-server/src/lifecycle/snapshots.rs
@@ -15,7 +15,7 @@
 use coralstep_state::background::{BackgroundScheduler, Budget, StepCost, TaskConfig};
 use coralstep_state::fingerprint::Fingerprint;
 use coralstep_state::snapshot::{
-    self, LoadedSnapshots, RejectedSnapshot, SaveError, SnapshotError,
+    self, LoadedSnapshots, RejectedSnapshot, SaveError, SequenceNumber, SnapshotError,
 };
 
 use crate::base::config::Config;
@@ -150,7 +150,7 @@
 struct SnapshotWriter {
     storage: DirStorage,
     fingerprint: Fingerprint,
-    last_sequence_number: u64,
+    last_sequence_number: SequenceNumber,
     is_failing: bool,
 }
 
@@ -165,7 +165,7 @@
     }
 
     fn save(&mut self, learned: &LearnedState) -> Result<(), SaveError> {
-        self.last_sequence_number += 1;
+        self.last_sequence_number = self.last_sequence_number.next();
         snapshot::save(
             &mut self.storage,
             learned,
@@ -217,7 +217,7 @@
     };
     let confidence = restored.confidence;
     note!(
-        sequence_number = loaded.last_sequence_number,
+        sequence_number = %loaded.last_sequence_number,
         confidence = %format_args!("{confidence:.2}"),
         "snapshot restored"
     );
--- a/crates/coralstep-state/src/fleet_record.rs
+++ b/crates/coralstep-state/src/fleet_record.rs
@@ -1,4 +1,4 @@
-//! The configuration version that a server acts on and the history of the earlier ones, in one file
+//! The configuration version that a server acts on and its audit of the earlier ones, in one file
 //! that is replaced at each change. The payloads are opaque here; a corrupt file is not believed at
 //! all.
 use std::io;
@@ -12,13 +12,13 @@
 /// Longest file that is read, in bytes.
 const MAX_FILE_BYTES: usize = 2 << 20;
 
-/// The active version and the history of a fleet's configuration, each entry encoded by its owner.
+/// The active version and the audit of a fleet's configuration, each entry encoded by its owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetRecord {
     /// The version that the server acts on.
     pub active_version: Vec<u8>,
-    /// Earlier versions, in the order in which they are written.
-    pub history: Vec<Vec<u8>>,
+    /// Which versions the server acted on before, in the order in which they are written.
+    pub audit_entries: Vec<Vec<u8>>,
 }
 
 /// A record as it was read.
@@ -40,7 +40,7 @@
 pub fn save(storage: &mut impl Storage, record: &FleetRecord) -> Result<(), StorageError> {
     let mut bytes = framing::file_header(FileKind::Fleet, FORMAT_VERSION);
     framing::append_record(&mut bytes, &record.active_version);
-    for entry in &record.history {
+    for entry in &record.audit_entries {
         framing::append_record(&mut bytes, entry);
     }
     storage.create(TEMPORARY_FILE)?;
@@ -65,7 +65,7 @@
         return Ok(None);
     }
     let scanned = framing::scan_records(&bytes[HEADER_BYTES..]);
-    let Some((active_version, history)) = scanned
+    let Some((active_version, audit_entries)) = scanned
         .payloads
         .split_first()
         .filter(|_| scanned.corrupt_bytes == 0)
@@ -80,7 +80,7 @@
     Ok(Some(LoadedFleetRecord {
         record: FleetRecord {
             active_version: active_version.to_vec(),
-            history: history.iter().map(|entry| entry.to_vec()).collect(),
+            audit_entries: audit_entries.iter().map(|entry| entry.to_vec()).collect(),
         },
         corrupt_bytes: 0,
     }))
--- a/crates/coralstep-state/src/fleet_record/tests.rs
+++ b/crates/coralstep-state/src/fleet_record/tests.rs
@@ -8,7 +8,7 @@
     assert_eq!(load(&storage).unwrap(), None);
     let record = FleetRecord {
         active_version: vec![7; 40],
-        history: vec![vec![1, 2], vec![3]],
+        audit_entries: vec![vec![1, 2], vec![3]],
     };
     let complete = LoadedFleetRecord {
         record: record.clone(),
--- a/crates/coralstep-state/src/snapshot.rs
+++ b/crates/coralstep-state/src/snapshot.rs
@@ -3,9 +3,10 @@
 //! A new snapshot is written to a temporary file, synced and renamed over the older generation, and
 //! the directory is synced: at any moment one complete snapshot is there. Files of a later format
 //! version or of another server are never overwritten.
-use std::io;
+use std::{fmt, io};
 
 use coralstep::LearnedState;
+use serde::{Deserialize, Serialize};
 
 use crate::confidence;
 use crate::fingerprint::{Fingerprint, applicable_part};
@@ -26,6 +27,24 @@
 const GENERATIONS: [&str; 2] = ["learned.0", "learned.1"];
 const TEMPORARY_FILE: &str = "learned.part";
 
+/// Counts the snapshots of a server: the one with the highest number is the newest.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct SequenceNumber(pub u64);
+
+impl SequenceNumber {
+    /// Returns the number of the snapshot after this one.
+    #[must_use]
+    pub fn next(self) -> SequenceNumber {
+        SequenceNumber(self.0 + 1)
+    }
+}
+
+impl fmt::Display for SequenceNumber {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(f)
+    }
+}
+
 /// Why a snapshot file is not believed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
@@ -119,7 +138,7 @@
     /// The newest snapshot that is believed, if any.
     pub restored: Option<RestoredState>,
     /// The highest sequence number of all intact files, believed or not; 0 if there is none.
-    pub last_sequence_number: u64,
+    pub last_sequence_number: SequenceNumber,
     /// The files that are not believed.
     pub rejected: Vec<RejectedSnapshot>,
 }
@@ -166,7 +185,7 @@
     storage: &mut impl Storage,
     learned: &LearnedState,
     learned_under: &Fingerprint,
-    sequence_number: u64,
+    sequence_number: SequenceNumber,
     now_s: u64,
 ) -> Result<(), SaveError> {
     let replaced =
@@ -214,7 +233,7 @@
 fn generation_to_replace(storage: &impl Storage, server: &str) -> Option<&'static str> {
     let age_order = |file: &&'static str| match read_generation(storage, file) {
         Ok(stored) if stored.base.server == server => Some(stored.base.sequence_number),
-        Err(SnapshotError::NotFound | SnapshotError::Corrupt(_)) => Some(0),
+        Err(SnapshotError::NotFound | SnapshotError::Corrupt(_)) => Some(SequenceNumber::default()),
         _ => None,
     };
     GENERATIONS
--- a/crates/coralstep-state/src/snapshot/format.rs
+++ b/crates/coralstep-state/src/snapshot/format.rs
@@ -3,7 +3,7 @@
 use coralstep::LearnedState;
 use serde::{Deserialize, Serialize};
 
-use super::{Corruption, FORMAT_VERSION, SnapshotError};
+use super::{Corruption, FORMAT_VERSION, SequenceNumber, SnapshotError};
 use crate::fingerprint::Fingerprint;
 use crate::framing::{self, FileKind, HEADER_BYTES};
 
@@ -15,7 +15,7 @@
 pub(super) struct StoredV1 {
     /// Rises with each snapshot.
     #[serde(rename = "number")]
-    pub(super) sequence_number: u64,
+    pub(super) sequence_number: SequenceNumber,
     /// Seconds since the Unix epoch.
     #[serde(rename = "written_s")]
     pub(super) written_at_s: u64,
@@ -69,7 +69,7 @@
     pub(super) fn new(
         learned: &LearnedState,
         learned_under: &Fingerprint,
-        sequence_number: u64,
+        sequence_number: SequenceNumber,
         written_at_s: u64,
     ) -> Stored {
         let tenants = learned_under
--- a/crates/coralstep-state/src/snapshot/inspection.rs
+++ b/crates/coralstep-state/src/snapshot/inspection.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 use super::format::Stored;
-use super::{GENERATIONS, MAX_FILE_BYTES, SnapshotError};
+use super::{GENERATIONS, MAX_FILE_BYTES, SequenceNumber, SnapshotError};
 use crate::confidence;
 use crate::storage::{ReadOnlyDir, StorageError};
 
@@ -16,7 +16,7 @@
     pub file: String,
     /// Rises with each snapshot; `None` if nothing of the file is believed.
     #[serde(rename = "number")]
-    pub sequence_number: Option<u64>,
+    pub sequence_number: Option<SequenceNumber>,
     /// The server that wrote it; empty if nothing of the file is believed.
     pub server: String,
     /// Seconds since it was written; 0 if nothing of the file is believed.
--- a/crates/coralstep-state/src/snapshot/tests.rs
+++ b/crates/coralstep-state/src/snapshot/tests.rs
@@ -32,7 +32,7 @@
             &mut storage,
             &learned(*limit),
             &fingerprint(),
-            number as u64 + 1,
+            SequenceNumber(number as u64 + 1),
             *at,
         )
         .unwrap();
@@ -58,7 +58,7 @@
                 learned: learned(7),
                 confidence: 1.0
             }),
-            3
+            SequenceNumber(3)
         )
     );
     assert_eq!(storage.list().unwrap(), ["learned.0", "learned.1"]);
@@ -100,9 +100,9 @@
                 power_cut_at: Some(cut),
                 ..Faults::default()
             });
-            let (mut number, mut done) = (0, 0);
+            let (mut number, mut done) = (SequenceNumber::default(), 0);
             for (limit, at) in [(5, 100), (6, 110), (7, 120)] {
-                number += 1;
+                number = number.next();
                 if save(&mut storage, &learned(limit), &fingerprint(), number, at).is_ok() {
                     done = limit;
                 }
@@ -130,7 +130,7 @@
                 &mut after,
                 &learned(8),
                 &fingerprint(),
-                loaded.last_sequence_number + 1,
+                loaded.last_sequence_number.next(),
                 140,
             )
             .unwrap();
@@ -147,7 +147,14 @@
             ..Faults::default()
         });
         for (number, last) in [(1, 5), (2, 6), (3, 7)] {
-            save(&mut storage, &learned(last), &fingerprint(), number, 100).unwrap();
+            save(
+                &mut storage,
+                &learned(last),
+                &fingerprint(),
+                SequenceNumber(number),
+                100,
+            )
+            .unwrap();
         }
         let loaded = load(
             &storage.after_power_cut(seed, Faults::default()),
@@ -195,7 +202,7 @@
 
 #[test]
 fn an_older_version_is_read_and_a_later_one_is_left_alone() {
-    let version_1 = Stored::new(&learned(5), &fingerprint(), 9, 100).base;
+    let version_1 = Stored::new(&learned(5), &fingerprint(), SequenceNumber(9), 100).base;
     let mut storage = FaultyStorage::default();
     let mut bytes = framing::file_header(FileKind::Learned, 1);
     framing::append_record(&mut bytes, &postcard::to_stdvec(&version_1).unwrap());
@@ -221,14 +228,27 @@
         }]
     );
     for number in 10..14 {
-        save(&mut storage, &learned(6), &fingerprint(), number, 120).unwrap();
+        save(
+            &mut storage,
+            &learned(6),
+            &fingerprint(),
+            SequenceNumber(number),
+            120,
+        )
+        .unwrap();
     }
     assert_eq!(storage.read("learned.1", MAX_FILE_BYTES).unwrap(), later);
     assert_eq!(limit(&load(&storage, &fingerprint(), 130)), Some(6));
     // With both of a later version nothing is written, and that is told.
     storage.corrupt("learned.0", |bytes| bytes.clone_from(&later));
     assert!(matches!(
-        save(&mut storage, &learned(6), &fingerprint(), 20, 140),
+        save(
+            &mut storage,
+            &learned(6),
+            &fingerprint(),
+            SequenceNumber(20),
+            140
+        ),
         Err(SaveError::NoFreeGeneration)
     ));
 }
@@ -238,7 +258,16 @@
     for step in 0..5 {
         let mut storage = saved(&[(5, 100)]);
         storage.faults.error_at = Some(storage.operations + step);
-        assert!(save(&mut storage, &learned(6), &fingerprint(), 2, 110).is_err());
+        assert!(
+            save(
+                &mut storage,
+                &learned(6),
+                &fingerprint(),
+                SequenceNumber(2),
+                110
+            )
+            .is_err()
+        );
         assert!(
             limit(&load(&storage, &fingerprint(), 120))
                 .is_some_and(|limit| limit == 5 || step == 4)
@@ -247,7 +276,7 @@
     let mut full = saved(&[(5, 100)]);
     full.faults.capacity_bytes = Some(full.read("learned.0", MAX_FILE_BYTES).unwrap().len() + 20);
     assert!(matches!(
-        save(&mut full, &learned(6), &fingerprint(), 2, 110),
+        save(&mut full, &learned(6), &fingerprint(), SequenceNumber(2), 110),
         Err(SaveError::Storage(error)) if error.kind() == io::ErrorKind::StorageFull
     ));
     assert_eq!(limit(&load(&full, &fingerprint(), 120)), Some(5));
@@ -262,7 +291,7 @@
         "/tests/golden/version_1/learned.0"
     );
     let version_1 = StoredV1 {
-        sequence_number: (1 << 40) + 201,
+        sequence_number: SequenceNumber((1 << 40) + 201),
         written_at_s: 1_790_000_300,
         server: "server-17.alps".to_owned(),
         cores: 144,
--- a/crates/coralstep-state/tests/golden.rs
+++ b/crates/coralstep-state/tests/golden.rs
@@ -10,7 +10,7 @@
 use coralstep_state::faulty_storage::FaultyStorage;
 use coralstep_state::fingerprint::Fingerprint;
 use coralstep_state::fleet_record::{self, FleetRecord, LoadedFleetRecord};
-use coralstep_state::snapshot::{self, LoadedSnapshots, RestoredState};
+use coralstep_state::snapshot::{self, LoadedSnapshots, RestoredState, SequenceNumber};
 use coralstep_state::storage::ReadOnlyDir;
 use coralstep_state::wal::{MAX_RESULT_BYTES, Outcome, ReplayDecision, WalEvent, WriteAheadLog};
 use coralstep_state::{DirStorage, Storage};
@@ -20,7 +20,10 @@
 const NOW_S: u64 = 1_790_003_900;
 const NOW_MS: u64 = NOW_S * 1_000;
 const EXPIRES_AT_MS: u64 = NOW_MS + 90_000;
-const SEQUENCE_NUMBERS: [u64; 2] = [(1 << 40) + 200, (1 << 40) + 201];
+const SEQUENCE_NUMBERS: [SequenceNumber; 2] = [
+    SequenceNumber((1 << 40) + 200),
+    SequenceNumber((1 << 40) + 201),
+];
 const MAX_LOG_BYTES: usize = 64 << 20;
 const MAX_READ_BYTES: usize = 1 << 20;
 
@@ -147,7 +150,7 @@
     let snapshot = fleet.snapshot();
     let record = FleetRecord {
         active_version: snapshot.active_version,
-        history: snapshot.audit_entries,
+        audit_entries: snapshot.audit_entries,
     };
     (record, fleet.active_version())
 }
@@ -218,7 +221,7 @@
     write_log(files)
 }
 
-fn believed(learned: LearnedState, written_s: u64, number: u64) -> LoadedSnapshots {
+fn believed(learned: LearnedState, written_s: u64, number: SequenceNumber) -> LoadedSnapshots {
     let confidence = confidence::from_age((NOW_S - written_s) as f64);
     LoadedSnapshots {
         restored: Some(RestoredState {
@@ -253,6 +256,33 @@
     }
 }
 
+fn assert_keys_are_known_as_recorded(storage: DirStorage) {
+    let mut log = WriteAheadLog::open(storage, MAX_LOG_BYTES).unwrap();
+    while log.recover(NOW_MS) {}
+    for (key, _, decision) in runs() {
+        assert_eq!(
+            log.replay_decision(key, NOW_MS),
+            decision,
+            "{}",
+            key.escape_ascii()
+        );
+    }
+    assert_eq!(
+        log.replay_decision(b"second segment", EXPIRES_AT_MS),
+        ReplayDecision::Aborted
+    );
+    assert_eq!(
+        log.replay_decision(b"second segment", EXPIRES_AT_MS + 1),
+        ReplayDecision::NotSeen
+    );
+    assert_eq!(
+        log.replay_decision(b"good", EXPIRES_AT_MS),
+        ReplayDecision::NotSeen,
+        "it has expired"
+    );
+    assert_eq!(log.take_events(), [] as [WalEvent; 0]);
+}
+
 /// Guards against a start that believes less, or other things, of a folder that an earlier program
 /// left.
 #[test]
@@ -271,13 +301,13 @@
     let mut restarted = fleet();
     let snapshot = Snapshot {
         active_version: record.active_version,
-        audit_entries: record.history,
+        audit_entries: record.audit_entries,
     };
     assert_eq!(restarted.restore(&snapshot), Some(acts_on));
     // Its chain of entries hangs together, else there were an event.
     assert_eq!(
         (restarted.take_events(), restarted.snapshot().audit_entries),
-        (Vec::new(), expected.history)
+        (Vec::new(), expected.audit_entries)
     );
     // The older generation counts where the newer one is gone.
     folder.remove("learned.1").unwrap();
@@ -286,31 +316,7 @@
         snapshot::load(&folder, &of, NOW_S),
         believed(older, WRITTEN_S[0], SEQUENCE_NUMBERS[0])
     );
-
-    let mut log = WriteAheadLog::open(folder, MAX_LOG_BYTES).unwrap();
-    while log.recover(NOW_MS) {}
-    for (token, _, verdict) in runs() {
-        assert_eq!(
-            log.replay_decision(token, NOW_MS),
-            verdict,
-            "{}",
-            token.escape_ascii()
-        );
-    }
-    assert_eq!(
-        log.replay_decision(b"second segment", EXPIRES_AT_MS),
-        ReplayDecision::Aborted
-    );
-    assert_eq!(
-        log.replay_decision(b"second segment", EXPIRES_AT_MS + 1),
-        ReplayDecision::NotSeen
-    );
-    assert_eq!(
-        log.replay_decision(b"good", EXPIRES_AT_MS),
-        ReplayDecision::NotSeen,
-        "its window is over"
-    );
-    assert_eq!(log.take_events(), [] as [WalEvent; 0]);
+    assert_keys_are_known_as_recorded(folder);
 }
 
 /// Guards against a server that starts from nothing after an update from the program that wrote
