--- a/crates/coralstep-state/src/snapshot/tests.rs
+++ b/crates/coralstep-state/src/snapshot/tests.rs
@@ -27,18 +27,21 @@
     }
 }
 
+/// Saves a snapshot that differs from others in its concurrency limit.
+fn save_limit(
+    storage: &mut FaultyStorage,
+    limit: u32,
+    number: SequenceNumber,
+    now_s: u64,
+) -> Result<(), SaveError> {
+    save(storage, &learned(limit), &fingerprint(), number, now_s)
+}
+
 /// Snapshots with these limits, one after the other, at these seconds.
 fn saved(all: &[(u32, u64)]) -> FaultyStorage {
     let mut storage = FaultyStorage::default();
     for (number, (limit, at)) in all.iter().enumerate() {
-        save(
-            &mut storage,
-            &learned(*limit),
-            &fingerprint(),
-            SequenceNumber(number as u64 + 1),
-            *at,
-        )
-        .unwrap();
+        save_limit(&mut storage, *limit, SequenceNumber(number as u64 + 1), *at).unwrap();
     }
     storage
 }
@@ -106,7 +109,7 @@
             let (mut number, mut done) = (SequenceNumber::default(), 0);
             for (limit, at) in [(5, 100), (6, 110), (7, 120)] {
                 number = number.next();
-                if save(&mut storage, &learned(limit), &fingerprint(), number, at).is_ok() {
+                if save_limit(&mut storage, limit, number, at).is_ok() {
                     done = limit;
                 }
             }
@@ -129,14 +132,7 @@
             );
             // And a later snapshot goes on from there.
             let mut after = after;
-            save(
-                &mut after,
-                &learned(8),
-                &fingerprint(),
-                loaded.last_sequence_number.next(),
-                140,
-            )
-            .unwrap();
+            save_limit(&mut after, 8, loaded.last_sequence_number.next(), 140).unwrap();
             assert_eq!(limit(&load(&after, &fingerprint(), 150)), Some(8));
         }
     }
@@ -150,14 +146,7 @@
             ..Faults::default()
         });
         for (number, last) in [(1, 5), (2, 6), (3, 7)] {
-            save(
-                &mut storage,
-                &learned(last),
-                &fingerprint(),
-                SequenceNumber(number),
-                100,
-            )
-            .unwrap();
+            save_limit(&mut storage, last, SequenceNumber(number), 100).unwrap();
         }
         let loaded = load(
             &storage.after_power_cut(seed, Faults::default()),
@@ -235,27 +224,14 @@
         }]
     );
     for number in 10..14 {
-        save(
-            &mut storage,
-            &learned(6),
-            &fingerprint(),
-            SequenceNumber(number),
-            120,
-        )
-        .unwrap();
+        save_limit(&mut storage, 6, SequenceNumber(number), 120).unwrap();
     }
     assert_eq!(storage.read("learned.1", MAX_FILE_BYTES).unwrap(), later);
     assert_eq!(limit(&load(&storage, &fingerprint(), 130)), Some(6));
     // With both of a later version nothing is written, and that is told.
     storage.corrupt("learned.0", |bytes| bytes.clone_from(&later));
     assert!(matches!(
-        save(
-            &mut storage,
-            &learned(6),
-            &fingerprint(),
-            SequenceNumber(20),
-            140
-        ),
+        save_limit(&mut storage, 6, SequenceNumber(20), 140),
         Err(SaveError::NoFreeGeneration)
     ));
 }
@@ -265,16 +241,7 @@
     for step in 0..5 {
         let mut storage = saved(&[(5, 100)]);
         storage.faults.error_at = Some(storage.operations + step);
-        assert!(
-            save(
-                &mut storage,
-                &learned(6),
-                &fingerprint(),
-                SequenceNumber(2),
-                110
-            )
-            .is_err()
-        );
+        assert!(save_limit(&mut storage, 6, SequenceNumber(2), 110).is_err());
         assert!(
             limit(&load(&storage, &fingerprint(), 120))
                 .is_some_and(|limit| limit == 5 || step == 4)
@@ -283,7 +250,7 @@
     let mut full = saved(&[(5, 100)]);
     full.faults.capacity_bytes = Some(full.read("learned.0", MAX_FILE_BYTES).unwrap().len() + 20);
     assert!(matches!(
-        save(&mut full, &learned(6), &fingerprint(), SequenceNumber(2), 110),
+        save_limit(&mut full, 6, SequenceNumber(2), 110),
         Err(SaveError::Storage(error)) if error.kind() == io::ErrorKind::StorageFull
     ));
     assert_eq!(limit(&load(&full, &fingerprint(), 120)), Some(5));
