--- a/crates/coralstep-server/src/fleet/carrier.rs
+++ b/crates/coralstep-server/src/fleet/carrier.rs
@@ -9,7 +9,7 @@
 
 use async_io::{Async, Timer};
 use coralstep::Span;
-use coralstep_config::site::{FleetTerms, Silent};
+use coralstep_config::site::{FleetConfig, Silent};
 use coralstep_fleet::audit::AuditFilter;
 use coralstep_fleet::datagram::MAX_RECEIVED_BYTES;
 use coralstep_fleet::extension::{ExtensionId, Registration};
@@ -19,8 +19,8 @@
 use coralstep_fleet::{Event, Fleet, Member, MemberState, Millis, VersionId};
 use coralstep_quota::holder::{Pass, Which};
 use coralstep_quota::{Limit, Limits, terms};
-use coralstep_shared_health::{Own, State as BreakerState, Verdicts};
-use coralstep_state::record::Record;
+use coralstep_shared_health::{BreakerState, LocalHealth, SharedHealth};
+use coralstep_state::fleet_record::FleetRecord;
 use futures_lite::FutureExt;
 use futures_lite::future::yield_now;
 use ipnet::IpNet;
@@ -71,7 +71,7 @@
     limits: Option<Rc<RefCell<Limits>>>,
     limits_of: LimitsOf,
     /// What is said of dependencies, where that is gone by.
-    verdicts: Option<Rc<RefCell<Verdicts>>>,
+    verdicts: Option<Rc<RefCell<SharedHealth>>>,
     hold: Cell<Option<(VersionId, VersionId)>>,
     /// For tests: whether the wall clock may be stepped, and by how much it is.
     steps: bool,
@@ -136,7 +136,7 @@
 impl Carrier {
     /// `folder`: where the record is kept, where it is.
     pub fn bind(
-        terms: &FleetTerms,
+        terms: &FleetConfig,
         name: &str,
         seed: u64,
         folder: Option<&Path>,
@@ -171,7 +171,7 @@
             limits
         });
         let verdicts = terms.verdicts.map(|parts| {
-            let verdicts = Rc::new(RefCell::new(Verdicts::new(
+            let verdicts = Rc::new(RefCell::new(SharedHealth::new(
                 fleet.local_member(),
                 parts,
                 seed,
@@ -184,8 +184,8 @@
         });
         let recorder = folder.and_then(Recorder::start).map(|(recorder, found)| {
             let found = Snapshot {
-                active_version: found.acts_on,
-                audit_entries: found.entries,
+                active_version: found.active_version,
+                audit_entries: found.history,
             };
             if found != Snapshot::default()
                 && let Some(id) = fleet.restore(&found)
@@ -321,9 +321,9 @@
             && let Some(recorder) = &self.recorder
         {
             let kept = self.fleet.borrow().snapshot();
-            let record = Record {
-                acts_on: kept.active_version,
-                entries: kept.audit_entries,
+            let record = FleetRecord {
+                active_version: kept.active_version,
+                history: kept.audit_entries,
             };
             self.changed.set(!recorder.save(record));
         }
@@ -345,16 +345,19 @@
                 .into_iter()
                 .find(|one| one.name() == state)
                 .unwrap_or_default();
-            let advice = verdicts.borrow_mut().see(
+            let advice = verdicts.borrow_mut().observe(
                 now,
                 name,
-                Own {
+                LocalHealth {
                     state,
                     failures,
                     calls,
                 },
             );
-            (advice.need, advice.left.map(Duration::from_millis))
+            (
+                advice.min_outcomes,
+                advice.cooldown_left_ms.map(Duration::from_millis),
+            )
         };
         if let Some(status) = facade.breaker_status() {
             let BreakerStatus {
@@ -398,7 +401,7 @@
                 .for_each(|event| tracing::info!(target: "limits", "limits: {event}"));
         }
         if let Some(verdicts) = &self.verdicts {
-            let events = verdicts.borrow_mut().events();
+            let events = verdicts.borrow_mut().take_events();
             events
                 .iter()
                 .for_each(|event| tracing::info!(target: "verdicts", "verdicts: {event}"));
@@ -528,9 +531,9 @@
             return json!({ "verdicts": [] });
         };
         let verdicts = verdicts.borrow();
-        let whose: std::collections::BTreeMap<&str, String> = verdicts
-            .whose()
-            .map(|(name, whose)| (name, format!("{whose:?}")))
+        let whose: std::collections::BTreeMap<&str, &str> = verdicts
+            .fault_sources()
+            .map(|(name, source)| (name, source.json_name()))
             .collect();
         json!({ "verdicts": verdicts.rows(self.now()), "whose": whose })
     }
--- a/crates/coralstep-server/src/runs/applications/attempt.rs
+++ b/crates/coralstep-server/src/runs/applications/attempt.rs
@@ -97,7 +97,7 @@
         let (end, result) = match exchanged {
             Ok(response) => judge_response(response),
             Err(error) => {
-                note!("application {address}: {error}");
+                note!(application = %address, rpc_id = %job.id, %error, "application attempt failed");
                 let end = judge_failure(&error, bytes_left.get());
                 (end, AttemptResult::Inconclusive(end))
             }
@@ -115,7 +115,7 @@
     ) -> io::Result<Response> {
         let (connect_timeout, max_body_bytes) = {
             let terms = self.terms.borrow();
-            (terms.connect(), terms.result_kb as usize * 1024)
+            (terms.connect_timeout(), terms.result_kb as usize * 1024)
         };
         let timeout = async {
             Timer::after(connect_timeout).await;
