--- a/crates/coralstep-config/src/site/error.rs
+++ b/crates/coralstep-config/src/site/error.rs
@@ -1,4 +1,5 @@
 //! Errors of the operator's file.
+use coralstep_quota::config::LimitConfigError;
 use coralstep_route::InsertError;
 use thiserror::Error;
 
@@ -51,8 +52,8 @@
     #[error("{0}")]
     Levels(String),
     /// The section of fleet-wide limits is refused.
-    #[error("{0}")]
-    Limits(String),
+    #[error(transparent)]
+    Limits(#[from] LimitConfigError),
 }
 
 impl SiteError {
--- a/crates/coralstep-server/src/decisions/quota.rs
+++ b/crates/coralstep-server/src/decisions/quota.rs
@@ -1,7 +1,7 @@
 //! The fleet's quotas: what an RPC takes of them before the scheduler weighs it, given back when it is answered.
 use std::rc::Rc;
 
-use coralstep_quota::holder::{Pass, Which};
+use coralstep_quota::{Permit, RequestKey};
 
 use crate::decisions::handle::SchedulerHandle;
 use crate::decisions::idempotency_keys::IdempotencyKey;
@@ -14,15 +14,15 @@
     /// # Errors
     ///
     /// A quota is used up: the milliseconds after which the caller should come back.
-    fn take(&self, which: Which, covers_ms: u64) -> Result<Pass, u64>;
+    fn take(&self, request: RequestKey, covers_ms: u64) -> Result<Permit, u64>;
 
     /// Gives back what an RPC took.
-    fn give_back(&self, pass: Pass);
+    fn give_back(&self, permit: Permit);
 }
 
 struct Reservation {
     limiter: Rc<dyn QuotaLimiter>,
-    pass: Pass,
+    permit: Permit,
 }
 
 /// What an RPC took of the fleet's quotas, if anything; given back when dropped.
@@ -30,8 +30,8 @@
 
 impl Drop for QuotaGuard {
     fn drop(&mut self) {
-        if let Some(Reservation { limiter, pass }) = self.0.take() {
-            limiter.give_back(pass);
+        if let Some(Reservation { limiter, permit }) = self.0.take() {
+            limiter.give_back(permit);
         }
     }
 }
@@ -57,17 +57,17 @@
             return Ok(QuotaGuard(None));
         }
         let method = self.method(request.method);
-        let which = Which {
+        let key = RequestKey {
             tenant: request.tenant,
             method: request.method,
-            calls: method.calls,
+            calls_dependency: method.calls,
         };
         let timeout = request
             .timeout
             .map_or(method.deadline, |timeout| timeout.min(method.deadline));
         let covers_ms = (timeout.0.saturating_sub(request.age.0)).div_ceil(10);
-        match limiter.take(which, covers_ms) {
-            Ok(pass) => Ok(QuotaGuard(Some(Reservation { limiter, pass }))),
+        match limiter.take(key, covers_ms) {
+            Ok(permit) => Ok(QuotaGuard(Some(Reservation { limiter, permit }))),
             Err(retry_after_ms) => {
                 self.submitted.set(self.submitted.get() + 1);
                 Err(retry_after_ms)
