--- a/crates/coralstep-fleet/src/exclusion.rs
+++ b/crates/coralstep-fleet/src/exclusion.rs
@@ -47,6 +47,29 @@
     Paused,
 }
 
+impl ExclusionReason {
+    /// Returns the reason's name in logs.
+    pub fn name(&self) -> &'static str {
+        match self {
+            ExclusionReason::ByOperator => "by_operator",
+            ExclusionReason::RejectedVersion(_) => "rejected_version",
+            ExclusionReason::Lagging(_) => "lagging",
+            ExclusionReason::Isolated => "isolated",
+            ExclusionReason::Paused => "paused",
+        }
+    }
+
+    /// Returns the version that it is for, if it is for one.
+    pub fn version(&self) -> Option<VersionId> {
+        match self {
+            ExclusionReason::RejectedVersion(version) | ExclusionReason::Lagging(version) => {
+                Some(*version)
+            }
+            _ => None,
+        }
+    }
+}
+
 /// The operators' settings.
 #[derive(Clone, Copy, Debug, Hash)]
 pub struct ExclusionLimits {
--- a/crates/coralstep-fleet/tests/virtual_time.rs
+++ b/crates/coralstep-fleet/tests/virtual_time.rs
@@ -15,7 +15,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-/// Between two ticks, as the carrier makes them.
+/// Between two ticks, as the server makes them.
 const TICK: u64 = 50;
 const WALL: u64 = 1_700_000_000_000;
 
--- a/crates/coralstep-server/src/lib.rs
+++ b/crates/coralstep-server/src/lib.rs
@@ -39,7 +39,7 @@
 use callers::scgi::Scgi;
 use decisions::SchedulerHandle;
 use dependency::store::Store;
-use fleet::carrier::{Carrier, Take, Watch};
+use fleet::{ApplyVersion, FleetService, HealthSources};
 use life::keep::Keeper;
 use life::reload::Movable;
 use life::{control, drain, reload};
@@ -138,7 +138,7 @@
         .map(|terms| Operator::bind(&terms.listen))
         .transpose()?;
     let folder = site.state.as_ref().map(|terms| terms.folder.as_path());
-    let carrier = site
+    let fleet = site
         .fleet
         .as_ref()
         .map(|terms| {
@@ -151,16 +151,17 @@
                 site.and_then(|site| site.limits(&names))
                     .unwrap_or_default()
             };
-            Carrier::bind(
+            FleetService::bind(
                 terms,
                 &config.name,
                 config.seed,
                 folder,
                 Box::new(limits_of),
             )
+            .map_err(|error| error.to_string())
         })
         .transpose()?;
-    let carrier = carrier.map(Rc::new);
+    let fleet = fleet.map(Rc::new);
     let leaving = Cell::new(false);
     for (listener, _, what) in &listeners {
         let address = listener
@@ -172,7 +173,7 @@
     if let Some(operator) = &operator {
         note!("operators ask at {}", operator.address());
     }
-    if let Some(at) = carrier.as_ref().and_then(|carrier| carrier.address()) {
+    if let Some(at) = fleet.as_ref().and_then(|fleet| fleet.address()) {
         note!("{} hears its fleet at {at}", config.name);
     }
     // Nothing is decided before the executor runs: what was learned comes in time.
@@ -187,17 +188,17 @@
         versioned: Cell::new(false),
         holds: RefCell::default(),
     });
-    let take: Take = {
+    let apply_version: ApplyVersion = {
         let (movable, site) = (movable.clone(), site.clone());
         let (names, terms) = (config.names.clone(), config.terms.clone());
         Box::new(move |content| reload::take_version(content, &site, &names, &terms, &movable))
     };
-    let watch: Watch = {
+    let health_sources: HealthSources = {
         let applications = movable.applications.clone();
-        Box::new(move |see| {
+        Box::new(move |exchange| {
             applications
                 .iter()
-                .for_each(|applications| applications.exchange_health(see))
+                .for_each(|applications| applications.exchange_health(exchange))
         })
     };
     let forever = async {
@@ -226,19 +227,19 @@
             parts.push(Box::pin(keeper.run(&facade)));
         }
         if let Some(operator) = &operator {
-            parts.push(Box::pin(operator.listen(
-                &executor,
+            parts.push(Box::pin(operator.listen(&executor, &facade, fleet.clone())));
+        }
+        if let Some(fleet) = &fleet {
+            fleet.guard(&facade);
+            parts.push(Box::pin(fleet.run(
                 &facade,
-                carrier.clone(),
+                &apply_version,
+                &health_sources,
             )));
-        }
-        if let Some(carrier) = &carrier {
-            carrier.guard(&facade);
-            parts.push(Box::pin(carrier.run(&facade, &take, &watch)));
             if let Some(applications) = &movable.applications {
                 parts.push(Box::pin(async move {
                     loop {
-                        applications.set_process_count(carrier.count());
+                        applications.set_process_count(fleet.member_count());
                         Timer::after(COUNTED).await;
                     }
                 }));
@@ -253,7 +254,7 @@
         );
         all(parts).await
     };
-    let told = || carrier.iter().for_each(|carrier| carrier.leave());
+    let told = || fleet.iter().for_each(|fleet| fleet.leave());
     let leave = drain::wait(leave, &facade, &connections, config.stop, &leaving, &told);
     block_on(executor.run(leave.or(forever)));
     if let Some(keeper) = &keeper {
--- a/crates/coralstep-server/src/operators/ops.rs
+++ b/crates/coralstep-server/src/operators/ops.rs
@@ -11,13 +11,14 @@
 use async_io::{Async, Timer};
 use coralstep_config::site::Listen;
 use coralstep_fleet::audit::AuditFilter;
+use coralstep_fleet::fleet::Publication;
 use coralstep_fleet::versions::ParseVersionIdError;
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, FutureExt};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
 use crate::decisions::SchedulerHandle;
-use crate::fleet::carrier::Carrier;
+use crate::fleet::FleetService;
 use crate::note;
 
 /// Connections at once, bytes of a question, and how long one may take.
@@ -132,7 +133,7 @@
         &self,
         executor: &Rc<LocalExecutor<'static>>,
         facade: &Rc<SchedulerHandle>,
-        carrier: Option<Rc<Carrier>>,
+        fleet: Option<Rc<FleetService>>,
     ) {
         loop {
             let accepted: std::io::Result<Box<dyn Talk>> = match &self.listener {
@@ -148,8 +149,7 @@
             match accepted {
                 Ok(_) if self.open.get() >= CONNECTIONS => {}
                 Ok(stream) => {
-                    let (open, facade, carrier) =
-                        (self.open.clone(), facade.clone(), carrier.clone());
+                    let (open, facade, fleet) = (self.open.clone(), facade.clone(), fleet.clone());
                     open.set(open.get() + 1);
                     executor
                         .spawn(async move {
@@ -158,7 +158,7 @@
                                 Ok(())
                             };
                             if let Err(why) =
-                                answer(stream, &facade, carrier.as_deref()).or(late).await
+                                answer(stream, &facade, fleet.as_deref()).or(late).await
                             {
                                 note!(client: "operator's connection ended: {why}");
                             }
@@ -188,7 +188,7 @@
 async fn answer(
     mut stream: Box<dyn Talk>,
     facade: &SchedulerHandle,
-    carrier: Option<&Carrier>,
+    fleet: Option<&FleetService>,
 ) -> std::io::Result<()> {
     let mut bytes = Vec::new();
     while !bytes.contains(&b'\n') {
@@ -206,7 +206,7 @@
         .next()
         .unwrap_or_default();
     let said = match serde_json::from_slice(line) {
-        Ok(question) => match said_of_fleet(&question, carrier) {
+        Ok(question) => match said_of_fleet(&question, fleet) {
             Some(said) => said,
             None => said(question, facade),
         },
@@ -217,18 +217,18 @@
 }
 
 /// What is said to a question about the fleet; none where it is about something else.
-fn said_of_fleet(question: &Question, carrier: Option<&Carrier>) -> Option<Value> {
+fn said_of_fleet(question: &Question, fleet: Option<&FleetService>) -> Option<Value> {
     use Question::*;
     if matches!(question, Levels | History | Hold { .. } | Release) {
         return None;
     }
-    let Some(carrier) = carrier else {
+    let Some(fleet) = fleet else {
         return Some(json!({"error": "this server has no fleet: its site file names none"}));
     };
     let done = |done: Result<Value, String>| done.unwrap_or_else(|why| json!({ "error": why }));
     Some(match question {
-        FleetMembers => carrier.members(),
-        FleetVersions => carrier.versions(),
+        FleetMembers => fleet.members(),
+        FleetVersions => fleet.versions(),
         FleetAudit {
             version,
             server,
@@ -239,7 +239,7 @@
                 .map(|version| version.parse())
                 .transpose()
                 .map_err(|error: ParseVersionIdError| error.to_string())?;
-            Ok(carrier.audit(&AuditFilter {
+            Ok(fleet.audit(&AuditFilter {
                 version,
                 server: server.clone(),
                 at_ms: *at_ms,
@@ -251,26 +251,35 @@
             waves,
             pause_ms,
         } => done(
-            carrier
-                .publish(content.to_string(), *must, waves.clone(), *pause_ms)
-                .map(|id| json!({ "published": id.to_string() })),
+            fleet
+                .publish(Publication {
+                    content: content.to_string(),
+                    mandatory: *must,
+                    stages: waves.clone(),
+                    stage_pause_ms: *pause_ms,
+                })
+                .map(|id| json!({ "published": id.to_string() }))
+                .map_err(|error| error.to_string()),
         ),
         FleetShutOut { server } => done(
-            carrier
-                .by_hand(server, true)
-                .map(|()| json!({ "shut_out": server })),
+            fleet
+                .set_excluded(server, true)
+                .map(|()| json!({ "shut_out": server }))
+                .map_err(|error| error.to_string()),
         ),
-        FleetLimits => carrier.limits(),
-        FleetVerdicts => carrier.verdicts(),
+        FleetLimits => fleet.limits(),
+        FleetVerdicts => fleet.shared_health(),
         FleetClock { offset_ms } => done(
-            carrier
+            fleet
                 .step_clock(*offset_ms)
-                .map(|()| json!({ "offset_ms": offset_ms })),
+                .map(|()| json!({ "offset_ms": offset_ms }))
+                .map_err(|error| error.to_string()),
         ),
         FleetLetIn { server } => done(
-            carrier
-                .by_hand(server, false)
-                .map(|()| json!({ "let_in": server })),
+            fleet
+                .set_excluded(server, false)
+                .map(|()| json!({ "let_in": server }))
+                .map_err(|error| error.to_string()),
         ),
         Levels | History | Hold { .. } | Release => return None,
     })
--- a/crates/coralstep-server/src/runs/applications/mod.rs
+++ b/crates/coralstep-server/src/runs/applications/mod.rs
@@ -23,8 +23,8 @@
 use crate::base::clock::{self, Clock};
 use crate::base::descriptors::Descriptors;
 use crate::base::lines::Ref;
-use crate::decisions::RunOutcome;
-use crate::fleet::carrier::See;
+use crate::decisions::{BreakerStatus, RunOutcome};
+use crate::fleet::ExchangeHealth;
 use crate::runs::applications::attempt::AttemptResult;
 use crate::runs::applications::run::ApplicationRun;
 use crate::runs::{Backend, Run, RunEvents};
@@ -105,15 +105,20 @@
 
     /// Passes on what is seen of each application, and takes in what other servers saw: the outcomes that its breaker needs,
     /// and when a cooldown ends.
-    pub fn exchange_health(&self, see: See<'_>) {
+    pub fn exchange_health(&self, exchange: ExchangeHealth<'_>) {
         let now = self.now();
         let views = self.pool.borrow().view(now);
         for view in views.into_iter().filter(|view| !view.leaving) {
             let address = view.key.to_string();
-            let (min_outcomes, left) = see(&address, view.state, view.failures, view.recent);
-            let cooldown_end = left.map(|left| now + clock::span(left));
+            let status = BreakerStatus {
+                state: view.state,
+                failures: view.failures,
+                calls: view.recent,
+            };
+            let advice = exchange(&address, status);
+            let cooldown_end = advice.cooldown_left.map(|left| now + clock::span(left));
             let mut pool = self.pool.borrow_mut();
-            pool.hear(&view.key, min_outcomes, cooldown_end);
+            pool.hear(&view.key, advice.min_outcomes, cooldown_end);
         }
     }
 
--- a/crates/coralstep-server/tests/fleet.rs
+++ b/crates/coralstep-server/tests/fleet.rs
@@ -187,7 +187,7 @@
         "{told:?}"
     );
     assert!(
-        fleet.logged(4, "this process was paused"),
+        fleet.logged(4, "fleet: process paused pause_ms="),
         "{:?}",
         fleet.log(4)
     );
@@ -207,13 +207,14 @@
             0,
         )
         .unwrap();
-    let refused =
-        |fleet: &Fleet| (0..5).all(|at| fleet.logged(at, &format!("turned version {bad} down")));
+    let refused = |fleet: &Fleet| {
+        (0..5).all(|at| fleet.logged(at, &format!("fleet: version rejected version={bad}")))
+    };
     assert!(fleet.until(LIMIT, refused).is_some());
-    let told = |fleet: &Fleet| (0..5).any(|at| fleet.logged(at, "too many would be shut out"));
+    let told = |fleet: &Fleet| (0..5).any(|at| fleet.logged(at, "fleet: exclusion limit reached"));
     assert!(fleet.until(LIMIT, told).is_some());
     let shut: Vec<usize> = (0..5)
-        .filter(|at| fleet.logged(*at, "shut out: RejectedVersion"))
+        .filter(|at| fleet.logged(*at, "fleet: server excluded reason=rejected_version"))
         .collect();
     assert!(shut.len() <= 1, "{shut:?}");
     assert!(
@@ -272,7 +273,7 @@
     assert!(matches!(fleet.rpc(0), Told::PushedBack(back) if back > 0));
     assert_eq!(fleet.rpc(1), Told::Ok);
     assert_eq!(ask(&fleet, 1, "fleet_shut_out", "n2")["shut_out"], "n2");
-    let shut = |fleet: &Fleet| fleet.logged(2, "shut out: ByOperator");
+    let shut = |fleet: &Fleet| fleet.logged(2, "fleet: server excluded reason=by_operator");
     assert!(fleet.until(LIMIT, shut).is_some(), "{:?}", fleet.log(2));
     assert!(matches!(fleet.rpc(2), Told::PushedBack(back) if back > 0));
     // A restart doesn't let it in: it hears of the order again.
@@ -283,7 +284,11 @@
     for server in ["n0", "n2"] {
         assert_eq!(ask(&fleet, 1, "fleet_let_in", server)["let_in"], server);
     }
-    let open = |fleet: &Fleet| [0, 2].iter().all(|at| fleet.logged(*at, "let in"));
+    let open = |fleet: &Fleet| {
+        [0, 2]
+            .iter()
+            .all(|at| fleet.logged(*at, "fleet: server readmitted"))
+    };
     assert!(fleet.until(LIMIT, open).is_some());
     assert!((0..3).all(|at| fleet.rpc(at) == Told::Ok));
 }
@@ -304,7 +309,7 @@
     assert!(
         fleet
             .until(LIMIT, |fleet| fleet
-                .logged(0, "the clock of n1 is too far ahead"))
+                .logged(0, "fleet: clock skewed server=n1"))
             .is_some()
     );
     // Under way the clock of the next publisher is stepped back; its version is the newer one all the same.
@@ -337,7 +342,7 @@
             fleet.logged(
                 at,
                 &format!(
-                    "turned version {bad} down: levels.list[0].does.least_criticality: starves"
+                    "fleet: version rejected version={bad} reason=levels.list[0].does.least_criticality: starves"
                 ),
             )
         })
@@ -367,10 +372,7 @@
     fleet.boot(3).unwrap();
     all_on(&fleet, &second);
     assert!(
-        fleet.logged(
-            3,
-            &format!("version {first} was acted on before the restart")
-        ),
+        fleet.logged(3, &format!("version {first} was active before the restart")),
         "{:?}",
         fleet.log(3)
     );
@@ -536,7 +538,9 @@
         let mut half = None;
         let all = fleet.until(LIMIT * 5, |fleet| {
             let on = (0..count)
-                .filter(|at| fleet.logged(*at, &format!("acts on version {version}")))
+                .filter(|at| {
+                    fleet.logged(*at, &format!("fleet: version activated version={version}"))
+                })
                 .count();
             if on * 2 >= count {
                 half.get_or_insert(start.elapsed());
--- a/crates/coralstep-server/tests/limits.rs
+++ b/crates/coralstep-server/tests/limits.rs
@@ -271,8 +271,9 @@
     let waves = [0.4f32, 1.0];
     let lower = json!({"limits": [{"name": "north", "tenant": "north", "rps": 10.0, "burst": 10}]});
     let version = fleet.publish(4, &lower, false, &waves, 8_000).unwrap();
-    let held =
-        |fleet: &Fleet| (0..6).all(|at| fleet.logged(at, &format!("version {version} is here")));
+    let held = |fleet: &Fleet| {
+        (0..6).all(|at| fleet.logged(at, &format!("fleet: version received version={version}")))
+    };
     assert!(fleet.until(LIMIT, held).is_some());
     // What was out under the old one is over.
     std::thread::sleep(ms(lengthened_by_drift(TOKEN_LIFETIME_MS) + 500));
@@ -293,7 +294,12 @@
     let bad = json!({"limits": [{"name": "north", "tenant": "north", "rps": 100.0, "burst": 2}]});
     let bad = fleet.publish(0, &bad, false, &[], 0).unwrap();
     let refused = |fleet: &Fleet| {
-        (0..6).all(|at| fleet.logged(at, &format!("turned version {bad} down: limits[0].burst")))
+        (0..6).all(|at| {
+            fleet.logged(
+                at,
+                &format!("fleet: version rejected version={bad} reason=limits[0].burst"),
+            )
+        })
     };
     assert!(fleet.until(LIMIT, refused).is_some(), "{:?}", fleet.log(1));
 }
