--- a/crates/coralstep-server/src/runs/active_request.rs
+++ b/crates/coralstep-server/src/runs/active_request.rs
@@ -8,7 +8,7 @@
 use futures_lite::FutureExt;
 
 use crate::decisions::{Decision, Progress, QuotaGuard, RequestTicket, RunOutcome};
-use crate::dependency::store::{self, Call, Store};
+use crate::dependency::store::{self, CallResult, StoreCall, StoreClient};
 use crate::runs::reply::Reply;
 use crate::runs::request_ids::IdClaim;
 use crate::runs::{Run, RunEvent, RunRequest};
@@ -17,19 +17,19 @@
 enum Event {
     Decision(Decision),
     Run(RunEvent),
-    CallEnded(store::Ended),
+    CallEnded(CallResult),
     CallerGone,
 }
 
 /// An RPC in service: admitted, and not yet finished. Fields are released in this order.
 pub(super) struct ActiveRequest<'a, R> {
-    pub(super) store: &'a Store,
+    pub(super) store: &'a StoreClient,
     pub(super) run_request: RunRequest<'a>,
     /// For so long after its start a run's id stays claimed, where a second run would do harm.
     pub(super) claim_after_start: Option<Duration>,
     /// What the run has asked the store; sent again should the call be repeated.
     pub(super) call_body: Vec<u8>,
-    pub(super) call: Option<Call>,
+    pub(super) call: Option<StoreCall>,
     /// `None` once the RPC is answered.
     pub(super) reply: Option<R>,
     pub(super) ticket: RequestTicket,
@@ -67,7 +67,7 @@
         let call = &mut self.call;
         let decision = async { Event::Decision(ticket.next_decision().await) };
         let run_event = async { Event::Run(poll_fn(|cx| run.poll_event(cx)).await) };
-        let call_ended = async { Event::CallEnded(store::ended(call).await) };
+        let call_ended = async { Event::CallEnded(store::result_of(call).await) };
         let caller_gone = async {
             caller_gone.await;
             Event::CallerGone
@@ -81,7 +81,7 @@
             Event::Decision(decision) => self.carry_out(decision),
             Event::Run(RunEvent::CallNeeded(body)) => self.on_call_needed(body),
             Event::Run(RunEvent::Ended(outcome)) => self.on_run_ended(outcome),
-            Event::CallEnded(ended) => self.on_call_ended(ended),
+            Event::CallEnded(result) => self.on_call_ended(result),
             Event::CallerGone => self.on_caller_gone(),
         }
         ControlFlow::Continue(())
@@ -121,14 +121,14 @@
         self.ticket.report(Progress::CallNeeded);
     }
 
-    fn on_call_ended(&mut self, ended: store::Ended) {
+    fn on_call_ended(&mut self, result: CallResult) {
         self.call = None;
-        if let Some(result) = &ended.answer {
-            self.run.resume(result);
+        if let Some(reply) = &result.reply {
+            self.run.resume(reply);
         }
         self.ticket.report(Progress::CallEnded {
-            outcome: ended.end,
-            elapsed: ended.took,
+            outcome: result.outcome,
+            elapsed: result.elapsed,
         });
     }
 
--- a/crates/coralstep-server/src/runs/request_handler.rs
+++ b/crates/coralstep-server/src/runs/request_handler.rs
@@ -18,7 +18,7 @@
 use crate::decisions::{
     AdmissionError, Decision, QuotaGuard, RequestTicket, RpcRequest, SchedulerHandle,
 };
-use crate::dependency::store::Store;
+use crate::dependency::store::StoreClient;
 use crate::note;
 use crate::runs::active_request::ActiveRequest;
 use crate::runs::reply::Reply;
@@ -74,7 +74,7 @@
 pub struct RequestHandler {
     scheduler: Rc<SchedulerHandle>,
     backend: Rc<dyn Backend>,
-    store: Store,
+    store: StoreClient,
     request_ids: Rc<RequestIds>,
     /// Keyed, so that nobody can foresee the digest of a body.
     digest_keys: RandomState,
@@ -94,7 +94,7 @@
     pub fn new(
         scheduler: Rc<SchedulerHandle>,
         backend: Rc<dyn Backend>,
-        store: Store,
+        store: StoreClient,
         limits: &Limits,
     ) -> RequestHandler {
         RequestHandler {
