--- a/crates/coralstep-server/src/decisions/admission.rs
+++ b/crates/coralstep-server/src/decisions/admission.rs
@@ -110,7 +110,6 @@
             age: request.age,
             untrusted_age: request.age_unverified,
             earlier_attempt: repeats.map_or(EarlierAttempt::None, EarlierAttempt::Known),
-            ..Request::default()
         }
     }
 
