--- /dev/null
+++ b/crates/coralstep-server/src/app.rs
@@ -0,0 +1,393 @@
+//! Wires the parts of one server together and runs them until the shutdown. Nothing is decided here.
+use std::cell::{Cell, RefCell};
+use std::future::poll_fn;
+use std::net::{SocketAddr, TcpListener};
+use std::panic::{AssertUnwindSafe, catch_unwind};
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::Poll;
+use std::time::Duration;
+
+use async_executor::LocalExecutor;
+use async_io::{Async, Timer, block_on};
+use async_signal::Signals;
+use futures_lite::FutureExt;
+
+use crate::base::config::{Config, Source};
+use crate::base::endpoints::Endpoints;
+use crate::base::log;
+use crate::callers::connections::Connections;
+use crate::callers::front::Front;
+use crate::callers::gateway::Thrift;
+use crate::callers::scgi::Scgi;
+use crate::decisions::SchedulerHandle;
+use crate::dependency::store::StoreClient;
+use crate::fleet::{ApplyVersion, FleetService, HealthSources};
+use crate::lifecycle::drain::Shutdown;
+use crate::lifecycle::reload::ReloadableParts;
+use crate::lifecycle::snapshots::SnapshotService;
+use crate::lifecycle::{registration, reload};
+use crate::note;
+use crate::operators::ops::Operator;
+use crate::runs::Backend;
+use crate::runs::applications::Applications;
+use crate::runs::engine::Engine;
+use crate::runs::request_handler::RequestHandler;
+
+/// Until the scheduler is started, its clock is looked at again after so long.
+const UNSTARTED_TICK: Duration = Duration::from_millis(100);
+/// Between two counts of the fleet's members, whose number the applications' slow start depends on.
+const MEMBER_COUNT_PERIOD: Duration = Duration::from_secs(1);
+
+/// A part of the server that runs beside the others.
+type Task<'a> = Pin<Box<dyn Future<Output = ()> + 'a>>;
+
+/// A listener and the protocol that its callers speak.
+struct Listener {
+    socket: Async<TcpListener>,
+    protocol: Rc<dyn Front>,
+    /// What the log adds to the address.
+    label: &'static str,
+}
+
+/// One server, all its ports bound.
+pub(crate) struct App {
+    config: Config,
+    executor: Rc<LocalExecutor<'static>>,
+    scheduler: Rc<SchedulerHandle>,
+    endpoints: Rc<Endpoints>,
+    engine: Rc<Engine>,
+    connections: Rc<Connections>,
+    listeners: Vec<Listener>,
+    operator: Option<Operator>,
+    fleet: Option<Rc<FleetService>>,
+    snapshots: Option<SnapshotService>,
+    parts: Rc<ReloadableParts>,
+    /// The shutdown has begun.
+    draining: Cell<bool>,
+}
+
+impl App {
+    /// Builds the parts, binds all ports, and takes in what was learned before a restart.
+    ///
+    /// # Errors
+    /// A port that cannot be bound, or a section that its part refuses.
+    pub(crate) fn build(config: Config) -> Result<App, String> {
+        log::start(&config.site.log)?;
+        let executor = Rc::new(LocalExecutor::new());
+        let scheduler = Rc::new(scheduler(&config)?);
+        let endpoints = Rc::new(Endpoints::of(&config));
+        let engine = Rc::new(Engine::default());
+        let applications = applications(&config, &executor, &endpoints);
+        let backend: Rc<dyn Backend> = match &applications {
+            Some(applications) => applications.clone(),
+            None => engine.clone(),
+        };
+        let handler = Rc::new(RequestHandler::new(
+            scheduler.clone(),
+            backend,
+            StoreClient(endpoints.clone()),
+            &config.limits,
+        ));
+        let connections = Rc::new(Connections::new(
+            executor.clone(),
+            scheduler.clone(),
+            handler,
+            endpoints.descriptors.clone(),
+            config.limits,
+        ));
+        let scgi = scgi(&config)?;
+        // All ports are bound before any is announced: guards against an operator who reads where the server listens and
+        // does not reach the operators' listener yet.
+        let listeners = listeners(&config, scgi.as_ref())?;
+        let operator = operator(&config)?;
+        let fleet = fleet(&config)?;
+        let parts = Rc::new(ReloadableParts {
+            scgi,
+            applications,
+            levels: scheduler.degradation().cloned(),
+            versioned: Cell::new(false),
+            version: RefCell::default(),
+        });
+        let mut app = App {
+            config,
+            executor,
+            scheduler,
+            endpoints,
+            engine,
+            connections,
+            listeners,
+            operator,
+            fleet,
+            snapshots: None,
+            parts,
+            draining: Cell::new(false),
+        };
+        app.log_addresses()?;
+        // Nothing is decided before the executor runs, so what was learned comes in time.
+        app.snapshots = app.start_snapshots();
+        Ok(app)
+    }
+
+    /// Serves until a signal of `stop` and the shutdown that follows; each signal of `reload` takes up the files of `source`.
+    pub(crate) fn run(mut self, source: &Source, stop: Signals, reload: Signals) {
+        let listeners = std::mem::take(&mut self.listeners);
+        let apply_version = self.version_applier();
+        let health_sources = self.health_sources();
+        let announce = || {
+            if let Some(fleet) = &self.fleet {
+                fleet.leave();
+            }
+        };
+        let shutdown = Shutdown {
+            scheduler: &self.scheduler,
+            connections: &self.connections,
+            stop_after: self.config.stop,
+            draining: &self.draining,
+            announce: &announce,
+        };
+        let serve = async {
+            let mut tasks = self.tasks(source, reload);
+            tasks.extend(self.fleet_tasks(&apply_version, &health_sources));
+            for Listener {
+                socket, protocol, ..
+            } in listeners
+            {
+                tasks.push(Box::pin(self.connections.listen(socket, protocol)));
+            }
+            run_all(tasks).await;
+        };
+        block_on(self.executor.run(shutdown.run(stop).or(serve)));
+        if let Some(snapshots) = &self.snapshots {
+            snapshots.finish(&self.scheduler);
+        }
+    }
+
+    /// All tasks but those of the fleet and the listeners.
+    fn tasks<'a>(&'a self, source: &'a Source, reload: Signals) -> Vec<Task<'a>> {
+        let heartbeats = registration::send_heartbeats(
+            &self.config.name,
+            &self.endpoints.control,
+            &self.scheduler,
+            &self.draining,
+        );
+        let reloads = reload::run(reload, source, &self.config, &self.endpoints, &self.parts);
+        let mut tasks: Vec<Task<'a>> = vec![
+            Box::pin(heartbeats),
+            Box::pin(reloads),
+            Box::pin(self.connections.sweep()),
+            Box::pin(self.connections.make_way()),
+            Box::pin(drive_scheduler(&self.scheduler, &self.engine)),
+        ];
+        if self.parts.applications.is_some() {
+            // Applications may come and go, so there is nothing to wait for.
+            self.scheduler.start(None, Duration::ZERO);
+        } else {
+            let link =
+                self.engine
+                    .maintain_link(&self.endpoints, &self.scheduler, self.config.seed);
+            tasks.push(Box::pin(link));
+        }
+        if let Some(snapshots) = &self.snapshots {
+            tasks.push(Box::pin(snapshots.run(&self.scheduler)));
+        }
+        if let Some(operator) = &self.operator {
+            let fleet = self.fleet.clone();
+            let listening = operator.listen(&self.executor, &self.scheduler, fleet);
+            tasks.push(Box::pin(listening));
+        }
+        tasks
+    }
+
+    fn fleet_tasks<'a>(
+        &'a self,
+        apply_version: &'a ApplyVersion,
+        health_sources: &'a HealthSources,
+    ) -> Vec<Task<'a>> {
+        let Some(fleet) = &self.fleet else {
+            return Vec::new();
+        };
+        fleet.guard(&self.scheduler);
+        let service = fleet.run(&self.scheduler, apply_version, health_sources);
+        let mut tasks: Vec<Task<'a>> = vec![Box::pin(service)];
+        if let Some(applications) = &self.parts.applications {
+            tasks.push(Box::pin(count_members(fleet, applications)));
+        }
+        tasks
+    }
+
+    /// Takes up versions of the fleet's settings.
+    fn version_applier(&self) -> ApplyVersion {
+        let parts = self.parts.clone();
+        let site = self.config.site.clone();
+        let names = self.config.names.clone();
+        let config = self.config.terms.clone();
+        Box::new(move |content| {
+            parts
+                .apply_version(content, &site, &names, &config)
+                .map_err(|error| error.to_string())
+        })
+    }
+
+    /// The dependencies beside the store whose health is shared with the fleet.
+    fn health_sources(&self) -> HealthSources {
+        let applications = self.parts.applications.clone();
+        Box::new(move |exchange| {
+            if let Some(applications) = &applications {
+                applications.exchange_health(exchange);
+            }
+        })
+    }
+
+    fn start_snapshots(&self) -> Option<SnapshotService> {
+        let section = self.config.site.state.as_ref()?;
+        SnapshotService::start(section, &self.config, &self.scheduler)
+    }
+
+    fn log_addresses(&self) -> Result<(), String> {
+        let name = &self.config.name;
+        for listener in &self.listeners {
+            let address = listener
+                .socket
+                .get_ref()
+                .local_addr()
+                .map_err(|error| format!("listen: {error}"))?;
+            note!("{name} listens on {address}{}", listener.label);
+        }
+        if let Some(operator) = &self.operator {
+            note!("operators ask at {}", operator.address());
+        }
+        if let Some(address) = self.fleet.as_ref().and_then(|fleet| fleet.address()) {
+            note!("{name} hears its fleet at {address}");
+        }
+        Ok(())
+    }
+}
+
+fn scheduler(config: &Config) -> Result<SchedulerHandle, String> {
+    let (terms, names) = (config.terms.clone(), config.names.clone());
+    let scheduler = SchedulerHandle::new(terms, names, config.seed, &config.limits);
+    match &config.site.levels {
+        Some(levels) => scheduler.with_degradation(levels),
+        None => Ok(scheduler),
+    }
+}
+
+fn applications(
+    config: &Config,
+    executor: &Rc<LocalExecutor<'static>>,
+    endpoints: &Endpoints,
+) -> Option<Rc<Applications>> {
+    let section = config.site.applications.as_ref()?;
+    let descriptors = endpoints.descriptors.clone();
+    let applications = Applications::new(executor.clone(), descriptors, section, config.seed);
+    Some(Rc::new(applications))
+}
+
+fn scgi(config: &Config) -> Result<Option<Rc<Scgi>>, String> {
+    let section = config.site.scgi.as_ref();
+    let scgi = section.map(|section| Scgi::new(section, &config.names));
+    Ok(scgi.transpose()?.map(Rc::new))
+}
+
+fn listeners(config: &Config, scgi: Option<&Rc<Scgi>>) -> Result<Vec<Listener>, String> {
+    let mut listeners = Vec::new();
+    if let Some(address) = config.listen {
+        listeners.push(Listener {
+            socket: bind(address)?,
+            protocol: Rc::new(Thrift),
+            label: "",
+        });
+    }
+    if let (Some(scgi), Some(section)) = (scgi, &config.site.scgi) {
+        for address in &section.listen {
+            listeners.push(Listener {
+                socket: bind(*address)?,
+                protocol: scgi.clone(),
+                label: " for SCGI",
+            });
+        }
+    }
+    Ok(listeners)
+}
+
+fn bind(address: SocketAddr) -> Result<Async<TcpListener>, String> {
+    TcpListener::bind(address)
+        .and_then(Async::new)
+        .map_err(|error| format!("listen: {address}: {error}"))
+}
+
+fn operator(config: &Config) -> Result<Option<Operator>, String> {
+    let section = config.site.operator.as_ref();
+    section
+        .map(|section| Operator::bind(&section.listen))
+        .transpose()
+}
+
+fn fleet(config: &Config) -> Result<Option<Rc<FleetService>>, String> {
+    let Some(section) = &config.site.fleet else {
+        return Ok(None);
+    };
+    let (site, names) = (config.site.clone(), config.names.clone());
+    let limits_of = move |version: Option<&str>| {
+        let site = match version {
+            None => Ok(site.clone()),
+            Some(version) => site.with_version(version, &names),
+        };
+        site.and_then(|site| site.limits(&names))
+            .unwrap_or_default()
+    };
+    let state_directory = config
+        .site
+        .state
+        .as_ref()
+        .map(|state| state.folder.as_path());
+    let fleet = FleetService::bind(
+        section,
+        &config.name,
+        config.seed,
+        state_directory,
+        Box::new(limits_of),
+    );
+    Ok(Some(Rc::new(fleet.map_err(|error| error.to_string())?)))
+}
+
+/// Runs all tasks side by side. Never ends, since some of them don't.
+async fn run_all(mut tasks: Vec<Task<'_>>) {
+    poll_fn(|context| {
+        tasks.retain_mut(|task| task.as_mut().poll(context).is_pending());
+        Poll::Pending
+    })
+    .await
+}
+
+async fn count_members(fleet: &FleetService, applications: &Applications) {
+    loop {
+        applications.set_process_count(fleet.member_count());
+        Timer::after(MEMBER_COUNT_PERIOD).await;
+    }
+}
+
+/// Ticks the scheduler when its timer is due, with the last readings of the engine's gauges.
+async fn drive_scheduler(scheduler: &SchedulerHandle, engine: &Engine) {
+    loop {
+        let sooner = scheduler.earlier_tick();
+        let next = scheduler.next_tick();
+        let is_started = !next.is_zero();
+        let wait = if is_started { next } else { UNSTARTED_TICK };
+        let timer = async {
+            Timer::after(wait).await;
+        };
+        timer.or(sooner).await;
+        if is_started {
+            // Guards against one panic that ends the process, and with it all RPCs.
+            let tick = AssertUnwindSafe(|| {
+                engine.poll_gauges();
+                scheduler.tick(&engine.gauge_readings());
+            });
+            if catch_unwind(tick).is_err() {
+                note!("scheduler tick panicked");
+            }
+        }
+    }
+}
--- a/crates/coralstep-server/src/lifecycle/snapshots.rs
+++ b/crates/coralstep-server/src/lifecycle/snapshots.rs
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Writes the last snapshot and waits for it for [`MAX_FINAL_WAIT`]: the process is about to end.
+    /// Writes the last snapshot and waits for it for `MAX_FINAL_WAIT` at most: the process is about to end.
     pub fn finish(&self, scheduler: &SchedulerHandle) {
         while self.completions.try_recv().is_ok() {}
         let is_requested = self.request_snapshot(scheduler);
--- a/crates/coralstep-server/src/main.rs
+++ b/crates/coralstep-server/src/main.rs
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 
 use coralstep_config::site::SiteConfig;
-use coralstep_server::Fault;
+use coralstep_server::ServeError;
 use coralstep_server::base::config::{Config, Source};
 use lexopt::Arg::{Long, Short, Value};
 
@@ -141,12 +141,12 @@
         }
         Ok(Command::Serve((config, site))) => {
             match Source::new(config, site)
-                .map_err(Fault::Files)
+                .map_err(ServeError::Config)
                 .and_then(coralstep_server::serve)
             {
                 Ok(()) => Ok(()),
-                Err(Fault::Files(why)) => return at_fault(&why),
-                Err(Fault::System(why)) => Err(why),
+                Err(ServeError::Config(why)) => return at_fault(&why),
+                Err(ServeError::System(why)) => Err(why),
             }
         }
     };
