--- a/crates/coralstep-fleet/benches/fleet.rs
+++ b/crates/coralstep-fleet/benches/fleet.rs
@@ -1,5 +1,5 @@
-//! What the fleet's part costs a server by the size of the fleet: the look before each RPC, against the same call on a server that hears
-//! nobody; a datagram heard and answered.
+//! What the fleet's part costs a server by the size of the fleet: the look before each RPC, against the same call on a server that knows
+//! nobody; a datagram received and answered.
 use std::hint::black_box;
 use std::net::SocketAddr;
 
@@ -30,7 +30,7 @@
     Fleet::new(terms, 0, 1)
 }
 
-/// One server that knows `count` others, and the last datagram that it heard of one of them.
+/// One server that knows `count` others, and the last datagram that it received from one of them.
 fn known(count: usize) -> (Fleet, Vec<u8>, u64) {
     let mut hub = one(0);
     let mut now = 0;
--- a/crates/coralstep-fleet/src/audit/chain.rs
+++ b/crates/coralstep-fleet/src/audit/chain.rs
@@ -91,7 +91,7 @@
         self.entries.iter()
     }
 
-    /// Returns the last entry, as others are told of it.
+    /// Returns the last entry, as it is reported to others.
     pub fn last(&self) -> Option<PastVersion> {
         self.entries.back().map(|entry| PastVersion {
             version: entry.version,
--- a/crates/coralstep-fleet/src/clock/tests.rs
+++ b/crates/coralstep-fleet/src/clock/tests.rs
@@ -9,7 +9,7 @@
     assert!(clock.observe(1_000_000, 1_001_500));
     assert!(
         clock.timestamp(1_000_000) >= 1_001_500 - 1,
-        "what was heard came before"
+        "what was observed came before"
     );
     assert!(!clock.observe(1_000_000, 4_600_000));
     assert!(clock.timestamp(1_000_100) < 1_003_000);
--- a/crates/coralstep-fleet/src/membership/member.rs
+++ b/crates/coralstep-fleet/src/membership/member.rs
@@ -68,7 +68,7 @@
     Alive,
     /// It did not answer, and may still speak up.
     Suspect,
-    /// It failed, or left without a word.
+    /// It failed, or left without announcing it.
     #[serde(rename = "gone")]
     Down,
     /// It announced that it leaves.
--- a/crates/coralstep-fleet/src/versions/tests.rs
+++ b/crates/coralstep-fleet/src/versions/tests.rs
@@ -18,11 +18,11 @@
     Member::new(name, "127.0.0.1:7".parse().unwrap(), 1)
 }
 
-/// Fetches what `from` holds; `spoil` may change or take letters on the way.
+/// Fetches what `from` holds; `fault` may change or take messages on the way.
 fn fetch(
     from: &mut VersionStore,
     to: &mut VersionStore,
-    mut spoil: impl FnMut(usize, VersionMessage) -> Option<VersionMessage>,
+    mut fault: impl FnMut(usize, VersionMessage) -> Option<VersionMessage>,
 ) -> Option<VersionId> {
     let mut count = 0;
     for now in (0..200_000).step_by(100) {
@@ -30,7 +30,7 @@
             for chunk in from.handle_message(now, request.message).replies {
                 count += 1;
                 let completed =
-                    spoil(count, chunk).and_then(|chunk| to.handle_message(now, chunk).completed);
+                    fault(count, chunk).and_then(|chunk| to.handle_message(now, chunk).completed);
                 if completed.is_some() {
                     return completed;
                 }
@@ -49,10 +49,10 @@
     let id = publisher
         .publish(0, version(1, VersionId::default(), &content))
         .unwrap();
-    // Every third letter is lost; at first one in seven is changed, as by a holder that is at fault.
+    // Every third message is lost; at first one in seven is corrupt, as from a holder at fault.
     let mut other = VersionStore::default();
     other.learn_of(id);
-    let spoilt = |count: usize, letter| match letter {
+    let corrupted = |count: usize, message| match message {
         _ if count.is_multiple_of(3) => None,
         VersionMessage::Chunk {
             id,
@@ -68,14 +68,14 @@
                 data,
             })
         }
-        letter => Some(letter),
+        message => Some(message),
     };
-    assert_eq!(fetch(&mut publisher, &mut other, spoilt), Some(id));
+    assert_eq!(fetch(&mut publisher, &mut other, corrupted), Some(id));
     assert_eq!(other.get(id), publisher.get(id));
     // One that is always changed is never taken.
     let mut third = VersionStore::default();
     third.learn_of(id);
-    let always = |_, letter| match letter {
+    let always = |_, message| match message {
         VersionMessage::Chunk {
             id,
             version_bytes,
@@ -90,7 +90,7 @@
                 data,
             })
         }
-        letter => Some(letter),
+        message => Some(message),
     };
     assert_eq!(fetch(&mut publisher, &mut third, always), None);
     assert!(third.get(id).is_none());
@@ -113,9 +113,9 @@
     let (mut left2, mut right2) = (VersionStore::default(), VersionStore::default());
     left2.publish(0, version(2, root, "{\"a\":1}")).unwrap();
     right2.publish(0, version(2, root, "{\"b\":1}")).unwrap();
-    fetch(&mut right2, &mut left, |_, letter| Some(letter));
-    fetch(&mut left2, &mut right, |_, letter| Some(letter));
-    // Only the smaller side has to fetch; what it acts on then is what the other does.
+    fetch(&mut right2, &mut left, |_, message| Some(message));
+    fetch(&mut left2, &mut right, |_, message| Some(message));
+    // Only the smaller side has to fetch; then both want the same version.
     assert_eq!(left.newest(), right.newest());
     assert_eq!(left.newest(), a.max(b));
     let fork = Fork {
--- a/crates/coralstep-server/src/main.rs
+++ b/crates/coralstep-server/src/main.rs
@@ -124,7 +124,7 @@
             Ok(())
         }
         Ok(Command::Levels(call)) => levels::run(call),
-        Ok(Command::Fleet(call)) => fleet::run(call),
+        Ok(Command::Fleet(call)) => fleet::run(call).map_err(|error| error.to_string()),
         Ok(Command::State(call)) => match state::run(call) {
             Ok(state::Verdict::Good) => Ok(()),
             Ok(state::Verdict::Bad) => return ExitCode::FAILURE,
