--- a/crates/coralstep-config/src/starvation.rs
+++ b/crates/coralstep-config/src/starvation.rs
@@ -1,6 +1,6 @@
 //! Configurations that are valid and would starve a method for good, not as a degradation level does for a while.
 use coralstep::{Idempotency, Method, SchedulerConfig};
-use coralstep_degradation::LevelTerms;
+use coralstep_degradation::DegradationConfig;
 use coralstep_route::RouteTable;
 use thiserror::Error;
 
@@ -52,22 +52,22 @@
 }
 
 fn check_first_level(
-    levels: &LevelTerms,
+    levels: &DegradationConfig,
     names: &Names,
     config: &SchedulerConfig,
 ) -> Result<(), StarvationError> {
-    let Some(first) = levels.list.first() else {
+    let Some(first) = levels.levels.first() else {
         return Ok(());
     };
-    let actions = &first.does;
+    let actions = &first.actions;
     let starving_key = |method: &Method| {
-        if actions.closed {
+        if actions.reject_all {
             Some("closed")
-        } else if actions.effects_only && method.idempotency == Idempotency::Idempotent {
+        } else if actions.reject_idempotent && method.idempotency == Idempotency::Idempotent {
             Some("effects_only")
-        } else if method.priority_weight < actions.least_criticality {
+        } else if method.priority_weight < actions.min_priority_weight {
             Some("least_criticality")
-        } else if actions.hold < MIN_QUEUE_SHARE {
+        } else if actions.queue_limit_factor < MIN_QUEUE_SHARE {
             Some("hold")
         } else {
             None
@@ -81,7 +81,7 @@
             });
         }
     }
-    if actions.value <= 0.0 {
+    if actions.load_report_factor <= 0.0 {
         return Err(StarvationError::NoLoad);
     }
     Ok(())
--- a/crates/coralstep-server/src/cli/fleet.rs
+++ b/crates/coralstep-server/src/cli/fleet.rs
@@ -11,7 +11,7 @@
 
 use crate::levels::ask;
 
-pub const USAGE: &str = "\
+pub(crate) const USAGE: &str = "\
 usage: coralstep fleet members --at WHERE [--json]
        coralstep fleet publish FILE [--must] [--waves 0.05,0.3,1 [--pause SECONDS]] --at WHERE [--json]
        coralstep fleet versions --at WHERE [--json]
@@ -35,14 +35,14 @@
 const ROW_KEYS: [&str; 5] = ["members", "versions", "audit", "limits", "verdicts"];
 
 /// What is to be done.
-pub enum Call {
+pub(crate) enum Call {
     Help,
     Ask(Request),
     Publish(Publish),
 }
 
 /// A question to a server.
-pub struct Request {
+pub(crate) struct Request {
     question: Question,
     /// Where the server answers operators.
     at: Listen,
@@ -50,7 +50,7 @@
 }
 
 /// A version to be published.
-pub struct Publish {
+pub(crate) struct Publish {
     file: PathBuf,
     mandatory: bool,
     /// Cumulative fractions of the fleet, 0 to 1; none for all servers at once.
@@ -62,7 +62,7 @@
 
 /// A call that could not be carried out.
 #[derive(Debug, thiserror::Error)]
-pub enum FleetCallError {
+pub(crate) enum FleetCallError {
     #[error("{}: {source}", path.display())]
     ReadFile { path: PathBuf, source: io::Error },
     #[error("{}: {source}", path.display())]
@@ -199,7 +199,7 @@
 }
 
 /// Reads the command line behind `coralstep fleet`.
-pub fn call(parser: &mut lexopt::Parser) -> Result<Call, lexopt::Error> {
+pub(crate) fn call(parser: &mut lexopt::Parser) -> Result<Call, lexopt::Error> {
     match Options::parse(parser)? {
         None => Ok(Call::Help),
         Some(options) => options.into_call(),
@@ -207,7 +207,7 @@
 }
 
 /// Carries out a call and prints the answer.
-pub fn run(call: Call) -> Result<(), FleetCallError> {
+pub(crate) fn run(call: Call) -> Result<(), FleetCallError> {
     let request = match call {
         Call::Help => {
             print!("{USAGE}");
--- a/crates/coralstep-server/src/decisions/actions.rs
+++ b/crates/coralstep-server/src/decisions/actions.rs
@@ -1,4 +1,5 @@
-//! Carries the scheduler's actions to those who wait for them: decisions to the tasks of RPCs, the rest to the server's state.
+//! Carries the scheduler's actions to those who wait for them: decisions to the tasks of RPCs, the
+//! rest to the server's state.
 use std::time::Duration;
 
 use coralstep::{Actions, Event, RpcId, Span, Transition};
@@ -43,22 +44,6 @@
     }
 }
 
-impl PendingActions {
-    /// Each change of the circuit breaker is an event of its own target and never left out.
-    fn log_breaker(&self, transition: Transition) {
-        let Transition {
-            from,
-            to,
-            failure_rate,
-        } = transition;
-        let instance = self.instance.as_str();
-        tracing::info!(
-            target: "breaker", dependency = "store", instance,
-            from = from.as_str(), to = to.as_str(), failure_rate, "circuit breaker changed state"
-        );
-    }
-}
-
 impl Actions for PendingActions {
     fn admit(&mut self, rpc: RpcId) {
         let entry = self.requests.get_mut(rpc);
@@ -137,28 +122,60 @@
     }
 
     fn log(&mut self, event: Event) {
-        match event {
-            Event::BreakerChanged(transition) => self.log_breaker(transition),
-            Event::RunOrphaned(run) | Event::RunOrphanedAtCall(run) => note!(
-                since_answer_ms = run.since_answer_ms(),
-                orphaned = run.orphaned,
-                max_orphaned = run.max_orphaned,
-                "{}",
-                event.message()
-            ),
-            Event::OrphanLimit {
-                reached,
-                orphaned,
-                max_orphaned,
-            } => note!(reached, orphaned, max_orphaned, "{}", event.message()),
-            Event::HealthChanged {
-                stalled,
-                read_backlog,
-            } => note!(stalled, read_backlog, "{}", event.message()),
-        }
+        log_event(event);
+    }
+
+    /// Never left out: a breaker's changes are few by design.
+    fn breaker_transition(&mut self, transition: Transition) {
+        let Transition {
+            from,
+            to,
+            failure_rate,
+        } = transition;
+        let instance = self.instance.as_str();
+        tracing::info!(
+            target: "breaker",
+            dependency = "store",
+            instance,
+            from = from.as_str(),
+            to = to.as_str(),
+            failure_rate,
+            "circuit breaker changed state"
+        );
     }
 
     fn release_id(&mut self, rpc: RpcId) {
         self.requests.finish(rpc);
     }
 }
+
+fn log_event(event: Event) {
+    let message = event.message();
+    match event {
+        Event::BreakerChanged(Transition {
+            from,
+            to,
+            failure_rate,
+        }) => note!(
+            from = from.as_str(),
+            to = to.as_str(),
+            failure_rate,
+            "{message}"
+        ),
+        Event::RunOrphaned(run) | Event::RunOrphanedAtCall(run) => note!(
+            since_answer_ms = run.since_answer_ms(),
+            orphaned = run.orphaned,
+            max_orphaned = run.max_orphaned,
+            "{message}"
+        ),
+        Event::OrphanLimit {
+            reached,
+            orphaned,
+            max_orphaned,
+        } => note!(reached, orphaned, max_orphaned, "{message}"),
+        Event::HealthChanged {
+            stalled,
+            read_backlog,
+        } => note!(stalled, read_backlog, "{message}"),
+    }
+}
--- a/crates/coralstep-server/src/decisions/degradation.rs
+++ b/crates/coralstep-server/src/decisions/degradation.rs
@@ -1,11 +1,13 @@
-//! The degradation levels of this server: fed with what the scheduler observes, their changes logged and remembered. What a
-//! level does is carried out by the scheduler.
+//! The degradation levels of this server: fed with what the scheduler observes, their changes
+//! logged and remembered. What a level does is carried out by the scheduler.
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::time::{Duration, SystemTime};
 
 use coralstep::{DegradationLevel, Signals, Span, Time};
-use coralstep_degradation::{Change, LevelTerms, Levels, Sample, View};
+use coralstep_degradation::{
+    DegradationConfig, LevelChange, LevelStateMachine, LevelStatus, Sample,
+};
 use serde::Serialize;
 
 use crate::base::clock::{self, Clock};
@@ -20,13 +22,13 @@
     pub unix_ms: u64,
     /// The change.
     #[serde(flatten)]
-    pub change: Change,
+    pub change: LevelChange,
 }
 
 /// Chooses the degradation level.
 pub struct DegradationController {
     clock: Clock,
-    levels: RefCell<Levels>,
+    levels: RefCell<LevelStateMachine>,
     history: RefCell<VecDeque<RecordedChange>>,
     /// How often signals go into the log, where they do.
     log_interval: Cell<Option<Span>>,
@@ -36,8 +38,8 @@
     pub(super) next_change_fails: Cell<bool>,
 }
 
-fn log_interval(terms: &LevelTerms) -> Option<Span> {
-    (terms.record_ms > 0).then_some(Span::ms(u64::from(terms.record_ms)))
+fn log_interval(terms: &DegradationConfig) -> Option<Span> {
+    (terms.record_interval_ms > 0).then_some(Span::ms(u64::from(terms.record_interval_ms)))
 }
 
 impl DegradationController {
@@ -46,10 +48,12 @@
     /// # Errors
     ///
     /// The levels contradict each other.
-    pub fn new(terms: &LevelTerms, clock: Clock) -> Result<DegradationController, String> {
+    pub fn new(terms: &DegradationConfig, clock: Clock) -> Result<DegradationController, String> {
+        let levels =
+            LevelStateMachine::new(terms, clock.now()).map_err(|error| error.to_string())?;
         Ok(DegradationController {
             clock,
-            levels: RefCell::new(Levels::new(terms, clock.now())?),
+            levels: RefCell::new(levels),
             history: RefCell::default(),
             log_interval: Cell::new(log_interval(terms)),
             last_logged: Cell::new(clock.now()),
@@ -73,7 +77,7 @@
     }
 
     /// Each change is one event, and none of them is left out.
-    fn record_change(&self, change: Change) {
+    fn record_change(&self, change: LevelChange) {
         #[cfg(test)]
         assert!(!self.next_change_fails.take(), "a fault in a change");
         log_change(&change);
@@ -92,7 +96,7 @@
 
     /// What the level that holds asks of the scheduler.
     pub fn effect(&self) -> DegradationLevel {
-        self.levels.borrow().effect()
+        self.levels.borrow().degradation()
     }
 
     /// Name of the level that holds.
@@ -101,8 +105,8 @@
     }
 
     /// The level that holds, and how far the others are.
-    pub fn view(&self) -> View {
-        self.levels.borrow().view(self.clock.now())
+    pub fn view(&self) -> LevelStatus {
+        self.levels.borrow().status(self.clock.now())
     }
 
     /// The last changes, the oldest first.
@@ -118,12 +122,14 @@
     pub fn hold(&self, level: &str, ms: u64) -> Result<(), String> {
         let span = clock::span(Duration::from_millis(ms));
         let mut levels = self.levels.borrow_mut();
-        levels.hold(self.clock.now(), level, span)
+        levels
+            .set_override(self.clock.now(), level, span)
+            .map_err(|error| error.to_string())
     }
 
     /// Ends a hold; `false` where there is none.
     pub fn release(&self) -> bool {
-        self.levels.borrow_mut().release()
+        self.levels.borrow_mut().clear_override()
     }
 
     /// Takes up other settings; those at fault change nothing.
@@ -131,8 +137,10 @@
     /// # Errors
     ///
     /// The levels contradict each other.
-    pub fn reload(&self, terms: &LevelTerms) -> Result<(), String> {
-        let change = self.levels.borrow_mut().reload(terms, self.clock.now())?;
+    pub fn reload(&self, terms: &DegradationConfig) -> Result<(), String> {
+        let now = self.clock.now();
+        let reloaded = self.levels.borrow_mut().reload(terms, now);
+        let change = reloaded.map_err(|error| error.to_string())?;
         self.log_interval.set(log_interval(terms));
         if let Some(change) = change {
             self.record_change(change);
@@ -142,27 +150,34 @@
 }
 
 fn log_signals(now: Time, signals: &Signals) {
-    let Sample {
-        at_ms,
-        hold,
-        pushed_back,
-        running,
-        breaker,
-        slowness,
-        memory,
-        unread,
-        cold,
-    } = Sample::new(now.0 / 10, signals);
+    // The keys are those of a recorded `Sample`.
+    let sample = Sample::new(now.0 / 10, signals);
     tracing::info!(
-        target: "signals", at_ms, hold, pushed_back, running, breaker, slowness, memory, unread, cold, "signals"
+        target: "signals",
+        at_ms = sample.at_ms,
+        hold = sample.queue_wait,
+        pushed_back = sample.rejected,
+        running = sample.concurrency,
+        breaker = sample.breaker_open,
+        slowness = sample.call_slowness,
+        memory = sample.memory,
+        unread = sample.read_delay,
+        cold = sample.warming_up,
+        "signals"
     );
 }
 
-fn log_change(change: &Change) {
+fn log_change(change: &LevelChange) {
     let causes = serde_json::to_string(&change.causes).unwrap_or_default();
-    let does = serde_json::to_string(&change.does).unwrap_or_default();
+    let does = serde_json::to_string(&change.actions).unwrap_or_default();
     tracing::info!(
-        target: "level", from = change.from, to = change.to, by_hand = change.by_hand, lasted_ms = change.lasted_ms,
-        causes, does, "{change}"
+        target: "level",
+        from = change.from,
+        to = change.to,
+        by_hand = change.by_hand,
+        lasted_ms = change.lasted_ms,
+        causes,
+        does,
+        "{change}"
     );
 }
--- a/crates/coralstep-server/src/decisions/handle.rs
+++ b/crates/coralstep-server/src/decisions/handle.rs
@@ -1,4 +1,5 @@
-//! The scheduler as network code sees it: started once the engine is up, driven by events and ticks, asked for its state.
+//! The scheduler as network code sees it: started once the engine is up, driven by events and
+//! ticks, asked for its state.
 use std::cell::{Cell, RefCell};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
@@ -8,7 +9,7 @@
     Gauges, Idempotency, LearnedState, Method, Outcome, Scheduler, SchedulerConfig, Span, Time,
 };
 use coralstep_config::Names;
-use coralstep_degradation::LevelTerms;
+use coralstep_degradation::DegradationConfig;
 use event_listener::{Event, EventListener};
 
 use crate::base::clock::{self, Clock};
@@ -109,7 +110,10 @@
     /// # Errors
     ///
     /// The levels contradict each other.
-    pub fn with_degradation(mut self, terms: &LevelTerms) -> Result<SchedulerHandle, String> {
+    pub fn with_degradation(
+        mut self,
+        terms: &DegradationConfig,
+    ) -> Result<SchedulerHandle, String> {
         let controller = DegradationController::new(terms, self.clock)?;
         self.degradation = Some(Rc::new(controller));
         Ok(self)
@@ -128,8 +132,8 @@
         }
     }
 
-    /// Starts the scheduler, once: the engine is up since `uptime`, and not yet warm where `cold` or, without that, the settings
-    /// say so.
+    /// Starts the scheduler, once: the engine is up since `uptime`, and not yet warm where `cold`
+    /// or, without that, the settings say so.
     pub fn start(&self, cold: Option<bool>, uptime: Duration) {
         let mut inner = self.inner.borrow_mut();
         let Inner { scheduler, actions } = &mut *inner;
@@ -179,7 +183,8 @@
             .unwrap_or(0.0)
     }
 
-    /// Passes an event to the scheduler, and to it again all that follows from it; does nothing before the start.
+    /// Passes an event to the scheduler, and to it again all that follows from it; does nothing
+    /// before the start.
     pub(super) fn drive(&self, event: impl FnOnce(&mut Scheduler, Time, &mut PendingActions)) {
         let mut inner = self.inner.borrow_mut();
         let Inner { scheduler, actions } = &mut *inner;
@@ -224,7 +229,8 @@
         gauges
     }
 
-    /// Guards against a fault among the levels that takes the tick along: the last level then holds.
+    /// Guards against a fault among the levels that takes the tick along: the last level then
+    /// holds.
     fn update_degradation(&self) {
         let Some(degradation) = &self.degradation else {
             return;
--- a/crates/coralstep-server/src/fleet/service.rs
+++ b/crates/coralstep-server/src/fleet/service.rs
@@ -266,7 +266,7 @@
         let snapshot = self.fleet.borrow().snapshot();
         let is_handed_over = recorder.save(FleetRecord {
             active_version: snapshot.active_version,
-            history: snapshot.audit_entries,
+            audit_entries: snapshot.audit_entries,
         });
         self.has_unsaved_changes.set(!is_handed_over);
     }
@@ -349,7 +349,7 @@
     let (recorder, record) = Recorder::start(state_dir)?;
     let snapshot = Snapshot {
         active_version: record.active_version,
-        audit_entries: record.history,
+        audit_entries: record.audit_entries,
     };
     if snapshot != Snapshot::default()
         && let Some(version) = fleet.restore(&snapshot)
