--- a/crates/coralstep-server/benches/front.rs
+++ b/crates/coralstep-server/benches/front.rs
@@ -18,9 +18,9 @@
 use coralstep_server::base::endpoints::{Endpoint, Endpoints};
 use coralstep_server::base::lines::Ref;
 use coralstep_server::callers::connections::Connections;
-use coralstep_server::callers::front::Front;
-use coralstep_server::callers::gateway::Thrift;
-use coralstep_server::callers::scgi::Scgi;
+use coralstep_server::callers::gateway::GatewayProtocol;
+use coralstep_server::callers::protocol::Protocol;
+use coralstep_server::callers::scgi::ScgiProtocol;
 use coralstep_server::decisions::{RunOutcome, SchedulerHandle};
 use coralstep_server::dependency::store::StoreClient;
 use coralstep_server::runs::request_handler::RequestHandler;
@@ -167,9 +167,9 @@
             method: "read".into()
         }]
     );
-    let scgi: Rc<dyn Front> = Rc::new(Scgi::new(scgi_terms, &names).expect("a front"));
+    let scgi: Rc<dyn Protocol> = Rc::new(ScgiProtocol::new(scgi_terms, &names).expect("a front"));
     let mut addresses = Vec::new();
-    for front in [Rc::new(Thrift) as Rc<dyn Front>, scgi] {
+    for front in [Rc::new(GatewayProtocol) as Rc<dyn Protocol>, scgi] {
         let (listener, address) = bind();
         let connections = connections.clone();
         executor
--- a/crates/coralstep-server/src/callers/connections.rs
+++ b/crates/coralstep-server/src/callers/connections.rs
@@ -1,4 +1,4 @@
-//! All connections of all fronts: who is let in, who makes room, who is asked to leave, and the end of all.
+//! All connections of all protocols: accepting, bounds, idle timeouts, shedding, and closing at a drain.
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::io;
@@ -14,345 +14,325 @@
 
 use crate::base::config::Limits;
 use crate::base::descriptors::Descriptors;
-use crate::base::lines::Ref;
-use crate::callers::connection::Connection;
-use crate::callers::front::{Front, Writer};
-use crate::decisions::{RpcRequest, SchedulerHandle};
+use crate::callers::connection::{ClosingNotice, Connection};
+use crate::callers::dispatcher::RequestDispatcher;
+use crate::callers::protocol::Protocol;
+use crate::decisions::SchedulerHandle;
 use crate::note;
-use crate::runs::request_handler::{Reply, RequestHandler};
+use crate::runs::request_handler::RequestHandler;
 
-/// Pause where nobody can be accepted, unless a place comes free sooner.
-const FULL: Duration = Duration::from_millis(100);
-/// Who was let in so lately may not have had the time for a first word.
-const FRESH: Duration = Duration::from_millis(50);
-/// Between two looks at idle connections; the shortest limit is longer.
-const SWEEP: Duration = Duration::from_millis(100);
-/// A caller asked to leave that still holds an idle connection open is left after so long.
-const LEAVE: Duration = Duration::from_secs(5);
-
-/// An open RPC; ends with its answer or, should its task fail, with word of that.
-struct Open<W: Writer> {
-    facade: Rc<SchedulerHandle>,
-    connection: Rc<Connection>,
-    writer: W,
-    answered: bool,
-}
-
-impl<W: Writer> Open<W> {
-    fn answer(mut self, reply: &Reply<'_>) {
-        let connection = &self.connection;
-        connection
-            .proven
-            .set(connection.proven.get() || matches!(reply, Reply::Ok(_)));
-        let about = self.facade.server_status();
-        connection
-            .out
-            .put(|out| self.writer.answer(out, reply, &about));
-        self.answered = true;
-    }
-}
-
-impl<W: Writer> Drop for Open<W> {
-    fn drop(&mut self) {
-        if !self.answered {
-            self.connection.out.put(|out| self.writer.failed(out));
-        }
-        if self.writer.last() {
-            self.connection.out.close();
-        }
-        self.connection.ends();
-    }
-}
+/// Pause of a listener that can't accept, unless a connection closes sooner.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// A connection younger than this may not have had the time to send its first message.
+const FIRST_MESSAGE_GRACE: Duration = Duration::from_millis(50);
+/// Time between two checks of idle connections; shorter than any idle limit.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
+/// How long after the closing notice an idle connection is closed from this side.
+const CLOSE_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
+/// The connections of all protocols.
 pub struct Connections {
     executor: Rc<LocalExecutor<'static>>,
-    pub facade: Rc<SchedulerHandle>,
-    pub course: Rc<RequestHandler>,
+    dispatcher: RequestDispatcher,
     descriptors: Rc<Descriptors>,
     limits: Limits,
     all: RefCell<Vec<Rc<Connection>>>,
-    /// Nobody is let in any more.
-    shut: Cell<bool>,
-    shutting: Event,
-    left: Event,
+    stopped_accepting: Cell<bool>,
+    accept_stopped: Event,
+    closed: Event,
 }
 
 impl Connections {
+    /// No connection yet; tasks run on `executor`, and requests go to `handler`.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
-        facade: Rc<SchedulerHandle>,
-        course: Rc<RequestHandler>,
+        scheduler: Rc<SchedulerHandle>,
+        handler: Rc<RequestHandler>,
         descriptors: Rc<Descriptors>,
         limits: Limits,
     ) -> Connections {
         Connections {
+            dispatcher: RequestDispatcher::new(executor.clone(), scheduler, handler),
             executor,
-            facade,
-            course,
             descriptors,
             limits,
             all: RefCell::default(),
-            shut: Cell::new(false),
-            shutting: Event::new(),
-            left: Event::new(),
+            stopped_accepting: Cell::new(false),
+            accept_stopped: Event::new(),
+            closed: Event::new(),
         }
     }
 
-    /// Accepts until `shut`, then whatever the system had already accepted for us.
-    pub async fn listen(self: &Rc<Self>, listener: Async<TcpListener>, front: Rc<dyn Front>) {
-        while !self.shut.get() {
-            let shutting = self.shutting.listen();
+    /// Accepts until [`Connections::stop_accepting`], then whatever the system had accepted already.
+    pub async fn listen(self: &Rc<Self>, listener: Async<TcpListener>, protocol: Rc<dyn Protocol>) {
+        while !self.stopped_accepting.get() {
+            let stopped = self.accept_stopped.listen();
             let stop = async {
-                shutting.await;
+                stopped.await;
                 Err(io::ErrorKind::Interrupted.into())
             };
             let accept = async {
-                self.place(&listener, &front).await?;
+                let closing_notice: Rc<dyn ClosingNotice> = protocol.clone();
+                self.wait_for_capacity(&listener, &closing_notice).await?;
                 listener.accept().await
             };
             match accept.or(stop).await {
-                Ok((stream, from)) => self.admit(stream, from.ip(), &front),
-                Err(why) if why.kind() == io::ErrorKind::Interrupted => {}
-                Err(why) => {
-                    // Guards against a loop that spins: who waits stays readable while there is no descriptor.
-                    note!("accept: {why}");
-                    let left = self.left.listen();
-                    self.shed();
-                    left.or(after(FULL)).await;
+                Ok((stream, address)) => self.add(stream, address.ip(), &protocol),
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) => {
+                    // Guards against a loop that spins: the listener stays readable while there is no descriptor.
+                    note!(%error, "accept failed");
+                    let closed = self.closed.listen();
+                    self.shed_one();
+                    closed.or(sleep(ACCEPT_RETRY_DELAY)).await;
                 }
             }
         }
-        // Guards against connections reset in the backlog, with requests that were written already.
-        while let Ok((stream, from)) = listener.get_ref().accept() {
+        self.drain_backlog(&listener, &protocol);
+    }
+
+    /// Guards against connections reset in the backlog, with requests that were written already.
+    fn drain_backlog(self: &Rc<Self>, listener: &Async<TcpListener>, protocol: &Rc<dyn Protocol>) {
+        while let Ok((stream, address)) = listener.get_ref().accept() {
             match Async::new(stream) {
-                Ok(stream) => self.admit(stream, from.ip(), &front),
-                Err(why) => note!("accept: {why}"),
+                Ok(stream) => self.add(stream, address.ip(), protocol),
+                Err(error) => note!(%error, "accept failed"),
             }
         }
     }
 
-    /// Those that are not on their way out.
-    fn staying(&self) -> usize {
+    /// How many connections are not closing.
+    fn active_count(&self) -> usize {
         self.all
             .borrow()
             .iter()
-            .filter(|one| !one.is_ending())
+            .filter(|connection| !connection.is_closing())
             .count()
     }
 
-    /// Whether a listener of `front` has to wait: as many of its own still leave as may, or all who stay carry something.
-    fn is_full(&self, front: &Rc<dyn Front>) -> bool {
-        let all = self.all.borrow();
-        let leave = all
+    /// Whether a listener of `protocol` has to wait: too many of its own are closing, or too many of all are not.
+    fn is_full(&self, protocol: &Rc<dyn ClosingNotice>) -> bool {
+        let closing = self
+            .all
+            .borrow()
             .iter()
-            .filter(|one| one.is_ending() && Rc::ptr_eq(one.front(), front))
+            .filter(|connection| connection.is_closing() && connection.uses(protocol))
             .count();
-        leave >= self.limits.spare
-            || all.iter().filter(|one| !one.is_ending()).count() >= self.most()
+        closing >= self.limits.spare || self.active_count() >= self.max_active()
     }
 
-    fn most(&self) -> usize {
+    fn max_active(&self) -> usize {
         self.limits.connections + self.limits.spare
     }
 
-    /// Ends when one more may be accepted. Guards against callers who wait to be let in and take the descriptors of those who still
-    /// leave, and then the server's own. Those of one front hold up no other.
-    async fn place(&self, listener: &Async<TcpListener>, front: &Rc<dyn Front>) -> io::Result<()> {
-        while self.is_full(front) {
-            // Nobody is shed for nobody.
+    /// Ends when one more connection may be accepted.
+    ///
+    /// Guards against waiting callers that take the descriptors of closing connections, and then the server's own. Those of one
+    /// protocol hold up no other.
+    async fn wait_for_capacity(
+        &self,
+        listener: &Async<TcpListener>,
+        protocol: &Rc<dyn ClosingNotice>,
+    ) -> io::Result<()> {
+        while self.is_full(protocol) {
+            // Nothing is shed before somebody waits.
             listener.readable().await?;
-            let left = self.left.listen();
-            if !self.is_full(front) {
+            let closed = self.closed.listen();
+            if !self.is_full(protocol) {
                 break;
             }
-            // Those that linger have all their answers on the way: the first of them goes now.
-            let lingers = self.all.borrow().iter().find(|one| one.lingers()).cloned();
-            match lingers {
-                Some(lingers) => lingers.lose(),
-                None if self.staying() >= self.most() => drop(self.shed()),
-                None => {}
-            }
-            left.or(after(FULL)).await;
+            self.free_capacity();
+            closed.or(sleep(ACCEPT_RETRY_DELAY)).await;
         }
         Ok(())
     }
 
-    /// Ends the connection that is missed least: guards against silent clients that lock gateways out. First one that
-    /// never said anything, else one that carries nothing, else one that had hardly the time to, each for the longest time;
-    /// `false` where all carry something.
-    /// Of the silent ones, the front that has most gives one up: guards against a flood at one that leaves callers of
-    /// another no time for their first word.
-    fn shed(&self) -> bool {
+    /// Aborts the first lingering connection, whose replies are all written, or else sheds one.
+    fn free_capacity(&self) {
+        let lingering = self
+            .all
+            .borrow()
+            .iter()
+            .find(|connection| connection.is_lingering())
+            .cloned();
+        if let Some(lingering) = lingering {
+            lingering.abort();
+        } else if self.active_count() >= self.max_active() {
+            self.shed_one();
+        }
+    }
+
+    /// Closes the least useful connection; `false` where all have open requests.
+    ///
+    /// The order is: one that never sent a message, one that is idle, one that is younger than [`FIRST_MESSAGE_GRACE`]; of
+    /// these the one idle longest. Guards against silent clients that lock gateways out. Of the silent ones, the protocol with
+    /// most gives one up: guards against a flood at one protocol that leaves callers of another no time for a first message.
+    fn shed_one(&self) -> bool {
         let all = self.all.borrow();
-        let free = |one: &&Rc<Connection>| !one.is_busy() && !one.is_ending();
-        let silent = |front: &Rc<dyn Front>| {
-            let of = all.iter().filter(free).filter(|one| !one.spoke.get());
-            of.filter(|one| Rc::ptr_eq(one.front(), front)).count()
+        let is_idle =
+            |connection: &&Rc<Connection>| !connection.is_busy() && !connection.is_closing();
+        let silent_of_protocol = |of: &Connection| {
+            all.iter()
+                .filter(is_idle)
+                .filter(|other| !other.has_received_message() && other.same_protocol(of))
+                .count()
         };
         let now = Instant::now();
-        let least = all.iter().filter(free).min_by_key(|one| {
-            let spoke = one.spoke.get();
-            let fresh = !spoke && now.saturating_duration_since(one.idle.get()) < FRESH;
+        let victim = all.iter().filter(is_idle).min_by_key(|connection| {
+            let spoke = connection.has_received_message();
+            let idle = now.saturating_duration_since(connection.idle_since());
             (
-                fresh,
+                !spoke && idle < FIRST_MESSAGE_GRACE,
                 spoke,
-                Reverse(if spoke { 0 } else { silent(one.front()) }),
-                one.idle.get(),
+                Reverse(if spoke {
+                    0
+                } else {
+                    silent_of_protocol(connection)
+                }),
+                connection.idle_since(),
             )
         });
-        // Who never said anything is told nothing: its descriptor comes free at once.
-        least
-            .inspect(|one| {
-                if one.spoke.get() {
-                    one.ask_to_leave()
-                }
-            })
-            .inspect(|one| one.end())
-            .is_some()
+        let Some(victim) = victim else {
+            return false;
+        };
+        // A silent one gets no notice: its descriptor comes free at once.
+        if victim.has_received_message() {
+            victim.request_close();
+        }
+        victim.begin_close();
+        true
     }
 
-    /// Sheds an idle connection for each of the server's own that found no descriptor.
-    pub async fn make_way(&self) {
+    /// Sheds an idle connection for each of the server's own dials that found no descriptor; never ends.
+    pub async fn shed_for_own_dials(&self) {
         loop {
-            let short = self.descriptors.short();
-            short.await;
-            note!("descriptors are short: an idle connection is shed");
-            self.shed();
+            self.descriptors.short().await;
+            note!("descriptors exhausted, shedding an idle connection");
+            self.shed_one();
         }
     }
 
-    fn admit(self: &Rc<Self>, stream: Async<TcpStream>, from: IpAddr, front: &Rc<dyn Front>) {
+    /// Registers an accepted connection and starts the task that serves it.
+    fn add(self: &Rc<Self>, stream: Async<TcpStream>, peer: IpAddr, protocol: &Rc<dyn Protocol>) {
         let _ = stream.get_ref().set_nodelay(true);
-        let connection = Rc::new(Connection::new(front.clone(), from));
-        if self.staying() >= self.limits.connections || self.descriptors.are_scarce(&stream) {
-            note!(client: "the table of connections is full");
-            if !self.shed() {
-                // All carry something: what this one brings is still answered, for its caller may have written it already.
-                connection.ask_to_leave();
+        let connection = Rc::new(Connection::new(protocol.clone(), peer));
+        if self.active_count() >= self.limits.connections || self.descriptors.are_scarce(&stream) {
+            note!(client: %peer, "connection table full");
+            if !self.shed_one() {
+                // All have open requests: what this one brings is still answered, for its caller may have written it already.
+                connection.request_close();
             }
         }
         self.all.borrow_mut().push(connection.clone());
-        if self.shut.get() {
-            connection.ask_to_leave();
+        if self.stopped_accepting.get() {
+            connection.request_close();
         }
-        let connections = self.clone();
-        let task = async move {
-            let read = async {
-                let front = connection.front().clone();
-                if let Err(why) = front.read(&connections, &stream, &connection).await {
-                    note!(client: "connection ended: {why}");
-                }
-            };
-            let served = AssertUnwindSafe(connection.serve(&stream, read))
-                .catch_unwind()
-                .await;
-            if served.is_err() {
-                note!("a connection ended by a panic");
-            }
-            connection.lose();
-            connections
-                .all
-                .borrow_mut()
-                .retain(|other| !Rc::ptr_eq(other, &connection));
-            drop(stream);
-            connections.descriptors.freed();
-            connections.left.notify(usize::MAX);
-        };
+        let (connections, protocol) = (self.clone(), protocol.clone());
+        let task = async move { connections.serve(stream, &connection, protocol).await };
         self.executor.spawn(task).detach();
     }
 
-    /// Lets an RPC take its course; `writer` writes its one answer to `connection`.
-    pub fn begin(
-        self: &Rc<Self>,
-        offer: RpcRequest,
-        id: Ref,
-        body: Vec<u8>,
+    /// Serves one connection to its end and removes it.
+    async fn serve(
+        &self,
+        stream: Async<TcpStream>,
         connection: &Rc<Connection>,
-        writer: impl Writer,
+        protocol: Rc<dyn Protocol>,
     ) {
-        connection.begins();
-        let (facade, connection) = (self.facade.clone(), connection.clone());
-        let open = Open {
-            facade,
-            connection: connection.clone(),
-            writer,
-            answered: false,
-        };
-        if connection.is_ending() {
-            // Guards against work for an answer that may not get through any more: it may go elsewhere, at once.
-            return open.answer(&Reply::Rejected {
-                retry_after_ms: 0,
-                is_final: false,
-            });
-        }
-        let course = self.course.clone();
-        let task = async move {
-            let run = course.handle(offer, id, body, connection.lost(), |reply| {
-                open.answer(&reply)
-            });
-            if AssertUnwindSafe(run).catch_unwind().await.is_err() {
-                note!("{id} ended by a panic");
+        let peer = connection.peer;
+        let read = async {
+            let read = protocol.read_connection(&self.dispatcher, &stream, connection);
+            if let Err(error) = read.await {
+                note!(client: %peer, %error, "connection failed");
             }
         };
-        self.executor.spawn(task).detach();
+        let served = AssertUnwindSafe(connection.serve(&stream, read))
+            .catch_unwind()
+            .await;
+        if served.is_err() {
+            note!(%peer, "connection task panicked");
+        }
+        connection.abort();
+        self.all
+            .borrow_mut()
+            .retain(|other| !Rc::ptr_eq(other, connection));
+        drop(stream);
+        self.descriptors.freed();
+        self.closed.notify(usize::MAX);
     }
 
-    /// Asks callers to leave connections that carry nothing for too long, and leaves those that stay all the same.
+    /// Enforces the idle limit and the bound on unread replies at each [`SWEEP_INTERVAL`]; never ends.
     pub async fn sweep(&self) {
         loop {
-            Timer::after(SWEEP).await;
-            let now = Instant::now();
-            let limit = self.facade.idle_limit();
-            for one in self.all.borrow().iter().filter(|one| !one.is_busy()) {
-                if limit.is_some_and(|limit| now.saturating_duration_since(one.idle.get()) >= limit)
-                {
-                    one.ask_to_leave();
-                }
-                if one.was_asked(now, LEAVE) {
-                    one.end();
-                }
+            Timer::after(SWEEP_INTERVAL).await;
+            self.close_idle(Instant::now());
+            self.bound_unread_replies();
+        }
+    }
+
+    /// Asks callers to close connections that are idle too long, and closes those that stay open all the same.
+    fn close_idle(&self, now: Instant) {
+        let idle_limit = self.dispatcher.scheduler.idle_limit();
+        let all = self.all.borrow();
+        for connection in all.iter().filter(|connection| !connection.is_busy()) {
+            let idle = now.saturating_duration_since(connection.idle_since());
+            if idle_limit.is_some_and(|limit| idle >= limit) {
+                connection.request_close();
+            }
+            if connection.close_requested_before(now, CLOSE_REQUEST_TIMEOUT) {
+                connection.begin_close();
             }
-            self.bound_answers();
         }
     }
 
-    /// Guards against callers that read nothing: together their answers would fill the memory.
-    fn bound_answers(&self) {
+    /// Guards against callers that read nothing: together their replies would fill the memory.
+    fn bound_unread_replies(&self) {
         let all = self.all.borrow();
-        let waiting: usize = all.iter().map(|one| one.out.waiting()).sum();
-        if waiting > self.limits.answers
-            && let Some(most) = all.iter().max_by_key(|one| one.out.waiting())
-        {
-            note!("unread answers fill the memory: one connection is ended");
-            most.lose();
+        let unread: usize = all
+            .iter()
+            .map(|connection| connection.outbox.waiting())
+            .sum();
+        if unread <= self.limits.answers {
+            return;
+        }
+        let slowest = all
+            .iter()
+            .max_by_key(|connection| connection.outbox.waiting());
+        if let Some(slowest) = slowest {
+            note!(peer = %slowest.peer, "unread replies exceed memory limit, closing connection");
+            slowest.abort();
         }
     }
 
-    /// Lets nobody in any more and asks all to leave.
-    pub fn shut(&self) {
-        self.shut.set(true);
-        self.shutting.notify(usize::MAX);
-        self.all.borrow().iter().for_each(|one| one.ask_to_leave());
+    /// Stops accepting and asks all callers to close their connections.
+    pub fn stop_accepting(&self) {
+        self.stopped_accepting.set(true);
+        self.accept_stopped.notify(usize::MAX);
+        for connection in self.all.borrow().iter() {
+            connection.request_close();
+        }
     }
 
-    /// Ends all that are still there, each after its open answers.
-    pub fn end(&self) {
-        self.all.borrow().iter().for_each(|one| one.end());
+    /// Closes all connections, each after the replies to its open requests.
+    pub fn close_all(&self) {
+        for connection in self.all.borrow().iter() {
+            connection.begin_close();
+        }
     }
 
     /// Ends when no connection is left.
-    pub async fn empty(&self) {
+    pub async fn all_closed(&self) {
         while !self.all.borrow().is_empty() {
-            let left = self.left.listen();
+            let closed = self.closed.listen();
             if !self.all.borrow().is_empty() {
-                left.await;
+                closed.await;
             }
         }
     }
 }
 
-async fn after(span: Duration) {
-    Timer::after(span).await;
+async fn sleep(duration: Duration) {
+    Timer::after(duration).await;
 }
 
 #[cfg(test)]
--- a/crates/coralstep-server/src/callers/connections/tests.rs
+++ b/crates/coralstep-server/src/callers/connections/tests.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::base::endpoints::{Endpoint, Endpoints};
-use crate::callers::gateway::Thrift;
+use crate::callers::gateway::GatewayProtocol;
 use crate::dependency::store::StoreClient;
 use crate::runs::engine::Engine;
 
@@ -41,58 +41,68 @@
 }
 
 fn some(connections: &Connections, count: usize) -> Vec<Rc<Connection>> {
-    let front: Rc<dyn Front> = Rc::new(Thrift);
-    let one = |_| Rc::new(Connection::new(front.clone(), IpAddr::from([127, 0, 0, 1])));
+    let protocol: Rc<dyn ClosingNotice> = Rc::new(GatewayProtocol);
+    let one = |_| {
+        Rc::new(Connection::new(
+            protocol.clone(),
+            IpAddr::from([127, 0, 0, 1]),
+        ))
+    };
     let some: Vec<_> = (0..count).map(one).collect();
     connections.all.borrow_mut().extend(some.iter().cloned());
     some
 }
 
 #[test]
-fn who_never_spoke_makes_room_first_and_who_carries_something_never() {
+fn silent_connections_are_shed_first_and_busy_ones_never() {
     let connections = connections();
     let some = some(&connections, 5);
     let (busy, longest, idle, silent) = (&some[0], &some[1], &some[2], &some[3]);
-    busy.begins();
+    busy.request_started();
     [busy, longest, idle]
         .iter()
-        .for_each(|one| one.spoke.set(true));
-    idle.idle.set(longest.idle.get() + Duration::from_millis(1));
-    // It has had the time to say something; one that came just now hardly had, and goes after those that rest.
-    silent.idle.set(longest.idle.get() - FRESH);
+        .for_each(|one| one.received_message.set(true));
+    idle.idle_since
+        .set(longest.idle_since() + Duration::from_millis(1));
+    // It has had the time to send a message; one accepted just now has not, and goes after the idle ones.
+    silent
+        .idle_since
+        .set(longest.idle_since() - FIRST_MESSAGE_GRACE);
     let fresh = &some[4];
-    fresh.idle.set(longest.idle.get() + Duration::from_secs(1));
+    fresh
+        .idle_since
+        .set(longest.idle_since() + Duration::from_secs(1));
     for next in [silent, longest, idle, fresh] {
-        assert!(!next.is_ending() && connections.shed() && next.is_ending());
+        assert!(!next.is_closing() && connections.shed_one() && next.is_closing());
     }
-    assert!(!connections.shed() && !busy.is_ending());
+    assert!(!connections.shed_one() && !busy.is_closing());
 }
 
 #[test]
-fn of_two_fronts_the_one_with_more_silent_callers_makes_room() {
+fn the_protocol_with_more_silent_connections_has_one_shed() {
     let connections = connections();
     let few = some(&connections, 1);
     let many = some(&connections, 3);
-    // The caller of the other front waits for the longest time and keeps its place all the same.
-    let moment = few[0].idle.get() + Duration::from_millis(1);
-    many.iter().for_each(|one| one.idle.set(moment));
-    assert!(connections.shed() && connections.shed());
-    assert!(!few[0].is_ending() && many.iter().filter(|one| one.is_ending()).count() == 2);
+    // The connection of the other protocol is idle longest and stays open all the same.
+    let moment = few[0].idle_since() + Duration::from_millis(1);
+    many.iter().for_each(|one| one.idle_since.set(moment));
+    assert!(connections.shed_one() && connections.shed_one());
+    assert!(!few[0].is_closing() && many.iter().filter(|one| one.is_closing()).count() == 2);
 }
 
 #[test]
-fn unread_answers_of_all_connections_are_bounded_together() {
+fn unread_replies_of_all_connections_are_bounded_together() {
     let connections = connections();
     let some = some(&connections, 3);
     for (one, bytes) in some.iter().zip([30, 50, 20]) {
-        one.out.put(|out| out.resize(bytes, 0));
+        one.outbox.put(|out| out.resize(bytes, 0));
     }
-    connections.bound_answers();
-    assert!(some.iter().all(|one| !one.is_ending()));
-    some[2].out.put(|out| out.push(0));
-    connections.bound_answers();
+    connections.bound_unread_replies();
+    assert!(some.iter().all(|one| !one.is_closing()));
+    some[2].outbox.put(|out| out.push(0));
+    connections.bound_unread_replies();
     assert_eq!(
-        some.iter().map(|one| one.is_ending()).collect::<Vec<_>>(),
+        some.iter().map(|one| one.is_closing()).collect::<Vec<_>>(),
         [false, true, false]
     );
 }
--- a/crates/coralstep-server/src/callers/mod.rs
+++ b/crates/coralstep-server/src/callers/mod.rs
@@ -1,10 +1,17 @@
-//! Callers' fronts: listeners, the connections of all of them, a file a protocol.
+//! Callers: listeners, their connections, and one module a protocol.
+//!
+//! A [`protocol::Protocol`] reads requests from a [`connection::Connection`] and hands each to the
+//! [`dispatcher::RequestDispatcher`] with a [`reply_writer::ReplyWriter`]. [`connections::Connections`] accepts, bounds and
+//! closes the connections of all protocols.
 pub mod connection;
 pub mod connections;
-pub mod front;
+pub mod dispatcher;
+pub mod error;
 pub mod gateway;
-pub mod inbox;
-pub mod said;
+pub mod protocol;
+pub mod read_buffer;
+pub mod reply_writer;
+pub mod request_fields;
 pub mod scgi;
 pub mod thrift;
 
--- /dev/null
+++ b/crates/coralstep-server/src/callers/scgi/mod.rs
@@ -0,0 +1,223 @@
+//! The protocol of SCGI callers: one request a connection, the reply in CGI form.
+//!
+//! The operator's file names the headers that carry what the scheduler needs. A caller that closes its connection before the
+//! reply has gone, and its request is cancelled.
+use std::cell::RefCell;
+use std::net::TcpStream;
+use std::rc::Rc;
+
+use async_io::Async;
+use coralstep_config::Names;
+use coralstep_config::site::{ScgiConfig, SiteError};
+use coralstep_scgi::request;
+use futures_lite::AsyncReadExt;
+use futures_lite::future::yield_now;
+
+use crate::callers::connection::{ClosingNotice, Connection};
+use crate::callers::dispatcher::RequestDispatcher;
+use crate::callers::error::ConnectionError;
+use crate::callers::protocol::{Protocol, ReadFuture};
+use crate::callers::read_buffer::{ReadBuffer, ReadOutcome};
+use crate::decisions::{SchedulerHandle, ServerStatus};
+use crate::note;
+
+mod config;
+mod error;
+mod reply;
+mod request_parser;
+
+use config::ProtocolConfig;
+use error::RequestError;
+use request_parser::{ParsedRequest, RequestParser};
+
+pub(super) use reply::ScgiReplyWriter;
+
+/// Bytes that are ignored behind a request, where none belong.
+const MAX_TRAILING_BYTES: usize = 4 * 1024;
+
+/// The protocol of SCGI callers.
+pub struct ScgiProtocol {
+    config: RefCell<Rc<ProtocolConfig>>,
+}
+
+impl ScgiProtocol {
+    /// The protocol as the section `scgi` of the operator's file configures it.
+    ///
+    /// # Errors
+    /// The section's routes are at fault.
+    pub fn new(section: &ScgiConfig, names: &Names) -> Result<ScgiProtocol, SiteError> {
+        let config = ProtocolConfig::new(section, names)?;
+        Ok(ScgiProtocol {
+            config: RefCell::new(Rc::new(config)),
+        })
+    }
+
+    /// Replaces the configuration for requests that are read from now on.
+    ///
+    /// # Errors
+    /// The section's routes are at fault; the old configuration stays in force.
+    pub fn reload(&self, section: &ScgiConfig, names: &Names) -> Result<(), SiteError> {
+        let config = ProtocolConfig::new(section, names)?;
+        *self.config.borrow_mut() = Rc::new(config);
+        Ok(())
+    }
+
+    async fn serve(
+        &self,
+        dispatcher: &RequestDispatcher,
+        stream: &Async<TcpStream>,
+        connection: &Rc<Connection>,
+    ) -> Result<(), ConnectionError> {
+        let config = self.config.borrow().clone();
+        let mut buffer = ReadBuffer::new();
+        match receive_request(&mut buffer, &config, stream, connection).await? {
+            Received::Request => {}
+            Received::Closed => return Ok(()),
+            Received::Invalid(error) => {
+                reject_invalid(connection, error);
+                return Ok(());
+            }
+        }
+        connection.message_received();
+        match parse_request(&buffer, &config, dispatcher, connection)? {
+            Ok(ParsedRequest::HealthCheck) => answer_health(connection, &dispatcher.scheduler),
+            Ok(ParsedRequest::Rpc(incoming)) => {
+                dispatcher.dispatch(incoming, connection, ScgiReplyWriter);
+            }
+            Err(error) => {
+                reject_invalid(connection, error);
+                return Ok(());
+            }
+        }
+        drop(buffer);
+        wait_for_close(stream, connection).await
+    }
+}
+
+impl ClosingNotice for ScgiProtocol {
+    /// SCGI has none: a connection closes after its one reply.
+    fn write_closing_notice(&self, _out: &mut Vec<u8>) {}
+}
+
+impl Protocol for ScgiProtocol {
+    fn read_connection<'a>(
+        self: Rc<Self>,
+        dispatcher: &'a RequestDispatcher,
+        stream: &'a Async<TcpStream>,
+        connection: &'a Rc<Connection>,
+    ) -> ReadFuture<'a> {
+        Box::pin(async move { self.serve(dispatcher, stream, connection).await })
+    }
+}
+
+/// What came of waiting for a request.
+enum Received {
+    /// A whole request is in the buffer.
+    Request,
+    /// The caller closed the connection without one.
+    Closed,
+    /// What arrived is no request.
+    Invalid(RequestError),
+}
+
+/// Reads until the buffer holds a whole request.
+async fn receive_request(
+    buffer: &mut ReadBuffer,
+    config: &ProtocolConfig,
+    stream: &Async<TcpStream>,
+    connection: &Connection,
+) -> Result<Received, ConnectionError> {
+    // Guards against the work of reading the headers again for each byte of a body that arrives in small pieces.
+    let mut encoded_len = None;
+    loop {
+        if encoded_len.is_none() {
+            match request::encoded_len(buffer.bytes(), &config.limits) {
+                Ok(known) => encoded_len = known,
+                Err(error) => return Ok(Received::Invalid(error.into())),
+            }
+        }
+        if encoded_len.is_some_and(|needed| buffer.bytes().len() >= needed) {
+            return Ok(Received::Request);
+        }
+        match buffer.read(stream, connection).await? {
+            ReadOutcome::Data => {}
+            ReadOutcome::Closed => return Ok(Received::Closed),
+            ReadOutcome::TimedOut => return Ok(Received::Invalid(RequestError::TimedOut)),
+        }
+    }
+}
+
+/// Decodes the request in the buffer and reads its headers.
+fn parse_request(
+    buffer: &ReadBuffer,
+    config: &ProtocolConfig,
+    dispatcher: &RequestDispatcher,
+    connection: &Connection,
+) -> Result<Result<ParsedRequest, RequestError>, ConnectionError> {
+    let request = match request::decode(buffer.bytes(), &config.limits) {
+        Ok(Some((request, _))) => request,
+        Ok(None) => return Err(ConnectionError::IncompleteRequest),
+        Err(error) => return Ok(Err(error.into())),
+    };
+    let parser = RequestParser {
+        request: &request,
+        config,
+        trusted: config.trusts(connection.peer),
+        scheduler: &dispatcher.scheduler,
+        handler: &dispatcher.handler,
+    };
+    Ok(parser.parse())
+}
+
+fn answer_health(connection: &Connection, scheduler: &SchedulerHandle) {
+    let (http_status, body) = if scheduler.is_healthy() {
+        (200, &b"good\n"[..])
+    } else {
+        (503, &b"bad\n"[..])
+    };
+    let server_status = scheduler.server_status();
+    connection
+        .outbox
+        .put(|out| reply::encode(out, &server_status, http_status, &[], body));
+    connection.outbox.close();
+}
+
+/// Answers a request that can't be served with an HTTP status and the reason.
+fn reject_invalid(connection: &Connection, error: RequestError) {
+    note!(client: peer = %connection.peer, %error, "invalid request");
+    let fields = [reply::plain_text()];
+    let body = format!("{error}\n");
+    connection.outbox.put(|out| {
+        reply::encode(
+            out,
+            &ServerStatus::default(),
+            error.http_status(),
+            &fields,
+            body.as_bytes(),
+        );
+    });
+    connection.outbox.close();
+}
+
+/// Ends when the caller has closed the connection; until its reply that cancels the request.
+async fn wait_for_close(
+    mut stream: &Async<TcpStream>,
+    connection: &Connection,
+) -> Result<(), ConnectionError> {
+    let mut buffer = [0; 256];
+    let mut trailing = 0;
+    loop {
+        match stream.read(&mut buffer).await {
+            Ok(0) | Err(_) => {
+                connection.abort();
+                return Ok(());
+            }
+            Ok(count) => trailing += count,
+        }
+        // Guards against a caller that sends without end behind its request and keeps all others from the one thread.
+        if trailing > MAX_TRAILING_BYTES {
+            return Err(ConnectionError::TrailingBytes);
+        }
+        yield_now().await;
+    }
+}
--- a/crates/coralstep-server/src/callers/tests.rs
+++ b/crates/coralstep-server/src/callers/tests.rs
@@ -1,8 +1,10 @@
-//! The bytes of every answer that a front can write, compared with golden files. `GOLDEN_WRITE=1` writes them anew.
+//! The bytes of every reply that a protocol can write, compared with golden files. `GOLDEN_WRITE=1` writes them anew.
 use std::path::Path;
 
-use crate::callers::front::Writer;
-use crate::callers::{gateway, scgi, thrift};
+use crate::callers::gateway::GatewayReplyWriter;
+use crate::callers::reply_writer::ReplyWriter;
+use crate::callers::scgi::ScgiReplyWriter;
+use crate::callers::thrift::{self, Answer, ReplyField};
 use crate::decisions::ServerStatus;
 use crate::runs::request_handler::Reply;
 
@@ -62,13 +64,13 @@
     format!("{case}: \"{}\"\n", written.escape_ascii())
 }
 
-fn answers(writer: &impl Writer) -> String {
-    let mut text = line("failed", |out| writer.failed(out));
+fn answers(writer: &impl ReplyWriter) -> String {
+    let mut text = line("failed", |out| writer.write_internal_error(out));
     for about in abouts() {
         for (case, reply) in &REPLIES {
             let known = (about.value, about.level.as_deref().unwrap_or("no level"));
             text += &line(&format!("{case} {known:?}"), |out| {
-                writer.answer(out, reply, &about)
+                writer.write_reply(out, reply, &about)
             });
         }
     }
@@ -93,23 +95,31 @@
 /// Guards against a changed field, its order or its type in any answer to a gateway.
 #[test]
 fn answers_to_gateways_keep_their_bytes() {
-    let mut text = answers(&gateway::Seq(0x0102_0304)) + &answers(&gateway::Seq(-1));
-    text += &line("closing", thrift::closing);
+    let mut text = answers(&GatewayReplyWriter {
+        sequence: 0x0102_0304,
+    }) + &answers(&GatewayReplyWriter { sequence: -1 });
+    text += &line("closing", thrift::encode_closing);
     text += &line("exception", |out| {
-        thrift::exception(out, 7, "unknown service")
-    });
-    let fields = [("pressure", "0.5".to_owned())];
-    text += &line("good ping", |out| {
-        thrift::answer(out, "ping", 2, b"", &fields, true)
-    });
-    text += &line("bad ping", |out| {
-        thrift::answer(out, "ping", 2, b"", &[], false)
+        thrift::encode_application_exception(out, 7, "unknown service")
     });
+    let fields = [ReplyField {
+        key: "pressure",
+        value: "0.5".to_owned(),
+    }];
+    let ping = |fields, success| Answer {
+        method: "ping",
+        sequence: 2,
+        body: b"",
+        fields,
+        success,
+    };
+    text += &line("good ping", |out| ping(&fields, true).encode(out));
+    text += &line("bad ping", |out| ping(&[], false).encode(out));
     compare("thrift_answers.txt", &text);
 }
 
 /// Guards against a changed header, its order or its figure in any answer to a caller of SCGI.
 #[test]
 fn answers_to_callers_of_scgi_keep_their_bytes() {
-    compare("scgi_replies.txt", &answers(&scgi::One));
+    compare("scgi_replies.txt", &answers(&ScgiReplyWriter));
 }
--- a/crates/coralstep-server/src/callers/thrift.rs
+++ b/crates/coralstep-server/src/callers/thrift.rs
@@ -1,10 +1,14 @@
-//! Framed Thrift in the strict binary protocol, as far as gateways speak it. Pure: bytes in, bytes out.
+//! Framed Thrift in the strict binary protocol, as far as gateways speak it. Does no I/O.
 use std::str;
 
-/// The longest frame that is read: a body of 2 KiB and some twenty fields fit in several times over.
-pub const FRAME_MOST: usize = 16 * 1024;
+/// The longest frame that is read, in bytes: several times a body of 2 KiB and some twenty fields.
+pub const MAX_FRAME_BYTES: usize = 16 * 1024;
+/// Bytes of the length in front of each frame.
+const LENGTH_PREFIX_BYTES: usize = 4;
 
 const VERSION: u32 = 0x8001_0000;
+const VERSION_MASK: u32 = 0xffff_0000;
+
 const CALL: u8 = 1;
 const REPLY: u8 = 2;
 const EXCEPTION: u8 = 3;
@@ -12,44 +16,105 @@
 
 const STOP: u8 = 0;
 const BOOL: u8 = 2;
+const BYTE: u8 = 3;
+const DOUBLE: u8 = 4;
+const I16: u8 = 6;
 const I32: u8 = 8;
+const I64: u8 = 10;
 const STRING: u8 = 11;
 const STRUCT: u8 = 12;
 const MAP: u8 = 13;
-/// Structs within structs that are skipped before a message counts as garbled.
-const DEPTH_MOST: u32 = 16;
+const SET: u8 = 14;
+const LIST: u8 = 15;
+/// Nested structs and containers that are skipped before a message counts as invalid.
+const MAX_SKIP_DEPTH: u32 = 16;
 
-/// Why a frame was not understood: how much of it could be read.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+/// Bytes that a pair of a map of strings takes at least: the two lengths.
+const MIN_PAIR_BYTES: usize = 8;
+
+/// `TApplicationException.PROTOCOL_ERROR`.
+const PROTOCOL_ERROR: u32 = 7;
+
+/// Why a frame was not understood.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum DecodeError {
     /// Nothing that follows on this connection can be trusted.
-    Garbled,
-    /// The sequence number was read, so an answer is possible.
-    Message(i32, &'static str),
+    #[error("corrupt frame")]
+    Corrupt,
+    /// The message is invalid, but its sequence number is known, so that it can be answered.
+    #[error("{reason}")]
+    Invalid {
+        /// The sequence number of the message.
+        sequence: i32,
+        /// What is wrong with it.
+        reason: &'static str,
+    },
+}
+
+/// A key and its value in the map of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RequestField<'a> {
+    /// The key.
+    pub key: &'a str,
+    /// The value.
+    pub value: &'a str,
+}
+
+/// A key and its value in the map of a reply.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ReplyField {
+    /// The key.
+    pub key: &'static str,
+    /// The value.
+    pub value: String,
 }
 
+/// A message from a gateway.
 #[derive(Debug, PartialEq)]
 pub enum Message<'a> {
+    /// A request to be served.
     Invoke {
-        seq: i32,
-        fields: Vec<(&'a str, &'a str)>,
+        /// The number that the reply repeats.
+        sequence: i32,
+        /// What the gateway says of the request.
+        fields: Vec<RequestField<'a>>,
+        /// The request's body.
         body: &'a [u8],
     },
+    /// A health check.
     Ping {
-        seq: i32,
+        /// The number that the reply repeats.
+        sequence: i32,
     },
 }
 
-/// The first whole frame of `bytes` and its length with the prefix; `None` while more must be read.
-pub fn frame(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, Fault> {
-    let Some(prefix) = bytes.first_chunk::<4>() else {
+/// A frame at the front of a buffer.
+#[derive(Debug, PartialEq, Eq)]
+pub struct Frame<'a> {
+    /// The message in it.
+    pub content: &'a [u8],
+    /// Its size in bytes with the length in front.
+    pub encoded_len: usize,
+}
+
+/// The first whole frame of `bytes`, or `None` while more must be read.
+///
+/// # Errors
+/// [`DecodeError::Corrupt`] where the stated length is 0 or above [`MAX_FRAME_BYTES`].
+pub fn split_frame(bytes: &[u8]) -> Result<Option<Frame<'_>>, DecodeError> {
+    let Some(prefix) = bytes.first_chunk::<LENGTH_PREFIX_BYTES>() else {
         return Ok(None);
     };
     let length = u32::from_be_bytes(*prefix) as usize;
-    if length == 0 || length > FRAME_MOST {
-        return Err(Fault::Garbled);
+    if length == 0 || length > MAX_FRAME_BYTES {
+        return Err(DecodeError::Corrupt);
     }
-    Ok(bytes.get(4..4 + length).map(|frame| (frame, 4 + length)))
+    let encoded_len = LENGTH_PREFIX_BYTES + length;
+    let content = bytes.get(LENGTH_PREFIX_BYTES..encoded_len);
+    Ok(content.map(|content| Frame {
+        content,
+        encoded_len,
+    }))
 }
 
 struct Reader<'a>(&'a [u8]);
@@ -73,7 +138,7 @@
         self.take(4)?.try_into().ok().map(u32::from_be_bytes)
     }
 
-    /// A length below 0 becomes one that no frame can hold.
+    /// A negative length becomes one that no frame can hold.
     fn binary(&mut self) -> Option<&'a [u8]> {
         let length = self.u32()? as usize;
         self.take(length)
@@ -83,110 +148,136 @@
         str::from_utf8(self.binary()?).ok()
     }
 
-    fn texts(&mut self) -> Option<Vec<(&'a str, &'a str)>> {
-        let (key, value, count) = (self.u8()?, self.u8()?, self.u32()? as usize);
-        // Each pair takes 8 bytes at the least, which bounds what is set aside.
-        if count > self.0.len() / 8 || (count > 0 && (key, value) != (STRING, STRING)) {
+    /// A map of strings.
+    fn fields(&mut self) -> Option<Vec<RequestField<'a>>> {
+        let key_type = self.u8()?;
+        let value_type = self.u8()?;
+        let count = self.u32()? as usize;
+        // Guards against a count that makes us allocate more than the frame can hold.
+        if count > self.0.len() / MIN_PAIR_BYTES {
+            return None;
+        }
+        if count > 0 && (key_type, value_type) != (STRING, STRING) {
             return None;
         }
         (0..count)
-            .map(|_| Some((self.text()?, self.text()?)))
+            .map(|_| {
+                Some(RequestField {
+                    key: self.text()?,
+                    value: self.text()?,
+                })
+            })
             .collect()
     }
 
-    fn skip(&mut self, kind: u8, depth: u32) -> Option<()> {
-        if depth > DEPTH_MOST {
+    /// Skips a value of a field that this version does not know.
+    fn skip(&mut self, value_type: u8, depth: u32) -> Option<()> {
+        if depth > MAX_SKIP_DEPTH {
             return None;
         }
-        match kind {
-            BOOL | 3 => self.take(1).map(|_| ()),
-            6 => self.take(2).map(|_| ()),
-            I32 => self.take(4).map(|_| ()),
-            4 | 10 => self.take(8).map(|_| ()),
-            STRING => self.binary().map(|_| ()),
-            STRUCT => loop {
-                match self.u8()? {
-                    STOP => return Some(()),
-                    kind => {
-                        self.u16()?;
-                        self.skip(kind, depth + 1)?;
-                    }
-                }
-            },
+        match value_type {
+            BOOL | BYTE => self.take(1).map(drop),
+            I16 => self.take(2).map(drop),
+            I32 => self.take(4).map(drop),
+            DOUBLE | I64 => self.take(8).map(drop),
+            STRING => self.binary().map(drop),
+            STRUCT => self.skip_struct(depth),
             MAP => {
-                let (key, value, count) = (self.u8()?, self.u8()?, self.u32()?);
+                let key_type = self.u8()?;
+                let value_type = self.u8()?;
+                let count = self.u32()?;
                 (0..count).try_for_each(|_| {
-                    self.skip(key, depth + 1)?;
-                    self.skip(value, depth + 1)
+                    self.skip(key_type, depth + 1)?;
+                    self.skip(value_type, depth + 1)
                 })
             }
-            14 | 15 => {
-                let (kind, count) = (self.u8()?, self.u32()?);
-                (0..count).try_for_each(|_| self.skip(kind, depth + 1))
+            SET | LIST => {
+                let element_type = self.u8()?;
+                let count = self.u32()?;
+                (0..count).try_for_each(|_| self.skip(element_type, depth + 1))
             }
             _ => None,
         }
     }
+
+    fn skip_struct(&mut self, depth: u32) -> Option<()> {
+        loop {
+            let field_type = self.u8()?;
+            if field_type == STOP {
+                return Some(());
+            }
+            self.u16()?;
+            self.skip(field_type, depth + 1)?;
+        }
+    }
 }
 
-/// The message in one frame.
-pub fn decode(frame: &[u8]) -> Result<Message<'_>, Fault> {
-    let mut reader = Reader(frame);
-    let head = reader.u32().ok_or(Fault::Garbled)?;
-    if head & 0xffff_0000 != VERSION {
-        return Err(Fault::Garbled);
+/// Decodes the message in a frame's content.
+///
+/// # Errors
+/// [`DecodeError::Corrupt`] where it is no Thrift, [`DecodeError::Invalid`] where it is no message that gateways send.
+pub fn decode(content: &[u8]) -> Result<Message<'_>, DecodeError> {
+    let mut reader = Reader(content);
+    let header = reader.u32().ok_or(DecodeError::Corrupt)?;
+    if header & VERSION_MASK != VERSION {
+        return Err(DecodeError::Corrupt);
     }
-    let name = reader.binary().ok_or(Fault::Garbled)?;
-    let seq = reader.u32().ok_or(Fault::Garbled)? as i32;
-    if head as u8 != CALL {
-        return Err(Fault::Message(seq, "not a call"));
+    let name = reader.binary().ok_or(DecodeError::Corrupt)?;
+    let sequence = reader.u32().ok_or(DecodeError::Corrupt)? as i32;
+    let invalid = |reason| DecodeError::Invalid { sequence, reason };
+    if header as u8 != CALL {
+        return Err(invalid("not a call"));
     }
     match name {
-        b"invoke" => invoke(seq, &mut reader).ok_or(Fault::Message(seq, "malformed arguments")),
+        b"invoke" => {
+            decode_invoke(sequence, &mut reader).ok_or_else(|| invalid("malformed arguments"))
+        }
         b"ping" => {
-            reader
-                .skip(STRUCT, 0)
-                .ok_or(Fault::Message(seq, "malformed arguments"))?;
-            Ok(Message::Ping { seq })
+            let arguments = reader.skip(STRUCT, 0);
+            arguments.ok_or_else(|| invalid("malformed arguments"))?;
+            Ok(Message::Ping { sequence })
         }
-        _ => Err(Fault::Message(seq, "unknown method")),
+        _ => Err(invalid("unknown method")),
     }
 }
 
-fn invoke<'a>(seq: i32, reader: &mut Reader<'a>) -> Option<Message<'a>> {
-    let (mut fields, mut body) = (None, None);
+/// The arguments of `invoke`: fields as number 1, a body as number 2.
+fn decode_invoke<'a>(sequence: i32, reader: &mut Reader<'a>) -> Option<Message<'a>> {
+    let mut fields = None;
+    let mut body = None;
     loop {
-        let kind = reader.u8()?;
-        if kind == STOP {
+        let field_type = reader.u8()?;
+        if field_type == STOP {
             break;
         }
-        match (reader.u16()?, kind) {
-            (1, MAP) => fields = Some(reader.texts()?),
+        match (reader.u16()?, field_type) {
+            (1, MAP) => fields = Some(reader.fields()?),
             (2, STRING) => body = Some(reader.binary()?),
-            _ => reader.skip(kind, 0)?,
+            _ => reader.skip(field_type, 0)?,
         }
     }
     Some(Message::Invoke {
-        seq,
+        sequence,
         fields: fields?,
         body: body?,
     })
 }
 
-/// Writes one frame at the end of `out`.
-struct Writer<'a> {
+/// Appends one frame to `out`.
+struct FrameWriter<'a> {
     out: &'a mut Vec<u8>,
     start: usize,
 }
 
-impl<'a> Writer<'a> {
-    fn new(out: &'a mut Vec<u8>, kind: u8, name: &str, seq: i32) -> Writer<'a> {
+impl<'a> FrameWriter<'a> {
+    fn new(out: &'a mut Vec<u8>, message_type: u8, name: &str, sequence: i32) -> FrameWriter<'a> {
         let start = out.len();
-        let mut writer = Writer { out, start };
+        let mut writer = FrameWriter { out, start };
+        // The length, which `finish` fills in.
         writer.u32(0);
-        writer.u32(VERSION | u32::from(kind));
+        writer.u32(VERSION | u32::from(message_type));
         writer.binary(name.as_bytes());
-        writer.u32(seq as u32);
+        writer.u32(sequence as u32);
         writer
     }
 
@@ -199,77 +290,95 @@
         self.out.extend_from_slice(bytes);
     }
 
-    fn field(&mut self, kind: u8, number: u16) {
-        self.out.push(kind);
+    fn field(&mut self, field_type: u8, number: u16) {
+        self.out.push(field_type);
         self.out.extend_from_slice(&number.to_be_bytes());
     }
 
-    fn texts(&mut self, number: u16, fields: &[(&str, String)]) {
+    fn stop(&mut self) {
+        self.out.push(STOP);
+    }
+
+    fn map_of_strings(&mut self, number: u16, fields: &[ReplyField]) {
         self.field(MAP, number);
         self.out.extend_from_slice(&[STRING, STRING]);
         self.u32(fields.len() as u32);
-        for (key, value) in fields {
-            self.binary(key.as_bytes());
-            self.binary(value.as_bytes());
+        for field in fields {
+            self.binary(field.key.as_bytes());
+            self.binary(field.value.as_bytes());
         }
     }
 
-    fn end(self) {
-        self.out.push(STOP);
-        let length = (self.out.len() - self.start - 4) as u32;
-        self.out[self.start..self.start + 4].copy_from_slice(&length.to_be_bytes());
+    fn finish(mut self) {
+        self.stop();
+        let length = (self.out.len() - self.start - LENGTH_PREFIX_BYTES) as u32;
+        let prefix = self.start..self.start + LENGTH_PREFIX_BYTES;
+        self.out[prefix].copy_from_slice(&length.to_be_bytes());
     }
 }
 
-/// `Answer` to the method `name`.
-pub fn answer(
-    out: &mut Vec<u8>,
-    name: &str,
-    seq: i32,
-    body: &[u8],
-    fields: &[(&str, String)],
-    good: bool,
-) {
-    let mut writer = Writer::new(out, REPLY, name, seq);
-    writer.field(STRUCT, 0);
-    writer.field(STRING, 1);
-    writer.binary(body);
-    writer.texts(2, fields);
-    writer.field(BOOL, 3);
-    writer.out.push(u8::from(good));
-    writer.out.push(STOP);
-    writer.end();
+/// The struct `Answer`, which `invoke` and `ping` return.
+#[derive(Debug)]
+pub struct Answer<'a> {
+    /// The method that is answered.
+    pub method: &'a str,
+    /// The number of the message that is answered.
+    pub sequence: i32,
+    /// The answer's body.
+    pub body: &'a [u8],
+    /// What the server reports of itself.
+    pub fields: &'a [ReplyField],
+    /// Whether the request succeeded, or the server is healthy.
+    pub success: bool,
+}
+
+impl Answer<'_> {
+    /// Appends it to `out`.
+    pub fn encode(&self, out: &mut Vec<u8>) {
+        let mut writer = FrameWriter::new(out, REPLY, self.method, self.sequence);
+        writer.field(STRUCT, 0);
+        writer.field(STRING, 1);
+        writer.binary(self.body);
+        writer.map_of_strings(2, self.fields);
+        writer.field(BOOL, 3);
+        writer.out.push(u8::from(self.success));
+        writer.stop();
+        writer.finish();
+    }
 }
 
-fn thrown(out: &mut Vec<u8>, seq: i32, number: u16, fields: &[(&str, String)]) {
-    let mut writer = Writer::new(out, REPLY, "invoke", seq);
+/// Appends a declared exception of `invoke`, which is field `number` of its result.
+fn encode_declared_exception(out: &mut Vec<u8>, sequence: i32, number: u16, fields: &[ReplyField]) {
+    let mut writer = FrameWriter::new(out, REPLY, "invoke", sequence);
     writer.field(STRUCT, number);
-    writer.texts(1, fields);
-    writer.out.push(STOP);
-    writer.end();
+    writer.map_of_strings(1, fields);
+    writer.stop();
+    writer.finish();
 }
 
-pub fn overloaded(out: &mut Vec<u8>, seq: i32, fields: &[(&str, String)]) {
-    thrown(out, seq, 1, fields);
+/// Appends the declared exception of a rejected request.
+pub fn encode_overloaded(out: &mut Vec<u8>, sequence: i32, fields: &[ReplyField]) {
+    encode_declared_exception(out, sequence, 1, fields);
 }
 
-pub fn internal(out: &mut Vec<u8>, seq: i32, fields: &[(&str, String)]) {
-    thrown(out, seq, 2, fields);
+/// Appends the declared exception of a request that failed.
+pub fn encode_internal_error(out: &mut Vec<u8>, sequence: i32, fields: &[ReplyField]) {
+    encode_declared_exception(out, sequence, 2, fields);
 }
 
-/// An application exception; 7 stands for a protocol error.
-pub fn exception(out: &mut Vec<u8>, seq: i32, why: &str) {
-    let mut writer = Writer::new(out, EXCEPTION, "invoke", seq);
+/// Appends an application exception of the type `PROTOCOL_ERROR`.
+pub fn encode_application_exception(out: &mut Vec<u8>, sequence: i32, message: &str) {
+    let mut writer = FrameWriter::new(out, EXCEPTION, "invoke", sequence);
     writer.field(STRING, 1);
-    writer.binary(why.as_bytes());
+    writer.binary(message.as_bytes());
     writer.field(I32, 2);
-    writer.u32(7);
-    writer.end();
+    writer.u32(PROTOCOL_ERROR);
+    writer.finish();
 }
 
-/// Asks the gateway to leave this connection.
-pub fn closing(out: &mut Vec<u8>) {
-    Writer::new(out, ONEWAY, "closing", 0).end();
+/// Appends the one-way message that asks the gateway to close the connection.
+pub fn encode_closing(out: &mut Vec<u8>) {
+    FrameWriter::new(out, ONEWAY, "closing", 0).finish();
 }
 
 #[cfg(test)]
--- a/crates/coralstep-server/src/callers/thrift/tests.rs
+++ b/crates/coralstep-server/src/callers/thrift/tests.rs
@@ -1,12 +1,23 @@
 use super::*;
 
+fn reply_field(key: &'static str, value: &str) -> ReplyField {
+    ReplyField {
+        key,
+        value: value.to_owned(),
+    }
+}
+
+fn invalid(sequence: i32, reason: &'static str) -> Result<Message<'static>, DecodeError> {
+    Err(DecodeError::Invalid { sequence, reason })
+}
+
 /// A call of `invoke` as a gateway writes it.
 fn call() -> Vec<u8> {
     let mut bytes = Vec::new();
-    let mut writer = Writer::new(&mut bytes, CALL, "invoke", 7);
-    writer.texts(
+    let mut writer = FrameWriter::new(&mut bytes, CALL, "invoke", 7);
+    writer.map_of_strings(
         1,
-        &[("service", "save".to_owned()), ("room", "24.5".to_owned())],
+        &[reply_field("service", "save"), reply_field("room", "24.5")],
     );
     writer.field(STRUCT, 9);
     writer.field(I32, 1);
@@ -14,7 +25,7 @@
     writer.out.push(STOP);
     writer.field(STRING, 2);
     writer.binary(b"\0\xff\r\n");
-    writer.end();
+    writer.finish();
     bytes
 }
 
@@ -22,15 +33,19 @@
 fn a_call_is_read_from_any_split() {
     let bytes = call();
     for cut in 0..bytes.len() {
-        assert_eq!(frame(&bytes[..cut]), Ok(None), "{cut}");
+        assert_eq!(split_frame(&bytes[..cut]), Ok(None), "{cut}");
     }
-    let (inner, used) = frame(&bytes).unwrap().unwrap();
-    assert_eq!(used, bytes.len());
-    let fields = vec![("service", "save"), ("room", "24.5")];
+    let Frame {
+        content,
+        encoded_len,
+    } = split_frame(&bytes).unwrap().unwrap();
+    assert_eq!(encoded_len, bytes.len());
+    let field = |key, value| RequestField { key, value };
+    let fields = vec![field("service", "save"), field("room", "24.5")];
     assert_eq!(
-        decode(inner),
+        decode(content),
         Ok(Message::Invoke {
-            seq: 7,
+            sequence: 7,
             fields,
             body: b"\0\xff\r\n"
         })
@@ -53,68 +68,66 @@
         assert!(decode(&bytes[4..at]).is_err(), "cut at {at}");
     }
     assert!(read > 0 && faults > read, "{read} {faults}");
-    assert_eq!(frame(&[0, 1, 0, 0]), Err(Fault::Garbled));
-    assert_eq!(frame(&[0xff; 8]), Err(Fault::Garbled));
-    assert_eq!(frame(&[0; 8]), Err(Fault::Garbled));
+    assert_eq!(split_frame(&[0, 1, 0, 0]), Err(DecodeError::Corrupt));
+    assert_eq!(split_frame(&[0xff; 8]), Err(DecodeError::Corrupt));
+    assert_eq!(split_frame(&[0; 8]), Err(DecodeError::Corrupt));
 }
 
 #[test]
 fn a_sequence_number_that_can_be_read_makes_an_answer_possible() {
     let mut bytes = Vec::new();
-    Writer::new(&mut bytes, CALL, "novelty", 3).end();
-    assert_eq!(
-        decode(&bytes[4..]),
-        Err(Fault::Message(3, "unknown method"))
-    );
+    FrameWriter::new(&mut bytes, CALL, "novelty", 3).finish();
+    assert_eq!(decode(&bytes[4..]), invalid(3, "unknown method"));
     bytes.clear();
-    Writer::new(&mut bytes, CALL, "invoke", 4).end();
-    assert_eq!(
-        decode(&bytes[4..]),
-        Err(Fault::Message(4, "malformed arguments"))
-    );
+    FrameWriter::new(&mut bytes, CALL, "invoke", 4).finish();
+    assert_eq!(decode(&bytes[4..]), invalid(4, "malformed arguments"));
     bytes.clear();
-    Writer::new(&mut bytes, REPLY, "invoke", 5).end();
-    assert_eq!(decode(&bytes[4..]), Err(Fault::Message(5, "not a call")));
+    FrameWriter::new(&mut bytes, REPLY, "invoke", 5).finish();
+    assert_eq!(decode(&bytes[4..]), invalid(5, "not a call"));
 }
 
 #[test]
 fn nesting_without_end_is_refused() {
     let mut bytes = Vec::new();
-    let mut writer = Writer::new(&mut bytes, CALL, "ping", 1);
+    let mut writer = FrameWriter::new(&mut bytes, CALL, "ping", 1);
     for _ in 0..200 {
         writer.field(STRUCT, 1);
     }
-    writer.end();
-    assert_eq!(
-        decode(&bytes[4..]),
-        Err(Fault::Message(1, "malformed arguments"))
-    );
+    writer.finish();
+    assert_eq!(decode(&bytes[4..]), invalid(1, "malformed arguments"));
 }
 
 #[test]
 fn answers_are_whole_frames() {
     let mut out = Vec::new();
-    answer(
-        &mut out,
-        "ping",
-        2,
-        b"",
-        &[("pressure", "0.5".to_owned())],
-        true,
-    );
+    Answer {
+        method: "ping",
+        sequence: 2,
+        body: b"",
+        fields: &[reply_field("pressure", "0.5")],
+        success: true,
+    }
+    .encode(&mut out);
     let expected = b"\x80\x01\x00\x02\x00\x00\x00\x04ping\x00\x00\x00\x02\x0c\x00\x00\x0b\x00\x01\x00\x00\x00\x00\
             \x0d\x00\x02\x0b\x0b\x00\x00\x00\x01\x00\x00\x00\x08pressure\x00\x00\x00\x030.5\x02\x00\x03\x01\x00\x00";
-    assert_eq!(frame(&out), Ok(Some((&expected[..], out.len()))));
+    assert_eq!(
+        split_frame(&out),
+        Ok(Some(Frame {
+            content: &expected[..],
+            encoded_len: out.len()
+        }))
+    );
     let first = out.len();
-    overloaded(&mut out, 3, &[]);
-    exception(&mut out, 4, "no");
-    closing(&mut out);
-    let (_, used) = frame(&out[first..]).unwrap().unwrap();
-    let (_, more) = frame(&out[first + used..]).unwrap().unwrap();
-    let (last, end) = frame(&out[first + used + more..]).unwrap().unwrap();
-    assert_eq!(first + used + more + end, out.len());
+    encode_overloaded(&mut out, 3, &[]);
+    encode_application_exception(&mut out, 4, "no");
+    encode_closing(&mut out);
+    let frame_at = |start| split_frame(&out[start..]).unwrap().unwrap();
+    let second = first + frame_at(first).encoded_len;
+    let third = second + frame_at(second).encoded_len;
+    let last = frame_at(third);
+    assert_eq!(third + last.encoded_len, out.len());
     assert_eq!(
-        last,
+        last.content,
         b"\x80\x01\x00\x04\x00\x00\x00\x07closing\x00\x00\x00\x00\x00"
     );
 }
--- a/crates/coralstep-server/src/lib.rs
+++ b/crates/coralstep-server/src/lib.rs
@@ -34,9 +34,9 @@
 use base::endpoints::Endpoints;
 use base::log;
 use callers::connections::Connections;
-use callers::front::Front;
-use callers::gateway::Thrift;
-use callers::scgi::Scgi;
+use callers::gateway::GatewayProtocol;
+use callers::protocol::Protocol;
+use callers::scgi::ScgiProtocol;
 use decisions::SchedulerHandle;
 use dependency::store::StoreClient;
 use fleet::carrier::{Carrier, Take, Watch};
@@ -119,13 +119,14 @@
     let scgi = site
         .scgi
         .as_ref()
-        .map(|terms| Scgi::new(terms, &config.names))
-        .transpose()?
+        .map(|terms| ScgiProtocol::new(terms, &config.names))
+        .transpose()
+        .map_err(|error| error.to_string())?
         .map(Rc::new);
     // All listeners stand before anybody is told of any.
-    let mut listeners: Vec<(Async<TcpListener>, Rc<dyn Front>, &str)> = Vec::new();
+    let mut listeners: Vec<(Async<TcpListener>, Rc<dyn Protocol>, &str)> = Vec::new();
     if let Some(address) = config.listen {
-        listeners.push((bind(address)?, Rc::new(Thrift), ""));
+        listeners.push((bind(address)?, Rc::new(GatewayProtocol), ""));
     }
     if let (Some(front), Some(terms)) = (&scgi, &site.scgi) {
         for address in &terms.listen {
@@ -215,7 +216,7 @@
             )),
             Box::pin(reload::run(again, &source, &config, &endpoints, &movable)),
             Box::pin(connections.sweep()),
-            Box::pin(connections.make_way()),
+            Box::pin(connections.shed_for_own_dials()),
             Box::pin(beat(&facade, &engine)),
         ];
         match &movable.applications {
--- a/crates/coralstep-server/src/lifecycle/drain.rs
+++ b/crates/coralstep-server/src/lifecycle/drain.rs
@@ -57,9 +57,9 @@
         (self.announce)();
         self.scheduler.begin_drain(self.stop_after);
         wait_until_before(stop_at, CLOSE_LISTENERS_BEFORE).await;
-        self.connections.shut();
+        self.connections.stop_accepting();
         self.connections
-            .empty()
+            .all_closed()
             .or(self.close_connections(stop_at))
             .await;
         let rpcs = self.scheduler.request_counts().submitted;
@@ -68,7 +68,7 @@
 
     async fn close_connections(&self, stop_at: Instant) {
         wait_until_before(stop_at, CLOSE_CONNECTIONS_BEFORE).await;
-        self.connections.end();
+        self.connections.close_all();
         wait_until_before(stop_at, EXIT_BEFORE).await;
     }
 }
--- a/crates/coralstep-server/src/lifecycle/reload.rs
+++ b/crates/coralstep-server/src/lifecycle/reload.rs
@@ -14,7 +14,7 @@
 
 use crate::base::config::{Config, Source};
 use crate::base::endpoints::Endpoints;
-use crate::callers::scgi::Scgi;
+use crate::callers::scgi::ScgiProtocol;
 use crate::decisions::degradation::DegradationController;
 use crate::note;
 use crate::runs::applications::Applications;
@@ -32,7 +32,7 @@
 /// The parts of the server that take up new sections of the site file without a restart.
 pub struct ReloadableParts {
     /// Callers that speak SCGI.
-    pub scgi: Option<Rc<Scgi>>,
+    pub scgi: Option<Rc<ScgiProtocol>>,
     /// Applications that run the RPCs.
     pub applications: Option<Rc<Applications>>,
     /// Degradation levels.
@@ -99,7 +99,8 @@
             levels.reload(section)?;
         }
         if let (Some(scgi), Some(section)) = (&self.scgi, &site.scgi) {
-            scgi.reload(section, names)?;
+            scgi.reload(section, names)
+                .map_err(|error| error.to_string())?;
         }
         if let (Some(applications), Some(section)) = (&self.applications, &site.applications) {
             applications.reload(section);
--- a/crates/coralstep-server/tests/descriptors.rs
+++ b/crates/coralstep-server/tests/descriptors.rs
@@ -123,7 +123,7 @@
         let call = one.call("ping", b"\x02\x00\x01\x00");
         one.write(&call);
     }
-    rig.logged("accept: Too many open files");
+    rig.logged("accept failed error=Too many open files");
     assert!(busy(&rig, &mut engine) < 0.5);
     runs_and_calls(&rig, &mut engine, &mut gate, 1);
     // It comes back by itself: idle ones have made room for those who waited.
@@ -151,7 +151,7 @@
     engine.expect_run(&id(1), "read");
     allow_no_more(&rig);
     engine.need(1, &id(1), "q");
-    rig.logged("descriptors are short");
+    rig.logged("descriptors exhausted, shedding an idle connection");
     // The dial is made again, within its call's patience.
     allow(&rig, 1024);
     let mut store = rig.store();
--- a/crates/coralstep-server/tests/serve.rs
+++ b/crates/coralstep-server/tests/serve.rs
@@ -750,7 +750,7 @@
         let seq = gate.invoke("pay", &id(index), b"", &[]);
         engine.expect_run(&id(index), "pay");
         gate.write(bytes);
-        rig.logged("connection ended");
+        rig.logged("connection failed peer=127.0.0.1 error=");
         engine.done(index, &id(index), "good", "still");
         assert_eq!(gate.said(), ok(seq, "still"));
         assert!(gate.ended());
