--- a/crates/coralstep-server/src/callers/dispatcher.rs
+++ b/crates/coralstep-server/src/callers/dispatcher.rs
@@ -10,7 +10,8 @@
 use crate::callers::reply_writer::ReplyWriter;
 use crate::decisions::{RpcRequest, SchedulerHandle};
 use crate::note;
-use crate::runs::request_handler::{Reply, RequestHandler};
+use crate::runs::reply::Reply;
+use crate::runs::request_handler::RequestHandler;
 
 /// A request as a protocol has read it.
 #[derive(Debug)]
--- a/crates/coralstep-server/src/callers/gateway.rs
+++ b/crates/coralstep-server/src/callers/gateway.rs
@@ -20,7 +20,7 @@
 use crate::callers::thrift::{self, Answer, DecodeError, Message, ReplyField, RequestField};
 use crate::decisions::{RpcRequest, SchedulerHandle, ServerStatus};
 use crate::note;
-use crate::runs::request_handler::Reply;
+use crate::runs::reply::Reply;
 
 /// Open requests on one connection, by the protocol.
 const MAX_OPEN_REQUESTS: usize = 32;
--- a/crates/coralstep-server/src/callers/reply_writer.rs
+++ b/crates/coralstep-server/src/callers/reply_writer.rs
@@ -1,6 +1,6 @@
 //! How the one reply to a request is written.
 use crate::decisions::ServerStatus;
-use crate::runs::request_handler::Reply;
+use crate::runs::reply::Reply;
 
 /// Encodes the one reply to an open request in its protocol.
 pub trait ReplyWriter: 'static {
--- a/crates/coralstep-server/src/callers/scgi/reply.rs
+++ b/crates/coralstep-server/src/callers/scgi/reply.rs
@@ -5,7 +5,7 @@
 
 use crate::callers::reply_writer::ReplyWriter;
 use crate::decisions::ServerStatus;
-use crate::runs::request_handler::Reply;
+use crate::runs::reply::Reply;
 
 /// The header with the server's degradation level.
 const LEVEL_HEADER: &str = "X-Coralstep-Level";
--- a/crates/coralstep-server/src/callers/tests.rs
+++ b/crates/coralstep-server/src/callers/tests.rs
@@ -6,7 +6,7 @@
 use crate::callers::scgi::ScgiReplyWriter;
 use crate::callers::thrift::{self, Answer, ReplyField};
 use crate::decisions::ServerStatus;
-use crate::runs::request_handler::Reply;
+use crate::runs::reply::Reply;
 
 const REPLIES: [(&str, Reply<'static>); 7] = [
     ("ok", Reply::Ok(b"\0\r\n\xff")),
--- a/crates/coralstep-server/src/runs/applications/mod.rs
+++ b/crates/coralstep-server/src/runs/applications/mod.rs
@@ -1,5 +1,6 @@
-//! SCGI applications that run RPCs: one connection an attempt. Which application, and whether there is another attempt, is
-//! decided by the balancer (`coralstep-balancer`); what an attempt proves is found out here.
+//! SCGI applications that run RPCs: one connection an attempt. Which application, and whether there
+//! is another attempt, is decided by the balancer (`coralstep-balancer`); what an attempt proves is
+//! found out here.
 //!
 //! | file | job |
 //! | --- | --- |
@@ -23,8 +24,8 @@
 use crate::base::clock::{self, Clock};
 use crate::base::descriptors::Descriptors;
 use crate::base::lines::Ref;
-use crate::decisions::RunOutcome;
-use crate::fleet::carrier::See;
+use crate::decisions::{BreakerStatus, RunOutcome};
+use crate::fleet::ExchangeHealth;
 use crate::runs::applications::attempt::AttemptResult;
 use crate::runs::applications::run::ApplicationRun;
 use crate::runs::{Backend, Run, RunEvents};
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Takes up another list of applications, and all else that is stated of them; what is open stays where it is.
+    /// Takes up another list of applications, and all else that is stated of them; what is open
+    /// stays where it is.
     pub fn reload(&self, terms: &ApplicationsConfig) {
         let mut pool = self.pool.borrow_mut();
         pool.reload(pool_terms(terms));
@@ -103,17 +105,22 @@
         self.pool.borrow_mut().processes(count);
     }
 
-    /// Passes on what is seen of each application, and takes in what other servers saw: the outcomes that its breaker needs,
-    /// and when a cooldown ends.
-    pub fn exchange_health(&self, see: See<'_>) {
+    /// Passes on what is seen of each application, and takes in what other servers saw: the
+    /// outcomes that its breaker needs, and when a cooldown ends.
+    pub fn exchange_health(&self, exchange: ExchangeHealth<'_>) {
         let now = self.now();
         let views = self.pool.borrow().view(now);
         for view in views.into_iter().filter(|view| !view.leaving) {
             let address = view.key.to_string();
-            let (min_outcomes, left) = see(&address, view.state, view.failures, view.recent);
-            let cooldown_end = left.map(|left| now + clock::span(left));
+            let status = BreakerStatus {
+                state: view.state,
+                failures: view.failures,
+                calls: view.recent,
+            };
+            let advice = exchange(&address, status);
+            let cooldown_end = advice.cooldown_left.map(|left| now + clock::span(left));
             let mut pool = self.pool.borrow_mut();
-            pool.hear(&view.key, min_outcomes, cooldown_end);
+            pool.hear(&view.key, advice.min_outcomes, cooldown_end);
         }
     }
 
@@ -131,8 +138,12 @@
                 failure_rate,
             } = transition;
             tracing::info!(
-                target: "breaker", dependency,
-                from = from.as_str(), to = to.as_str(), failure_rate, "circuit breaker changed state"
+                target: "breaker",
+                dependency,
+                from = from.as_str(),
+                to = to.as_str(),
+                failure_rate,
+                "circuit breaker changed state"
             );
         }
     }
