--- a/crates/coralstep-server/src/app.rs
+++ b/crates/coralstep-server/src/app.rs
@@ -17,9 +17,9 @@
 use crate::base::endpoints::Endpoints;
 use crate::base::log;
 use crate::callers::connections::Connections;
-use crate::callers::front::Front;
-use crate::callers::gateway::Thrift;
-use crate::callers::scgi::Scgi;
+use crate::callers::gateway::GatewayProtocol;
+use crate::callers::protocol::Protocol;
+use crate::callers::scgi::ScgiProtocol;
 use crate::decisions::SchedulerHandle;
 use crate::dependency::store::StoreClient;
 use crate::fleet::{ApplyVersion, FleetService, HealthSources};
@@ -45,7 +45,7 @@
 /// A listener and the protocol that its callers speak.
 struct Listener {
     socket: Async<TcpListener>,
-    protocol: Rc<dyn Front>,
+    protocol: Rc<dyn Protocol>,
     /// What the log adds to the address.
     label: &'static str,
 }
@@ -176,7 +176,7 @@
             Box::pin(heartbeats),
             Box::pin(reloads),
             Box::pin(self.connections.sweep()),
-            Box::pin(self.connections.make_way()),
+            Box::pin(self.connections.shed_for_own_dials()),
             Box::pin(drive_scheduler(&self.scheduler, &self.engine)),
         ];
         if self.parts.applications.is_some() {
@@ -284,18 +284,19 @@
     Some(Rc::new(applications))
 }
 
-fn scgi(config: &Config) -> Result<Option<Rc<Scgi>>, String> {
+fn scgi(config: &Config) -> Result<Option<Rc<ScgiProtocol>>, String> {
     let section = config.site.scgi.as_ref();
-    let scgi = section.map(|section| Scgi::new(section, &config.names));
-    Ok(scgi.transpose()?.map(Rc::new))
+    let scgi = section.map(|section| ScgiProtocol::new(section, &config.names));
+    let scgi = scgi.transpose().map_err(|error| error.to_string())?;
+    Ok(scgi.map(Rc::new))
 }
 
-fn listeners(config: &Config, scgi: Option<&Rc<Scgi>>) -> Result<Vec<Listener>, String> {
+fn listeners(config: &Config, scgi: Option<&Rc<ScgiProtocol>>) -> Result<Vec<Listener>, String> {
     let mut listeners = Vec::new();
     if let Some(address) = config.listen {
         listeners.push(Listener {
             socket: bind(address)?,
-            protocol: Rc::new(Thrift),
+            protocol: Rc::new(GatewayProtocol),
             label: "",
         });
     }
