--- a/crates/coralstep-server/src/runs/request_handler.rs
+++ b/crates/coralstep-server/src/runs/request_handler.rs
@@ -2,7 +2,7 @@
 //!
 //! An RPC passes four stages before anything runs, each a function of [`RequestHandler`]: its id is
 //! claimed, its run is registered at the backend, its quota is reserved, and the scheduler admits
-//! it. From then on an [`ActiveRequest`] carries out the scheduler's decisions, one event at a
+//! it. From then on an `ActiveRequest` carries out the scheduler's decisions, one event at a
 //! time. No gateway protocol shows here, so any front can use it.
 use std::hash::{BuildHasher, RandomState};
 use std::pin::pin;
