--- a/crates/coralstep-degradation/tests/fleet.rs
+++ b/crates/coralstep-degradation/tests/fleet.rs
@@ -70,7 +70,7 @@
     Time(1 << 30) + Span::ms(ms)
 }
 
-fn terms(cold: bool) -> SchedulerConfig {
+fn config(cold: bool) -> SchedulerConfig {
     let method = |effect, criticality| Method {
         idempotency: effect,
         priority_weight: criticality,
@@ -105,7 +105,7 @@
     fn new(ms: u64, cold: bool) -> Node {
         let mut out = Answers::default();
         Node {
-            server: Scheduler::start(&terms(cold), ms + 1, at(ms), &mut out),
+            server: Scheduler::start(&config(cold), ms + 1, at(ms), &mut out),
             levels: LevelStateMachine::new(&DegradationConfig::default(), at(ms)).unwrap(),
             out,
             rpcs: Vec::new(),
@@ -290,7 +290,7 @@
     with_levels: bool,
     calls: impl Fn(u64) -> u64,
 ) -> Day {
-    let mut chance = SmallRng::seed_from_u64(seed);
+    let mut rng = SmallRng::seed_from_u64(seed);
     let mut nodes: Vec<Node> = (0..4).map(|_| Node::new(0, false)).collect();
     let (mut asked, mut good, mut gone) = (0.0, 0.0, Vec::new());
     for now in (STEP_MS..ms).step_by(STEP_MS as usize) {
@@ -302,11 +302,11 @@
             gone.push(std::mem::replace(&mut nodes[at], Node::new(now, true)));
         }
         let rate = load(now) * CAPACITY * nodes.len() as f64 * STEP_MS as f64 / 1000.0;
-        let count = rate as u64 + u64::from(chance.random_range(0.0..1.0) < rate.fract());
+        let count = rate as u64 + u64::from(rng.random_range(0.0..1.0) < rate.fract());
         for _ in 0..count {
-            let method = [0, 1, 1, 2][chance.random_range(0..4)];
+            let method = [0, 1, 1, 2][rng.random_range(0..4)];
             asked += [0.5, 1.0, 3.0][method];
-            let to = chance.random_range(0..nodes.len());
+            let to = rng.random_range(0..nodes.len());
             nodes[to].arrive(now, method, calls(now));
         }
         good += nodes
