--- a/crates/coralstep-server/src/decisions/degradation.rs
+++ b/crates/coralstep-server/src/decisions/degradation.rs
@@ -1,5 +1,5 @@
-//! The degradation levels of this server: fed with what the scheduler observes, their changes logged and remembered. What a
-//! level does is carried out by the scheduler.
+//! The degradation levels of this server: fed with what the scheduler observes, their changes
+//! logged and remembered. What a level does is carried out by the scheduler.
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::time::{Duration, SystemTime};
@@ -171,7 +171,13 @@
     let causes = serde_json::to_string(&change.causes).unwrap_or_default();
     let does = serde_json::to_string(&change.actions).unwrap_or_default();
     tracing::info!(
-        target: "level", from = change.from, to = change.to, by_hand = change.by_hand, lasted_ms = change.lasted_ms,
-        causes, does, "{change}"
+        target: "level",
+        from = change.from,
+        to = change.to,
+        by_hand = change.by_hand,
+        lasted_ms = change.lasted_ms,
+        causes,
+        does,
+        "{change}"
     );
 }
--- a/crates/coralstep-server/src/fleet/carrier.rs
+++ b/crates/coralstep-server/src/fleet/carrier.rs
@@ -18,7 +18,7 @@
 use coralstep_fleet::versions::{Fork, PublishedVersion, StoredVersion};
 use coralstep_fleet::{Event, Fleet, Member, MemberState, Millis, VersionId};
 use coralstep_quota::limit::stricter_limits;
-use coralstep_quota::{Limit, Permit, QuotaExtension, RequestKey};
+use coralstep_quota::{Limit, Permit, QuotaExhausted, QuotaExtension, RequestKey};
 use coralstep_shared_health::{BreakerState, LocalHealth, SharedHealth};
 use coralstep_state::fleet_record::FleetRecord;
 use futures_lite::FutureExt;
@@ -185,7 +185,7 @@
         let recorder = folder.and_then(Recorder::start).map(|(recorder, found)| {
             let found = Snapshot {
                 active_version: found.active_version,
-                audit_entries: found.history,
+                audit_entries: found.audit_entries,
             };
             if found != Snapshot::default()
                 && let Some(id) = fleet.restore(&found)
@@ -323,7 +323,7 @@
             let snapshot = self.fleet.borrow().snapshot();
             let record = FleetRecord {
                 active_version: snapshot.active_version,
-                history: snapshot.audit_entries,
+                audit_entries: snapshot.audit_entries,
             };
             self.changed.set(!recorder.save(record));
         }
@@ -549,14 +549,11 @@
 }
 
 impl QuotaLimiter for Carrier {
-    fn take(&self, request: RequestKey, covers_ms: u64) -> Result<Permit, u64> {
+    fn take(&self, request: RequestKey, covers_ms: u64) -> Result<Permit, QuotaExhausted> {
         let Some(limits) = &self.limits else {
             return Ok(Permit::default());
         };
-        limits
-            .borrow_mut()
-            .admit(self.now(), request, covers_ms)
-            .map_err(|exhausted| exhausted.retry_after_ms)
+        limits.borrow_mut().admit(self.now(), request, covers_ms)
     }
 
     fn give_back(&self, permit: Permit) {
