--- a/crates/coralstep-server/src/runs/active_request.rs
+++ b/crates/coralstep-server/src/runs/active_request.rs
@@ -81,7 +81,7 @@
             Event::Decision(decision) => self.carry_out(decision),
             Event::Run(RunEvent::CallNeeded(body)) => self.on_call_needed(body),
             Event::Run(RunEvent::Ended(outcome)) => self.on_run_ended(outcome),
-            Event::CallEnded(ended) => self.on_call_ended(ended),
+            Event::CallEnded(result) => self.on_call_ended(result),
             Event::CallerGone => self.on_caller_gone(),
         }
         ControlFlow::Continue(())
@@ -121,14 +121,14 @@
         self.ticket.report(Progress::CallNeeded);
     }
 
-    fn on_call_ended(&mut self, ended: CallResult) {
+    fn on_call_ended(&mut self, result: CallResult) {
         self.call = None;
-        if let Some(reply) = &ended.reply {
+        if let Some(reply) = &result.reply {
             self.run.resume(reply);
         }
         self.ticket.report(Progress::CallEnded {
-            outcome: ended.outcome,
-            elapsed: ended.elapsed,
+            outcome: result.outcome,
+            elapsed: result.elapsed,
         });
     }
 
