--- a/crates/coralstep-adapter/src/action_writer.rs
+++ b/crates/coralstep-adapter/src/action_writer.rs
@@ -31,14 +31,14 @@
         self.rpc_line("ADMIT", rpc);
     }
 
-    fn reject(&mut self, rpc: RpcId, retry_after: Span, last: bool) {
+    fn reject(&mut self, rpc: RpcId, retry_after: Span, is_final: bool) {
         let handle = self.handles.handle(rpc);
-        let last = if last { " give_up=1" } else { "" };
+        let suffix = if is_final { " give_up=1" } else { "" };
         match nanoseconds(retry_after) {
-            0 => self.line("DENY", format_args!(" handle={handle}{last}")),
+            0 => self.line("DENY", format_args!(" handle={handle}{suffix}")),
             retry_after => self.line(
                 "DENY",
-                format_args!(" handle={handle} not_before_for={retry_after}{last}"),
+                format_args!(" handle={handle} not_before_for={retry_after}{suffix}"),
             ),
         }
     }
--- a/crates/coralstep-quota/src/guarantees.rs
+++ b/crates/coralstep-quota/src/guarantees.rs
@@ -24,8 +24,8 @@
 /// RPCs beyond [`max_admitted`] that `servers` that are cut off under an open policy admit in `window` milliseconds,
 /// at most.
 ///
-/// `per_server` and `fleet_total` are the policy's figures (RPCs a second, or in flight), `members` the most members
-/// that each server ever knew. One more may come at once at each server.
+/// `per_server` and `fleet_total` are the policy's figures for a limit of a rate, in RPCs a second; `members` the most
+/// members that each server ever knew. One more may come at once at each server.
 pub fn max_admitted_cut_off(
     servers: usize,
     per_server: f64,
--- a/crates/coralstep-server/src/decisions/actions.rs
+++ b/crates/coralstep-server/src/decisions/actions.rs
@@ -69,13 +69,13 @@
         self.requests.push_decision(rpc, Decision::Run);
     }
 
-    fn reject(&mut self, rpc: RpcId, retry_after: Span, last: bool) {
+    fn reject(&mut self, rpc: RpcId, retry_after: Span, is_final: bool) {
         // Guards against callers sent back to where nobody may try yet.
         let entry = self.requests.get_mut(rpc);
         let retry_after = entry.map_or(retry_after, |entry| retry_after.max(entry.retry_after));
         let decision = Decision::Reject {
             retry_after_ms: clock::ms_up(retry_after),
-            is_final: last,
+            is_final,
         };
         self.requests.push_decision(rpc, decision);
     }
--- a/crates/coralstep/src/actions.rs
+++ b/crates/coralstep/src/actions.rs
@@ -9,8 +9,9 @@
 pub trait Actions {
     /// Begins the run of a request.
     fn admit(&mut self, rpc: RpcId) {}
-    /// Answers a request that has not run with a rejection: the caller may come back after `retry_after`,
-    /// and should not try another server where the rejection is `is_final`.
+    /// Answers a request with a rejection: it has not run, or is idempotent, so it may run elsewhere. The
+    /// caller may come back after `retry_after`, and should not try another server where the rejection is
+    /// `is_final`.
     fn reject(&mut self, rpc: RpcId, retry_after: Span, is_final: bool) {}
     /// Answers a request, whose run may have had an effect, with an error.
     fn fail(&mut self, rpc: RpcId) {}
--- a/crates/coralstep/src/circuit_breaker.rs
+++ b/crates/coralstep/src/circuit_breaker.rs
@@ -239,8 +239,8 @@
         self.open(now, rng)
     }
 
-    /// What peers saw: so many outcomes of one's own suffice, and a cooldown that runs ends at `until`.
-    /// Only own calls open the breaker.
+    /// What peers saw: so many outcomes of one's own suffice, and a cooldown that runs ends at `until`,
+    /// which may be sooner or later than before. Only own calls open the breaker.
     pub fn apply_peer_reports(&mut self, min_outcomes: u32, until: Option<Time>) {
         self.min_outcomes = min_outcomes.clamp(MIN_LOCAL_OUTCOMES, WINDOW_OUTCOMES);
         if let (State::Open { .. }, Some(until)) = (self.state, until) {
--- a/crates/coralstep/src/scheduler.rs
+++ b/crates/coralstep/src/scheduler.rs
@@ -209,6 +209,7 @@
         if !outcome.proves_never_ran() {
             self.shared.measurements.record_call(now, duration);
         }
+        // Rejected calls and lost connections count as failures too: the dependency did not serve them.
         self.record_call_outcome(id, now - duration, !succeeded, out);
         self.bulkhead
             .record_end(&self.shared, outcome == Outcome::TimedOut);
--- a/crates/coralstep/src/scheduler/enforcement.rs
+++ b/crates/coralstep/src/scheduler/enforcement.rs
@@ -18,7 +18,8 @@
 }
 
 impl Scheduler {
-    /// Answers a request whose time is over, and removes it where it is finished.
+    /// Answers a request whose time is over: its deadline, its limit in the queue, its wait for a permit, or
+    /// a degradation level or drain that no longer admits it. Removes it where it is finished.
     pub(super) fn enforce_deadlines(&mut self, id: RpcId, out: &mut dyn Actions) {
         let Some(request) = self.shared.get(id) else {
             return;
