--- a/crates/coralstep-server/src/decisions/admission.rs
+++ b/crates/coralstep-server/src/decisions/admission.rs
@@ -52,7 +52,7 @@
         self.start(None, Duration::ZERO);
         let (id, repeats) = self.insert(&mut request)?;
         let scheduler_request = self.scheduler_request(&request, id, repeats);
-        self.apply_fence();
+        self.update_fence();
         self.submitted.set(self.submitted.get() + 1);
         self.drive(|scheduler, now, actions| {
             scheduler.handle_request(now, scheduler_request, actions);
--- a/crates/coralstep-server/src/decisions/fence.rs
+++ b/crates/coralstep-server/src/decisions/fence.rs
@@ -14,9 +14,9 @@
         *self.fence_check.borrow_mut() = Some(check);
     }
 
-    /// Looks whether this server is excluded. Queued RPCs are then answered at once, what has run
+    /// Asks whether this server is excluded, and sets or lifts the fence. Queued RPCs are then answered at once, what has run
     /// goes on to its end.
-    pub fn apply_fence(&self) {
+    pub fn update_fence(&self) {
         let Some(check) = self.fence_check.borrow().clone() else {
             return;
         };
--- a/crates/coralstep-server/src/decisions/handle.rs
+++ b/crates/coralstep-server/src/decisions/handle.rs
@@ -211,7 +211,7 @@
     pub fn tick(&self, gauge_readings: &[Option<f64>]) {
         let gauges = self.gauges(gauge_readings);
         self.drive(|scheduler, now, actions| scheduler.handle_timeout(now, gauges, actions));
-        self.apply_fence();
+        self.update_fence();
         if !self.fenced.get() {
             self.update_degradation();
         }
--- a/crates/coralstep-server/src/fleet/service.rs
+++ b/crates/coralstep-server/src/fleet/service.rs
@@ -230,7 +230,7 @@
         self.update_limits(now);
         self.exchange_health(now, scheduler, health_sources);
         self.save_changes();
-        scheduler.apply_fence();
+        scheduler.update_fence();
     }
 
     fn apply_pending_version(
--- a/crates/coralstep-server/src/runs/engine/link.rs
+++ b/crates/coralstep-server/src/runs/engine/link.rs
@@ -77,7 +77,7 @@
         self.ready && self.open_question.is_none()
     }
 
-    /// Asks for the gauges.
+    /// Asks for the gauges. The reply also proves that all commands sent before it were read.
     pub(super) fn ask_gauges(&mut self) {
         let position = self.write(Command::ReadGauges);
         self.open_question = Some(OpenQuestion {
