--- a/crates/coralstep-server/src/decisions/degradation.rs
+++ b/crates/coralstep-server/src/decisions/degradation.rs
@@ -6,7 +6,8 @@
 
 use coralstep::{DegradationLevel, Signals, Span, Time};
 use coralstep_degradation::{
-    DegradationConfig, LevelChange, LevelStateMachine, LevelStatus, Sample,
+    DegradationConfig, DegradationConfigError, LevelChange, LevelStateMachine, LevelStatus,
+    OverrideError, Sample,
 };
 use serde::Serialize;
 
@@ -38,24 +39,26 @@
     pub(super) next_change_fails: Cell<bool>,
 }
 
-fn log_interval(terms: &DegradationConfig) -> Option<Span> {
-    (terms.record_interval_ms > 0).then_some(Span::ms(u64::from(terms.record_interval_ms)))
+fn log_interval(config: &DegradationConfig) -> Option<Span> {
+    (config.record_interval_ms > 0).then_some(Span::ms(u64::from(config.record_interval_ms)))
 }
 
 impl DegradationController {
-    /// A controller at the level that `terms` begin with.
+    /// A controller at the level that `config` begin with.
     ///
     /// # Errors
     ///
     /// The levels contradict each other.
-    pub fn new(terms: &DegradationConfig, clock: Clock) -> Result<DegradationController, String> {
-        let levels =
-            LevelStateMachine::new(terms, clock.now()).map_err(|error| error.to_string())?;
+    pub fn new(
+        config: &DegradationConfig,
+        clock: Clock,
+    ) -> Result<DegradationController, DegradationConfigError> {
+        let levels = LevelStateMachine::new(config, clock.now())?;
         Ok(DegradationController {
             clock,
             levels: RefCell::new(levels),
             history: RefCell::default(),
-            log_interval: Cell::new(log_interval(terms)),
+            log_interval: Cell::new(log_interval(config)),
             last_logged: Cell::new(clock.now()),
             #[cfg(test)]
             next_change_fails: Cell::new(false),
@@ -119,12 +122,10 @@
     /// # Errors
     ///
     /// There is no such level, or it may not be held for so long.
-    pub fn hold(&self, level: &str, ms: u64) -> Result<(), String> {
+    pub fn hold(&self, level: &str, ms: u64) -> Result<(), OverrideError> {
         let span = clock::span(Duration::from_millis(ms));
         let mut levels = self.levels.borrow_mut();
-        levels
-            .set_override(self.clock.now(), level, span)
-            .map_err(|error| error.to_string())
+        levels.set_override(self.clock.now(), level, span)
     }
 
     /// Ends a hold; `false` where there is none.
@@ -137,11 +138,11 @@
     /// # Errors
     ///
     /// The levels contradict each other.
-    pub fn reload(&self, terms: &DegradationConfig) -> Result<(), String> {
+    pub fn reload(&self, config: &DegradationConfig) -> Result<(), DegradationConfigError> {
         let now = self.clock.now();
-        let reloaded = self.levels.borrow_mut().reload(terms, now);
-        let change = reloaded.map_err(|error| error.to_string())?;
-        self.log_interval.set(log_interval(terms));
+        let reloaded = self.levels.borrow_mut().reload(config, now);
+        let change = reloaded?;
+        self.log_interval.set(log_interval(config));
         if let Some(change) = change {
             self.record_change(change);
         }
--- a/crates/coralstep-server/src/decisions/handle.rs
+++ b/crates/coralstep-server/src/decisions/handle.rs
@@ -9,7 +9,7 @@
     Gauges, Idempotency, LearnedState, Method, Outcome, Scheduler, SchedulerConfig, Span, Time,
 };
 use coralstep_config::Names;
-use coralstep_degradation::DegradationConfig;
+use coralstep_degradation::{DegradationConfig, DegradationConfigError};
 use event_listener::{Event, EventListener};
 
 use crate::base::clock::{self, Clock};
@@ -112,9 +112,9 @@
     /// The levels contradict each other.
     pub fn with_degradation(
         mut self,
-        terms: &DegradationConfig,
-    ) -> Result<SchedulerHandle, String> {
-        let controller = DegradationController::new(terms, self.clock)?;
+        config: &DegradationConfig,
+    ) -> Result<SchedulerHandle, DegradationConfigError> {
+        let controller = DegradationController::new(config, self.clock)?;
         self.degradation = Some(Rc::new(controller));
         Ok(self)
     }
--- a/crates/coralstep-server/src/lib.rs
+++ b/crates/coralstep-server/src/lib.rs
@@ -85,7 +85,9 @@
     log::start(&site.log)?;
     let facade = SchedulerHandle::new(terms, names, config.seed, &config.limits);
     let facade = Rc::new(match &site.levels {
-        Some(levels) => facade.with_degradation(levels)?,
+        Some(levels) => facade
+            .with_degradation(levels)
+            .map_err(|error| error.to_string())?,
         None => facade,
     });
     let endpoints = Rc::new(Endpoints::of(&config));
--- a/crates/coralstep-server/src/lifecycle/reload.rs
+++ b/crates/coralstep-server/src/lifecycle/reload.rs
@@ -96,7 +96,7 @@
     /// Gives each part its section of `site`; ends with the first that refuses it.
     fn apply(&self, site: &SiteConfig, names: &Names) -> Result<(), String> {
         if let (Some(levels), Some(section)) = (&self.levels, &site.levels) {
-            levels.reload(section)?;
+            levels.reload(section).map_err(|error| error.to_string())?;
         }
         if let (Some(scgi), Some(section)) = (&self.scgi, &site.scgi) {
             scgi.reload(section, names)?;
--- a/crates/coralstep-server/src/operators/ops.rs
+++ b/crates/coralstep-server/src/operators/ops.rs
@@ -286,7 +286,7 @@
         Question::History => json!({ "history": levels.history() }),
         Question::Hold { level, ms } => match levels.hold(&level, ms) {
             Ok(()) => json!({"held": level, "ms": ms}),
-            Err(why) => json!({ "error": why }),
+            Err(error) => json!({ "error": error.to_string() }),
         },
         Question::Release => json!({ "released": levels.release() }),
         _ => json!({"error": "this is no question about levels"}),
--- a/crates/coralstep-server/src/runs/applications/attempt.rs
+++ b/crates/coralstep-server/src/runs/applications/attempt.rs
@@ -120,8 +120,8 @@
         bytes_left: &Cell<bool>,
     ) -> io::Result<Response> {
         let (connect_timeout, max_body_bytes) = {
-            let terms = self.terms.borrow();
-            (terms.connect_timeout(), terms.result_kb as usize * 1024)
+            let config = self.config.borrow();
+            (config.connect_timeout(), config.result_kb as usize * 1024)
         };
         let timeout = async {
             Timer::after(connect_timeout).await;
--- a/crates/coralstep-server/src/runs/applications/mod.rs
+++ b/crates/coralstep-server/src/runs/applications/mod.rs
@@ -53,50 +53,50 @@
     clock: Clock,
     pool: RefCell<Pool<SocketAddr>>,
     runs: RefCell<HashMap<Ref, RunState>>,
-    terms: RefCell<ApplicationsConfig>,
+    config: RefCell<ApplicationsConfig>,
 }
 
-fn pool_terms(terms: &ApplicationsConfig) -> PoolTerms {
+fn pool_config(config: &ApplicationsConfig) -> PoolTerms {
     PoolTerms {
         ramp: RampTerms {
-            slow_start: clock::span(Duration::from_millis(u64::from(terms.slow_start_ms))),
-            cold_rate: terms.cold_rate,
-            processes: terms.processes,
+            slow_start: clock::span(Duration::from_millis(u64::from(config.slow_start_ms))),
+            cold_rate: config.cold_rate,
+            processes: config.processes,
         },
-        each_most: terms.each_most,
-        repeats: terms.repeats,
-        attempts: terms.attempts,
+        each_most: config.each_most,
+        repeats: config.repeats,
+        attempts: config.attempts,
     }
 }
 
 impl Applications {
-    /// The applications that `terms` list. `seed` is for the balancer's random choices.
+    /// The applications that `config` lists. `seed` is for the balancer's random choices.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         descriptors: Rc<Descriptors>,
-        terms: &ApplicationsConfig,
+        config: &ApplicationsConfig,
         seed: u64,
     ) -> Applications {
         let clock = Clock::start();
-        let mut pool = Pool::new(pool_terms(terms), seed);
-        pool.set(clock.now(), &terms.addresses);
+        let mut pool = Pool::new(pool_config(config), seed);
+        pool.set(clock.now(), &config.addresses);
         Applications {
             executor,
             descriptors,
             clock,
             pool: RefCell::new(pool),
             runs: RefCell::default(),
-            terms: RefCell::new(terms.clone()),
+            config: RefCell::new(config.clone()),
         }
     }
 
     /// Takes up another list of applications, and all else that is stated of them; what is open
     /// stays where it is.
-    pub fn reload(&self, terms: &ApplicationsConfig) {
+    pub fn reload(&self, config: &ApplicationsConfig) {
         let mut pool = self.pool.borrow_mut();
-        pool.reload(pool_terms(terms));
-        pool.set(self.now(), &terms.addresses);
-        *self.terms.borrow_mut() = terms.clone();
+        pool.reload(pool_config(config));
+        pool.set(self.now(), &config.addresses);
+        *self.config.borrow_mut() = config.clone();
     }
 
     /// Sets how many processes send to the applications, as the fleet has it.
--- a/crates/coralstep-server/src/runs/applications/run.rs
+++ b/crates/coralstep-server/src/runs/applications/run.rs
@@ -57,8 +57,8 @@
     }
 
     fn path(&self, method: &str) -> String {
-        let terms = self.applications.terms.borrow();
-        let path = terms.paths.get(method).cloned();
+        let config = self.applications.config.borrow();
+        let path = config.paths.get(method).cloned();
         path.unwrap_or_else(|| format!("/{method}"))
     }
 }
