--- a/crates/coralstep-server/src/app.rs
+++ b/crates/coralstep-server/src/app.rs
@@ -268,7 +268,9 @@
     let (terms, names) = (config.terms.clone(), config.names.clone());
     let scheduler = SchedulerHandle::new(terms, names, config.seed, &config.limits);
     match &config.site.levels {
-        Some(levels) => scheduler.with_degradation(levels),
+        Some(levels) => scheduler
+            .with_degradation(levels)
+            .map_err(|error| error.to_string()),
         None => Ok(scheduler),
     }
 }
