--- a/crates/coralstep-server/src/decisions/actions.rs
+++ b/crates/coralstep-server/src/decisions/actions.rs
@@ -55,7 +55,7 @@
         let instance = self.instance.as_str();
         tracing::info!(
             target: "breaker", dependency = "store", instance,
-            from = from.as_str(), to = to.as_str(), failure_rate, "circuit breaker changed state"
+            from = from.as_str(), to = to.as_str(), rate = failure_rate, "circuit breaker changed state"
         );
     }
 }
--- a/crates/coralstep-server/src/runs/applications/mod.rs
+++ b/crates/coralstep-server/src/runs/applications/mod.rs
@@ -142,7 +142,7 @@
                 dependency,
                 from = from.as_str(),
                 to = to.as_str(),
-                failure_rate,
+                rate = failure_rate,
                 "circuit breaker changed state"
             );
         }
