--- a/crates/coralstep-server/benches/front.rs
+++ b/crates/coralstep-server/benches/front.rs
@@ -13,10 +13,10 @@
 use coralstep_config::Names;
 use coralstep_config::site::{RouteConfig, ScgiConfig, SiteConfig};
 use coralstep_scgi::request;
-use coralstep_server::base::config::Limits;
 use coralstep_server::base::descriptors::Descriptors;
 use coralstep_server::base::endpoints::{Endpoint, Endpoints};
-use coralstep_server::base::lines::Ref;
+use coralstep_server::base::limits::Limits;
+use coralstep_server::base::request_id::RequestId;
 use coralstep_server::callers::connections::Connections;
 use coralstep_server::callers::gateway::GatewayProtocol;
 use coralstep_server::callers::protocol::Protocol;
@@ -50,7 +50,7 @@
 }
 
 impl Backend for Echo {
-    fn register(self: Rc<Self>, _id: Ref) -> Option<Box<dyn Run>> {
+    fn register(self: Rc<Self>, _id: RequestId) -> Option<Box<dyn Run>> {
         Some(Box::<EchoRun>::default())
     }
 }
@@ -128,18 +128,18 @@
     };
     let limits = Limits {
         connections: 512,
-        spare: 32,
-        answers: 1 << 20,
-        rpcs: 1024,
-        results: 1 << 20,
-        ids: 1 << 16,
+        spare_connections: 32,
+        unread_reply_bytes: 1 << 20,
+        requests: 1024,
+        result_bytes: 1 << 20,
+        request_ids: 1 << 16,
     };
     let facade = Rc::new(SchedulerHandle::new(terms, names.clone(), 1, &limits));
     facade.start(Some(false), Duration::from_secs(1));
     let endpoints = Endpoints {
         engine: Endpoint::new(None),
         store: Endpoint::new(None),
-        control: Endpoint::new(None),
+        control_plane: Endpoint::new(None),
         descriptors: Rc::new(Descriptors::new(1024)),
     };
     let descriptors = endpoints.descriptors.clone();
--- a/crates/coralstep-server/src/base/backoff.rs
+++ b/crates/coralstep-server/src/base/backoff.rs
@@ -1,37 +1,42 @@
-//! How long to wait before a peer that could not be reached, or left at once, is tried again. Pure.
+//! Exponential backoff with jitter between attempts to reach a peer. Does no I/O.
 use std::time::Duration;
 
 use nanorand::{Rng, WyRand};
 
-/// Doubles from the least to the most, each wait drawn from its upper half: guards against servers that lost the same peer and
-/// come back to it together.
+/// Delays that double from a minimum to a maximum, each drawn from its upper half.
+///
+/// Guards against servers that lost the same peer and come back to it together.
+#[derive(Debug)]
 pub struct Backoff {
-    least: Duration,
-    most: Duration,
+    min_delay: Duration,
+    max_delay: Duration,
     next: Duration,
-    chance: WyRand,
+    rng: WyRand,
 }
 
 impl Backoff {
-    pub fn new(least: Duration, most: Duration, seed: u64) -> Backoff {
+    /// A backoff whose first delay is at most `min_delay`.
+    pub fn new(min_delay: Duration, max_delay: Duration, seed: u64) -> Backoff {
         Backoff {
-            least,
-            most,
-            next: least,
-            chance: WyRand::new_seed(seed),
+            min_delay,
+            max_delay,
+            next: min_delay,
+            rng: WyRand::new_seed(seed),
         }
     }
 
-    pub fn wait(&mut self) -> Duration {
-        let whole = self.next;
-        self.next = (whole * 2).min(self.most);
-        whole / 2
-            + (whole / 2).mul_f64(f64::from(self.chance.generate::<u32>()) / f64::from(u32::MAX))
+    /// The delay before the next attempt.
+    pub fn next_delay(&mut self) -> Duration {
+        let full = self.next;
+        self.next = (full * 2).min(self.max_delay);
+        let half = full / 2;
+        let jitter = f64::from(self.rng.generate::<u32>()) / f64::from(u32::MAX);
+        half + half.mul_f64(jitter)
     }
 
-    /// It was reached, and spoke.
-    pub fn fresh(&mut self) {
-        self.next = self.least;
+    /// Starts again from the minimum, after an attempt that succeeded.
+    pub fn reset(&mut self) {
+        self.next = self.min_delay;
     }
 }
 
--- a/crates/coralstep-server/src/base/config.rs
+++ b/crates/coralstep-server/src/base/config.rs
@@ -1,267 +1,435 @@
-//! The one place where configuration is read, checked and given defaults. Messages name the faulty key.
+//! The one place where configuration is read, checked and given defaults. Errors name the faulty key.
 use std::env;
 use std::fs;
+use std::io;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 use coralstep::{Preemption, SchedulerConfig};
-use coralstep_config::Names;
-use coralstep_config::site::SiteConfig;
-use coralstep_config::starvation;
+use coralstep_config::site::{SiteConfig, SiteError};
+use coralstep_config::starvation::{self, StarvationError};
+use coralstep_config::{Names, SettingError};
 use serde_json::Value;
 
 use super::descriptors;
+use super::limits::{Limits, OWN_DESCRIPTORS};
 
-/// The limits where the configuration states none: the largest that are given anywhere.
-const MEMORY_MB: u64 = 192;
-const SOCKETS: u64 = 1024;
-/// Descriptors that are not gateways': standard ones, reactor, listener, signals, control, two links to the engine.
-const SOCKETS_OWN: usize = 16;
-/// With fewer than so many nobody could be served.
-const SOCKETS_LEAST: usize = SOCKETS_OWN + 4;
-/// Part of the other descriptors that is left to calls, each of which has a connection of its own; as many as the settings
-/// allow at once, up to the larger part.
-const SOCKETS_CALLS: usize = 4;
-const SOCKETS_CALLS_MOST: usize = 2;
-/// Part of the callers' connections that may be there beyond their bound, while others leave.
-const SPARE: usize = 32;
-/// The notice to leave, where none is stated.
-const STOP_MS: u64 = 3_000;
-/// Bytes that any connection takes: what is read of it and about it, mostly less than a frame.
-const CONNECTION_BYTES: usize = 16 * 1024;
-/// Bytes that one RPC may take: its body, that of its call, the command that carries it, its task.
-const RPC_BYTES: usize = 16 * 1024;
+/// Memory where the configuration states none, in MB: the largest that is given anywhere.
+const DEFAULT_MEMORY_MB: u64 = 192;
+/// Descriptors where the configuration states none: the most that are given anywhere.
+const DEFAULT_DESCRIPTORS: u64 = 1024;
+/// With fewer descriptors nobody could be served.
+const MIN_DESCRIPTORS: usize = OWN_DESCRIPTORS + 4;
+/// Time from the signal to drain to the end, where none is stated, in ms.
+const DEFAULT_STOP_MS: u64 = 3_000;
+/// Counts are below this: they are read as floating-point numbers.
+const COUNT_LIMIT: f64 = 1e12;
+
+/// Names the configuration file where the command line names none.
+const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
+/// Stands in for the key `name`.
+const NAME_VARIABLE: &str = "RELAY_NAME";
+/// Stands in for the key `listen`.
+const LISTEN_VARIABLE: &str = "RELAY_LISTEN";
 
 /// Keys that a reload can't change.
-const FIXED: [&str; 6] = ["name", "listen", "seed", "stop_ms", "limits", "settings"];
-
-/// What this process itself may use.
-#[derive(Clone, Copy, Debug)]
-pub struct Limits {
-    /// Connections from gateways, and how many more while others leave.
-    pub connections: usize,
-    pub spare: usize,
-    /// Answers that callers have not read yet, in bytes, of all connections together.
-    pub answers: usize,
-    /// RPCs known at once, held, run or kept for their token.
-    pub rpcs: usize,
-    /// Results kept for repeats, in bytes.
-    pub results: usize,
-    /// Ids known, of RPCs that are here and of those that must not run again, at some 100 bytes each.
-    pub ids: usize,
+const RESTART_ONLY_KEYS: [&str; 6] = ["name", "listen", "seed", "stop_ms", "limits", "settings"];
+
+/// Why the configuration can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// Neither the command line nor the environment names a file.
+    #[error("RELAY_CONFIG: not set, and no --config given")]
+    NoFile,
+    /// A file can't be read.
+    #[error("{}: {source}", path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// Why it can't be read.
+        source: io::Error,
+    },
+    /// The configuration file is at fault.
+    #[error("{}: {source}", path.display())]
+    Invalid {
+        /// The configuration file.
+        path: PathBuf,
+        /// What is wrong in it.
+        source: InvalidConfig,
+    },
+    /// The operator's file is at fault.
+    #[error("{}: {source}", path.display())]
+    InvalidSite {
+        /// The operator's file.
+        path: PathBuf,
+        /// What is wrong in it.
+        source: SiteError,
+    },
+    /// By the operator's file some requests would never be served.
+    #[error("{}: {source}", path.display())]
+    Starvation {
+        /// The operator's file.
+        path: PathBuf,
+        /// Which requests.
+        source: StarvationError,
+    },
 }
 
-impl Limits {
-    /// A quarter of the memory is for connections, a quarter for RPCs, an eighth for unread answers, an eighth for
-    /// results; code and allocator have the rest.
-    fn new(memory_mb: u64, descriptors: usize, calls: f64) -> Limits {
-        let memory = (memory_mb as usize).saturating_mul(1 << 20);
-        let sockets = descriptors.saturating_sub(SOCKETS_OWN);
-        let calls = (calls as usize)
-            .clamp(sockets / SOCKETS_CALLS, sockets / SOCKETS_CALLS_MOST)
-            .max(1);
-        let connections = (memory / 4 / CONNECTION_BYTES)
-            .min(sockets.saturating_sub(calls))
-            .max(2);
-        let spare = (connections / SPARE).max(1);
-        Limits {
-            // Some that leave, and some that all came while none could be let go.
-            connections: connections.saturating_sub(2 * spare).max(2),
-            spare,
-            answers: memory / 8,
-            rpcs: (memory / 4 / RPC_BYTES).max(256),
-            results: memory / 8,
-            ids: (memory / 32 / 100).max(1024),
-        }
-    }
+/// What is wrong in the configuration file.
+#[derive(Debug, thiserror::Error)]
+pub enum InvalidConfig {
+    /// The file is no JSON.
+    #[error("not JSON: {0}")]
+    NotJson(#[from] serde_json::Error),
+    /// A required key is missing.
+    #[error("{0}: missing")]
+    Missing(&'static str),
+    /// A value is no text, or an empty one.
+    #[error("{key}: {value} is no text")]
+    NotText {
+        /// The key.
+        key: &'static str,
+        /// Its value.
+        value: Value,
+    },
+    /// A value is no socket address.
+    #[error("{key}: {text:?} is no address and port")]
+    NotAnAddress {
+        /// The key.
+        key: &'static str,
+        /// Its value.
+        text: String,
+    },
+    /// A value is no number above 0.
+    #[error("{key}: {value} is no number above 0")]
+    NotACount {
+        /// The key.
+        key: &'static str,
+        /// Its value.
+        value: Value,
+    },
+    /// `seed` is no hex number.
+    #[error("seed: {0:?} is no hex number")]
+    NotHex(String),
+    /// `limits` is no object.
+    #[error("limits: {0} is no object")]
+    LimitsNotAnObject(Value),
+    /// Too few descriptors are configured or allowed by the system.
+    #[error("limits.sockets: {0} are too few, {MIN_DESCRIPTORS} at the least")]
+    TooFewDescriptors(usize),
+    /// The scheduler's settings are at fault.
+    #[error("settings: {0}")]
+    Settings(#[from] SettingError),
+    /// The settings name no method.
+    #[error("settings.classes: names no class")]
+    NoMethods,
+    /// The settings allow a run to go on without its call.
+    #[error("settings.domain.class_skip_worth: the engine can't go on without a call")]
+    SkippedCalls,
+    /// The settings allow a run to be paused.
+    #[error("settings.domain.preemption: the engine can't take a paused run up again")]
+    PausedRuns,
 }
 
+/// A setting that a reload can't change.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RestartOnlySetting {
+    /// Its key.
+    pub key: &'static str,
+    /// Its value in the file; null where the file leaves it out.
+    pub value: Value,
+}
+
+/// The configuration of a server process.
 #[derive(Debug)]
 pub struct Config {
+    /// The server's name.
     pub name: String,
-    /// Where gateways connect; nowhere where all callers come another way.
+    /// Where gateways connect; `None` where all callers use another protocol.
     pub listen: Option<SocketAddr>,
-    /// None where SCGI applications run the RPCs.
+    /// The engine; `None` where SCGI applications run the requests.
     pub engine: Option<SocketAddr>,
+    /// The store; `None` where no method calls it.
     pub store: Option<SocketAddr>,
-    pub control: Option<SocketAddr>,
+    /// The control plane.
+    pub control_plane: Option<SocketAddr>,
+    /// Seeds the random numbers of decisions and backoffs.
     pub seed: u64,
-    /// From the notice to leave to the end.
-    pub stop: Duration,
+    /// Time from the signal to drain to the end.
+    pub stop_after: Duration,
+    /// What this process itself may use.
     pub limits: Limits,
-    /// How many this process may have open.
+    /// How many descriptors this process may have open.
     pub descriptors: usize,
-    pub terms: SchedulerConfig,
+    /// The scheduler's settings.
+    pub scheduler: SchedulerConfig,
+    /// Names of methods, tenants and gauges.
     pub names: Names,
-    /// What a reload can't change, each under its key.
-    pub fixed: Vec<(&'static str, Value)>,
-    /// What the operator's own file says, where there is one.
+    /// What a reload can't change.
+    pub restart_only: Vec<RestartOnlySetting>,
+    /// The operator's own file; its defaults where there is none.
     pub site: SiteConfig,
 }
 
-/// The files that the configuration is read from, also again.
-pub struct Source {
+/// The files that the configuration is read from, at the start and at each reload.
+#[derive(Debug)]
+pub struct ConfigFiles {
     config: PathBuf,
     site: Option<PathBuf>,
 }
 
-impl Source {
-    /// The file at `path`, else the one that RELAY_CONFIG names; the operator's own file at `site`.
-    pub fn new(path: Option<PathBuf>, site: Option<PathBuf>) -> Result<Source, String> {
-        let path = path.or_else(|| env::var_os("RELAY_CONFIG").map(PathBuf::from));
-        let config =
-            path.ok_or_else(|| "RELAY_CONFIG: not set, and no --config given".to_owned())?;
-        Ok(Source { config, site })
+impl ConfigFiles {
+    /// The configuration at `config`, else the one that `RELAY_CONFIG` names; the operator's own file at `site`.
+    ///
+    /// # Errors
+    /// [`ConfigError::NoFile`].
+    pub fn new(config: Option<PathBuf>, site: Option<PathBuf>) -> Result<ConfigFiles, ConfigError> {
+        let config = config
+            .or_else(|| env::var_os(CONFIG_VARIABLE).map(PathBuf::from))
+            .ok_or(ConfigError::NoFile)?;
+        Ok(ConfigFiles { config, site })
     }
 
-    pub fn load(&self) -> Result<Config, String> {
-        let read = |path: &PathBuf| {
-            fs::read_to_string(path).map_err(|why| format!("{}: {why}", path.display()))
+    /// Reads and checks both files.
+    ///
+    /// # Errors
+    /// A file can't be read or is at fault.
+    pub fn load(&self) -> Result<Config, ConfigError> {
+        let site_text = self.site.as_deref().map(read).transpose()?;
+        let config_text = read(&self.config)?;
+        let invalid = |source| ConfigError::Invalid {
+            path: self.config.clone(),
+            source,
         };
-        let site = self
-            .site
-            .as_ref()
-            .map(|path| Ok::<_, String>((path, read(path)?)))
-            .transpose()?;
-        let mut config = Config::parse(&read(&self.config)?, descriptors::allowed(), |name| {
-            env::var(name).ok()
-        })
-        .map_err(|why| format!("{}: {why}", self.config.display()))?;
-        if let Some((path, text)) = site {
-            let named = |error: &dyn std::error::Error| format!("{}: {error}", path.display());
-            config.site = SiteConfig::parse(&text, &config.names).map_err(|error| named(&error))?;
-            starvation::check(&config.site, None, &config.names, &config.terms)
-                .map_err(|error| named(&error))?;
+        let allowed = descriptors::max_open();
+        let mut config =
+            Config::parse(&config_text, allowed, |name| env::var(name).ok()).map_err(invalid)?;
+        if let (Some(path), Some(text)) = (&self.site, &site_text) {
+            config.site = parse_site(path, text, &config)?;
         }
-        config
-            .check()
-            .map_err(|why| format!("{}: {why}", self.config.display()))?;
+        config.check_required().map_err(invalid)?;
         Ok(config)
     }
 }
 
+fn read(path: &Path) -> Result<String, ConfigError> {
+    fs::read_to_string(path).map_err(|source| ConfigError::Read {
+        path: path.to_owned(),
+        source,
+    })
+}
+
+/// The operator's own file, checked against `config`.
+fn parse_site(path: &Path, text: &str, config: &Config) -> Result<SiteConfig, ConfigError> {
+    let site =
+        SiteConfig::parse(text, &config.names).map_err(|source| ConfigError::InvalidSite {
+            path: path.to_owned(),
+            source,
+        })?;
+    starvation::check(&site, None, &config.names, &config.scheduler).map_err(|source| {
+        ConfigError::Starvation {
+            path: path.to_owned(),
+            source,
+        }
+    })?;
+    Ok(site)
+}
+
 impl Config {
-    /// `variable` stands in for what the text leaves out; the system allows so many descriptors.
+    /// Reads the configuration file's `text`.
+    ///
+    /// `variable` returns an environment variable, which stands in for what the text leaves out; the system allows
+    /// `allowed_descriptors`.
+    ///
+    /// # Errors
+    /// The first fault of the text.
     pub fn parse(
         text: &str,
-        allowed: usize,
+        allowed_descriptors: usize,
         variable: impl Fn(&str) -> Option<String>,
-    ) -> Result<Config, String> {
-        let json: Value = serde_json::from_str(text).map_err(|why| format!("not JSON: {why}"))?;
-        let word = |key: &str, name: &str| -> Result<String, String> {
-            match &json[key] {
-                Value::String(text) if !text.is_empty() => Ok(text.clone()),
-                Value::Null => variable(name).ok_or_else(|| format!("{key}: missing")),
-                other => Err(format!("{key}: {other} is no text")),
-            }
-        };
-        let address = |key: &'static str, name: &str| -> Result<SocketAddr, String> {
-            let text = word(key, name)?;
-            text.parse()
-                .map_err(|_| format!("{key}: {text:?} is no address and port"))
-        };
-        let may_lack = |key: &'static str, name: &str| -> Result<Option<SocketAddr>, String> {
-            let there = !json[key].is_null() || variable(name).is_some();
-            there.then(|| address(key, name)).transpose()
-        };
-        let seed = word("seed", "")?;
-        let settings = json.get("settings").ok_or("settings: missing")?;
-        let (terms, mut names) =
-            coralstep_config::from_json(settings).map_err(|why| format!("settings: {why}"))?;
-        names.instance = word("name", "RELAY_NAME")?;
-        if terms.methods.is_empty() {
-            return Err("settings.classes: names no class".to_owned());
-        }
-        if terms.methods.iter().any(|method| method.skip_value > 0.0) {
-            return Err(
-                "settings.domain.class_skip_worth: the engine can't go on without a call"
-                    .to_owned(),
-            );
-        }
-        if terms.preemption == Preemption::Pause {
-            return Err(
-                "settings.domain.preemption: the engine can't take a paused run up again"
-                    .to_owned(),
-            );
-        }
-        let calls = terms.methods.iter().any(|method| method.calls);
-        let limits = &json["limits"];
-        if !(limits.is_null() || limits.is_object()) {
-            return Err(format!("limits: {limits} is no object"));
-        }
-        // Guards against a statement that the system does not keep: what it allows binds, too.
-        let descriptors =
-            (count(&limits["sockets"], "limits.sockets", SOCKETS)? as usize).min(allowed);
-        if descriptors < SOCKETS_LEAST {
-            return Err(format!(
-                "limits.sockets: {descriptors} are too few, {SOCKETS_LEAST} at the least"
-            ));
-        }
+    ) -> Result<Config, InvalidConfig> {
+        let file = ConfigFile::parse(text, variable)?;
+        let seed = file.text("seed", None)?;
+        let settings = file
+            .json
+            .get("settings")
+            .ok_or(InvalidConfig::Missing("settings"))?;
+        let (scheduler, mut names) = coralstep_config::from_json(settings)?;
+        names.instance = file.text("name", Some(NAME_VARIABLE))?;
+        check_settings(&scheduler)?;
+        file.check_limits()?;
+        let descriptors = file.descriptors(allowed_descriptors)?;
         Ok(Config {
             name: names.instance.clone(),
-            listen: may_lack("listen", "RELAY_LISTEN")?,
-            engine: may_lack("engine", "")?,
-            store: if calls || !json["store"].is_null() {
-                Some(address("store", "")?)
-            } else {
-                None
-            },
-            control: may_lack("control", "")?,
-            seed: u64::from_str_radix(&seed, 16)
-                .map_err(|_| format!("seed: {seed:?} is no hex number"))?,
-            stop: Duration::from_millis(count(&json["stop_ms"], "stop_ms", STOP_MS)?),
-            limits: Limits::new(
-                count(&limits["memory_mb"], "limits.memory_mb", MEMORY_MB)?,
-                descriptors,
-                calls_at_once(&terms),
-            ),
+            listen: file.optional_address("listen", Some(LISTEN_VARIABLE))?,
+            engine: file.optional_address("engine", None)?,
+            store: file.store(&scheduler)?,
+            control_plane: file.optional_address("control", None)?,
+            seed: u64::from_str_radix(&seed, 16).map_err(|_| InvalidConfig::NotHex(seed))?,
+            stop_after: Duration::from_millis(file.count("stop_ms", DEFAULT_STOP_MS)?),
+            limits: Limits::new(file.memory_mb()?, descriptors, max_calls(&scheduler)),
             descriptors,
-            terms,
+            scheduler,
             names,
-            fixed: FIXED.iter().map(|key| (*key, json[*key].clone())).collect(),
+            restart_only: file.restart_only(),
             site: SiteConfig::default(),
         })
     }
 
-    /// What may only be left out where the operator's own file has something in its place.
-    pub fn check(&self) -> Result<(), String> {
-        let (scgi, applications) = (self.site.scgi.is_some(), self.site.applications.is_some());
-        for (key, there) in [
-            ("listen", self.listen.is_some() || scgi),
-            ("engine", self.engine.is_some() || applications),
-            ("control", self.control.is_some() || scgi || applications),
-        ] {
-            if !there {
-                return Err(format!("{key}: missing"));
-            }
+    /// Checks the keys that may only be left out where the operator's own file has something in their place.
+    fn check_required(&self) -> Result<(), InvalidConfig> {
+        let has_scgi = self.site.scgi.is_some();
+        let has_applications = self.site.applications.is_some();
+        if self.listen.is_none() && !has_scgi {
+            return Err(InvalidConfig::Missing("listen"));
+        }
+        if self.engine.is_none() && !has_applications {
+            return Err(InvalidConfig::Missing("engine"));
+        }
+        if self.control_plane.is_none() && !has_scgi && !has_applications {
+            return Err(InvalidConfig::Missing("control"));
         }
         Ok(())
     }
 }
 
-/// Calls that the decisions may have in hand at once: not more than runs that the cores survive, nor than the share.
-fn calls_at_once(terms: &SchedulerConfig) -> f64 {
-    let runs = f64::from(terms.cores) * terms.max_started_per_core.max(1.0);
-    terms
+/// The configuration file's JSON, and the environment that stands in for what it leaves out.
+struct ConfigFile<V> {
+    json: Value,
+    variable: V,
+}
+
+impl<V: Fn(&str) -> Option<String>> ConfigFile<V> {
+    fn parse(text: &str, variable: V) -> Result<ConfigFile<V>, InvalidConfig> {
+        let json = serde_json::from_str(text)?;
+        Ok(ConfigFile { json, variable })
+    }
+
+    fn variable(&self, name: Option<&str>) -> Option<String> {
+        name.and_then(|name| (self.variable)(name))
+    }
+
+    fn text(&self, key: &'static str, variable: Option<&str>) -> Result<String, InvalidConfig> {
+        match &self.json[key] {
+            Value::String(text) if !text.is_empty() => Ok(text.clone()),
+            Value::Null => self.variable(variable).ok_or(InvalidConfig::Missing(key)),
+            other => Err(InvalidConfig::NotText {
+                key,
+                value: other.clone(),
+            }),
+        }
+    }
+
+    fn address(
+        &self,
+        key: &'static str,
+        variable: Option<&str>,
+    ) -> Result<SocketAddr, InvalidConfig> {
+        let text = self.text(key, variable)?;
+        text.parse()
+            .map_err(|_| InvalidConfig::NotAnAddress { key, text })
+    }
+
+    fn optional_address(
+        &self,
+        key: &'static str,
+        variable: Option<&str>,
+    ) -> Result<Option<SocketAddr>, InvalidConfig> {
+        if self.json[key].is_null() && self.variable(variable).is_none() {
+            return Ok(None);
+        }
+        self.address(key, variable).map(Some)
+    }
+
+    /// The store's address, which is required where methods call it.
+    fn store(&self, scheduler: &SchedulerConfig) -> Result<Option<SocketAddr>, InvalidConfig> {
+        let has_calls = scheduler.methods.iter().any(|method| method.calls);
+        if !has_calls && self.json["store"].is_null() {
+            return Ok(None);
+        }
+        self.address("store", None).map(Some)
+    }
+
+    fn count(&self, key: &'static str, default: u64) -> Result<u64, InvalidConfig> {
+        parse_count(&self.json[key], key, default)
+    }
+
+    fn check_limits(&self) -> Result<(), InvalidConfig> {
+        let limits = &self.json["limits"];
+        if limits.is_null() || limits.is_object() {
+            return Ok(());
+        }
+        Err(InvalidConfig::LimitsNotAnObject(limits.clone()))
+    }
+
+    fn memory_mb(&self) -> Result<u64, InvalidConfig> {
+        let value = &self.json["limits"]["memory_mb"];
+        parse_count(value, "limits.memory_mb", DEFAULT_MEMORY_MB)
+    }
+
+    /// Descriptors as configured. Guards against a number above what the system allows: that binds, too.
+    fn descriptors(&self, allowed: usize) -> Result<usize, InvalidConfig> {
+        let value = &self.json["limits"]["sockets"];
+        let configured = parse_count(value, "limits.sockets", DEFAULT_DESCRIPTORS)?;
+        let descriptors = (configured as usize).min(allowed);
+        if descriptors < MIN_DESCRIPTORS {
+            return Err(InvalidConfig::TooFewDescriptors(descriptors));
+        }
+        Ok(descriptors)
+    }
+
+    fn restart_only(&self) -> Vec<RestartOnlySetting> {
+        RESTART_ONLY_KEYS
+            .into_iter()
+            .map(|key| RestartOnlySetting {
+                key,
+                value: self.json[key].clone(),
+            })
+            .collect()
+    }
+}
+
+/// Rejects settings that the server can't carry out.
+fn check_settings(scheduler: &SchedulerConfig) -> Result<(), InvalidConfig> {
+    if scheduler.methods.is_empty() {
+        return Err(InvalidConfig::NoMethods);
+    }
+    if scheduler
+        .methods
+        .iter()
+        .any(|method| method.skip_value > 0.0)
+    {
+        return Err(InvalidConfig::SkippedCalls);
+    }
+    if scheduler.preemption == Preemption::Pause {
+        return Err(InvalidConfig::PausedRuns);
+    }
+    Ok(())
+}
+
+/// Calls that the scheduler may have in flight at once: no more than it may start runs, nor than its share.
+fn max_calls(scheduler: &SchedulerConfig) -> f64 {
+    let runs = f64::from(scheduler.cores) * scheduler.max_started_per_core.max(1.0);
+    scheduler
         .dependency
         .share()
         .map_or(runs, |share| share.ceil().min(runs))
 }
 
-/// A whole number above 0.
-fn count(value: &Value, key: &str, absent: u64) -> Result<u64, String> {
-    match value {
-        Value::Null => Ok(absent),
-        value => {
-            let number = value
-                .as_f64()
-                .filter(|number| *number >= 1.0 && *number < 1e12);
-            number
-                .map(|number| number as u64)
-                .ok_or_else(|| format!("{key}: {value} is no number above 0"))
-        }
+/// A whole number above 0, or `default` where there is none.
+fn parse_count(value: &Value, key: &'static str, default: u64) -> Result<u64, InvalidConfig> {
+    if value.is_null() {
+        return Ok(default);
     }
+    value
+        .as_f64()
+        .filter(|number| *number >= 1.0 && *number < COUNT_LIMIT)
+        .map(|number| number as u64)
+        .ok_or_else(|| InvalidConfig::NotACount {
+            key,
+            value: value.clone(),
+        })
 }
 
 #[cfg(test)]
--- a/crates/coralstep-server/src/base/config/tests.rs
+++ b/crates/coralstep-server/src/base/config/tests.rs
@@ -14,19 +14,19 @@
         (config.name.as_str(), config.seed),
         ("n3", 0x8c1f_30d2_7a5b_e964)
     );
-    assert_eq!(config.stop, Duration::from_millis(3200));
+    assert_eq!(config.stop_after, Duration::from_millis(3200));
     assert_eq!(
         (
             config.limits.connections,
-            config.limits.spare,
-            config.limits.rpcs
+            config.limits.spare_connections,
+            config.limits.requests
         ),
         (710, 23, 3072)
     );
-    assert_eq!(config.terms.methods[0].priority_weight, 1.5);
-    assert!(config.terms.methods[0].calls);
+    assert_eq!(config.scheduler.methods[0].priority_weight, 1.5);
+    assert!(config.scheduler.methods[0].calls);
     assert_eq!(config.names.gauges, ["cpu_busy", "sockets"]);
-    assert_eq!(config.terms.dependency.share(), Some(5.5));
+    assert_eq!(config.scheduler.dependency.share(), Some(5.5));
 }
 
 #[test]
@@ -66,6 +66,7 @@
         assert_eq!(
             Config::parse(&GOOD.replacen(good, bad, 1), usize::MAX, |_| None)
                 .err()
+                .map(|error| error.to_string())
                 .as_deref(),
             Some(why)
         );
@@ -73,10 +74,14 @@
     assert!(
         Config::parse("{", usize::MAX, |_| None)
             .unwrap_err()
+            .to_string()
             .starts_with("not JSON: ")
     );
     assert_eq!(
-        Config::parse("[]", usize::MAX, |_| None).err().as_deref(),
+        Config::parse("[]", usize::MAX, |_| None)
+            .err()
+            .map(|error| error.to_string())
+            .as_deref(),
         Some("seed: missing")
     );
 }
--- a/crates/coralstep-server/src/base/descriptors.rs
+++ b/crates/coralstep-server/src/base/descriptors.rs
@@ -1,5 +1,7 @@
-//! Descriptors of this process: how many there are, and places kept for the server's own. Callers' connections are bounded by
-//! count (`Limits`); here is what holds where that count is wrong, because somebody else uses them or the system has fewer.
+//! Descriptors of this process: how many there are, and a reserve for the server's own connections.
+//!
+//! [`Limits`](super::limits::Limits) bounds callers' connections by count; this module holds where that count is wrong, because
+//! something else uses descriptors or the system has fewer.
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::os::fd::AsRawFd;
@@ -11,69 +13,76 @@
 use rustix::io::Errno;
 use rustix::process::{Resource, getrlimit};
 
-/// Places that callers' connections never take: links to engine, store and control plane, an operator's question, the
+/// Descriptors that callers' connections never take: links to engine, store and control plane, an operator's question, the
 /// files of a reload.
-const KEPT: usize = 6;
-/// A dial that found no descriptor is made again after so long, unless one comes free sooner.
-const AGAIN: Duration = Duration::from_millis(20);
+const RESERVED: usize = 6;
+/// Pause before a dial that found no descriptor is made again, unless one is freed sooner.
+const DIAL_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// How many this process may have open, as the system has it.
-pub fn allowed() -> usize {
+/// How many descriptors the system allows this process to have open.
+pub fn max_open() -> usize {
     getrlimit(Resource::Nofile)
         .current
-        .map_or(usize::MAX, |most| {
-            usize::try_from(most).unwrap_or(usize::MAX)
+        .map_or(usize::MAX, |limit| {
+            usize::try_from(limit).unwrap_or(usize::MAX)
         })
 }
 
-/// Whether that failed for want of a descriptor, of this process's or of the whole system's.
-pub fn are_exhausted(why: &io::Error) -> bool {
-    let code = why.raw_os_error();
+/// Whether `error` means that this process, or the whole system, has no descriptor left.
+fn is_exhausted(error: &io::Error) -> bool {
+    let code = error.raw_os_error();
     code == Some(Errno::MFILE.raw_os_error()) || code == Some(Errno::NFILE.raw_os_error())
 }
 
+/// The descriptors of this process.
+#[derive(Debug)]
 pub struct Descriptors {
-    most: usize,
-    short: Event,
+    max_open: usize,
+    exhausted: Event,
     freed: Event,
 }
 
 impl Descriptors {
-    pub fn new(most: usize) -> Descriptors {
+    /// Descriptors of a process that may have `max_open` of them.
+    pub fn new(max_open: usize) -> Descriptors {
         Descriptors {
-            most,
-            short: Event::new(),
+            max_open,
+            exhausted: Event::new(),
             freed: Event::new(),
         }
     }
 
-    /// Whether a new one lies in the places kept: the system gives the lowest number that is free, so all below are in use.
-    pub fn are_scarce(&self, new: &impl AsRawFd) -> bool {
-        new.as_raw_fd() as usize + KEPT >= self.most
+    /// Whether a new descriptor lies in the reserve: the system gives the lowest free number, so all below are in use.
+    pub fn is_reserved(&self, descriptor: &impl AsRawFd) -> bool {
+        descriptor.as_raw_fd() as usize + RESERVED >= self.max_open
     }
 
-    /// Ends when one of the server's own found none.
-    pub fn short(&self) -> EventListener {
-        self.short.listen()
+    /// Ends when a dial finds no descriptor.
+    pub fn exhausted(&self) -> EventListener {
+        self.exhausted.listen()
     }
 
-    /// One has come free.
-    pub fn freed(&self) {
+    /// Wakes dials that wait for a descriptor.
+    pub fn notify_freed(&self) {
         self.freed.notify(usize::MAX);
     }
 
-    /// Connects for the server's own ends. Guards against callers that hold all descriptors: they are asked for one, and the dial
-    /// is made again, as long as its caller has patience.
+    /// Connects to one of the server's own endpoints, waiting for a descriptor as long as it takes.
+    ///
+    /// Guards against callers that hold all descriptors: one of them is shed, and the dial is made again.
+    ///
+    /// # Errors
+    /// The connection fails for another reason.
     pub async fn dial(&self, address: SocketAddr) -> io::Result<Async<TcpStream>> {
         loop {
             match Async::<TcpStream>::connect(address).await {
-                Err(why) if are_exhausted(&why) => {
+                Err(error) if is_exhausted(&error) => {
                     let freed = self.freed.listen();
-                    self.short.notify(usize::MAX);
-                    let again = async {
-                        Timer::after(AGAIN).await;
+                    self.exhausted.notify(usize::MAX);
+                    let expired = async {
+                        Timer::after(DIAL_RETRY_DELAY).await;
                     };
-                    freed.or(again).await;
+                    freed.or(expired).await;
                 }
                 other => return other,
             }
--- a/crates/coralstep-server/src/base/endpoints.rs
+++ b/crates/coralstep-server/src/base/endpoints.rs
@@ -1,5 +1,4 @@
-//! Where this server's engine, store and control plane are. What moves them (a reload) and what goes there (links, calls, reports) meet
-//! here and know nothing of each other.
+//! Addresses of this server's engine, store and control plane: a reload replaces them, links and calls follow.
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,51 +8,58 @@
 use super::config::Config;
 use super::descriptors::Descriptors;
 
-/// Where somebody is; a new configuration may move it.
+/// An address that a reload may replace.
 pub struct Endpoint<T> {
-    at: Cell<T>,
-    moved: Event,
+    address: Cell<T>,
+    replaced: Event,
 }
 
 impl<T: Copy + PartialEq> Endpoint<T> {
-    pub fn new(at: T) -> Endpoint<T> {
+    /// An endpoint at `address`.
+    pub fn new(address: T) -> Endpoint<T> {
         Endpoint {
-            at: Cell::new(at),
-            moved: Event::new(),
+            address: Cell::new(address),
+            replaced: Event::new(),
         }
     }
 
+    /// The address now.
     pub fn get(&self) -> T {
-        self.at.get()
+        self.address.get()
     }
 
-    pub fn set(&self, at: T) {
-        if self.at.replace(at) != at {
-            self.moved.notify(usize::MAX);
+    /// Replaces the address.
+    pub fn set(&self, address: T) {
+        if self.address.replace(address) != address {
+            self.replaced.notify(usize::MAX);
         }
     }
 
-    /// Ends at the next move.
-    pub fn moved(&self) -> EventListener {
-        self.moved.listen()
+    /// Ends when the address is next replaced by another.
+    pub fn replaced(&self) -> EventListener {
+        self.replaced.listen()
     }
 }
 
-/// All that a reload moves, and what goes there.
+/// All addresses that a reload replaces, and what connects to them.
 pub struct Endpoints {
+    /// The engine.
     pub engine: Endpoint<Option<SocketAddr>>,
+    /// The store.
     pub store: Endpoint<Option<SocketAddr>>,
-    pub control: Endpoint<Option<SocketAddr>>,
-    /// Dials are made through it.
+    /// The control plane.
+    pub control_plane: Endpoint<Option<SocketAddr>>,
+    /// Makes all connections to them.
     pub descriptors: Rc<Descriptors>,
 }
 
 impl Endpoints {
-    pub fn of(config: &Config) -> Endpoints {
+    /// The endpoints that `config` names.
+    pub fn new(config: &Config) -> Endpoints {
         Endpoints {
             engine: Endpoint::new(config.engine),
             store: Endpoint::new(config.store),
-            control: Endpoint::new(config.control),
+            control_plane: Endpoint::new(config.control_plane),
             descriptors: Rc::new(Descriptors::new(config.descriptors)),
         }
     }
--- a/crates/coralstep-server/src/base/mod.rs
+++ b/crates/coralstep-server/src/base/mod.rs
@@ -1,9 +1,11 @@
-//! What all other rooms stand on: configuration, clocks, the log, lines and buffers, where everybody is. Knows no other room.
+//! What every other part of the server builds on: configuration, clocks, the log, sockets and their codecs.
 pub mod backoff;
 pub mod clock;
 pub mod config;
 pub mod descriptors;
 pub mod endpoints;
-pub mod lines;
+pub mod limits;
+pub mod line_codec;
 pub mod log;
 pub mod outbox;
+pub mod request_id;
--- a/crates/coralstep-server/src/base/outbox/tests.rs
+++ b/crates/coralstep-server/src/base/outbox/tests.rs
@@ -11,17 +11,17 @@
 }
 
 #[test]
-fn what_left_is_known_and_a_deaf_peer_is_given_up() {
+fn what_may_have_left_is_known_and_a_peer_that_reads_nothing_is_given_up() {
     let (near, _deaf) = pair();
     let out = Outbox::default();
     let first = out.put(|bytes| bytes.extend_from_slice(b"first"));
     let flood = out.put(|bytes| bytes.resize(bytes.len() + (64 << 20), 0));
     let last = out.put(|bytes| bytes.push(1));
-    assert!(!out.sent(first));
-    let end = block_on(out.run_for(&near, Duration::from_millis(20)));
+    assert!(!out.may_have_left(first));
+    let end = block_on(out.write_with_timeout(&near, Duration::from_millis(20)));
     assert_eq!(end.unwrap_err().kind(), io::ErrorKind::TimedOut);
-    assert!(out.sent(first) && out.sent(flood) && !out.sent(last));
-    assert!(out.waiting() > 0);
+    assert!(out.may_have_left(first) && out.may_have_left(flood) && !out.may_have_left(last));
+    assert!(out.unsent_bytes() > 0);
 }
 
 #[test]
@@ -30,8 +30,8 @@
     let out = Outbox::default();
     out.put(|bytes| bytes.extend_from_slice(b"all of it"));
     out.close();
-    block_on(out.run(&near)).unwrap();
-    block_on(out.below(0));
+    block_on(out.write_to(&near)).unwrap();
+    block_on(out.wait_until_at_most(0));
     drop(near);
     assert_eq!(io::read_to_string(far).unwrap(), "all of it");
 }
--- a/crates/coralstep-server/src/callers/connection.rs
+++ b/crates/coralstep-server/src/callers/connection.rs
@@ -193,7 +193,7 @@
             Timer::after(FLUSH_TIMEOUT).await;
             false
         };
-        let write = async { self.outbox.run(stream).await.is_ok() };
+        let write = async { self.outbox.write_to(stream).await.is_ok() };
         // In this order: what had arrived by the time of the close is read first, and gets its reply.
         let flushed = read.or(aborted).or(flush_expired).or(write).await;
         if flushed {
--- a/crates/coralstep-server/src/callers/connections.rs
+++ b/crates/coralstep-server/src/callers/connections.rs
@@ -12,8 +12,8 @@
 use event_listener::Event;
 use futures_lite::FutureExt;
 
-use crate::base::config::Limits;
 use crate::base::descriptors::Descriptors;
+use crate::base::limits::Limits;
 use crate::callers::connection::{ClosingNotice, Connection};
 use crate::callers::dispatcher::RequestDispatcher;
 use crate::callers::protocol::Protocol;
@@ -118,11 +118,11 @@
             .iter()
             .filter(|connection| connection.is_closing() && connection.uses(protocol))
             .count();
-        closing >= self.limits.spare || self.active_count() >= self.max_active()
+        closing >= self.limits.spare_connections || self.active_count() >= self.max_active()
     }
 
     fn max_active(&self) -> usize {
-        self.limits.connections + self.limits.spare
+        self.limits.connections + self.limits.spare_connections
     }
 
     /// Ends when one more connection may be accepted.
@@ -206,7 +206,7 @@
     /// Sheds an idle connection for each of the server's own dials that found no descriptor; never ends.
     pub async fn shed_for_own_dials(&self) {
         loop {
-            self.descriptors.short().await;
+            self.descriptors.exhausted().await;
             note!("descriptors exhausted, shedding an idle connection");
             self.shed_one();
         }
@@ -216,7 +216,7 @@
     fn add(self: &Rc<Self>, stream: Async<TcpStream>, peer: IpAddr, protocol: &Rc<dyn Protocol>) {
         let _ = stream.get_ref().set_nodelay(true);
         let connection = Rc::new(Connection::new(protocol.clone(), peer));
-        if self.active_count() >= self.limits.connections || self.descriptors.are_scarce(&stream) {
+        if self.active_count() >= self.limits.connections || self.descriptors.is_reserved(&stream) {
             note!(client: %peer, "connection table full");
             if !self.shed_one() {
                 // All have open requests: what this one brings is still answered, for its caller may have written it already.
@@ -257,7 +257,7 @@
             .borrow_mut()
             .retain(|other| !Rc::ptr_eq(other, connection));
         drop(stream);
-        self.descriptors.freed();
+        self.descriptors.notify_freed();
         self.closed.notify(usize::MAX);
     }
 
@@ -290,14 +290,14 @@
         let all = self.all.borrow();
         let unread: usize = all
             .iter()
-            .map(|connection| connection.outbox.waiting())
+            .map(|connection| connection.outbox.unsent_bytes())
             .sum();
-        if unread <= self.limits.answers {
+        if unread <= self.limits.unread_reply_bytes {
             return;
         }
         let slowest = all
             .iter()
-            .max_by_key(|connection| connection.outbox.waiting());
+            .max_by_key(|connection| connection.outbox.unsent_bytes());
         if let Some(slowest) = slowest {
             note!(peer = %slowest.peer, "unread replies exceed memory limit, closing connection");
             slowest.abort();
--- a/crates/coralstep-server/src/callers/connections/tests.rs
+++ b/crates/coralstep-server/src/callers/connections/tests.rs
@@ -10,11 +10,11 @@
 fn connections() -> Connections {
     let limits = Limits {
         connections: 3,
-        spare: 1,
-        answers: 100,
-        rpcs: 1,
-        results: 1,
-        ids: 1,
+        spare_connections: 1,
+        unread_reply_bytes: 100,
+        requests: 1,
+        result_bytes: 1,
+        request_ids: 1,
     };
     let terms = SchedulerConfig {
         methods: vec![Method::default()],
@@ -25,7 +25,7 @@
     let endpoints = Endpoints {
         engine: Endpoint::new(nowhere),
         store: Endpoint::new(None),
-        control: Endpoint::new(nowhere),
+        control_plane: Endpoint::new(nowhere),
         descriptors: Rc::new(Descriptors::new(64)),
     };
     let (engine, descriptors) = (Rc::new(Engine::default()), endpoints.descriptors.clone());
--- a/crates/coralstep-server/src/callers/dispatcher.rs
+++ b/crates/coralstep-server/src/callers/dispatcher.rs
@@ -5,7 +5,7 @@
 use async_executor::LocalExecutor;
 use futures_lite::FutureExt;
 
-use crate::base::lines::Ref;
+use crate::base::request_id::RequestId;
 use crate::callers::connection::Connection;
 use crate::callers::reply_writer::ReplyWriter;
 use crate::decisions::{RpcRequest, SchedulerHandle};
@@ -19,7 +19,7 @@
     /// What the scheduler is told of it.
     pub request: RpcRequest,
     /// Its id.
-    pub id: Ref,
+    pub id: RequestId,
     /// Its body.
     pub body: Vec<u8>,
 }
--- a/crates/coralstep-server/src/callers/gateway.rs
+++ b/crates/coralstep-server/src/callers/gateway.rs
@@ -7,7 +7,7 @@
 use coralstep::Span;
 
 use crate::base::clock;
-use crate::base::lines::Ref;
+use crate::base::request_id::RequestId;
 use crate::callers::connection::{ClosingNotice, Connection};
 use crate::callers::dispatcher::{IncomingRequest, RequestDispatcher};
 use crate::callers::error::ConnectionError;
@@ -147,7 +147,10 @@
     async fn run(mut self, stream: &Async<TcpStream>) -> Result<(), ConnectionError> {
         let mut buffer = ReadBuffer::new();
         loop {
-            self.connection.outbox.below(MAX_UNREAD_REPLY_BYTES).await;
+            self.connection
+                .outbox
+                .wait_until_at_most(MAX_UNREAD_REPLY_BYTES)
+                .await;
             match buffer.read(stream, self.connection).await? {
                 ReadOutcome::Data => {}
                 ReadOutcome::Closed => return Ok(()),
@@ -270,7 +273,7 @@
 struct ParsedFields {
     request: RpcRequest,
     method: Option<usize>,
-    id: Option<Ref>,
+    id: Option<RequestId>,
     age: Option<Span>,
     memory_kb: Option<f64>,
 }
@@ -288,7 +291,7 @@
                 let method = scheduler.method_index(value);
                 self.method = Some(method.ok_or(RequestError::Unknown("service"))?);
             }
-            "ref" => self.id = Some(Ref::parse(value).ok_or(RequestError::Malformed("ref"))?),
+            "ref" => self.id = Some(RequestId::parse(value).ok_or(RequestError::Malformed("ref"))?),
             "since" => self.age = Some(parse_age(value)?),
             "project" => {
                 let tenant = scheduler.tenant_index(value);
@@ -331,7 +334,7 @@
         .parse()
         .map_err(|_| RequestError::Malformed("since"))?;
     // Guards against stamps that would bend what is believed of the load.
-    clock::age(sent_ms, MAX_CLOCK_SKEW)
+    clock::age_of_timestamp(sent_ms, MAX_CLOCK_SKEW)
         .filter(|age| *age <= MAX_AGE)
         .ok_or(RequestError::OutOfRange("since"))
 }
--- a/crates/coralstep-server/src/callers/scgi/request_parser.rs
+++ b/crates/coralstep-server/src/callers/scgi/request_parser.rs
@@ -7,7 +7,7 @@
 use super::config::ProtocolConfig;
 use super::error::RequestError;
 use crate::base::clock;
-use crate::base::lines::Ref;
+use crate::base::request_id::RequestId;
 use crate::callers::dispatcher::IncomingRequest;
 use crate::callers::request_fields::{
     MAX_AGE, MAX_CLOCK_SKEW, MAX_IDEMPOTENCY_KEY_BYTES, MAX_MEMORY_KB, MAX_TIMEOUT_MS, parse_below,
@@ -120,7 +120,7 @@
             .parse()
             .map_err(|_| RequestError::Malformed("time of arrival"))?;
         // Guards against stamps that would bend what is believed of the load.
-        clock::age(arrived_ms, MAX_CLOCK_SKEW)
+        clock::age_of_timestamp(arrived_ms, MAX_CLOCK_SKEW)
             .filter(|age| *age <= MAX_AGE)
             .ok_or(RequestError::OutOfRange("time of arrival"))
     }
@@ -193,7 +193,7 @@
     }
 
     /// The id that the caller states, or a new one.
-    fn request_id(&self) -> Result<Ref, RequestError> {
+    fn request_id(&self) -> Result<RequestId, RequestError> {
         let id = self.text(&self.config.headers().id)?;
         let id = id.filter(|id| !id.is_empty());
         if id.is_some_and(|id| id.len() > MAX_ID_BYTES) {
--- a/crates/coralstep-server/src/decisions/actions.rs
+++ b/crates/coralstep-server/src/decisions/actions.rs
@@ -58,7 +58,7 @@
         let entry = self.requests.get_mut(rpc);
         let retry_after = entry.map_or(retry_after, |entry| retry_after.max(entry.retry_after));
         let decision = Decision::Reject {
-            retry_after_ms: clock::ms_up(retry_after),
+            retry_after_ms: clock::millis_rounded_up(retry_after),
             is_final: last,
         };
         self.requests.push_decision(rpc, decision);
--- a/crates/coralstep-server/src/decisions/handle.rs
+++ b/crates/coralstep-server/src/decisions/handle.rs
@@ -13,7 +13,7 @@
 use event_listener::{Event, EventListener};
 
 use crate::base::clock::{self, Clock};
-use crate::base::config::Limits;
+use crate::base::limits::Limits;
 use crate::decisions::actions::PendingActions;
 use crate::decisions::breaker::RecentCalls;
 use crate::decisions::degradation::DegradationController;
@@ -79,8 +79,8 @@
     ) -> SchedulerHandle {
         let clock = Clock::start();
         let actions = PendingActions::new(
-            RequestTable::new(limits.rpcs, limits.results),
-            IdempotencyKeys::new(limits.ids / REQUEST_IDS_PER_PAST_KEY),
+            RequestTable::new(limits.requests, limits.result_bytes),
+            IdempotencyKeys::new(limits.request_ids / REQUEST_IDS_PER_PAST_KEY),
             clock,
             names.instance.clone(),
         );
--- a/crates/coralstep-server/src/decisions/handle/tests.rs
+++ b/crates/coralstep-server/src/decisions/handle/tests.rs
@@ -38,11 +38,11 @@
 fn limits() -> Limits {
     Limits {
         connections: 1,
-        spare: 1,
-        answers: 1,
-        rpcs: 2,
-        results: 8,
-        ids: 8,
+        spare_connections: 1,
+        unread_reply_bytes: 1,
+        requests: 2,
+        result_bytes: 8,
+        request_ids: 8,
     }
 }
 
--- a/crates/coralstep-server/src/dependency/store.rs
+++ b/crates/coralstep-server/src/dependency/store.rs
@@ -15,7 +15,8 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 
 use crate::base::endpoints::Endpoints;
-use crate::base::lines::{self, Ref};
+use crate::base::line_codec;
+use crate::base::request_id::RequestId;
 use crate::decisions::CallOutcome;
 use crate::note;
 
@@ -63,11 +64,11 @@
 
 impl StoreClient {
     /// Starts a call for the RPC `id` that may take `timeout`.
-    pub fn call(&self, id: Ref, timeout: Duration, body: &[u8]) -> StoreCall {
+    pub fn call(&self, id: RequestId, timeout: Duration, body: &[u8]) -> StoreCall {
         let mut request = Vec::with_capacity(body.len() + REQUEST_LINE_BYTES);
         let timeout_ms = timeout.as_micros().div_ceil(1000);
         let line = format_args!("CALL {id} {timeout_ms}");
-        lines::put(&mut request, line, Some(body));
+        line_codec::encode(&mut request, line, Some(body));
         StoreCall {
             exchange: Box::pin(call(self.0.clone(), id, timeout, request)),
         }
@@ -76,7 +77,7 @@
 
 async fn call(
     endpoints: Rc<Endpoints>,
-    id: Ref,
+    id: RequestId,
     timeout: Duration,
     request: Vec<u8>,
 ) -> CallResult {
@@ -125,7 +126,7 @@
 
 async fn exchange(
     endpoints: &Endpoints,
-    id: Ref,
+    id: RequestId,
     request: &[u8],
     sent: &Cell<bool>,
 ) -> io::Result<Reply> {
@@ -159,14 +160,14 @@
         }
         let mut used = 0;
         let has_body = |words: &[&str]| words.get(1) == Some(&"OK");
-        while let Some((words, body, length)) = lines::message(&buffer[used..filled], has_body)
+        while let Some(message) = line_codec::decode(&buffer[used..filled], has_body)
             .map_err(|_| io::Error::other("a corrupt reply"))?
         {
-            used += length;
-            if words[0] == id {
-                return decode_reply(&words, body);
+            used += message.encoded_len;
+            if message.words[0] == id {
+                return decode_reply(&message.words, message.body);
             }
-            let other: String = words[0].chars().take(MAX_LOGGED_ID).collect();
+            let other: String = message.words[0].chars().take(MAX_LOGGED_ID).collect();
             note!(rpc_id = %other, "store replied to an unknown call");
         }
         buffer.copy_within(used..filled, 0);
--- a/crates/coralstep-server/src/fleet/event_log.rs
+++ b/crates/coralstep-server/src/fleet/event_log.rs
@@ -10,7 +10,8 @@
 /// Writes one line for an event.
 pub(super) fn log_event(event: &Event) {
     // Guards against members that come and go without end and crowd out all other lines: theirs count as a client's.
-    if is_caused_by_peer(event) && log::admitted(Instant::now(), true).is_none() {
+    if is_caused_by_peer(event) && log::admit_line(Instant::now(), log::LineCause::Client).is_none()
+    {
         return;
     }
     match event {
--- a/crates/coralstep-server/src/lib.rs
+++ b/crates/coralstep-server/src/lib.rs
@@ -30,7 +30,7 @@
 pub mod operators;
 pub mod runs;
 
-use base::config::{Config, Source};
+use base::config::{Config, ConfigFiles};
 use base::endpoints::Endpoints;
 use base::log;
 use callers::connections::Connections;
@@ -68,27 +68,29 @@
 }
 
 /// Serves until told to leave.
-pub fn serve(source: Source) -> Result<(), Fault> {
+pub fn serve(source: ConfigFiles) -> Result<(), Fault> {
     // Before the files are read: a notice or a reload that comes meanwhile ends nobody and is not missed.
     let (leave, again) = (drain::signals(), reload::signals());
     let (leave, again) = leave
         .and_then(|leave| Ok((leave, again?)))
         .map_err(|why| Fault::System(why.to_string()))?;
-    let config = source.load().map_err(Fault::Files)?;
+    let config = source
+        .load()
+        .map_err(|error| Fault::Files(error.to_string()))?;
     run(source, config, leave, again).map_err(Fault::System)
 }
 
-fn run(source: Source, config: Config, leave: Signals, again: Signals) -> Result<(), String> {
+fn run(source: ConfigFiles, config: Config, leave: Signals, again: Signals) -> Result<(), String> {
     let site = &config.site;
     let executor = Rc::new(LocalExecutor::new());
-    let (terms, names) = (config.terms.clone(), config.names.clone());
-    log::start(&site.log)?;
+    let (terms, names) = (config.scheduler.clone(), config.names.clone());
+    log::init(&site.log).map_err(|error| error.to_string())?;
     let facade = SchedulerHandle::new(terms, names, config.seed, &config.limits);
     let facade = Rc::new(match &site.levels {
         Some(levels) => facade.with_degradation(levels)?,
         None => facade,
     });
-    let endpoints = Rc::new(Endpoints::of(&config));
+    let endpoints = Rc::new(Endpoints::new(&config));
     let engine = Rc::new(Engine::default());
     let applications = site.applications.as_ref();
     let applications = applications.map(|terms| {
@@ -192,7 +194,7 @@
     });
     let apply_version: ApplyVersion = {
         let (movable, site) = (movable.clone(), site.clone());
-        let (names, terms) = (config.names.clone(), config.terms.clone());
+        let (names, terms) = (config.names.clone(), config.scheduler.clone());
         Box::new(move |content| {
             movable
                 .apply_version(content, &site, &names, &terms)
@@ -211,7 +213,7 @@
         let mut parts: Vec<Part<'_>> = vec![
             Box::pin(registration::send_heartbeats(
                 &config.name,
-                &endpoints.control,
+                &endpoints.control_plane,
                 &facade,
                 &leaving,
             )),
@@ -264,7 +266,7 @@
     let shutdown = Shutdown {
         scheduler: &facade,
         connections: &connections,
-        stop_after: config.stop,
+        stop_after: config.stop_after,
         draining: &leaving,
         announce: &told,
     };
--- a/crates/coralstep-server/src/lifecycle/reload.rs
+++ b/crates/coralstep-server/src/lifecycle/reload.rs
@@ -12,7 +12,7 @@
 use futures_lite::StreamExt;
 use thiserror::Error;
 
-use crate::base::config::{Config, Source};
+use crate::base::config::{Config, ConfigFiles};
 use crate::base::endpoints::Endpoints;
 use crate::callers::scgi::ScgiProtocol;
 use crate::decisions::degradation::DegradationController;
@@ -141,7 +141,7 @@
 /// Takes up the files on each signal; files at fault change nothing. `start` is the configuration that the process began with.
 pub async fn run(
     mut signals: Signals,
-    source: &Source,
+    source: &ConfigFiles,
     start: &Config,
     endpoints: &Endpoints,
     parts: &ReloadableParts,
@@ -160,23 +160,26 @@
 }
 
 fn log_fixed_settings(new: &Config, start: &Config) {
-    let changed = new.fixed.iter().zip(&start.fixed);
-    for ((key, _), _) in changed.filter(|(new, old)| new != old) {
-        note!(key, "reload: setting changes only with a restart");
+    let settings = new.restart_only.iter().zip(&start.restart_only);
+    for (setting, _) in settings.filter(|(new, old)| new != old) {
+        note!(
+            key = setting.key,
+            "reload: setting changes only with a restart"
+        );
     }
 }
 
 fn move_endpoints(new: &Config, endpoints: &Endpoints) {
     endpoints.engine.set(new.engine);
     endpoints.store.set(new.store);
-    endpoints.control.set(new.control);
+    endpoints.control_plane.set(new.control_plane);
     let text = |address: Option<SocketAddr>| {
         address.map_or_else(|| "nowhere".to_owned(), |address| address.to_string())
     };
     note!(
         engine = text(new.engine),
         store = text(new.store),
-        control_plane = text(new.control),
+        control_plane = text(new.control_plane),
         "reload: endpoints replaced"
     );
 }
--- a/crates/coralstep-server/src/lifecycle/snapshots.rs
+++ b/crates/coralstep-server/src/lifecycle/snapshots.rs
@@ -204,9 +204,9 @@
 fn fingerprint(config: &Config) -> Fingerprint {
     Fingerprint {
         server: config.name.clone(),
-        cores: config.terms.cores,
+        cores: config.scheduler.cores,
         methods: config.names.methods.clone(),
-        dependency_share: config.terms.dependency.share(),
+        dependency_share: config.scheduler.dependency.share(),
         tenants: config.names.tenants.clone(),
     }
 }
--- a/crates/coralstep-server/src/main.rs
+++ b/crates/coralstep-server/src/main.rs
@@ -12,7 +12,7 @@
 
 use coralstep_config::site::SiteConfig;
 use coralstep_server::Fault;
-use coralstep_server::base::config::{Config, Source};
+use coralstep_server::base::config::{Config, ConfigFiles};
 use lexopt::Arg::{Long, Short, Value};
 
 const USAGE: &str = "\
@@ -131,17 +131,17 @@
             Err(error) => Err(error.to_string()),
         },
         Ok(Command::Check((config, site))) => {
-            match Source::new(config, site).and_then(|source| source.load()) {
+            match ConfigFiles::new(config, site).and_then(|files| files.load()) {
                 Ok(config) => {
                     print!("{}", told(&config));
                     Ok(())
                 }
-                Err(why) => return at_fault(&why),
+                Err(error) => return at_fault(&error.to_string()),
             }
         }
         Ok(Command::Serve((config, site))) => {
-            match Source::new(config, site)
-                .map_err(Fault::Files)
+            match ConfigFiles::new(config, site)
+                .map_err(|error| Fault::Files(error.to_string()))
                 .and_then(coralstep_server::serve)
             {
                 Ok(()) => Ok(()),
--- a/crates/coralstep-server/src/runs/applications/mod.rs
+++ b/crates/coralstep-server/src/runs/applications/mod.rs
@@ -23,7 +23,7 @@
 
 use crate::base::clock::{self, Clock};
 use crate::base::descriptors::Descriptors;
-use crate::base::lines::Ref;
+use crate::base::request_id::RequestId;
 use crate::decisions::{BreakerStatus, RunOutcome};
 use crate::fleet::ExchangeHealth;
 use crate::runs::applications::attempt::AttemptResult;
@@ -39,7 +39,7 @@
 
 /// What the attempts of one run need.
 struct Job {
-    id: Ref,
+    id: RequestId,
     /// The SCGI request.
     bytes: Vec<u8>,
     idempotent: bool,
@@ -52,7 +52,7 @@
     descriptors: Rc<Descriptors>,
     clock: Clock,
     pool: RefCell<Pool<SocketAddr>>,
-    runs: RefCell<HashMap<Ref, RunState>>,
+    runs: RefCell<HashMap<RequestId, RunState>>,
     terms: RefCell<ApplicationsConfig>,
 }
 
@@ -193,7 +193,7 @@
 }
 
 impl Backend for Applications {
-    fn register(self: Rc<Self>, id: Ref) -> Option<Box<dyn Run>> {
+    fn register(self: Rc<Self>, id: RequestId) -> Option<Box<dyn Run>> {
         match self.runs.borrow_mut().entry(id) {
             Entry::Occupied(_) => return None,
             Entry::Vacant(vacant) => {
--- a/crates/coralstep-server/src/runs/applications/run.rs
+++ b/crates/coralstep-server/src/runs/applications/run.rs
@@ -4,7 +4,7 @@
 
 use coralstep_scgi::request;
 
-use crate::base::lines::Ref;
+use crate::base::request_id::RequestId;
 use crate::decisions::RunOutcome;
 use crate::note;
 use crate::runs::applications::{Applications, Job};
@@ -19,7 +19,7 @@
 /// One RPC's run at the applications; unregistered when dropped.
 pub(super) struct ApplicationRun {
     pub(super) applications: Rc<Applications>,
-    pub(super) id: Ref,
+    pub(super) id: RequestId,
 }
 
 impl Drop for ApplicationRun {
--- a/crates/coralstep-server/src/runs/engine/connection.rs
+++ b/crates/coralstep-server/src/runs/engine/connection.rs
@@ -59,7 +59,7 @@
 /// Where the engine is; waits until that is known.
 async fn current_address(endpoint: &Endpoint<Option<SocketAddr>>) -> SocketAddr {
     loop {
-        let moved = endpoint.moved();
+        let moved = endpoint.replaced();
         if let Some(address) = endpoint.get() {
             return address;
         }
@@ -88,10 +88,10 @@
             // which the engine spoke is made anew at once.
             let engine_spoke = self.close_link();
             if engine_spoke {
-                backoff.fresh();
+                backoff.reset();
             }
             if !engine_spoke || opened.elapsed() < MIN_RECONNECT_DELAY {
-                Timer::after(backoff.wait()).await;
+                Timer::after(backoff.next_delay()).await;
             }
         }
     }
@@ -127,7 +127,7 @@
         let _ = stream.get_ref().set_nodelay(true);
         let outbox = self.open_link();
         let write = async {
-            let ended = outbox.run(&stream).await;
+            let ended = outbox.write_to(&stream).await;
             let error = ended.err().unwrap_or(io::ErrorKind::UnexpectedEof.into());
             Err(error.into())
         };
@@ -209,7 +209,7 @@
     async fn replacement(&self, endpoints: &Endpoints, from: SocketAddr) -> Connection {
         let endpoint = &endpoints.engine;
         loop {
-            let moved = endpoint.moved();
+            let moved = endpoint.replaced();
             let Some(to) = endpoint.get().filter(|to| *to != from) else {
                 moved.await;
                 continue;
@@ -256,7 +256,7 @@
                 if !std::mem::replace(&mut failed, true) {
                     note!(engine = %address, %error, "engine unreachable, retrying");
                 }
-                Timer::after(backoff.wait()).await;
+                Timer::after(backoff.next_delay()).await;
             }
         }
     }
--- a/crates/coralstep-server/src/runs/engine/in_flight.rs
+++ b/crates/coralstep-server/src/runs/engine/in_flight.rs
@@ -3,7 +3,7 @@
 use std::collections::hash_map::{Entry, HashMap};
 use std::time::{Duration, Instant};
 
-use crate::base::lines::Ref;
+use crate::base::request_id::RequestId;
 use crate::decisions::RunOutcome;
 use crate::note;
 use crate::runs::engine::link::{Link, Sent};
@@ -77,14 +77,14 @@
 /// All runs registered at the engine.
 #[derive(Default)]
 pub(super) struct InFlightRuns {
-    runs: HashMap<Ref, RunState>,
+    runs: HashMap<RequestId, RunState>,
     /// Nobody knows whether these began.
-    in_doubt: Vec<Ref>,
+    in_doubt: Vec<RequestId>,
 }
 
 impl InFlightRuns {
     /// Registers a run; `false` where one of this id is registered.
-    pub(super) fn register(&mut self, id: Ref) -> bool {
+    pub(super) fn register(&mut self, id: RequestId) -> bool {
         match self.runs.entry(id) {
             Entry::Occupied(_) => false,
             Entry::Vacant(vacant) => {
@@ -94,16 +94,16 @@
         }
     }
 
-    pub(super) fn unregister(&mut self, id: Ref) {
+    pub(super) fn unregister(&mut self, id: RequestId) {
         self.runs.remove(&id);
     }
 
-    pub(super) fn get_mut(&mut self, id: Ref) -> Option<&mut RunState> {
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut RunState> {
         self.runs.get_mut(&id)
     }
 
     /// Sets the last command of a run; `false` where it is not registered.
-    pub(super) fn set_command(&mut self, id: Ref, command: PendingCommand) -> bool {
+    pub(super) fn set_command(&mut self, id: RequestId, command: PendingCommand) -> bool {
         let Some(run) = self.runs.get_mut(&id) else {
             return false;
         };
@@ -190,7 +190,7 @@
 
     /// Passes an event on to its run; `false` where no such run has been started.
     pub(super) fn deliver(&mut self, id: &str, event: RunEvent) -> bool {
-        let run = Ref::parse(id).and_then(|id| self.runs.get_mut(&id));
+        let run = RequestId::parse(id).and_then(|id| self.runs.get_mut(&id));
         let Some(run) = run.filter(|run| run.started) else {
             return false;
         };
--- a/crates/coralstep-server/src/runs/engine/link.rs
+++ b/crates/coralstep-server/src/runs/engine/link.rs
@@ -2,8 +2,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use crate::base::lines::Ref;
 use crate::base::outbox::Outbox;
+use crate::base::request_id::RequestId;
 use crate::runs::engine::in_flight::PendingCommand;
 use crate::runs::engine::protocol::Command;
 
@@ -40,7 +40,7 @@
     /// What was sent before this position has been read: a later question was answered.
     read_before: u64,
     /// Runs whose commands wait until all that was sent is known to be read.
-    pub(super) waiting: Vec<Ref>,
+    pub(super) waiting: Vec<RequestId>,
 }
 
 impl Link {
@@ -121,7 +121,7 @@
             return;
         };
         command.read = sent.position < self.read_before;
-        if !self.outbox.sent(sent.position) {
+        if !self.outbox.may_have_left(sent.position) {
             command.sent = None;
         }
     }
--- a/crates/coralstep-server/src/runs/engine/mod.rs
+++ b/crates/coralstep-server/src/runs/engine/mod.rs
@@ -21,7 +21,7 @@
 
 use event_listener::Event;
 
-use crate::base::lines::Ref;
+use crate::base::request_id::RequestId;
 use crate::runs::engine::in_flight::{InFlightRuns, PendingCommand};
 use crate::runs::engine::link::Link;
 use crate::runs::engine::protocol::Command;
@@ -58,7 +58,7 @@
         self.gauge_readings.borrow().clone()
     }
 
-    fn queue_command(&self, id: Ref, command: PendingCommand) {
+    fn queue_command(&self, id: RequestId, command: PendingCommand) {
         if !self.runs.borrow_mut().set_command(id, command) {
             return;
         }
@@ -76,7 +76,7 @@
 }
 
 impl Backend for Engine {
-    fn register(self: Rc<Self>, id: Ref) -> Option<Box<dyn Run>> {
+    fn register(self: Rc<Self>, id: RequestId) -> Option<Box<dyn Run>> {
         if !self.runs.borrow_mut().register(id) {
             return None;
         }
--- a/crates/coralstep-server/src/runs/engine/protocol.rs
+++ b/crates/coralstep-server/src/runs/engine/protocol.rs
@@ -2,11 +2,12 @@
 //! knows its words.
 use std::time::Duration;
 
-use crate::base::lines::{self, Ref};
+use crate::base::line_codec;
+use crate::base::request_id::RequestId;
 use crate::decisions::RunOutcome;
 
 /// These bytes are no message; what follows them can't be told apart.
-pub(super) use crate::base::lines::Garbled as Corrupt;
+pub(super) use crate::base::line_codec::CorruptLine as Corrupt;
 
 /// What the server writes to the engine.
 #[derive(Clone, Copy, Debug)]
@@ -21,14 +22,17 @@
     ConfirmDrained,
     /// Begins a run.
     Run {
-        id: Ref,
+        id: RequestId,
         method: &'a str,
         body: &'a [u8],
     },
     /// Gives a run the result of its call.
-    Resume { id: Ref, call_result: &'a [u8] },
+    Resume {
+        id: RequestId,
+        call_result: &'a [u8],
+    },
     /// Stops a run.
-    Cancel { id: Ref },
+    Cancel { id: RequestId },
 }
 
 impl Command<'_> {
@@ -39,18 +43,20 @@
     pub(super) fn write(&self, out: &mut Vec<u8>) {
         match self {
             Command::Attach { last_notification } => {
-                lines::put(out, format_args!("ATTACH {last_notification}"), None);
+                line_codec::encode(out, format_args!("ATTACH {last_notification}"), None);
+            }
+            Command::ReadGauges => line_codec::encode(out, format_args!("STAT gauges"), None),
+            Command::ConfirmAttached => {
+                line_codec::encode(out, format_args!("STAT attached"), None)
             }
-            Command::ReadGauges => lines::put(out, format_args!("STAT gauges"), None),
-            Command::ConfirmAttached => lines::put(out, format_args!("STAT attached"), None),
-            Command::ConfirmDrained => lines::put(out, format_args!("STAT settled"), None),
+            Command::ConfirmDrained => line_codec::encode(out, format_args!("STAT settled"), None),
             Command::Run { id, method, body } => {
-                lines::put(out, format_args!("RUN {id} {method}"), Some(body));
+                line_codec::encode(out, format_args!("RUN {id} {method}"), Some(body));
             }
             Command::Resume { id, call_result } => {
-                lines::put(out, format_args!("FEED {id}"), Some(call_result));
+                line_codec::encode(out, format_args!("FEED {id}"), Some(call_result));
             }
-            Command::Cancel { id } => lines::put(out, format_args!("HALT {id}"), None),
+            Command::Cancel { id } => line_codec::encode(out, format_args!("HALT {id}"), None),
         }
     }
 
@@ -111,13 +117,13 @@
 /// The first message of `bytes`; `None` while more must be read.
 pub(super) fn parse(bytes: &[u8]) -> Result<Option<Parsed<'_>>, Corrupt> {
     let has_body = |words: &[&str]| matches!(words[0], "DONE" | "NEED");
-    let Some((words, body, length)) = lines::message(bytes, has_body)? else {
+    let Some(line) = line_codec::decode(bytes, has_body)? else {
         return Ok(None);
     };
     Ok(Some(Parsed {
-        message: message(&words, body),
-        words,
-        length,
+        message: message(&line.words, line.body),
+        words: line.words,
+        length: line.encoded_len,
     }))
 }
 
--- a/crates/coralstep-server/src/runs/engine/run.rs
+++ b/crates/coralstep-server/src/runs/engine/run.rs
@@ -3,7 +3,7 @@
 use std::task::{Context, Poll};
 use std::time::Instant;
 
-use crate::base::lines::Ref;
+use crate::base::request_id::RequestId;
 use crate::runs::engine::Engine;
 use crate::runs::engine::in_flight::PendingCommand;
 use crate::runs::engine::protocol::Command;
@@ -12,7 +12,7 @@
 /// One RPC's run at the engine; unregistered when dropped.
 pub(super) struct EngineRun {
     pub(super) engine: Rc<Engine>,
-    pub(super) id: Ref,
+    pub(super) id: RequestId,
 }
 
 impl Drop for EngineRun {
--- a/crates/coralstep-server/src/runs/mod.rs
+++ b/crates/coralstep-server/src/runs/mod.rs
@@ -13,7 +13,7 @@
 use std::task::{Context, Poll, Waker};
 use std::time::Instant;
 
-use crate::base::lines::Ref;
+use crate::base::request_id::RequestId;
 use crate::decisions::RunOutcome;
 
 /// What a run has to say to its RPC.
@@ -66,7 +66,7 @@
 /// What runs RPCs.
 pub trait Backend {
     /// A run for the RPC `id`; `None` where one of this id is registered.
-    fn register(self: Rc<Self>, id: Ref) -> Option<Box<dyn Run>>;
+    fn register(self: Rc<Self>, id: RequestId) -> Option<Box<dyn Run>>;
 }
 
 /// Events of one run that its RPC has not taken yet.
--- a/crates/coralstep-server/src/runs/request_handler.rs
+++ b/crates/coralstep-server/src/runs/request_handler.rs
@@ -13,8 +13,8 @@
 use coralstep_quota::QuotaExhausted;
 
 use crate::base::clock;
-use crate::base::config::Limits;
-use crate::base::lines::Ref;
+use crate::base::limits::Limits;
+use crate::base::request_id::RequestId;
 use crate::decisions::{
     AdmissionError, Decision, QuotaGuard, RequestTicket, RpcRequest, SchedulerHandle,
 };
@@ -55,7 +55,7 @@
         }
     }
 
-    fn log(&self, id: Ref) {
+    fn log(&self, id: RequestId) {
         match self {
             NotAdmitted::DuplicateId => note!(client: rpc_id = %id, "duplicate request id"),
             NotAdmitted::RequestIdsFull => note!(rpc_id = %id, "request id table full"),
@@ -101,13 +101,13 @@
             scheduler,
             backend,
             store,
-            request_ids: Rc::new(RequestIds::new(limits.ids)),
+            request_ids: Rc::new(RequestIds::new(limits.request_ids)),
             digest_keys: RandomState::new(),
         }
     }
 
     /// The id that a caller's text stands for; without a text, one that no other RPC has.
-    pub fn request_id(&self, text: Option<&str>) -> Ref {
+    pub fn request_id(&self, text: Option<&str>) -> RequestId {
         text.map_or_else(
             || self.request_ids.generate(),
             |text| self.request_ids.id_of(text),
@@ -119,7 +119,7 @@
     pub async fn handle(
         &self,
         request: RpcRequest,
-        id: Ref,
+        id: RequestId,
         body: Vec<u8>,
         caller_gone: impl Future<Output = ()>,
         reply: impl FnOnce(Reply<'_>),
@@ -170,7 +170,7 @@
     async fn admit(
         &self,
         request: RpcRequest,
-        id: Ref,
+        id: RequestId,
         body: &[u8],
     ) -> Result<Admitted, NotAdmitted> {
         let claim = self
@@ -193,7 +193,7 @@
     }
 
     /// Guards against a second run under one id, by whichever front it comes.
-    fn claim_id(&self, request: &RpcRequest, id: Ref) -> Result<IdClaim, NotAdmitted> {
+    fn claim_id(&self, request: &RpcRequest, id: RequestId) -> Result<IdClaim, NotAdmitted> {
         let now = Instant::now();
         let mut claim = self.request_ids.claim(now, id);
         // Such a front keeps an id over its attempts: the idempotency key, not the id, tells
@@ -209,7 +209,7 @@
         })
     }
 
-    fn register_run(&self, id: Ref) -> Result<Box<dyn Run>, NotAdmitted> {
+    fn register_run(&self, id: RequestId) -> Result<Box<dyn Run>, NotAdmitted> {
         let backend = self.backend.clone();
         backend.register(id).ok_or(NotAdmitted::RunRegistered)
     }
--- a/crates/coralstep-server/src/runs/request_ids.rs
+++ b/crates/coralstep-server/src/runs/request_ids.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use crate::base::lines::Ref;
+use crate::base::request_id::RequestId;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Entry {
@@ -38,16 +38,16 @@
     /// For ids that nobody else can foresee.
     hash_keys: RandomState,
     generated: Cell<u64>,
-    entries: RefCell<HashMap<Ref, Entry>>,
+    entries: RefCell<HashMap<RequestId, Entry>>,
     /// Ids whose RPC has left, by when they may be forgotten.
-    expiries: RefCell<BinaryHeap<Reverse<(Instant, Ref)>>>,
+    expiries: RefCell<BinaryHeap<Reverse<(Instant, RequestId)>>>,
     max_ids: usize,
 }
 
 /// A claimed id; released when dropped.
 pub struct IdClaim {
     table: Rc<RequestIds>,
-    id: Ref,
+    id: RequestId,
 }
 
 impl RequestIds {
@@ -64,7 +64,7 @@
     /// # Errors
     ///
     /// The id is in use or its RPC may have run, or the table is full.
-    pub fn claim(self: &Rc<Self>, now: Instant, id: Ref) -> Result<IdClaim, ClaimError> {
+    pub fn claim(self: &Rc<Self>, now: Instant, id: RequestId) -> Result<IdClaim, ClaimError> {
         self.forget_expired(now);
         let mut entries = self.entries.borrow_mut();
         if entries.contains_key(&id) {
@@ -95,14 +95,15 @@
     }
 
     /// An id that no other RPC has, but for a collision of 64-bit hashes.
-    pub fn generate(&self) -> Ref {
+    pub fn generate(&self) -> RequestId {
         self.generated.set(self.generated.get() + 1);
-        Ref::of(self.hash_keys.hash_one(self.generated.get()))
+        RequestId::from_number(self.hash_keys.hash_one(self.generated.get()))
     }
 
     /// The id that a text stands for, the same each time; a text that is an id stands for itself.
-    pub fn id_of(&self, text: &str) -> Ref {
-        Ref::parse(text).unwrap_or_else(|| Ref::of(self.hash_keys.hash_one(text)))
+    pub fn id_of(&self, text: &str) -> RequestId {
+        RequestId::parse(text)
+            .unwrap_or_else(|| RequestId::from_number(self.hash_keys.hash_one(text)))
     }
 
     #[cfg(test)]
@@ -110,14 +111,14 @@
         self.entries.borrow().len()
     }
 
-    fn set(&self, id: Ref, entry: Entry) {
+    fn set(&self, id: RequestId, entry: Entry) {
         self.entries.borrow_mut().insert(id, entry);
     }
 }
 
 impl IdClaim {
     /// The claimed id.
-    pub fn id(&self) -> Ref {
+    pub fn id(&self) -> RequestId {
         self.id
     }
 
--- a/crates/coralstep-server/src/runs/request_ids/tests.rs
+++ b/crates/coralstep-server/src/runs/request_ids/tests.rs
@@ -6,10 +6,17 @@
 fn what_ran_stays_known_until_its_time_and_what_did_not_may_come_again() {
     let ids = Rc::new(RequestIds::new(3));
     let (now, second) = (Instant::now(), Duration::from_secs(1));
-    let (ran, not, doubt) = (Ref::of(1), Ref::of(2), Ref::of(3));
+    let (ran, not, doubt) = (
+        RequestId::from_number(1),
+        RequestId::from_number(2),
+        RequestId::from_number(3),
+    );
     let claims = [ran, not, doubt].map(|id| ids.claim(now, id).ok().unwrap());
     assert_eq!(ids.claim(now, ran).err(), Some(ClaimError::Duplicate));
-    assert_eq!(ids.claim(now, Ref::of(4)).err(), Some(ClaimError::Full));
+    assert_eq!(
+        ids.claim(now, RequestId::from_number(4)).err(),
+        Some(ClaimError::Full)
+    );
     claims[0].mark_started(now + second);
     claims[2].mark_started(now + second);
     claims[2].mark_never_started();
@@ -25,7 +32,7 @@
     let ids = RequestIds::new(1);
     assert_eq!(
         ids.id_of("9b1f03aa5c7e2d41"),
-        Ref::of(0x9b1f_03aa_5c7e_2d41)
+        RequestId::from_number(0x9b1f_03aa_5c7e_2d41)
     );
     assert_eq!(ids.id_of("a ride"), ids.id_of("a ride"));
     assert!(ids.id_of("a ride") != ids.id_of("another") && ids.generate() != ids.generate());
