--- a/crates/coralstep-server/src/callers/connections.rs
+++ b/crates/coralstep-server/src/callers/connections.rs
@@ -261,7 +261,7 @@
         self.closed.notify(usize::MAX);
     }
 
-    /// Enforces the idle limit and the bound on unread replies at each [`SWEEP_INTERVAL`]; never ends.
+    /// Enforces the idle limit and the bound on unread replies ten times a second; never ends.
     pub async fn sweep(&self) {
         loop {
             Timer::after(SWEEP_INTERVAL).await;
--- a/crates/coralstep-server/src/callers/scgi/mod.rs
+++ b/crates/coralstep-server/src/callers/scgi/mod.rs
@@ -9,7 +9,7 @@
 use async_io::Async;
 use coralstep_config::Names;
 use coralstep_config::site::{ScgiConfig, SiteError};
-use coralstep_scgi::request;
+use coralstep_scgi::request::{self, Request};
 use futures_lite::AsyncReadExt;
 use futures_lite::future::yield_now;
 
@@ -79,7 +79,12 @@
             }
         }
         connection.message_received();
-        match parse_request(&buffer, &config, dispatcher, connection)? {
+        let parsed = match request::decode(buffer.bytes(), &config.limits) {
+            Ok(Some((request, _))) => parse_request(&request, &config, dispatcher, connection),
+            Ok(None) => return Err(ConnectionError::IncompleteRequest),
+            Err(error) => Err(error.into()),
+        };
+        match parsed {
             Ok(ParsedRequest::HealthCheck) => answer_health(connection, &dispatcher.scheduler),
             Ok(ParsedRequest::Rpc(incoming)) => {
                 dispatcher.dispatch(incoming, connection, ScgiReplyWriter);
@@ -147,26 +152,21 @@
     }
 }
 
-/// Decodes the request in the buffer and reads its headers.
+/// Reads what a request asks for out of its headers.
 fn parse_request(
-    buffer: &ReadBuffer,
+    request: &Request<'_>,
     config: &ProtocolConfig,
     dispatcher: &RequestDispatcher,
     connection: &Connection,
-) -> Result<Result<ParsedRequest, RequestError>, ConnectionError> {
-    let request = match request::decode(buffer.bytes(), &config.limits) {
-        Ok(Some((request, _))) => request,
-        Ok(None) => return Err(ConnectionError::IncompleteRequest),
-        Err(error) => return Ok(Err(error.into())),
-    };
+) -> Result<ParsedRequest, RequestError> {
     let parser = RequestParser {
-        request: &request,
+        request,
         config,
         trusted: config.trusts(connection.peer),
         scheduler: &dispatcher.scheduler,
         handler: &dispatcher.handler,
     };
-    Ok(parser.parse())
+    parser.parse()
 }
 
 fn answer_health(connection: &Connection, scheduler: &SchedulerHandle) {
