--- a/crates/coralstep-server/src/decisions/handle.rs
+++ b/crates/coralstep-server/src/decisions/handle.rs
@@ -9,7 +9,7 @@
     Gauges, Idempotency, LearnedState, Method, Outcome, Scheduler, SchedulerConfig, Span, Time,
 };
 use coralstep_config::Names;
-use coralstep_degradation::DegradationConfig;
+use coralstep_degradation::{DegradationConfig, DegradationConfigError};
 use event_listener::{Event, EventListener};
 
 use crate::base::clock::{self, Clock};
@@ -112,9 +112,9 @@
     /// The levels contradict each other.
     pub fn with_degradation(
         mut self,
-        terms: &DegradationConfig,
-    ) -> Result<SchedulerHandle, String> {
-        let controller = DegradationController::new(terms, self.clock)?;
+        config: &DegradationConfig,
+    ) -> Result<SchedulerHandle, DegradationConfigError> {
+        let controller = DegradationController::new(config, self.clock)?;
         self.degradation = Some(Rc::new(controller));
         Ok(self)
     }
@@ -211,7 +211,7 @@
     pub fn tick(&self, gauge_readings: &[Option<f64>]) {
         let gauges = self.gauges(gauge_readings);
         self.drive(|scheduler, now, actions| scheduler.handle_timeout(now, gauges, actions));
-        self.apply_fence();
+        self.update_fence();
         if !self.fenced.get() {
             self.update_degradation();
         }
--- a/crates/coralstep-server/src/main.rs
+++ b/crates/coralstep-server/src/main.rs
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 
 use coralstep_config::site::SiteConfig;
-use coralstep_server::Fault;
+use coralstep_server::ServeError;
 use coralstep_server::base::config::{Config, ConfigFiles};
 use lexopt::Arg::{Long, Short, Value};
 
@@ -124,7 +124,7 @@
             Ok(())
         }
         Ok(Command::Levels(call)) => levels::run(call),
-        Ok(Command::Fleet(call)) => fleet::run(call),
+        Ok(Command::Fleet(call)) => fleet::run(call).map_err(|error| error.to_string()),
         Ok(Command::State(call)) => match state::run(call) {
             Ok(state::Verdict::Good) => Ok(()),
             Ok(state::Verdict::Bad) => return ExitCode::FAILURE,
@@ -141,12 +141,12 @@
         }
         Ok(Command::Serve((config, site))) => {
             match ConfigFiles::new(config, site)
-                .map_err(|error| Fault::Files(error.to_string()))
+                .map_err(|error| ServeError::Config(error.to_string()))
                 .and_then(coralstep_server::serve)
             {
                 Ok(()) => Ok(()),
-                Err(Fault::Files(why)) => return at_fault(&why),
-                Err(Fault::System(why)) => Err(why),
+                Err(ServeError::Config(why)) => return at_fault(&why),
+                Err(ServeError::System(why)) => Err(why),
             }
         }
     };
