--- a/crates/coralstep-server/src/app.rs
+++ b/crates/coralstep-server/src/app.rs
@@ -13,7 +13,7 @@
 use async_signal::Signals;
 use futures_lite::FutureExt;
 
-use crate::base::config::{Config, Source};
+use crate::base::config::{Config, ConfigFiles};
 use crate::base::endpoints::Endpoints;
 use crate::base::log;
 use crate::callers::connections::Connections;
@@ -73,10 +73,10 @@
     /// # Errors
     /// A port that cannot be bound, or a section that its part refuses.
     pub(crate) fn build(config: Config) -> Result<App, String> {
-        log::start(&config.site.log)?;
+        log::init(&config.site.log).map_err(|error| error.to_string())?;
         let executor = Rc::new(LocalExecutor::new());
         let scheduler = Rc::new(scheduler(&config)?);
-        let endpoints = Rc::new(Endpoints::of(&config));
+        let endpoints = Rc::new(Endpoints::new(&config));
         let engine = Rc::new(Engine::default());
         let applications = applications(&config, &executor, &endpoints);
         let backend: Rc<dyn Backend> = match &applications {
@@ -130,7 +130,7 @@
     }
 
     /// Serves until a signal of `stop` and the shutdown that follows; each signal of `reload` takes up the files of `source`.
-    pub(crate) fn run(mut self, source: &Source, stop: Signals, reload: Signals) {
+    pub(crate) fn run(mut self, source: &ConfigFiles, stop: Signals, reload: Signals) {
         let listeners = std::mem::take(&mut self.listeners);
         let apply_version = self.version_applier();
         let health_sources = self.health_sources();
@@ -142,7 +142,7 @@
         let shutdown = Shutdown {
             scheduler: &self.scheduler,
             connections: &self.connections,
-            stop_after: self.config.stop,
+            stop_after: self.config.stop_after,
             draining: &self.draining,
             announce: &announce,
         };
@@ -164,10 +164,10 @@
     }
 
     /// All tasks but those of the fleet and the listeners.
-    fn tasks<'a>(&'a self, source: &'a Source, reload: Signals) -> Vec<Task<'a>> {
+    fn tasks<'a>(&'a self, source: &'a ConfigFiles, reload: Signals) -> Vec<Task<'a>> {
         let heartbeats = registration::send_heartbeats(
             &self.config.name,
-            &self.endpoints.control,
+            &self.endpoints.control_plane,
             &self.scheduler,
             &self.draining,
         );
@@ -221,7 +221,7 @@
         let parts = self.parts.clone();
         let site = self.config.site.clone();
         let names = self.config.names.clone();
-        let config = self.config.terms.clone();
+        let config = self.config.scheduler.clone();
         Box::new(move |content| {
             parts
                 .apply_version(content, &site, &names, &config)
@@ -265,7 +265,7 @@
 }
 
 fn scheduler(config: &Config) -> Result<SchedulerHandle, String> {
-    let (terms, names) = (config.terms.clone(), config.names.clone());
+    let (terms, names) = (config.scheduler.clone(), config.names.clone());
     let scheduler = SchedulerHandle::new(terms, names, config.seed, &config.limits);
     match &config.site.levels {
         Some(levels) => scheduler
--- a/crates/coralstep-server/src/lib.rs
+++ b/crates/coralstep-server/src/lib.rs
@@ -20,7 +20,7 @@
 pub mod runs;
 
 use app::App;
-use base::config::Source;
+use base::config::ConfigFiles;
 use lifecycle::{drain, reload};
 
 /// Why nothing was served.
@@ -38,12 +38,14 @@
 ///
 /// # Errors
 /// Faulty files, or a system that refuses ports or signals.
-pub fn serve(source: Source) -> Result<(), ServeError> {
+pub fn serve(source: ConfigFiles) -> Result<(), ServeError> {
     let system = |error: std::io::Error| ServeError::System(error.to_string());
     // Before the files are read, so that a signal in between ends nobody and is not missed.
     let stop = drain::signals().map_err(system)?;
     let reload = reload::signals().map_err(system)?;
-    let config = source.load().map_err(ServeError::Config)?;
+    let config = source
+        .load()
+        .map_err(|error| ServeError::Config(error.to_string()))?;
     let app = App::build(config).map_err(ServeError::System)?;
     app.run(&source, stop, reload);
     Ok(())
