--- a/crates/coralstep-server/benches/front.rs
+++ b/crates/coralstep-server/benches/front.rs
@@ -134,8 +134,8 @@
         result_bytes: 1 << 20,
         request_ids: 1 << 16,
     };
-    let facade = Rc::new(SchedulerHandle::new(terms, names.clone(), 1, &limits));
-    facade.start(Some(false), Duration::from_secs(1));
+    let scheduler = Rc::new(SchedulerHandle::new(terms, names.clone(), 1, &limits));
+    scheduler.start(Some(false), Duration::from_secs(1));
     let endpoints = Endpoints {
         engine: Endpoint::new(None),
         store: Endpoint::new(None),
@@ -143,8 +143,8 @@
         descriptors: Rc::new(Descriptors::new(1024)),
     };
     let descriptors = endpoints.descriptors.clone();
-    let course = Rc::new(RequestHandler::new(
-        facade.clone(),
+    let handler = Rc::new(RequestHandler::new(
+        scheduler.clone(),
         Rc::new(Echo),
         StoreClient(Rc::new(endpoints)),
         &limits,
@@ -152,8 +152,8 @@
     let executor = Rc::new(LocalExecutor::new());
     let connections = Rc::new(Connections::new(
         executor.clone(),
-        facade.clone(),
-        course,
+        scheduler.clone(),
+        handler,
         descriptors,
         limits,
     ));
--- a/crates/coralstep-server/src/callers/connections/tests.rs
+++ b/crates/coralstep-server/src/callers/connections/tests.rs
@@ -20,7 +20,7 @@
         methods: vec![Method::default()],
         ..SchedulerConfig::default()
     };
-    let facade = Rc::new(SchedulerHandle::new(terms, Names::default(), 1, &limits));
+    let scheduler = Rc::new(SchedulerHandle::new(terms, Names::default(), 1, &limits));
     let nowhere = Some("127.0.0.1:9".parse().unwrap());
     let endpoints = Endpoints {
         engine: Endpoint::new(nowhere),
@@ -30,11 +30,16 @@
     };
     let (engine, descriptors) = (Rc::new(Engine::default()), endpoints.descriptors.clone());
     let store = StoreClient(Rc::new(endpoints));
-    let course = Rc::new(RequestHandler::new(facade.clone(), engine, store, &limits));
+    let handler = Rc::new(RequestHandler::new(
+        scheduler.clone(),
+        engine,
+        store,
+        &limits,
+    ));
     Connections::new(
         Rc::new(LocalExecutor::new()),
-        facade,
-        course,
+        scheduler,
+        handler,
         descriptors,
         limits,
     )
--- a/crates/coralstep-server/src/operators/ops.rs
+++ b/crates/coralstep-server/src/operators/ops.rs
@@ -132,7 +132,7 @@
     pub async fn listen(
         &self,
         executor: &Rc<LocalExecutor<'static>>,
-        facade: &Rc<SchedulerHandle>,
+        scheduler: &Rc<SchedulerHandle>,
         fleet: Option<Rc<FleetService>>,
     ) {
         loop {
@@ -149,7 +149,8 @@
             match accepted {
                 Ok(_) if self.open.get() >= CONNECTIONS => {}
                 Ok(stream) => {
-                    let (open, facade, fleet) = (self.open.clone(), facade.clone(), fleet.clone());
+                    let (open, scheduler, fleet) =
+                        (self.open.clone(), scheduler.clone(), fleet.clone());
                     open.set(open.get() + 1);
                     executor
                         .spawn(async move {
@@ -158,7 +159,7 @@
                                 Ok(())
                             };
                             if let Err(why) =
-                                answer(stream, &facade, fleet.as_deref()).or(late).await
+                                answer(stream, &scheduler, fleet.as_deref()).or(late).await
                             {
                                 note!(client: "operator's connection ended: {why}");
                             }
@@ -187,7 +188,7 @@
 
 async fn answer(
     mut stream: Box<dyn Talk>,
-    facade: &SchedulerHandle,
+    scheduler: &SchedulerHandle,
     fleet: Option<&FleetService>,
 ) -> std::io::Result<()> {
     let mut bytes = Vec::new();
@@ -208,7 +209,7 @@
     let said = match serde_json::from_slice(line) {
         Ok(question) => match said_of_fleet(&question, fleet) {
             Some(said) => said,
-            None => said(question, facade),
+            None => said(question, scheduler),
         },
         Err(why) => json!({ "error": why.to_string() }),
     };
@@ -285,8 +286,8 @@
     })
 }
 
-fn said(question: Question, facade: &SchedulerHandle) -> Value {
-    let levels = facade.degradation();
+fn said(question: Question, scheduler: &SchedulerHandle) -> Value {
+    let levels = scheduler.degradation();
     let Some(levels) = levels else {
         return json!({"error": "this server has no levels: its site file names none"});
     };
