--- a/crates/coralstep-server/src/lib.rs
+++ b/crates/coralstep-server/src/lib.rs
@@ -53,7 +53,9 @@
 const UNSTARTED: Duration = Duration::from_millis(100);
 
 fn bind(address: SocketAddr) -> Result<Async<TcpListener>, String> {
-    TcpListener::bind(address).and_then(Async::new).map_err(|why| format!("listen: {address}: {why}"))
+    TcpListener::bind(address)
+        .and_then(Async::new)
+        .map_err(|why| format!("listen: {address}: {why}"))
 }
 
 /// Why nothing was served.
@@ -68,8 +70,9 @@
 pub fn serve(source: Source) -> Result<(), Fault> {
     // Before the files are read: a notice or a reload that comes meanwhile ends nobody and is not missed.
     let (leave, again) = (drain::signals(), reload::signals());
-    let (leave, again) =
-        leave.and_then(|leave| Ok((leave, again?))).map_err(|why| Fault::System(why.to_string()))?;
+    let (leave, again) = leave
+        .and_then(|leave| Ok((leave, again?)))
+        .map_err(|why| Fault::System(why.to_string()))?;
     let config = source.load().map_err(Fault::Files)?;
     run(source, config, leave, again).map_err(Fault::System)
 }
@@ -88,13 +91,23 @@
     let engine = Rc::new(Engine::default());
     let applications = site.applications.as_ref();
     let applications = applications.map(|terms| {
-        Rc::new(Applications::new(executor.clone(), endpoints.descriptors.clone(), terms, config.seed))
+        Rc::new(Applications::new(
+            executor.clone(),
+            endpoints.descriptors.clone(),
+            terms,
+            config.seed,
+        ))
     });
     let runs: Rc<dyn Runs> = match &applications {
         Some(applications) => applications.clone(),
         None => engine.clone(),
     };
-    let course = Rc::new(Course::new(facade.clone(), runs, Store(endpoints.clone()), &config.limits));
+    let course = Rc::new(Course::new(
+        facade.clone(),
+        runs,
+        Store(endpoints.clone()),
+        &config.limits,
+    ));
     let connections = Rc::new(Connections::new(
         executor.clone(),
         facade.clone(),
@@ -102,7 +115,12 @@
         endpoints.descriptors.clone(),
         config.limits,
     ));
-    let scgi = site.scgi.as_ref().map(|terms| Scgi::new(terms, &config.names)).transpose()?.map(Rc::new);
+    let scgi = site
+        .scgi
+        .as_ref()
+        .map(|terms| Scgi::new(terms, &config.names))
+        .transpose()?
+        .map(Rc::new);
     // All listeners stand before anybody is told of any.
     let mut listeners: Vec<(Async<TcpListener>, Rc<dyn Front>, &str)> = Vec::new();
     if let Some(address) = config.listen {
@@ -114,7 +132,11 @@
         }
     }
     // Guards against an operator who has read where the server listens and finds no door of theirs yet.
-    let operator = site.operator.as_ref().map(|terms| Operator::bind(&terms.listen)).transpose()?;
+    let operator = site
+        .operator
+        .as_ref()
+        .map(|terms| Operator::bind(&terms.listen))
+        .transpose()?;
     let folder = site.state.as_ref().map(|terms| terms.folder.as_path());
     let carrier = site
         .fleet
@@ -122,17 +144,29 @@
         .map(|terms| {
             let (site, names) = (site.clone(), config.names.clone());
             let limits_of = move |content: Option<&str>| {
-                let site =
-                    content.map_or_else(|| Ok(site.clone()), |content| site.with_version(content, &names));
-                site.and_then(|site| site.limits(&names)).unwrap_or_default()
+                let site = content.map_or_else(
+                    || Ok(site.clone()),
+                    |content| site.with_version(content, &names),
+                );
+                site.and_then(|site| site.limits(&names))
+                    .unwrap_or_default()
             };
-            Carrier::bind(terms, &config.name, config.seed, folder, Box::new(limits_of))
+            Carrier::bind(
+                terms,
+                &config.name,
+                config.seed,
+                folder,
+                Box::new(limits_of),
+            )
         })
         .transpose()?;
     let carrier = carrier.map(Rc::new);
     let leaving = Cell::new(false);
     for (listener, _, what) in &listeners {
-        let address = listener.get_ref().local_addr().map_err(|why| format!("listen: {why}"))?;
+        let address = listener
+            .get_ref()
+            .local_addr()
+            .map_err(|why| format!("listen: {why}"))?;
         note!("{} listens on {address}{what}", config.name);
     }
     if let Some(operator) = &operator {
@@ -142,7 +176,10 @@
         note!("{} hears its fleet at {at}", config.name);
     }
     // Nothing is decided before the executor runs: what was learned comes in time.
-    let keeper = site.state.as_ref().and_then(|terms| Keeper::start(terms, &config, &facade));
+    let keeper = site
+        .state
+        .as_ref()
+        .and_then(|terms| Keeper::start(terms, &config, &facade));
     let movable = Rc::new(Movable {
         scgi,
         applications,
@@ -157,11 +194,20 @@
     };
     let watch: Watch = {
         let applications = movable.applications.clone();
-        Box::new(move |see| applications.iter().for_each(|applications| applications.watch(see)))
+        Box::new(move |see| {
+            applications
+                .iter()
+                .for_each(|applications| applications.watch(see))
+        })
     };
     let forever = async {
         let mut parts: Vec<Part<'_>> = vec![
-            Box::pin(control::report(&config.name, &endpoints.control, &facade, &leaving)),
+            Box::pin(control::report(
+                &config.name,
+                &endpoints.control,
+                &facade,
+                &leaving,
+            )),
             Box::pin(reload::wait(again, &source, &config, &endpoints, &movable)),
             Box::pin(connections.sweep()),
             Box::pin(connections.make_way()),
@@ -176,7 +222,11 @@
             parts.push(Box::pin(keeper.run(&facade)));
         }
         if let Some(operator) = &operator {
-            parts.push(Box::pin(operator.listen(&executor, &facade, carrier.clone())));
+            parts.push(Box::pin(operator.listen(
+                &executor,
+                &facade,
+                carrier.clone(),
+            )));
         }
         if let Some(carrier) = &carrier {
             carrier.guard(&facade);
@@ -193,7 +243,9 @@
         parts.extend(
             listeners
                 .into_iter()
-                .map(|(listener, front, _)| -> Part<'_> { Box::pin(connections.listen(listener, front)) }),
+                .map(|(listener, front, _)| -> Part<'_> {
+                    Box::pin(connections.listen(listener, front))
+                }),
         );
         all(parts).await
     };
--- a/crates/coralstep-server/src/life/control.rs
+++ b/crates/coralstep-server/src/life/control.rs
@@ -30,7 +30,11 @@
             started.await;
             continue;
         }
-        let state = if facade.healthy() { "Ready" } else { "NotReady" };
+        let state = if facade.healthy() {
+            "Ready"
+        } else {
+            "NotReady"
+        };
         let moved = endpoint.moved();
         let Some(address) = endpoint.get() else {
             moved.await;
@@ -57,8 +61,11 @@
 }
 
 fn send(address: SocketAddr, text: &str) -> io::Result<()> {
-    let any: SocketAddr =
-        if address.is_ipv4() { (Ipv4Addr::UNSPECIFIED, 0).into() } else { (Ipv6Addr::UNSPECIFIED, 0).into() };
+    let any: SocketAddr = if address.is_ipv4() {
+        (Ipv4Addr::UNSPECIFIED, 0).into()
+    } else {
+        (Ipv6Addr::UNSPECIFIED, 0).into()
+    };
     let socket = UdpSocket::bind(any)?;
     socket.set_nonblocking(true)?;
     socket.send_to(text.as_bytes(), address).map(|_| ())
--- a/crates/coralstep-server/src/life/keep.rs
+++ b/crates/coralstep-server/src/life/keep.rs
@@ -22,7 +22,11 @@
 /// The last snapshot, at the end of a drain, is waited for at most so long; then the one before it counts.
 const LAST: Duration = Duration::from_millis(60);
 /// A snapshot costs about so much, before any was taken.
-const GUESS: Cost = Cost { time_ms: 20.0, cpu_ms: 1.0, bytes: 4_000.0 };
+const GUESS: Cost = Cost {
+    time_ms: 20.0,
+    cpu_ms: 1.0,
+    bytes: 4_000.0,
+};
 const SNAPSHOT: &str = "snapshot";
 
 fn now_s() -> u64 {
@@ -81,7 +85,10 @@
         let found = snapshot::load(&folder, &of, now_s());
         tell(&found);
         if let Some((learned, trust)) = found.learned {
-            note!("state: snapshot {} is taken in, trusted {trust:.2}", found.number);
+            note!(
+                "state: snapshot {} is taken in, trusted {trust:.2}",
+                found.number
+            );
             facade.before(learned, trust);
         }
         let (works, inbox) = sync_channel::<Work>(1);
@@ -98,13 +105,17 @@
                     Err(why) if !std::mem::replace(&mut failed, true) => {
                         note!("state: no snapshot: {why}; tried again at each interval")
                     }
-                    Ok(()) if std::mem::take(&mut failed) => note!("state: snapshots are written again"),
+                    Ok(()) if std::mem::take(&mut failed) => {
+                        note!("state: snapshots are written again")
+                    }
                     _ => {}
                 }
                 let _ = told.try_send(began.elapsed());
             }
         };
-        let thread = std::thread::Builder::new().name("state".to_owned()).spawn(write);
+        let thread = std::thread::Builder::new()
+            .name("state".to_owned())
+            .spawn(write);
         if let Err(why) = &thread {
             note!("state: no thread: {why}; nothing is kept");
         }
@@ -119,8 +130,13 @@
     /// Hands a snapshot over; not where one is still on its way.
     fn save(&self, learned: Learned) -> bool {
         let works = self.works.borrow();
-        let sent = works.as_ref().map(|works| works.try_send(Box::new(learned)));
-        !matches!(sent, None | Some(Err(TrySendError::Full(_) | TrySendError::Disconnected(_))))
+        let sent = works
+            .as_ref()
+            .map(|works| works.try_send(Box::new(learned)));
+        !matches!(
+            sent,
+            None | Some(Err(TrySendError::Full(_) | TrySendError::Disconnected(_)))
+        )
     }
 
     /// Snapshots at their intervals, serving first.
@@ -130,7 +146,10 @@
         loop {
             Timer::after(LOOK).await;
             while let Ok(took) = self.done.try_recv() {
-                cost = Cost { time_ms: took.as_secs_f64() * 1_000.0, ..GUESS };
+                cost = Cost {
+                    time_ms: took.as_secs_f64() * 1_000.0,
+                    ..GUESS
+                };
                 scheduler.done(SNAPSHOT, cost);
             }
             let now_ms = start.elapsed().as_secs_f64() * 1_000.0;
@@ -157,7 +176,12 @@
         }
         // Without work the thread ends; one that hangs in the disk is left to the system.
         self.works.borrow_mut().take();
-        if let Some(thread) = self.thread.borrow_mut().take().filter(JoinHandle::is_finished) {
+        if let Some(thread) = self
+            .thread
+            .borrow_mut()
+            .take()
+            .filter(JoinHandle::is_finished)
+        {
             let _ = thread.join();
         }
     }
--- a/crates/coralstep-server/src/life/reload.rs
+++ b/crates/coralstep-server/src/life/reload.rs
@@ -55,7 +55,12 @@
 }
 
 fn take_up(config: &Config, start: &Config, endpoints: &Endpoints) {
-    for (key, _) in config.fixed.iter().zip(&start.fixed).filter(|(new, old)| new != old).map(|(new, _)| new)
+    for (key, _) in config
+        .fixed
+        .iter()
+        .zip(&start.fixed)
+        .filter(|(new, old)| new != old)
+        .map(|(new, _)| new)
     {
         note!("reload: {key}: changes only with a restart");
     }
@@ -63,7 +68,11 @@
     endpoints.store.set(config.store);
     endpoints.control.set(config.control);
     let named = |at: Option<SocketAddr>| at.map_or("nowhere".to_owned(), |at| at.to_string());
-    let (engine, store, control) = (named(config.engine), named(config.store), named(config.control));
+    let (engine, store, control) = (
+        named(config.engine),
+        named(config.store),
+        named(config.control),
+    );
     note!("reload: engine at {engine}, store at {store}, control plane at {control}");
 }
 
@@ -110,7 +119,10 @@
     let listens = |site: &SiteTerms| site.scgi.as_ref().map(|scgi| scgi.listen.clone());
     let sections = [
         ("scgi.listen", listens(new) != listens(old)),
-        ("applications", new.applications.is_some() != old.applications.is_some()),
+        (
+            "applications",
+            new.applications.is_some() != old.applications.is_some(),
+        ),
         ("levels", new.levels.is_some() != old.levels.is_some()),
         ("operator", new.operator != old.operator),
         ("log", new.log != old.log),
--- a/crates/coralstep-server/src/main.rs
+++ b/crates/coralstep-server/src/main.rs
@@ -81,11 +81,20 @@
 /// What `check` says of a good configuration.
 fn told(config: &Config) -> String {
     let (methods, tenants) = (config.names.methods.len(), config.names.tenants.len());
-    let listens = config.listen.map_or("nowhere".to_owned(), |at| at.to_string());
-    let mut told = format!("{}: {methods} methods, {tenants} tenants, listens on {listens}\n", config.name);
+    let listens = config
+        .listen
+        .map_or("nowhere".to_owned(), |at| at.to_string());
+    let mut told = format!(
+        "{}: {methods} methods, {tenants} tenants, listens on {listens}\n",
+        config.name
+    );
     if let Some(scgi) = &config.site.scgi {
         let at: Vec<String> = scgi.listen.iter().map(|at| at.to_string()).collect();
-        told += &format!("SCGI: {} routes, listens on {}\n", scgi.routes.len(), at.join(", "));
+        told += &format!(
+            "SCGI: {} routes, listens on {}\n",
+            scgi.routes.len(),
+            at.join(", ")
+        );
     }
     if let Some(applications) = &config.site.applications {
         told += &format!("applications: {}\n", applications.addresses.len());
@@ -131,7 +140,10 @@
             }
         }
         Ok(Command::Serve((config, site))) => {
-            match Source::new(config, site).map_err(Fault::Files).and_then(coralstep_server::serve) {
+            match Source::new(config, site)
+                .map_err(Fault::Files)
+                .and_then(coralstep_server::serve)
+            {
                 Ok(()) => Ok(()),
                 Err(Fault::Files(why)) => return at_fault(&why),
                 Err(Fault::System(why)) => Err(why),
--- a/crates/coralstep-server/src/operators/ops.rs
+++ b/crates/coralstep-server/src/operators/ops.rs
@@ -106,18 +106,23 @@
                     let _ = std::fs::remove_file(path);
                 }
                 let bound = UnixListener::bind(path).and_then(Async::new);
-                let listener = bound.map_err(|why| format!("operator.listen: {}: {why}", path.display()))?;
+                let listener =
+                    bound.map_err(|why| format!("operator.listen: {}: {why}", path.display()))?;
                 Listener::Unix(listener, path.clone())
             }
         };
-        Ok(Operator { listener, open: Rc::default() })
+        Ok(Operator {
+            listener,
+            open: Rc::default(),
+        })
     }
 
     pub fn address(&self) -> String {
         match &self.listener {
-            Listener::Tcp(listener) => {
-                listener.get_ref().local_addr().map_or_else(|why| why.to_string(), |at| at.to_string())
-            }
+            Listener::Tcp(listener) => listener
+                .get_ref()
+                .local_addr()
+                .map_or_else(|why| why.to_string(), |at| at.to_string()),
             Listener::Unix(_, path) => path.display().to_string(),
         }
     }
@@ -130,17 +135,20 @@
     ) {
         loop {
             let accepted: std::io::Result<Box<dyn Talk>> = match &self.listener {
-                Listener::Tcp(listener) => {
-                    listener.accept().await.map(|(stream, _)| Box::new(stream) as Box<dyn Talk>)
-                }
-                Listener::Unix(listener, _) => {
-                    listener.accept().await.map(|(stream, _)| Box::new(stream) as Box<dyn Talk>)
-                }
+                Listener::Tcp(listener) => listener
+                    .accept()
+                    .await
+                    .map(|(stream, _)| Box::new(stream) as Box<dyn Talk>),
+                Listener::Unix(listener, _) => listener
+                    .accept()
+                    .await
+                    .map(|(stream, _)| Box::new(stream) as Box<dyn Talk>),
             };
             match accepted {
                 Ok(_) if self.open.get() >= CONNECTIONS => {}
                 Ok(stream) => {
-                    let (open, facade, carrier) = (self.open.clone(), facade.clone(), carrier.clone());
+                    let (open, facade, carrier) =
+                        (self.open.clone(), facade.clone(), carrier.clone());
                     open.set(open.get() + 1);
                     executor
                         .spawn(async move {
@@ -148,7 +156,9 @@
                                 Timer::after(PATIENCE).await;
                                 Ok(())
                             };
-                            if let Err(why) = answer(stream, &facade, carrier.as_deref()).or(late).await {
+                            if let Err(why) =
+                                answer(stream, &facade, carrier.as_deref()).or(late).await
+                            {
                                 note!(client: "operator's connection ended: {why}");
                             }
                             open.set(open.get() - 1);
@@ -166,7 +176,9 @@
 
 fn bind(address: SocketAddr) -> Result<Listener, String> {
     let bound = TcpListener::bind(address).and_then(Async::new);
-    bound.map(Listener::Tcp).map_err(|why| format!("operator.listen: {address}: {why}"))
+    bound
+        .map(Listener::Tcp)
+        .map_err(|why| format!("operator.listen: {address}: {why}"))
 }
 
 trait Talk: AsyncRead + AsyncWrite + Unpin {}
@@ -188,7 +200,10 @@
             return Err(std::io::Error::other("a question without end"));
         }
     }
-    let line = bytes.split(|byte| *byte == b'\n').next().unwrap_or_default();
+    let line = bytes
+        .split(|byte| *byte == b'\n')
+        .next()
+        .unwrap_or_default();
     let said = match serde_json::from_slice(line) {
         Ok(question) => match said_of_fleet(&question, carrier) {
             Some(said) => said,
@@ -213,24 +228,48 @@
     Some(match question {
         FleetMembers => carrier.members(),
         FleetVersions => carrier.versions(),
-        FleetAudit { version, server, at_ms } => done((|| {
-            let version = version.as_ref().map(|version| version.parse()).transpose()?;
-            Ok(carrier.audit(&Filter { version, server: server.clone(), at_ms: *at_ms }))
+        FleetAudit {
+            version,
+            server,
+            at_ms,
+        } => done((|| {
+            let version = version
+                .as_ref()
+                .map(|version| version.parse())
+                .transpose()?;
+            Ok(carrier.audit(&Filter {
+                version,
+                server: server.clone(),
+                at_ms: *at_ms,
+            }))
         })()),
-        FleetPublish { content, must, waves, pause_ms } => done(
+        FleetPublish {
+            content,
+            must,
+            waves,
+            pause_ms,
+        } => done(
             carrier
                 .publish(content.to_string(), *must, waves.clone(), *pause_ms)
                 .map(|id| json!({ "published": id.to_string() })),
         ),
-        FleetShutOut { server } => {
-            done(carrier.by_hand(server, true).map(|()| json!({ "shut_out": server })))
-        }
+        FleetShutOut { server } => done(
+            carrier
+                .by_hand(server, true)
+                .map(|()| json!({ "shut_out": server })),
+        ),
         FleetLimits => carrier.limits(),
         FleetVerdicts => carrier.verdicts(),
-        FleetClock { offset_ms } => {
-            done(carrier.step_clock(*offset_ms).map(|()| json!({ "offset_ms": offset_ms })))
-        }
-        FleetLetIn { server } => done(carrier.by_hand(server, false).map(|()| json!({ "let_in": server }))),
+        FleetClock { offset_ms } => done(
+            carrier
+                .step_clock(*offset_ms)
+                .map(|()| json!({ "offset_ms": offset_ms })),
+        ),
+        FleetLetIn { server } => done(
+            carrier
+                .by_hand(server, false)
+                .map(|()| json!({ "let_in": server })),
+        ),
         Levels | History | Hold { .. } | Release => return None,
     })
 }
--- a/crates/coralstep-server/src/runs/applications.rs
+++ b/crates/coralstep-server/src/runs/applications.rs
@@ -78,7 +78,10 @@
     fn drop(&mut self) {
         if let Some(pick) = self.pick.take() {
             let now = self.applications.now();
-            self.applications.pool.borrow_mut().ended(now, pick, self.end);
+            self.applications
+                .pool
+                .borrow_mut()
+                .ended(now, pick, self.end);
             self.applications.tell();
         }
     }
@@ -112,7 +115,10 @@
             runs: RefCell::default(),
             terms: RefCell::new(terms.clone()),
         };
-        applications.pool.borrow_mut().set(applications.now(), &terms.addresses);
+        applications
+            .pool
+            .borrow_mut()
+            .set(applications.now(), &terms.addresses);
         applications
     }
 
@@ -126,7 +132,9 @@
 
     /// So many processes send to them, as the fleet has it.
     pub fn processes(&self, count: usize) {
-        self.pool.borrow_mut().processes(u32::try_from(count).unwrap_or(u32::MAX));
+        self.pool
+            .borrow_mut()
+            .processes(u32::try_from(count).unwrap_or(u32::MAX));
     }
 
     /// What is seen of each application is passed on; what others saw comes back: evidence needed, and by when a cooldown ends.
@@ -134,7 +142,12 @@
         let now = self.now();
         let views = self.pool.borrow().view(now);
         for view in views.into_iter().filter(|view| !view.leaving) {
-            let (need, left) = see(&view.key.to_string(), view.state, view.failures, view.recent);
+            let (need, left) = see(
+                &view.key.to_string(),
+                view.state,
+                view.failures,
+                view.recent,
+            );
             let by = left.map(|left| now + clock::span(left));
             self.pool.borrow_mut().hear(&view.key, need, by);
         }
@@ -172,8 +185,16 @@
             }
             proven &= end.is_unstarted();
             let due = self.clock.at(job.due);
-            if !self.pool.borrow_mut().repeats(self.now(), end, job.idempotent, made, due) {
-                return if proven { RunEnd::Unstarted(Duration::ZERO) } else { RunEnd::Error };
+            if !self
+                .pool
+                .borrow_mut()
+                .repeats(self.now(), end, job.idempotent, made, due)
+            {
+                return if proven {
+                    RunEnd::Unstarted(Duration::ZERO)
+                } else {
+                    RunEnd::Error
+                };
             }
         }
     }
@@ -181,7 +202,11 @@
     /// One attempt. With an outcome of its run where there is one that no repeat could better.
     async fn attempt(&self, job: &Job, pick: Pick) -> (End, Option<RunEnd>) {
         let address = *self.pool.borrow().key(&pick);
-        let mut out = Out { applications: self, pick: Some(pick), end: End::GivenUp };
+        let mut out = Out {
+            applications: self,
+            pick: Some(pick),
+            end: End::GivenUp,
+        };
         let left = Cell::new(false);
         let mut talk = std::pin::pin!(self.talk(address, job, &left));
         let late = async {
@@ -217,7 +242,12 @@
         (end, result)
     }
 
-    async fn talk(&self, address: SocketAddr, job: &Job, left: &Cell<bool>) -> io::Result<(u16, Vec<u8>)> {
+    async fn talk(
+        &self,
+        address: SocketAddr,
+        job: &Job,
+        left: &Cell<bool>,
+    ) -> io::Result<(u16, Vec<u8>)> {
         let (connect, most) = {
             let terms = self.terms.borrow();
             (terms.connect(), terms.result_kb as usize * 1024)
@@ -237,7 +267,11 @@
             left.set(true);
             rest = &rest[count..];
         }
-        let bounds = Bounds { head: HEAD_MOST, headers: HEADERS_MOST, body: most };
+        let bounds = Bounds {
+            head: HEAD_MOST,
+            headers: HEADERS_MOST,
+            body: most,
+        };
         let (mut buffer, mut filled, mut ended) = (vec![0; READ], 0, false);
         loop {
             if filled == buffer.len() {
@@ -274,7 +308,11 @@
 impl Handle {
     fn bytes(&self, order: &Order<'_>) -> Vec<u8> {
         let terms = self.applications.terms.borrow();
-        let path = terms.paths.get(order.method).cloned().unwrap_or_else(|| format!("/{}", order.method));
+        let path = terms
+            .paths
+            .get(order.method)
+            .cloned()
+            .unwrap_or_else(|| format!("/{}", order.method));
         let id = self.id.to_string();
         let mut headers: Vec<(&str, &[u8])> = vec![
             ("REQUEST_METHOD", b"POST"),
@@ -284,7 +322,12 @@
             (METHOD, order.method.as_bytes()),
         ];
         headers.extend(order.tenant.map(|tenant| (TENANT, tenant.as_bytes())));
-        headers.extend(order.token.filter(|token| !token.contains(&0)).map(|token| (TOKEN, token)));
+        headers.extend(
+            order
+                .token
+                .filter(|token| !token.contains(&0))
+                .map(|token| (TOKEN, token)),
+        );
         let mut bytes = Vec::new();
         if request::put(&mut bytes, &headers, order.body).is_err() {
             note!("{} of {} can't be written", self.id, order.method);
@@ -295,7 +338,12 @@
 
 impl Run for Handle {
     fn start(&self, order: &Order<'_>) {
-        let job = Job { id: self.id, bytes: self.bytes(order), idempotent: order.idempotent, due: order.due };
+        let job = Job {
+            id: self.id,
+            bytes: self.bytes(order),
+            idempotent: order.idempotent,
+            due: order.due,
+        };
         let applications = self.applications.clone();
         let task = self.applications.executor.spawn(async move {
             let id = job.id;
@@ -340,6 +388,9 @@
             Entry::Occupied(_) => return None,
             Entry::Vacant(place) => drop(place.insert(State::default())),
         }
-        Some(Box::new(Handle { applications: self, id }))
+        Some(Box::new(Handle {
+            applications: self,
+            id,
+        }))
     }
 }
--- a/crates/coralstep-server/src/runs/course.rs
+++ b/crates/coralstep-server/src/runs/course.rs
@@ -45,7 +45,13 @@
 
 impl Course {
     pub fn new(facade: Rc<Facade>, runs: Rc<dyn Runs>, store: Store, limits: &Limits) -> Course {
-        Course { facade, runs, store, ledger: Rc::new(Ledger::new(limits.ids)), digests: RandomState::new() }
+        Course {
+            facade,
+            runs,
+            store,
+            ledger: Rc::new(Ledger::new(limits.ids)),
+            digests: RandomState::new(),
+        }
     }
 
     /// The id that a text stands for; without any, one that nobody else has.
@@ -65,7 +71,8 @@
         // Guards against a second run under one id, by whichever front it comes: what runs or may have run is not run again.
         let effect = self.facade.effect(offer.method);
         let mut claim = self.ledger.claim(Instant::now(), id);
-        if offer.renames && effect != Effect::NonIdempotent && matches!(claim, Err(Known::Already)) {
+        if offer.renames && effect != Effect::NonIdempotent && matches!(claim, Err(Known::Already))
+        {
             // Its token, not its id, tells whether it has run; and what is idempotent may run beside itself.
             claim = self.ledger.claim(Instant::now(), self.ledger.fresh());
         }
@@ -77,26 +84,41 @@
             }
             Err(Known::Full) => {
                 note!("the ledger of ids is full");
-                return reply(Reply::PushedBack { after_ms: 0, last: false });
+                return reply(Reply::PushedBack {
+                    after_ms: 0,
+                    last: false,
+                });
             }
         };
         let (id, method) = (claim.id(), offer.method);
-        let Some(run) = self.runs.clone().open(id) else { return reply(Reply::Aborted) };
+        let Some(run) = self.runs.clone().open(id) else {
+            return reply(Reply::Aborted);
+        };
         // Before the decisions: what the fleet's limits have no room for is not theirs to weigh.
         let mut taken = match self.facade.share(&offer) {
             Ok(taken) => Some(taken),
-            Err(after_ms) => return reply(Reply::PushedBack { after_ms, last: false }),
+            Err(after_ms) => {
+                return reply(Reply::PushedBack {
+                    after_ms,
+                    last: false,
+                });
+            }
         };
         let (tenant, token) = (offer.tenant, offer.token.clone());
         offer.content = token.as_ref().map_or(0, |_| self.digests.hash_one(&body));
         let deadline = self.facade.deadline(method);
-        let patience = offer.patience.map_or(deadline, |patience| clock::duration(patience).min(deadline));
+        let patience = offer
+            .patience
+            .map_or(deadline, |patience| clock::duration(patience).min(deadline));
         let due = Instant::now() + patience.saturating_sub(clock::duration(offer.age));
         let (ticket, first) = match self.facade.pick(offer).await {
             Ok(picked) => picked,
             Err(Unpicked::Full) => {
                 note!("the table of RPCs is full");
-                return reply(Reply::PushedBack { after_ms: 0, last: false });
+                return reply(Reply::PushedBack {
+                    after_ms: 0,
+                    last: false,
+                });
             }
             Err(Unpicked::Barred) => {
                 note!(client: "{id} bears a token that is another's, or has run");
@@ -166,7 +188,10 @@
                     if let Some(answer) = &ended.answer {
                         run.feed(answer);
                     }
-                    news = News::Called { end: ended.end, took: ended.took };
+                    news = News::Called {
+                        end: ended.end,
+                        took: ended.took,
+                    };
                 }
                 Event::Gone => {
                     gone = None;
--- a/crates/coralstep-server/src/runs/engine.rs
+++ b/crates/coralstep-server/src/runs/engine.rs
@@ -78,7 +78,9 @@
 
 impl Link {
     fn ask(&mut self) {
-        let place = self.out.put(|out| lines::put(out, format_args!("STAT gauges"), None));
+        let place = self
+            .out
+            .put(|out| lines::put(out, format_args!("STAT gauges"), None));
         self.asked = Some((place, Instant::now()));
     }
 
@@ -120,7 +122,11 @@
 impl crate::runs::Run for Handle {
     fn start(&self, order: &Order<'_>) {
         let mut bytes = Vec::new();
-        lines::put(&mut bytes, format_args!("RUN {} {}", self.id, order.method), Some(order.body));
+        lines::put(
+            &mut bytes,
+            format_args!("RUN {} {}", self.id, order.method),
+            Some(order.body),
+        );
         self.engine.command(self.id, bytes, order.idempotent, true);
     }
 
@@ -142,13 +148,20 @@
     /// again draws the end of a run that has ended, and nothing of one that goes on. Guards against ends that were never
     /// told, which would keep their places.
     fn inquire(&self, order: &Order<'_>) {
-        let known = |run: &Run| run.answered.is_some_and(|answered| answered.elapsed() >= KNOWN);
+        let known = |run: &Run| {
+            run.answered
+                .is_some_and(|answered| answered.elapsed() >= KNOWN)
+        };
         if !self.engine.runs.borrow().get(&self.id).is_some_and(known) {
             return;
         }
         if let Some(link) = self.engine.link.borrow().as_ref().filter(|link| link.ready) {
             link.out.put(|out| {
-                lines::put(out, format_args!("RUN {} {}", self.id, order.method), Some(order.body))
+                lines::put(
+                    out,
+                    format_args!("RUN {} {}", self.id, order.method),
+                    Some(order.body),
+                )
             });
         }
     }
@@ -159,7 +172,8 @@
             run.halted = true;
         }
         if let Some(link) = self.engine.link.borrow().as_ref().filter(|link| link.ready) {
-            link.out.put(|out| lines::put(out, format_args!("HALT {}", self.id), None));
+            link.out
+                .put(|out| lines::put(out, format_args!("HALT {}", self.id), None));
         }
     }
 
@@ -216,7 +230,12 @@
     /// commands lost with a link: only the last batch can be in doubt.
     fn flush(&self) {
         let mut link = self.link.borrow_mut();
-        let Some(link) = link.as_mut().filter(|link| link.ready && link.asked.is_none()) else { return };
+        let Some(link) = link
+            .as_mut()
+            .filter(|link| link.ready && link.asked.is_none())
+        else {
+            return;
+        };
         let mut runs = self.runs.borrow_mut();
         let mut any = false;
         for id in std::mem::take(&mut link.waiting) {
@@ -236,8 +255,9 @@
     fn settle_doubts(&self, link: &Link) {
         self.doubts.borrow_mut().retain(|id| {
             let mut runs = self.runs.borrow_mut();
-            let Some((run, command)) =
-                runs.get_mut(id).and_then(|run| Some((run.answered, run.command.as_mut()?)))
+            let Some((run, command)) = runs
+                .get_mut(id)
+                .and_then(|run| Some((run.answered, run.command.as_mut()?)))
             else {
                 return false;
             };
@@ -258,7 +278,13 @@
         let mut runs = self.runs.borrow_mut();
         let Some(run) = runs.get_mut(&id) else { return };
         run.started |= starts;
-        run.command = Some(Command { bytes, starts, repeatable, sent: None, read: false });
+        run.command = Some(Command {
+            bytes,
+            starts,
+            repeatable,
+            sent: None,
+            read: false,
+        });
         if let Some(link) = self.link.borrow_mut().as_mut().filter(|link| link.ready) {
             link.waiting.push(id);
             self.more.notify(1);
@@ -284,14 +310,17 @@
             let (address, opened) = match next.take() {
                 Some((address, stream)) => (address, Ok(stream)),
                 None => {
-                    let Some(address) = self.somewhere(endpoint).await else { continue };
+                    let Some(address) = self.somewhere(endpoint).await else {
+                        continue;
+                    };
                     (address, connect(address, &endpoints.descriptors).await)
                 }
             };
             match opened {
                 Ok(stream) => {
                     let began = Instant::now();
-                    let end = AssertUnwindSafe(self.serve(stream, endpoints, address, facade)).catch_unwind();
+                    let end = AssertUnwindSafe(self.serve(stream, endpoints, address, facade))
+                        .catch_unwind();
                     match end.await {
                         Ok(Ok((address, stream))) => {
                             note!("engine link moves to {address}");
@@ -323,7 +352,11 @@
 
     /// Ends when the engine has moved, with a connection to where it is now, after all that was sent on the old link
     /// was read there: guards against commands that are lost with it.
-    async fn successor(&self, endpoints: &Endpoints, from: SocketAddr) -> (SocketAddr, Async<TcpStream>) {
+    async fn successor(
+        &self,
+        endpoints: &Endpoints,
+        from: SocketAddr,
+    ) -> (SocketAddr, Async<TcpStream>) {
         let endpoint = &endpoints.engine;
         loop {
             let moved = endpoint.moved();
@@ -348,7 +381,8 @@
         let settled = self.settled.listen();
         if let Some(link) = self.link.borrow_mut().as_mut().filter(|link| link.ready) {
             link.ready = false;
-            link.out.put(|out| lines::put(out, format_args!("STAT settled"), None));
+            link.out
+                .put(|out| lines::put(out, format_args!("STAT settled"), None));
         } else {
             return;
         }
@@ -380,8 +414,13 @@
             read: 0,
             waiting: Vec::new(),
         });
-        let write =
-            async { Err(out.run(&stream).await.err().unwrap_or(io::ErrorKind::UnexpectedEof.into())) };
+        let write = async {
+            Err(out
+                .run(&stream)
+                .await
+                .err()
+                .unwrap_or(io::ErrorKind::UnexpectedEof.into()))
+        };
         let read = async { Err(self.read(&stream, facade).await) };
         let next = async { Ok(self.successor(endpoints, address).await) };
         let send = async {
@@ -398,8 +437,15 @@
     /// the rest is in doubt until the notices are replayed. Whether the engine spoke on it.
     fn unlink(&self) -> bool {
         self.readings.borrow_mut().clear();
-        let Some(link) = self.link.borrow_mut().take() else { return false };
-        for command in self.runs.borrow_mut().values_mut().filter_map(|run| run.command.as_mut()) {
+        let Some(link) = self.link.borrow_mut().take() else {
+            return false;
+        };
+        for command in self
+            .runs
+            .borrow_mut()
+            .values_mut()
+            .filter_map(|run| run.command.as_mut())
+        {
             if let Some((_, place)) = command.sent.filter(|sent| sent.0 == link.number) {
                 command.read = place < link.read;
                 command.sent = command.sent.filter(|_| link.out.sent(place));
@@ -454,12 +500,17 @@
                     link.read = link.asked.take().map_or(link.read, |(place, _)| place);
                     self.more.notify(1);
                 }
-                let number =
-                    |text: &&str| text.parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0);
+                let number = |text: &&str| {
+                    text.parse()
+                        .ok()
+                        .filter(|value: &f64| value.is_finite() && *value >= 0.0)
+                };
                 *self.readings.borrow_mut() = gauges.iter().map(number).collect();
             }
             ["DONE", number, id, end, _, _] if self.fresh(number) => self.done(id, end, body),
-            ["NEED", number, id, _] if self.fresh(number) => self.notice(id, Notice::Need(body.to_vec())),
+            ["NEED", number, id, _] if self.fresh(number) => {
+                self.notice(id, Notice::Need(body.to_vec()))
+            }
             ["NOTE", number, ..] => {
                 self.fresh(number);
             }
@@ -472,7 +523,9 @@
             }
             // A notice again, which is nothing new.
             ["DONE" | "NEED", number, ..]
-                if number.parse().is_ok_and(|number: u64| number <= self.last.get()) => {}
+                if number
+                    .parse()
+                    .is_ok_and(|number: u64| number <= self.last.get()) => {}
             _ => note!("engine: unknown message {}", words.join(" ")),
         }
     }
@@ -491,8 +544,10 @@
     fn hello(&self, state: &str, ago: Duration, facade: &Facade) {
         let now = Instant::now();
         let began = now.checked_sub(ago).unwrap_or(now);
-        let another =
-            self.began.get().is_some_and(|known| began.saturating_duration_since(known) > SAME_START);
+        let another = self
+            .began
+            .get()
+            .is_some_and(|known| began.saturating_duration_since(known) > SAME_START);
         self.began.set(Some(began));
         note!("engine up since {} ms, {state}", ago.as_millis());
         if another {
@@ -509,20 +564,26 @@
         facade.start(Some(state == "new"), ago);
         if let Some(link) = self.link.borrow_mut().as_mut() {
             link.spoke = true;
-            link.out.put(|out| lines::put(out, format_args!("STAT attached"), None));
+            link.out
+                .put(|out| lines::put(out, format_args!("STAT attached"), None));
         }
     }
 
     /// All notices since the last link were read: what is still without one is sent, where that is safe.
     fn attached(&self) {
         let mut link = self.link.borrow_mut();
-        let Some(link) = link.as_mut().filter(|link| !link.ready) else { return };
+        let Some(link) = link.as_mut().filter(|link| !link.ready) else {
+            return;
+        };
         link.ready = true;
         for (id, run) in self.runs.borrow_mut().iter_mut() {
             if run.halted {
-                link.out.put(|out| lines::put(out, format_args!("HALT {id}"), None));
+                link.out
+                    .put(|out| lines::put(out, format_args!("HALT {id}"), None));
             }
-            let Some(command) = run.command.as_mut().filter(|command| !command.read) else { continue };
+            let Some(command) = run.command.as_mut().filter(|command| !command.read) else {
+                continue;
+            };
             if command.sent.is_none() || command.repeatable {
                 link.send(command);
             } else {
@@ -548,7 +609,10 @@
 
     fn notice(&self, id: &str, notice: Notice) {
         let mut runs = self.runs.borrow_mut();
-        match Ref::parse(id).and_then(|id| runs.get_mut(&id)).filter(|run| run.started) {
+        match Ref::parse(id)
+            .and_then(|id| runs.get_mut(&id))
+            .filter(|run| run.started)
+        {
             Some(run) => {
                 run.command = None;
                 run.notices.put(notice);
--- a/crates/coralstep-server/src/runs/ledger.rs
+++ b/crates/coralstep-server/src/runs/ledger.rs
@@ -44,12 +44,17 @@
 
 impl Ledger {
     pub fn new(most: usize) -> Ledger {
-        Ledger { most, ..Ledger::default() }
+        Ledger {
+            most,
+            ..Ledger::default()
+        }
     }
 
     pub fn claim(self: &Rc<Self>, now: Instant, id: Ref) -> Result<Claim, Known> {
         let (mut entries, mut until) = (self.entries.borrow_mut(), self.until.borrow_mut());
-        while let Some(Reverse((at, old))) = until.peek().copied().filter(|Reverse((at, _))| *at <= now) {
+        while let Some(Reverse((at, old))) =
+            until.peek().copied().filter(|Reverse((at, _))| *at <= now)
+        {
             until.pop();
             if entries.get(&old) == Some(&Entry::Ran(at)) {
                 entries.remove(&old);
@@ -62,7 +67,10 @@
             return Err(Known::Full);
         }
         entries.insert(id, Entry::Here(None));
-        Ok(Claim { ledger: self.clone(), id })
+        Ok(Claim {
+            ledger: self.clone(),
+            id,
+        })
     }
 
     /// An id that no other RPC has, as far as chance goes.
@@ -89,12 +97,18 @@
 
     /// It may have run, and must not run again before `until`.
     pub fn runs(&self, until: Instant) {
-        self.ledger.entries.borrow_mut().insert(self.id, Entry::Here(Some(until)));
+        self.ledger
+            .entries
+            .borrow_mut()
+            .insert(self.id, Entry::Here(Some(until)));
     }
 
     /// It provably never ran.
     pub fn never_ran(&self) {
-        self.ledger.entries.borrow_mut().insert(self.id, Entry::Here(None));
+        self.ledger
+            .entries
+            .borrow_mut()
+            .insert(self.id, Entry::Here(None));
     }
 }
 
@@ -105,7 +119,10 @@
             Some(Entry::Here(Some(until))) => {
                 let until = *until;
                 entries.insert(self.id, Entry::Ran(until));
-                self.ledger.until.borrow_mut().push(Reverse((until, self.id)));
+                self.ledger
+                    .until
+                    .borrow_mut()
+                    .push(Reverse((until, self.id)));
             }
             _ => drop(entries.remove(&self.id)),
         }
--- a/crates/coralstep-state/src/faulty.rs
+++ b/crates/coralstep-state/src/faulty.rs
@@ -20,7 +20,9 @@
 impl Inode {
     fn now(&self) -> Vec<u8> {
         let mut bytes = self.safe.clone();
-        self.since.iter().for_each(|(at, more)| place(&mut bytes, *at, more));
+        self.since
+            .iter()
+            .for_each(|(at, more)| place(&mut bytes, *at, more));
         bytes
     }
 }
@@ -60,7 +62,10 @@
 
 impl Faulty {
     pub fn with(faults: Faults) -> Faulty {
-        Faulty { faults, ..Faulty::default() }
+        Faulty {
+            faults,
+            ..Faulty::default()
+        }
     }
 
     fn step(&mut self) -> io::Result<()> {
@@ -92,19 +97,37 @@
         let mut chance = SmallRng::seed_from_u64(seed);
         let kept = chance.random_range(0..=self.since.len());
         // Changes of names come in their order, but the last of them may be missing.
-        let names = kept.checked_sub(1).map_or(&self.safe, |at| &self.since[at]).clone();
+        let names = kept
+            .checked_sub(1)
+            .map_or(&self.safe, |at| &self.since[at])
+            .clone();
         let inodes = self.inodes.iter().map(|inode| {
             let mut bytes = inode.safe.clone();
             for (at, more) in &inode.since {
                 match chance.random_range(0..3u8) {
                     0 => place(&mut bytes, *at, more),
-                    1 => place(&mut bytes, *at, &more[..chance.random_range(0..=more.len())]),
+                    1 => place(
+                        &mut bytes,
+                        *at,
+                        &more[..chance.random_range(0..=more.len())],
+                    ),
                     _ => {}
                 }
             }
-            Inode { length: bytes.len(), safe: bytes, since: Vec::new() }
+            Inode {
+                length: bytes.len(),
+                safe: bytes,
+                since: Vec::new(),
+            }
         });
-        Faulty { faults, steps: 0, inodes: inodes.collect(), safe: names.clone(), names, since: Vec::new() }
+        Faulty {
+            faults,
+            steps: 0,
+            inodes: inodes.collect(),
+            safe: names.clone(),
+            names,
+            since: Vec::new(),
+        }
     }
 
     /// What is in a file, to be spoilt by a test.
@@ -112,7 +135,11 @@
         if let Ok(inode) = self.inode(name) {
             let mut bytes = inode.now();
             change(&mut bytes);
-            *inode = Inode { length: bytes.len(), safe: bytes, since: Vec::new() };
+            *inode = Inode {
+                length: bytes.len(),
+                safe: bytes,
+                since: Vec::new(),
+            };
         }
     }
 }
@@ -125,7 +152,11 @@
     fn read(&self, name: &str, most: usize) -> io::Result<Vec<u8>> {
         let at = *self.names.get(name).ok_or(io::ErrorKind::NotFound)?;
         let bytes = self.inodes[at].now();
-        if bytes.len() > most { Err(io::ErrorKind::FileTooLarge.into()) } else { Ok(bytes) }
+        if bytes.len() > most {
+            Err(io::ErrorKind::FileTooLarge.into())
+        } else {
+            Ok(bytes)
+        }
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
@@ -138,17 +169,28 @@
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let used: usize = self.names.values().map(|at| self.inodes[*at].length).sum();
-        let room = self.faults.room.map_or(bytes.len(), |room| room.saturating_sub(used));
+        let room = self
+            .faults
+            .room
+            .map_or(bytes.len(), |room| room.saturating_sub(used));
         let fits = &bytes[..bytes.len().min(room)];
         let stepped = self.step();
         // A cut in the middle of a write leaves a part of it, and so does a disk that is full.
-        let written = if stepped.is_ok() { fits } else { &fits[..fits.len() / 2] };
+        let written = if stepped.is_ok() {
+            fits
+        } else {
+            &fits[..fits.len() / 2]
+        };
         let inode = self.inode(name)?;
         let at = inode.length;
         inode.since.push((at, written.to_vec()));
         inode.length += written.len();
         stepped?;
-        if fits.len() < bytes.len() { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
+        if fits.len() < bytes.len() {
+            Err(io::ErrorKind::StorageFull.into())
+        } else {
+            Ok(())
+        }
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
--- a/crates/coralstep-state/src/files.rs
+++ b/crates/coralstep-state/src/files.rs
@@ -31,18 +31,28 @@
     pub fn open(path: impl Into<PathBuf>) -> io::Result<Folder> {
         let path = path.into();
         std::fs::create_dir_all(&path)?;
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK))?;
-        lock.try_lock()
-            .map_err(|_| io::Error::new(io::ErrorKind::WouldBlock, "another process has this folder"))?;
+        let lock = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(path.join(LOCK))?;
+        lock.try_lock().map_err(|_| {
+            io::Error::new(io::ErrorKind::WouldBlock, "another process has this folder")
+        })?;
         Ok(Folder { path, _lock: lock })
     }
 }
 
 fn read(folder: &std::path::Path, name: &str, most: usize) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    File::open(folder.join(name))?.take(most as u64 + 1).read_to_end(&mut bytes)?;
+    File::open(folder.join(name))?
+        .take(most as u64 + 1)
+        .read_to_end(&mut bytes)?;
     match bytes.len() > most {
-        true => Err(io::Error::new(io::ErrorKind::FileTooLarge, format!("{name}: over {most} bytes"))),
+        true => Err(io::Error::new(
+            io::ErrorKind::FileTooLarge,
+            format!("{name}: over {most} bytes"),
+        )),
         false => Ok(bytes),
     }
 }
@@ -69,7 +79,10 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        OpenOptions::new().append(true).open(self.path.join(name))?.write_all(bytes)
+        OpenOptions::new()
+            .append(true)
+            .open(self.path.join(name))?
+            .write_all(bytes)
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
--- a/crates/coralstep-state/src/frame.rs
+++ b/crates/coralstep-state/src/frame.rs
@@ -66,7 +66,9 @@
                 bytes = &bytes[used..];
             }
             None => {
-                let next = bytes.get(1..).and_then(|rest| rest.windows(2).position(|two| two == RECORD));
+                let next = bytes
+                    .get(1..)
+                    .and_then(|rest| rest.windows(2).position(|two| two == RECORD));
                 let skipped = next.map_or(bytes.len(), |at| at + 1);
                 lost += skipped;
                 bytes = &bytes[skipped..];
