--- a/crates/coralstep-adapter/src/log_words.rs
+++ b/crates/coralstep-adapter/src/log_words.rs
@@ -1,7 +1,7 @@
 //! The words of the wire's `LOG` lines, which stay as its readers know them.
 use std::fmt;
 
-use coralstep::{Event, OrphanedRun, Transition};
+use coralstep::{BreakerTransition, Event, OrphanedRun};
 
 /// An event in the words of the wire.
 pub(crate) struct LogWords(pub(crate) Event);
@@ -9,7 +9,7 @@
 impl fmt::Display for LogWords {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
-            Event::BreakerChanged(Transition {
+            Event::BreakerChanged(BreakerTransition {
                 from,
                 to,
                 failure_rate,
--- a/crates/coralstep-adapter/src/log_words/tests.rs
+++ b/crates/coralstep-adapter/src/log_words/tests.rs
@@ -1,11 +1,11 @@
-use coralstep::{BreakerState, Event, OrphanedRun, Span, Transition};
+use coralstep::{BreakerState, BreakerTransition, Event, OrphanedRun, Span};
 
 use super::LogWords;
 
 /// Guards against log lines on the wire that follow the words of the code.
 #[test]
 fn log_lines_keep_the_words_of_the_wire() {
-    let transition = Transition {
+    let transition = BreakerTransition {
         from: BreakerState::Closed,
         to: BreakerState::Open,
         failure_rate: 0.5,
--- a/crates/coralstep-balancer/src/lib.rs
+++ b/crates/coralstep-balancer/src/lib.rs
@@ -16,7 +16,7 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-use coralstep::{CircuitBreaker, Flow, RpcId, Span, Time, Transition};
+use coralstep::{BreakerTransition, CircuitBreaker, Flow, RpcId, Span, Time};
 use nanorand::{Rng, WyRand};
 
 mod budget;
@@ -163,7 +163,7 @@
     usual: f64,
     chance: WyRand,
     /// Changes of breakers since they were last taken.
-    turns: Vec<(K, Transition)>,
+    turns: Vec<(K, BreakerTransition)>,
 }
 
 impl<K: Clone + PartialEq> Pool<K> {
@@ -561,7 +561,7 @@
     }
 
     /// Changes of breakers since the last look: each is to be logged.
-    pub fn turns(&mut self) -> Vec<(K, Transition)> {
+    pub fn turns(&mut self) -> Vec<(K, BreakerTransition)> {
         std::mem::take(&mut self.turns)
     }
 
--- a/crates/coralstep-degradation/src/state_machine.rs
+++ b/crates/coralstep-degradation/src/state_machine.rs
@@ -173,7 +173,7 @@
             min_priority_weight: actions.min_priority_weight,
             reject_idempotent: actions.reject_idempotent,
             reject_all: actions.reject_all,
-            fenced: false,
+            excluded: false,
             skip_calls: actions.skip_calls,
             queue_limit_factor: actions.queue_limit_factor,
             load_report_factor: actions.load_report_factor,
--- a/crates/coralstep-lab/src/acts.rs
+++ b/crates/coralstep-lab/src/acts.rs
@@ -1,5 +1,5 @@
 //! What a server decides, kept in order until it is carried out: the outlet of all that plays servers in virtual time.
-use coralstep::{Actions, RpcId, Span, Transition};
+use coralstep::{Actions, BreakerTransition, RpcId, Span};
 
 pub enum Act {
     Admit(RpcId),
@@ -15,7 +15,7 @@
     Release(RpcId),
     Health(bool),
     Timer(Span),
-    Turn(Transition),
+    Turn(BreakerTransition),
 }
 
 #[derive(Default)]
@@ -55,7 +55,7 @@
     fn set_timer(&mut self, span: Span) {
         self.0.push(Act::Timer(span));
     }
-    fn breaker_transition(&mut self, turn: Transition) {
+    fn breaker_transition(&mut self, turn: BreakerTransition) {
         self.0.push(Act::Turn(turn));
     }
     fn release_id(&mut self, rpc: RpcId) {
--- a/crates/coralstep-lab/src/explore/module.rs
+++ b/crates/coralstep-lab/src/explore/module.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use coralstep::{
-    Dependency, Gauges, Idempotency, Method, Outcome, Request, RpcId, Scheduler, SchedulerConfig,
-    Span, Time, Transition,
+    BreakerTransition, Dependency, Gauges, Idempotency, Method, Outcome, Request, RpcId, Scheduler,
+    SchedulerConfig, Span, Time,
 };
 
 use super::Play;
@@ -267,7 +267,7 @@
     }
 
     /// A change of state must be one that the design knows, and have its reason.
-    fn turned(&mut self, turn: Transition) {
+    fn turned(&mut self, turn: BreakerTransition) {
         let (from, to) = (turn.from.as_str(), turn.to.as_str());
         match (from, to) {
             ("closed", "open") => {
--- a/crates/coralstep-server/src/decisions/actions.rs
+++ b/crates/coralstep-server/src/decisions/actions.rs
@@ -2,7 +2,7 @@
 //! rest to the server's state.
 use std::time::Duration;
 
-use coralstep::{Actions, Event, RpcId, Span, Transition};
+use coralstep::{Actions, BreakerTransition, Event, RpcId, Span};
 
 use crate::base::clock::{self, Clock};
 use crate::decisions::admission::MAX_UNREAD_SPAN;
@@ -46,8 +46,8 @@
 
 impl PendingActions {
     /// Each change of the circuit breaker is an event of its own target and never left out.
-    fn log_breaker(&self, transition: Transition) {
-        let Transition {
+    fn log_breaker(&self, transition: BreakerTransition) {
+        let BreakerTransition {
             from,
             to,
             failure_rate,
--- a/crates/coralstep-server/src/decisions/fence.rs
+++ b/crates/coralstep-server/src/decisions/fence.rs
@@ -28,7 +28,7 @@
         let level = match excluded_for {
             Some(retry_after) => DegradationLevel {
                 reject_all: true,
-                fenced: true,
+                excluded: true,
                 retry_after,
                 ..DegradationLevel::default()
             },
--- a/crates/coralstep-server/src/runs/applications/mod.rs
+++ b/crates/coralstep-server/src/runs/applications/mod.rs
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 
 use async_executor::{LocalExecutor, Task};
-use coralstep::{Time, Transition};
+use coralstep::{BreakerTransition, Time};
 use coralstep_balancer::{Pool, PoolTerms, RampTerms};
 use coralstep_config::site::ApplicationsConfig;
 
@@ -132,7 +132,7 @@
     fn log_breaker_changes(&self) {
         for (address, transition) in self.pool.borrow_mut().turns() {
             let dependency = address.to_string();
-            let Transition {
+            let BreakerTransition {
                 from,
                 to,
                 failure_rate,
--- a/crates/coralstep/src/actions.rs
+++ b/crates/coralstep/src/actions.rs
@@ -1,5 +1,5 @@
 //! Where the decisions of a [`crate::Scheduler`] go.
-use crate::circuit_breaker::Transition;
+use crate::circuit_breaker::BreakerTransition;
 use crate::event::Event;
 use crate::request::RpcId;
 use crate::time::Span;
@@ -42,7 +42,7 @@
     /// Logs an event.
     fn log(&mut self, event: Event) {}
     /// The circuit breaker changed its state. Logs that, unless an implementation does otherwise.
-    fn breaker_transition(&mut self, transition: Transition) {
+    fn breaker_transition(&mut self, transition: BreakerTransition) {
         self.log(Event::BreakerChanged(transition));
     }
     /// The scheduler is done with this index.
--- a/crates/coralstep/src/circuit_breaker.rs
+++ b/crates/coralstep/src/circuit_breaker.rs
@@ -50,7 +50,7 @@
 
 /// A change of a circuit breaker's state.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Transition {
+pub struct BreakerTransition {
     /// The state that it left.
     pub from: BreakerState,
     /// The state that it entered.
@@ -59,9 +59,9 @@
     pub failure_rate: f64,
 }
 
-impl fmt::Display for Transition {
+impl fmt::Display for BreakerTransition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Transition {
+        let BreakerTransition {
             from,
             to,
             failure_rate,
@@ -76,7 +76,7 @@
     /// Whether it passes.
     pub flow: Flow,
     /// The change of state that this led to.
-    pub transition: Option<Transition>,
+    pub transition: Option<BreakerTransition>,
 }
 
 impl CallDecision {
@@ -216,7 +216,7 @@
         began: Time,
         failed: bool,
         rng: &mut WyRand,
-    ) -> Option<Transition> {
+    ) -> Option<BreakerTransition> {
         if self.is_probe(id) {
             return Some(self.record_probe(now, failed, rng));
         }
@@ -229,7 +229,7 @@
         opens.then(|| self.open(now, rng))
     }
 
-    fn record_probe(&mut self, now: Time, failed: bool, rng: &mut WyRand) -> Transition {
+    fn record_probe(&mut self, now: Time, failed: bool, rng: &mut WyRand) -> BreakerTransition {
         // The failure rate of this transition is that of the probe alone.
         (self.window, self.outcomes) = (u32::from(failed), 1);
         if !failed {
@@ -255,15 +255,15 @@
     }
 
     /// Jitter shortens cooldowns, so that servers which opened together don't probe together.
-    fn open(&mut self, now: Time, rng: &mut WyRand) -> Transition {
+    fn open(&mut self, now: Time, rng: &mut WyRand) -> BreakerTransition {
         let jitter = (1.0 - MIN_COOLDOWN_PART) * f64::from(rng.generate::<u32>());
         let part = MIN_COOLDOWN_PART + jitter / f64::from(u32::MAX);
         let until = now + self.cooldown.scaled(part);
         self.change_state(now, State::Open { until })
     }
 
-    fn change_state(&mut self, now: Time, to: State) -> Transition {
-        let transition = Transition {
+    fn change_state(&mut self, now: Time, to: State) -> BreakerTransition {
+        let transition = BreakerTransition {
             from: self.state.kind(),
             to: to.kind(),
             failure_rate: self.failure_rate(),
--- a/crates/coralstep/src/degradation.rs
+++ b/crates/coralstep/src/degradation.rs
@@ -17,9 +17,9 @@
     pub reject_idempotent: bool,
     /// All requests are rejected.
     pub reject_all: bool,
-    /// The server is fenced off: it rejects all that it has read, under whatever version of the
+    /// The server is excluded off: it rejects all that it has read, under whatever version of the
     /// configuration.
-    pub fenced: bool,
+    pub excluded: bool,
     /// Calls that can be skipped are.
     pub skip_calls: bool,
     /// The queue limit, as a part of the usual one.
@@ -37,7 +37,7 @@
             min_priority_weight: 0.0,
             reject_idempotent: false,
             reject_all: false,
-            fenced: false,
+            excluded: false,
             skip_calls: false,
             queue_limit_factor: 1.0,
             load_report_factor: 1.0,
@@ -50,7 +50,7 @@
     /// Whether a request of `method` is rejected before it runs.
     pub fn sheds(&self, method: &Method) -> bool {
         self.reject_all
-            || self.fenced
+            || self.excluded
             || (self.reject_idempotent && method.idempotency == Idempotency::Idempotent)
             || method.priority_weight < self.min_priority_weight
     }
@@ -83,7 +83,7 @@
 
     /// Begins another version of the configuration. A fence is no level of the version that ends.
     pub(crate) fn begin_version(&mut self) {
-        self.previous[self.version as usize % MAX_VERSIONS] = if self.current.fenced {
+        self.previous[self.version as usize % MAX_VERSIONS] = if self.current.excluded {
             DegradationLevel::default()
         } else {
             self.current
@@ -93,7 +93,7 @@
 
     /// The level for what was read under `version`. A fence holds for all.
     pub(crate) fn under(&self, version: u32) -> &DegradationLevel {
-        if version == self.version || self.current.fenced {
+        if version == self.version || self.current.excluded {
             return &self.current;
         }
         &self.previous[version as usize % MAX_VERSIONS]
--- a/crates/coralstep/src/event.rs
+++ b/crates/coralstep/src/event.rs
@@ -1,7 +1,7 @@
 //! What is worth a line in the log.
 use std::fmt;
 
-use crate::circuit_breaker::Transition;
+use crate::circuit_breaker::BreakerTransition;
 use crate::time::Span;
 
 /// A run whose request is answered and which has had no end for too long.
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
     /// The circuit breaker changed its state (`circuit_breaker.rs`).
-    BreakerChanged(Transition),
+    BreakerChanged(BreakerTransition),
     /// A run counts as orphaned, and another may run in its place (`orphans.rs`).
     RunOrphaned(OrphanedRun),
     /// A run at a call that is over counts as orphaned (`orphans.rs`).
@@ -67,7 +67,7 @@
         f.write_str(self.message())?;
         match self {
             Event::BreakerChanged(transition) => {
-                let Transition { from, to, .. } = transition;
+                let BreakerTransition { from, to, .. } = transition;
                 let rate = transition.failure_rate;
                 write!(f, " from={from} to={to} failure_rate={rate:.2}")
             }
--- a/crates/coralstep/src/lib.rs
+++ b/crates/coralstep/src/lib.rs
@@ -73,7 +73,7 @@
 mod timer;
 
 pub use actions::Actions;
-pub use circuit_breaker::{BreakerState, CallDecision, CircuitBreaker, Transition};
+pub use circuit_breaker::{BreakerState, BreakerTransition, CallDecision, CircuitBreaker};
 pub use config::{
     Dependency, GoalWeights, Idempotency, LoadReportKind, Method, Preemption, SchedulerConfig,
 };
--- a/crates/coralstep/tests/degradation.rs
+++ b/crates/coralstep/tests/degradation.rs
@@ -40,7 +40,7 @@
         min_priority_weight: 2.0,
         ..DegradationLevel::default()
     };
-    for fenced in [false, true] {
+    for excluded in [false, true] {
         let mut rejected = Rejected::default();
         let mut scheduler = Scheduler::start(&config(), 7, Time(0), &mut rejected);
         // One runs, the others are queued.
@@ -56,13 +56,13 @@
         scheduler.set_degradation(Time(40), sheds_all, &mut rejected);
         assert_eq!(rejected.0, [3, 4]);
         let level = DegradationLevel {
-            fenced,
+            excluded,
             ..sheds_all
         };
         scheduler.set_degradation(Time(50), level, &mut rejected);
         assert_eq!(
             rejected.0.len(),
-            if fenced { 4 } else { 2 },
+            if excluded { 4 } else { 2 },
             "{:?}",
             rejected.0
         );
--- a/crates/coralstep/tests/pinned.rs
+++ b/crates/coralstep/tests/pinned.rs
@@ -121,7 +121,7 @@
         self.record(14, RpcId(0), span.0);
         self.timer = self.now + span;
     }
-    fn breaker_transition(&mut self, transition: Transition) {
+    fn breaker_transition(&mut self, transition: BreakerTransition) {
         self.record(
             15,
             RpcId(transition.to.as_str().len() as u32),
--- a/crates/coralstep/tests/scenarios.rs
+++ b/crates/coralstep/tests/scenarios.rs
@@ -191,7 +191,7 @@
         min_priority_weight: line.number("min_weight", 0.0),
         reject_idempotent: line.has("reject_idempotent"),
         reject_all: line.has("reject_all"),
-        fenced: false,
+        excluded: false,
         skip_calls: line.has("skip_calls"),
         queue_limit_factor: line.number("queue_limit", 1.0),
         load_report_factor: line.number("load_report", 1.0),
