--- a/crates/coralstep-fleet/benches/fleet.rs
+++ b/crates/coralstep-fleet/benches/fleet.rs
@@ -38,14 +38,14 @@
     for other in 1..=count {
         let mut other = one(other);
         now += 1;
-        other.tick(now, now, RpcCounts::default());
+        other.handle_timeout(now, now, RpcCounts::default());
         for Transmit { bytes, .. } in other.take_datagrams() {
             let _ = hub.handle_datagram(now, now, &bytes);
             last = bytes;
         }
         hub.take_datagrams();
     }
-    hub.tick(now, now, RpcCounts::default());
+    hub.handle_timeout(now, now, RpcCounts::default());
     hub.take_datagrams();
     (hub, last, now)
 }
--- a/crates/coralstep-fleet/src/extension.rs
+++ b/crates/coralstep-fleet/src/extension.rs
@@ -60,7 +60,7 @@
     }
 
     /// Lets time pass; returns the messages that are due.
-    fn tick(&mut self, _now: Millis, _view: &MembershipView<'_>) -> Vec<Message> {
+    fn handle_timeout(&mut self, _now: Millis, _view: &MembershipView<'_>) -> Vec<Message> {
         Vec::new()
     }
 }
--- a/crates/coralstep-fleet/src/fleet/dissemination.rs
+++ b/crates/coralstep-fleet/src/fleet/dissemination.rs
@@ -96,7 +96,7 @@
     }
 
     /// Lets time pass for the extensions and sends their messages.
-    pub(super) fn tick_extensions(&mut self, now: Millis, wall_ms: UnixMillis) {
+    pub(super) fn handle_extension_timeouts(&mut self, now: Millis, wall_ms: UnixMillis) {
         if self.extensions.is_empty() {
             return;
         }
@@ -108,7 +108,7 @@
             excluded: self.membership.present().filter(is_excluded).collect(),
             leaving: self.leaving || self.exclusion.reason().is_some(),
         };
-        for outgoing in self.extensions.tick(now, &view) {
+        for outgoing in self.extensions.handle_timeout(now, &view) {
             self.send_extension_messages(wall_ms, outgoing);
         }
     }
--- a/crates/coralstep-fleet/src/fleet/extensions.rs
+++ b/crates/coralstep-fleet/src/fleet/extensions.rs
@@ -56,12 +56,16 @@
     }
 
     /// Lets time pass for all extensions.
-    pub(super) fn tick(&self, now: Millis, view: &MembershipView<'_>) -> Vec<OutgoingMessages> {
+    pub(super) fn handle_timeout(
+        &self,
+        now: Millis,
+        view: &MembershipView<'_>,
+    ) -> Vec<OutgoingMessages> {
         self.registered
             .iter()
             .map(|one| OutgoingMessages {
                 kind: one.id.message_kind(),
-                messages: one.extension.borrow_mut().tick(now, view),
+                messages: one.extension.borrow_mut().handle_timeout(now, view),
             })
             .collect()
     }
--- a/crates/coralstep-fleet/src/fleet/mod.rs
+++ b/crates/coralstep-fleet/src/fleet/mod.rs
@@ -128,11 +128,11 @@
     }
 
     /// Lets time pass. `rpcs` counts the RPCs of this process so far.
-    pub fn tick(&mut self, now: Millis, wall_ms: UnixMillis, rpcs: RpcCounts) {
+    pub fn handle_timeout(&mut self, now: Millis, wall_ms: UnixMillis, rpcs: RpcCounts) {
         self.detect_pause(now);
         self.last_tick = Some(now);
         self.activity.count_rpcs(rpcs);
-        self.membership.tick(now);
+        self.membership.handle_timeout(now);
         if now >= self.status_due {
             self.status_due = now + ANNOUNCE_INTERVAL_MS;
             self.statuses.expire(now);
@@ -141,7 +141,7 @@
         let jitter = self.rng.random_range(0.0..1.0);
         self.request_versions(now, wall_ms, jitter);
         self.evaluate_exclusion(now);
-        self.tick_extensions(now, wall_ms);
+        self.handle_extension_timeouts(now, wall_ms);
         self.send_membership(now, wall_ms);
     }
 
@@ -150,7 +150,7 @@
         self.leaving = true;
         self.announce();
         // What extensions give back goes out while others still accept it from a member.
-        self.tick_extensions(now, wall_ms);
+        self.handle_extension_timeouts(now, wall_ms);
         self.membership.leave(now);
         self.send_membership(now, wall_ms);
     }
--- a/crates/coralstep-fleet/src/membership/mod.rs
+++ b/crates/coralstep-fleet/src/membership/mod.rs
@@ -141,7 +141,7 @@
     }
 
     /// Lets time pass.
-    pub fn tick(&mut self, now: Millis) {
+    pub fn handle_timeout(&mut self, now: Millis) {
         self.runtime.now = now;
         while let Some(timer) = self.runtime.pop_due_timer() {
             // A timer that is no longer of use is no fault.
--- a/crates/coralstep-fleet/tests/golden.rs
+++ b/crates/coralstep-fleet/tests/golden.rs
@@ -417,7 +417,7 @@
     let mut written = Vec::new();
     for now in (0..2_500).step_by(100) {
         for from in 0..2 {
-            all[from].tick(now);
+            all[from].handle_timeout(now);
             for message in all[from].take_messages() {
                 all[1 - from].receive(now, &message.bytes);
                 written.push((format!("{now}_from_{from}"), message.bytes));
@@ -489,7 +489,7 @@
             succeeded: now * 2,
         };
         for from in 0..2 {
-            all[from].tick(now, wall_ms, rpcs);
+            all[from].handle_timeout(now, wall_ms, rpcs);
             for Transmit { bytes, .. } in all[from].take_datagrams() {
                 all[1 - from].handle_datagram(now, wall_ms, &bytes).unwrap();
                 sent.push((format!("{now}_from_{from}"), bytes));
--- a/crates/coralstep-fleet/tests/virtual_time.rs
+++ b/crates/coralstep-fleet/tests/virtual_time.rs
@@ -155,7 +155,7 @@
             let mut out = Vec::new();
             for (number, server) in self.servers.iter_mut().filter(|(_, server)| !server.paused) {
                 let wall = World::wall(self.now, server);
-                server.fleet.tick(self.now, wall, server.counts);
+                server.fleet.handle_timeout(self.now, wall, server.counts);
                 if let Some(PublishedVersion { id, version }) =
                     server.fleet.pending_version(self.now)
                 {
--- a/crates/coralstep-lab/src/fleet/guest.rs
+++ b/crates/coralstep-lab/src/fleet/guest.rs
@@ -66,7 +66,7 @@
                 }
                 if ticked.elapsed() >= TICK {
                     ticked = Instant::now();
-                    part.tick(now(), unix + now(), RpcCounts::default());
+                    part.handle_timeout(now(), unix + now(), RpcCounts::default());
                     // It acts on whatever is there: nobody shuts it out for that.
                     if let Some(pending) = part.pending_version(now()) {
                         part.activate(now(), unix + now(), pending.id);
--- a/crates/coralstep-lab/src/shares.rs
+++ b/crates/coralstep-lab/src/shares.rs
@@ -351,7 +351,7 @@
             out.extend(
                 server
                     .part
-                    .tick(local, &view)
+                    .handle_timeout(local, &view)
                     .into_iter()
                     .map(|message| (*at, message.to, message.payload)),
             );
--- a/crates/coralstep-quota/src/extension.rs
+++ b/crates/coralstep-quota/src/extension.rs
@@ -348,7 +348,7 @@
             .collect()
     }
 
-    fn tick(&mut self, now: Millis, view: &MembershipView<'_>) -> Vec<OutgoingMessage> {
+    fn handle_timeout(&mut self, now: Millis, view: &MembershipView<'_>) -> Vec<OutgoingMessage> {
         if !self.election.has_candidates() {
             return Vec::new();
         }
--- a/crates/coralstep-quota/tests/golden.rs
+++ b/crates/coralstep-quota/tests/golden.rs
@@ -259,7 +259,7 @@
         excluded: Vec::new(),
         leaving: false,
     };
-    extension.tick(now, &view);
+    extension.handle_timeout(now, &view);
 }
 
 /// RPCs come for so long, in milliseconds: past the time in which no RPCs in flight are granted.
--- a/crates/coralstep-server/src/fleet/service.rs
+++ b/crates/coralstep-server/src/fleet/service.rs
@@ -225,7 +225,7 @@
         };
         self.fleet
             .borrow_mut()
-            .tick(now, self.wall_clock.now_ms(), rpcs);
+            .handle_timeout(now, self.wall_clock.now_ms(), rpcs);
         self.apply_pending_version(now, scheduler, apply);
         self.update_limits(now);
         self.exchange_health(now, scheduler, health_sources);
--- a/crates/coralstep-server/tests/limits.rs
+++ b/crates/coralstep-server/tests/limits.rs
@@ -311,7 +311,7 @@
 }
 
 impl GossipExtension for Greedy {
-    fn tick(&mut self, _now: u64, view: &MembershipView<'_>) -> Vec<Sent> {
+    fn handle_timeout(&mut self, _now: u64, view: &MembershipView<'_>) -> Vec<Sent> {
         self.number += 1;
         let requests = vec![QuotaRequest {
             key: self.key,
--- a/crates/coralstep-server/tests/verdicts.rs
+++ b/crates/coralstep-server/tests/verdicts.rs
@@ -238,7 +238,7 @@
         self.0.next_gossip(now, room)
     }
 
-    fn tick(&mut self, now: u64, view: &MembershipView<'_>) -> Vec<Message> {
+    fn handle_timeout(&mut self, now: u64, view: &MembershipView<'_>) -> Vec<Message> {
         // It has just closed again, each second.
         let state = match self.1 {
             Lie::Fails => BreakerState::Open,
@@ -255,7 +255,7 @@
                 calls: 20,
             },
         );
-        self.0.tick(now, view)
+        self.0.handle_timeout(now, view)
     }
 }
 
--- a/crates/coralstep-shared-health/src/shared_health.rs
+++ b/crates/coralstep-shared-health/src/shared_health.rs
@@ -260,7 +260,7 @@
         Vec::new()
     }
 
-    fn tick(&mut self, now: Millis, view: &MembershipView<'_>) -> Vec<Message> {
+    fn handle_timeout(&mut self, now: Millis, view: &MembershipView<'_>) -> Vec<Message> {
         self.own = view.own.clone();
         self.current_peers = view.current.iter().copied().cloned().collect();
         if self.dependencies.is_empty() {
--- a/crates/coralstep-state/tests/golden.rs
+++ b/crates/coralstep-state/tests/golden.rs
@@ -134,7 +134,7 @@
     let mut fleet = fleet();
     for second in 1..=2 {
         let (now, wall_ms) = (second * 1_000, (WRITTEN_S[0] + second) * 1_000);
-        fleet.tick(
+        fleet.handle_timeout(
             now,
             wall_ms,
             RpcCounts {
