--- a/crates/coralstep-fleet/src/exclusion.rs
+++ b/crates/coralstep-fleet/src/exclusion.rs
@@ -91,11 +91,11 @@
     /// The newest version that is held and was not rejected.
     pub newest_accepted: VersionId,
     /// Whether the newest known version is mandatory.
-    pub mandatory: bool,
+    pub newest_mandatory: bool,
     /// Whether the newest known version was rejected here.
-    pub rejected: bool,
+    pub newest_rejected: bool,
     /// Whether the [target](ExclusionInputs::target) is held here.
-    pub held: bool,
+    pub target_held: bool,
     /// Delay of this server's rollout stage of the target, in milliseconds.
     pub stage_delay: Millis,
     /// Whether this server's rollout stage of the target has come.
@@ -103,15 +103,15 @@
     /// Whether the rollout of the target was halted here.
     pub halted: bool,
     /// Other members that are present.
-    pub others: usize,
+    pub other_members: usize,
     /// Those of them that want to be excluded, or are, and go before this server.
-    pub ahead: usize,
+    pub candidates_before: usize,
 }
 
 impl ExclusionInputs {
     /// Returns the version that should be active here.
     pub fn target(&self) -> VersionId {
-        if self.rejected {
+        if self.newest_rejected {
             self.newest_accepted
         } else {
             self.newest
@@ -266,7 +266,7 @@
 
     /// Returns the reason to be excluded for a version, whatever the others do.
     fn version_reason(&self, now: Millis, inputs: &ExclusionInputs) -> Option<ExclusionReason> {
-        if inputs.mandatory && inputs.rejected {
+        if inputs.newest_mandatory && inputs.newest_rejected {
             return Some(ExclusionReason::RejectedVersion(inputs.newest));
         }
         self.lag
@@ -289,14 +289,14 @@
         if !has_waited {
             return false;
         }
-        let servers = inputs.others + 1;
+        let servers = inputs.other_members + 1;
         let share = (servers as f64 * MAX_EXCLUDED_FRACTION) as usize;
         let max_excluded = if servers >= MIN_FLEET_WITH_EXCLUSION {
             share.max(1)
         } else {
             share
         };
-        let may = inputs.ahead < max_excluded;
+        let may = inputs.candidates_before < max_excluded;
         if !may && self.reported_limit != Some(inputs.newest) {
             self.reported_limit = Some(inputs.newest);
             decision.limit_reached = Some(inputs.newest);
@@ -335,7 +335,7 @@
         let is_recent = self
             .answered_at
             .is_some_and(|answered_at| now < answered_at + MAX_RESUME_MS);
-        let awaits_stage = inputs.held && (inputs.halted || !inputs.stage_due);
+        let awaits_stage = inputs.target_held && (inputs.halted || !inputs.stage_due);
         is_recent && inputs.target() > inputs.active_version && !awaits_stage
     }
 
--- a/crates/coralstep-fleet/src/fleet/exclusion.rs
+++ b/crates/coralstep-fleet/src/fleet/exclusion.rs
@@ -93,15 +93,15 @@
             active_version: self.activity.active_version(),
             newest,
             newest_accepted: newest_accepted.map(|one| one.id).unwrap_or_default(),
-            mandatory: newest_version.is_some_and(|version| version.mandatory),
-            rejected: self.versions.rejection_reason(newest).is_some(),
-            others: self.membership.count(),
-            ahead: self.members_ahead(),
+            newest_mandatory: newest_version.is_some_and(|version| version.mandatory),
+            newest_rejected: self.versions.rejection_reason(newest).is_some(),
+            other_members: self.membership.count(),
+            candidates_before: self.candidates_before(),
             ..ExclusionInputs::default()
         };
         let target = inputs.target();
         let version = self.versions.get(target);
-        inputs.held = version.is_some();
+        inputs.target_held = version.is_some();
         inputs.stage_delay = version
             .and_then(|version| version.stage_delay_ms(&self.name))
             .unwrap_or(0);
@@ -112,7 +112,7 @@
 
     /// Counts the members that want to be excluded and go before this server, if it wants to be
     /// excluded itself: the excluded ones first, then by name.
-    fn members_ahead(&self) -> usize {
+    fn candidates_before(&self) -> usize {
         if !self.exclusion.wants_exclusion() {
             return 0;
         }
--- a/crates/coralstep-fleet/src/fleet/receive.rs
+++ b/crates/coralstep-fleet/src/fleet/receive.rs
@@ -77,7 +77,7 @@
                 self.events.push(Event::AuditRecordAltered(name));
             }
             // Also from an excluded server: it may be the only one that holds the version.
-            self.versions.learn_of(status.newest_held);
+            self.versions.record_reported(status.newest_held);
         }
     }
 
--- a/crates/coralstep-fleet/src/versions/store.rs
+++ b/crates/coralstep-fleet/src/versions/store.rs
@@ -188,7 +188,7 @@
     }
 
     /// Notes that a peer knows of `id`.
-    pub fn learn_of(&mut self, id: VersionId) {
+    pub fn record_reported(&mut self, id: VersionId) {
         let max_number = self.newest().number.saturating_add(MAX_NUMBER_LEAD);
         if id > self.reported && id.number <= max_number {
             self.reported = id;
--- a/crates/coralstep-fleet/src/versions/tests.rs
+++ b/crates/coralstep-fleet/src/versions/tests.rs
@@ -51,7 +51,7 @@
         .unwrap();
     // Every third message is lost; at first one in seven is corrupt, as from a holder at fault.
     let mut other = VersionStore::default();
-    other.learn_of(id);
+    other.record_reported(id);
     let corrupted = |count: usize, message| match message {
         _ if count.is_multiple_of(3) => None,
         VersionMessage::Chunk {
@@ -74,7 +74,7 @@
     assert_eq!(other.get(id), publisher.get(id));
     // One that is always changed is never taken.
     let mut third = VersionStore::default();
-    third.learn_of(id);
+    third.record_reported(id);
     let always = |_, message| match message {
         VersionMessage::Chunk {
             id,
@@ -108,8 +108,8 @@
     let a = left.publish(0, version(2, root, "{\"a\":1}")).unwrap();
     let b = right.publish(0, version(2, root, "{\"b\":1}")).unwrap();
     assert!(a != b && a.number == b.number);
-    left.learn_of(b);
-    right.learn_of(a);
+    left.record_reported(b);
+    right.record_reported(a);
     let (mut left2, mut right2) = (VersionStore::default(), VersionStore::default());
     left2.publish(0, version(2, root, "{\"a\":1}")).unwrap();
     right2.publish(0, version(2, root, "{\"b\":1}")).unwrap();
--- a/crates/coralstep-lab/src/explore/fleet.rs
+++ b/crates/coralstep-lab/src/explore/fleet.rs
@@ -99,7 +99,7 @@
             .map(|server| server.versions.newest_held())
             .max()
             .unwrap_or_default();
-        self.servers[at].versions.learn_of(known);
+        self.servers[at].versions.record_reported(known);
     }
 
     fn asks(&mut self, at: usize) {
--- a/crates/coralstep-lab/src/explore/straggler.rs
+++ b/crates/coralstep-lab/src/explore/straggler.rs
@@ -139,7 +139,7 @@
         let target = self.facts.target();
         let lags = target > self.facts.active_version;
         self.truth.lags = lags.then(|| self.truth.lags.unwrap_or(self.now));
-        let refuses = self.facts.mandatory && self.facts.rejected;
+        let refuses = self.facts.newest_mandatory && self.facts.newest_rejected;
         self.truth.refuses = refuses.then(|| self.truth.refuses.unwrap_or(self.now));
     }
 }
@@ -160,8 +160,8 @@
         };
         let now = 60_000;
         let facts = ExclusionInputs {
-            others: 4,
-            held: true,
+            other_members: 4,
+            target_held: true,
             stage_due: true,
             ..ExclusionInputs::default()
         };
@@ -182,11 +182,11 @@
 
     fn moves(&self) -> Vec<u8> {
         let (facts, truth) = (&self.facts, &self.truth);
-        let lags = facts.newest > facts.active_version && !facts.rejected;
+        let lags = facts.newest > facts.active_version && !facts.newest_rejected;
         let possible = |what: &u8| match what {
             2 => facts.newest.number < VERSIONS_MOST,
-            3 => lags && !facts.held,
-            4 | 5 => lags && facts.held,
+            3 => lags && !facts.target_held,
+            4 | 5 => lags && facts.target_held,
             10 => !truth.by_hand,
             11 => truth.by_hand,
             _ => true,
@@ -203,18 +203,21 @@
             1 => self.pass(5_000, true),
             2 => {
                 self.facts.newest = Lag::id(self.facts.newest.number + 1);
-                (self.facts.held, self.facts.mandatory, self.facts.rejected) =
-                    (false, false, false);
+                (
+                    self.facts.target_held,
+                    self.facts.newest_mandatory,
+                    self.facts.newest_rejected,
+                ) = (false, false, false);
                 // A newer one is another thing to be behind of.
                 self.truth.lags = None;
             }
-            3 => (self.facts.held, self.facts.mandatory) = (true, true),
+            3 => (self.facts.target_held, self.facts.newest_mandatory) = (true, true),
             4 => {
                 (self.facts.active_version, self.facts.newest_accepted) =
                     (self.facts.newest, self.facts.newest);
             }
             5 => {
-                self.facts.rejected = true;
+                self.facts.newest_rejected = true;
                 self.facts.newest_accepted = self.facts.active_version;
             }
             6 => {
@@ -224,7 +227,7 @@
                         self.now,
                         MIN_PAUSE_MS + 1_000,
                         self.spoken + 1,
-                        self.facts.others,
+                        self.facts.other_members,
                     )
                 {
                     self.truth.unanswered = Some(self.now);
@@ -259,16 +262,16 @@
                 self.truth.by_hand = false;
             }
             _ => {
-                self.facts.ahead = 1 - self.facts.ahead;
-                self.truth.crowded = (self.facts.ahead > 0).then_some(self.now);
+                self.facts.candidates_before = 1 - self.facts.candidates_before;
+                self.truth.crowded = (self.facts.candidates_before > 0).then_some(self.now);
                 self.truth.roomy = self.now;
             }
         }
         if self.scope.cheat == Cheat::Stubborn {
-            self.facts.mandatory = false;
+            self.facts.newest_mandatory = false;
         }
         self.learn();
-        if self.scope.cheat == Cheat::Stubborn && self.facts.rejected {
+        if self.scope.cheat == Cheat::Stubborn && self.facts.newest_rejected {
             self.truth.refuses.get_or_insert(self.now);
         }
         self.look();
@@ -305,12 +308,16 @@
         if self.truth.by_hand {
             self.step(11);
         }
-        if self.facts.ahead > 0 {
+        if self.facts.candidates_before > 0 {
             self.step(12);
         }
         // Going back is a new version, which it takes up.
         self.facts.newest = Lag::id(self.facts.newest.number + 1);
-        (self.facts.held, self.facts.rejected, self.facts.mandatory) = (true, false, false);
+        (
+            self.facts.target_held,
+            self.facts.newest_rejected,
+            self.facts.newest_mandatory,
+        ) = (true, false, false);
         (self.facts.active_version, self.facts.newest_accepted) =
             (self.facts.newest, self.facts.newest);
         self.learn();
--- a/crates/coralstep-lab/src/simulate/sharing.rs
+++ b/crates/coralstep-lab/src/simulate/sharing.rs
@@ -6,7 +6,7 @@
 use coralstep_shared_health::aggregate::Aggregator;
 use coralstep_shared_health::peer_report::{PeerId, PeerReport};
 use coralstep_shared_health::report::MAX_REPORT_AGE_MS;
-use coralstep_shared_health::{BreakerAdvice, BreakerState, SharingConfig};
+use coralstep_shared_health::{BreakerAdvice, ReportedBreakerState, SharingConfig};
 
 use super::Sim;
 
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Seen {
     there: bool,
-    state: BreakerState,
+    state: ReportedBreakerState,
     failures: u32,
     calls: u32,
     /// When its last call ended, and when its breaker closed by a trial, in ticks.
@@ -63,9 +63,9 @@
             node.calls.pop_front();
         }
         let all = [
-            BreakerState::Closed,
-            BreakerState::Open,
-            BreakerState::HalfOpen,
+            ReportedBreakerState::Closed,
+            ReportedBreakerState::Open,
+            ReportedBreakerState::HalfOpen,
         ];
         let now_is = all
             .into_iter()
@@ -76,8 +76,8 @@
             node.seen = Seen::default();
         }
         node.seen.healed = match (node.seen.state, now_is) {
-            (BreakerState::Closed, BreakerState::Closed) => node.seen.healed,
-            (_, BreakerState::Closed) => Some(now),
+            (ReportedBreakerState::Closed, ReportedBreakerState::Closed) => node.seen.healed,
+            (_, ReportedBreakerState::Closed) => Some(now),
             _ => None,
         };
         node.seen.there = state.is_some();
--- a/crates/coralstep-server/src/fleet/health_exchange.rs
+++ b/crates/coralstep-server/src/fleet/health_exchange.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coralstep_fleet::Millis;
-use coralstep_shared_health::{BreakerState, LocalHealth, SharedHealth};
+use coralstep_shared_health::{LocalHealth, ReportedBreakerState, SharedHealth};
 
 use super::service::FleetService;
 use crate::decisions::{BreakerStatus, SchedulerHandle};
@@ -66,11 +66,11 @@
 }
 
 /// Returns the state of this name; closed for an unknown one.
-fn breaker_state(name: &str) -> BreakerState {
+fn breaker_state(name: &str) -> ReportedBreakerState {
     let states = [
-        BreakerState::Closed,
-        BreakerState::Open,
-        BreakerState::HalfOpen,
+        ReportedBreakerState::Closed,
+        ReportedBreakerState::Open,
+        ReportedBreakerState::HalfOpen,
     ];
     states
         .into_iter()
--- a/crates/coralstep-server/tests/verdicts.rs
+++ b/crates/coralstep-server/tests/verdicts.rs
@@ -13,7 +13,7 @@
 use coralstep_lab::emulate::store::Store;
 use coralstep_lab::fleet::{Drive, Faults, Fleet, Guest, Setup, Told};
 use coralstep_lab::world::Dependency;
-use coralstep_shared_health::{BreakerState, LocalHealth, SharedHealth, SharingConfig};
+use coralstep_shared_health::{LocalHealth, ReportedBreakerState, SharedHealth, SharingConfig};
 use serde_json::{Value, json};
 
 const LIMIT: Duration = Duration::from_secs(40);
@@ -241,9 +241,9 @@
     fn handle_timeout(&mut self, now: u64, view: &MembershipView<'_>) -> Vec<Message> {
         // It has just closed again, each second.
         let state = match self.1 {
-            Lie::Fails => BreakerState::Open,
-            Lie::Serves if now % 1_000 < 100 => BreakerState::HalfOpen,
-            Lie::Serves => BreakerState::Closed,
+            Lie::Fails => ReportedBreakerState::Open,
+            Lie::Serves if now % 1_000 < 100 => ReportedBreakerState::HalfOpen,
+            Lie::Serves => ReportedBreakerState::Closed,
         };
         let failures = if matches!(self.1, Lie::Fails) { 20 } else { 0 };
         self.0.observe(
--- a/crates/coralstep-shared-health/src/aggregate.rs
+++ b/crates/coralstep-shared-health/src/aggregate.rs
@@ -8,7 +8,7 @@
 
 use crate::config::SharingConfig;
 use crate::peer_report::{PeerCounts, PeerId, PeerReport};
-use crate::report::BreakerState;
+use crate::report::ReportedBreakerState;
 
 /// Outcomes of its own that a breaker looks at when there are no peer reports.
 pub const WINDOW_OUTCOMES: u32 = 20;
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug)]
 pub struct Aggregator {
     rng: SmallRng,
-    last_state: BreakerState,
+    last_state: ReportedBreakerState,
     last_advised_at: Millis,
     /// When the breaker opened last.
     open_since: Millis,
@@ -88,7 +88,7 @@
     pub fn new(seed: u64) -> Aggregator {
         Aggregator {
             rng: SmallRng::seed_from_u64(seed),
-            last_state: BreakerState::Closed,
+            last_state: ReportedBreakerState::Closed,
             last_advised_at: 0,
             open_since: 0,
             cooldown_jitter_ms: 0,
@@ -105,7 +105,7 @@
         &mut self,
         now: Millis,
         config: SharingConfig,
-        state: BreakerState,
+        state: ReportedBreakerState,
         reports: &[PeerReport],
     ) -> BreakerAdvice {
         let elapsed_ms = now
@@ -120,7 +120,7 @@
             advice.min_outcomes = min_outcomes(peers);
         }
         // A server whose turn has come is left alone until its probe call has shown something.
-        if state != BreakerState::Open || self.has_turn {
+        if state != ReportedBreakerState::Open || self.has_turn {
             return advice;
         }
         if config.limit_probe_rate && peers.open > 0 {
@@ -192,19 +192,19 @@
 
     /// Follows the breaker from state to state: its own probe call shows whether a report of
     /// recovery was true.
-    fn track_state(&mut self, now: Millis, state: BreakerState) {
+    fn track_state(&mut self, now: Millis, state: ReportedBreakerState) {
         self.distrusted_peers.retain(|of| now < of.until_ms);
         let previous = std::mem::replace(&mut self.last_state, state);
-        if state == BreakerState::Open && previous != BreakerState::Open {
+        if state == ReportedBreakerState::Open && previous != ReportedBreakerState::Open {
             self.open_since = now;
             self.has_turn = false;
             self.cooldown_jitter_ms = self.rng.random_range(0..HELD_COOLDOWN_MS / 2);
         }
         match state {
-            BreakerState::Open if previous == BreakerState::HalfOpen => {
+            ReportedBreakerState::Open if previous == ReportedBreakerState::HalfOpen => {
                 self.distrust_believed_peers(now);
             }
-            BreakerState::Closed => self.believed_peers.clear(),
+            ReportedBreakerState::Closed => self.believed_peers.clear(),
             _ => {}
         }
     }
--- a/crates/coralstep-shared-health/src/aggregate/tests.rs
+++ b/crates/coralstep-shared-health/src/aggregate/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn report(peer: u64, state: BreakerState, failures: u32, calls: u32) -> PeerReport {
+fn report(peer: u64, state: ReportedBreakerState, failures: u32, calls: u32) -> PeerReport {
     PeerReport {
         peer: PeerId(peer),
         state,
@@ -11,7 +11,7 @@
     }
 }
 
-fn all(count: u64, state: BreakerState, failures: u32, calls: u32) -> Vec<PeerReport> {
+fn all(count: u64, state: ReportedBreakerState, failures: u32, calls: u32) -> Vec<PeerReport> {
     (0..count)
         .map(|peer| report(peer, state, failures, calls))
         .collect()
@@ -22,28 +22,36 @@
     let mut aggregator = Aggregator::new(1);
     let mut needed = |reports: &[PeerReport]| {
         aggregator
-            .advise(0, SharingConfig::default(), BreakerState::Closed, reports)
+            .advise(
+                0,
+                SharingConfig::default(),
+                ReportedBreakerState::Closed,
+                reports,
+            )
             .min_outcomes
     };
     assert_eq!(needed(&[]), WINDOW_OUTCOMES);
     assert_eq!(
-        needed(&all(1, BreakerState::Open, 1, 1)),
+        needed(&all(1, ReportedBreakerState::Open, 1, 1)),
         WINDOW_OUTCOMES,
         "one alone says nothing"
     );
     assert_eq!(
-        needed(&all(10, BreakerState::Closed, 0, 5)),
+        needed(&all(10, ReportedBreakerState::Closed, 0, 5)),
         WINDOW_OUTCOMES
     );
-    assert_eq!(needed(&all(10, BreakerState::Closed, 2, 2)), MIN_OUTCOMES);
-    let mut mixed = all(10, BreakerState::Closed, 0, 5);
-    mixed[0] = report(0, BreakerState::Open, 20, 20);
+    assert_eq!(
+        needed(&all(10, ReportedBreakerState::Closed, 2, 2)),
+        MIN_OUTCOMES
+    );
+    let mut mixed = all(10, ReportedBreakerState::Closed, 0, 5);
+    mixed[0] = report(0, ReportedBreakerState::Open, 20, 20);
     assert_eq!(needed(&mixed), WINDOW_OUTCOMES, "a liar among ten");
     mixed[1..6]
         .iter_mut()
         .for_each(|report| report.failures = 5);
     assert_eq!(needed(&mixed), 8, "six of ten");
-    let mut old = all(10, BreakerState::Closed, 2, 2);
+    let mut old = all(10, ReportedBreakerState::Closed, 2, 2);
     old.iter_mut()
         .for_each(|report| report.since_call_ms = crate::report::MAX_REPORT_AGE_MS + 1);
     assert_eq!(needed(&old), WINDOW_OUTCOMES, "what they saw is too old");
@@ -56,8 +64,8 @@
             .advise(
                 0,
                 off,
-                BreakerState::Closed,
-                &all(9, BreakerState::Open, 2, 2)
+                ReportedBreakerState::Closed,
+                &all(9, ReportedBreakerState::Open, 2, 2)
             )
             .min_outcomes,
         WINDOW_OUTCOMES
@@ -67,13 +75,18 @@
 #[test]
 fn the_fleet_probes_at_one_rate_and_no_caller_is_told_to_wait_for_long() {
     for (open, lasts) in [(2u64, 100_000u64), (10, 100_000), (300, 20_000)] {
-        let reports = all(open - 1, BreakerState::Open, 1, 1);
+        let reports = all(open - 1, ReportedBreakerState::Open, 1, 1);
         let mut fleet: Vec<Aggregator> = (0..open).map(Aggregator::new).collect();
         let mut probes = 0;
         for now in (0..lasts).step_by(50) {
             for aggregator in &mut fleet {
                 let left = aggregator
-                    .advise(now, SharingConfig::default(), BreakerState::Open, &reports)
+                    .advise(
+                        now,
+                        SharingConfig::default(),
+                        ReportedBreakerState::Open,
+                        &reports,
+                    )
                     .cooldown_left_ms
                     .unwrap();
                 if left > 0 {
@@ -88,7 +101,7 @@
                 aggregator.advise(
                     now,
                     SharingConfig::default(),
-                    BreakerState::HalfOpen,
+                    ReportedBreakerState::HalfOpen,
                     &reports,
                 );
             }
@@ -105,13 +118,18 @@
         alone.advise(
             0,
             SharingConfig::default(),
-            BreakerState::Open,
-            &all(5, BreakerState::Closed, 0, 5)
+            ReportedBreakerState::Open,
+            &all(5, ReportedBreakerState::Closed, 0, 5)
         ),
         BreakerAdvice::default()
     );
     assert_eq!(
-        alone.advise(50, SharingConfig::default(), BreakerState::Open, &[]),
+        alone.advise(
+            50,
+            SharingConfig::default(),
+            ReportedBreakerState::Open,
+            &[]
+        ),
         BreakerAdvice::default()
     );
 }
@@ -123,10 +141,10 @@
         ..SharingConfig::default()
     };
     let recovered = |count: u64, open: u64| {
-        let mut reports = all(open, BreakerState::Open, 1, 1);
+        let mut reports = all(open, ReportedBreakerState::Open, 1, 1);
         reports.extend((open..open + count).map(|peer| PeerReport {
             since_recovery_ms: Some(500),
-            ..report(peer, BreakerState::Closed, 0, 1)
+            ..report(peer, ReportedBreakerState::Closed, 0, 1)
         }));
         reports
     };
@@ -134,7 +152,7 @@
     let tries = |reports: &[PeerReport]| {
         let step = |seed: u64| {
             Aggregator::new(seed)
-                .advise(1_000, config, BreakerState::Open, reports)
+                .advise(1_000, config, ReportedBreakerState::Open, reports)
                 .cooldown_left_ms
         };
         (0..60)
@@ -151,22 +169,22 @@
         one <= 6 && ten > one && ten <= 40 && most == 60,
         "{one}, {ten}, {most}"
     );
-    assert_eq!(tries(&all(58, BreakerState::Open, 1, 1)), 0);
+    assert_eq!(tries(&all(58, ReportedBreakerState::Open, 1, 1)), 0);
     // A peer that never failed says nothing of this server's path.
-    assert_eq!(tries(&all(58, BreakerState::Closed, 0, 20)), 0);
+    assert_eq!(tries(&all(58, ReportedBreakerState::Closed, 0, 20)), 0);
     // The own probe call fails: for a while this peer is not believed.
     let (mut aggregator, reports) = (Aggregator::new(3), recovered(1, 0));
     let mut now = 1_000;
     let mut probes = 0;
     while now < 21_000 {
         if aggregator
-            .advise(now, config, BreakerState::Open, &reports)
+            .advise(now, config, ReportedBreakerState::Open, &reports)
             .cooldown_left_ms
             .is_some()
         {
             probes += 1;
-            aggregator.advise(now + 50, config, BreakerState::HalfOpen, &reports);
-            aggregator.advise(now + 100, config, BreakerState::Open, &reports);
+            aggregator.advise(now + 50, config, ReportedBreakerState::HalfOpen, &reports);
+            aggregator.advise(now + 100, config, ReportedBreakerState::Open, &reports);
         }
         now += 200;
     }
--- a/crates/coralstep-shared-health/src/dependency.rs
+++ b/crates/coralstep-shared-health/src/dependency.rs
@@ -5,7 +5,7 @@
 use crate::aggregate::Aggregator;
 use crate::fault_source::FaultSource;
 use crate::operator_view::DependencyRow;
-use crate::report::{BreakerState, HealthReport, LocalHealth};
+use crate::report::{HealthReport, LocalHealth, ReportedBreakerState};
 
 pub(crate) struct Dependency {
     local: LocalHealth,
@@ -38,8 +38,8 @@
             self.last_call_at = now;
         }
         match (self.local.state, local.state) {
-            (BreakerState::Closed, BreakerState::Closed) => {}
-            (_, BreakerState::Closed) => self.recovered_at = Some(now),
+            (ReportedBreakerState::Closed, ReportedBreakerState::Closed) => {}
+            (_, ReportedBreakerState::Closed) => self.recovered_at = Some(now),
             _ => self.recovered_at = None,
         }
         self.local = local;
--- a/crates/coralstep-shared-health/src/fault_source/tests.rs
+++ b/crates/coralstep-shared-health/src/fault_source/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::peer_report::{PeerId, PeerReport};
-use crate::report::BreakerState;
+use crate::report::ReportedBreakerState;
 
-fn peers(count: u64, state: BreakerState, failures: u32, calls: u32) -> PeerCounts {
+fn peers(count: u64, state: ReportedBreakerState, failures: u32, calls: u32) -> PeerCounts {
     let report = |peer: u64| PeerReport {
         peer: PeerId(peer),
         state,
@@ -17,11 +17,11 @@
 #[test]
 fn a_faulty_dependency_and_a_faulty_path_to_it_are_told_apart() {
     assert_eq!(
-        FaultSource::find(true, peers(9, BreakerState::Closed, 0, 5)),
+        FaultSource::find(true, peers(9, ReportedBreakerState::Closed, 0, 5)),
         FaultSource::OwnPath
     );
     assert_eq!(
-        FaultSource::find(true, peers(9, BreakerState::Open, 1, 1)),
+        FaultSource::find(true, peers(9, ReportedBreakerState::Open, 1, 1)),
         FaultSource::Dependency
     );
     assert_eq!(
@@ -29,7 +29,7 @@
         FaultSource::Unknown
     );
     assert_eq!(
-        FaultSource::find(false, peers(9, BreakerState::Closed, 0, 5)),
+        FaultSource::find(false, peers(9, ReportedBreakerState::Closed, 0, 5)),
         FaultSource::NoFault
     );
 }
--- a/crates/coralstep-shared-health/src/lib.rs
+++ b/crates/coralstep-shared-health/src/lib.rs
@@ -25,5 +25,5 @@
 pub use aggregate::BreakerAdvice;
 pub use config::SharingConfig;
 pub use fault_source::FaultSource;
-pub use report::{BreakerState, LocalHealth};
+pub use report::{LocalHealth, ReportedBreakerState};
 pub use shared_health::SharedHealth;
--- a/crates/coralstep-shared-health/src/operator_view.rs
+++ b/crates/coralstep-shared-health/src/operator_view.rs
@@ -7,7 +7,7 @@
 
 use crate::fault_source::FaultSource;
 use crate::peer_report::PeerCounts;
-use crate::report::BreakerState;
+use crate::report::ReportedBreakerState;
 
 /// What one server reports of one dependency; the keys are those of the JSON output.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -17,7 +17,7 @@
     /// Name of the server that reports.
     pub server: String,
     /// State of that server's breaker.
-    pub state: BreakerState,
+    pub state: ReportedBreakerState,
     /// How many of its recent calls failed.
     pub failures: u32,
     /// How many of its calls ended recently.
--- a/crates/coralstep-shared-health/src/peer_report.rs
+++ b/crates/coralstep-shared-health/src/peer_report.rs
@@ -1,7 +1,7 @@
 //! What a peer reports of one dependency, as it stands now, and the counts over all peers.
 use coralstep_fleet::Millis;
 
-use crate::report::{BreakerState, MAX_REPORT_AGE_MS};
+use crate::report::{MAX_REPORT_AGE_MS, ReportedBreakerState};
 
 /// Identifies a peer process: the same for all its reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -13,7 +13,7 @@
     /// Who reports.
     pub peer: PeerId,
     /// State of the peer's breaker.
-    pub state: BreakerState,
+    pub state: ReportedBreakerState,
     /// How many of its recent calls failed.
     pub failures: u32,
     /// How many of its calls ended recently.
@@ -37,7 +37,7 @@
 
     /// Whether its breaker is open or half-open.
     pub fn is_open(&self) -> bool {
-        self.state != BreakerState::Closed
+        self.state != ReportedBreakerState::Closed
     }
 }
 
--- a/crates/coralstep-shared-health/src/report.rs
+++ b/crates/coralstep-shared-health/src/report.rs
@@ -17,7 +17,7 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
-pub enum BreakerState {
+pub enum ReportedBreakerState {
     /// Calls are made.
     #[default]
     Closed,
@@ -27,13 +27,13 @@
     HalfOpen,
 }
 
-impl BreakerState {
+impl ReportedBreakerState {
     /// Returns the name by which the scheduler and its log know the state.
     pub fn name(self) -> &'static str {
         match self {
-            BreakerState::Closed => "closed",
-            BreakerState::Open => "open",
-            BreakerState::HalfOpen => "half-open",
+            ReportedBreakerState::Closed => "closed",
+            ReportedBreakerState::Open => "open",
+            ReportedBreakerState::HalfOpen => "half-open",
         }
     }
 }
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LocalHealth {
     /// State of its breaker.
-    pub state: BreakerState,
+    pub state: ReportedBreakerState,
     /// How many of the recent calls failed.
     pub failures: u32,
     /// How many calls ended recently.
@@ -55,7 +55,7 @@
     /// Name of the dependency.
     pub dependency: String,
     /// State of the server's breaker.
-    pub state: BreakerState,
+    pub state: ReportedBreakerState,
     /// How many of the recent calls failed.
     pub failures: u8,
     /// How many calls ended recently.
--- a/crates/coralstep-shared-health/src/shared_health.rs
+++ b/crates/coralstep-shared-health/src/shared_health.rs
@@ -17,7 +17,8 @@
 use crate::operator_view::{DependencyRow, FaultSourceChanged};
 use crate::peer_report::{PeerCounts, PeerId, PeerReport};
 use crate::report::{
-    BreakerState, HealthReport, LocalHealth, MAX_DEPENDENCIES, MAX_REPORT_AGE_MS, NodeHealth,
+    HealthReport, LocalHealth, MAX_DEPENDENCIES, MAX_REPORT_AGE_MS, NodeHealth,
+    ReportedBreakerState,
 };
 
 /// This server's report is renewed this often if nothing changes, in ms.
@@ -91,7 +92,7 @@
             self.next_report_at = now;
         }
         let peers = PeerCounts::of(&reports);
-        let source = FaultSource::find(local.state != BreakerState::Closed, peers);
+        let source = FaultSource::find(local.state != ReportedBreakerState::Closed, peers);
         if std::mem::replace(&mut known.fault_source, source) != source
             && self.events.len() < MAX_PENDING_EVENTS
         {
@@ -196,7 +197,7 @@
 
 /// Whether a peer's report tells of an open breaker or a recent recovery.
 fn is_worth_relaying(report: &HealthReport) -> bool {
-    report.state != BreakerState::Closed
+    report.state != ReportedBreakerState::Closed
         || report
             .since_recovery_ms
             .is_some_and(|age_ms| Millis::from(age_ms) <= URGENT_MS)
--- a/crates/coralstep-shared-health/tests/golden.rs
+++ b/crates/coralstep-shared-health/tests/golden.rs
@@ -3,7 +3,7 @@
 use coralstep_fleet::Member;
 use coralstep_fleet::extension::GossipExtension;
 use coralstep_fleet::gossip::Disseminator;
-use coralstep_shared_health::report::{BreakerState, HealthReport, NodeHealth};
+use coralstep_shared_health::report::{HealthReport, NodeHealth, ReportedBreakerState};
 use coralstep_shared_health::{SharedHealth, SharingConfig};
 
 /// The text of a committed file, which has to be what is written now.
@@ -31,7 +31,11 @@
     text.as_bytes().chunks(2).map(byte).collect()
 }
 
-fn report(dependency: &str, state: BreakerState, since_recovery_ms: Option<u32>) -> HealthReport {
+fn report(
+    dependency: &str,
+    state: ReportedBreakerState,
+    since_recovery_ms: Option<u32>,
+) -> HealthReport {
     HealthReport {
         dependency: dependency.to_owned(),
         state,
@@ -54,13 +58,13 @@
         1_790_000_000_123,
     );
     let all = vec![
-        report("stock", BreakerState::Closed, Some(u32::MAX)),
-        report("préis", BreakerState::Open, None),
+        report("stock", ReportedBreakerState::Closed, Some(u32::MAX)),
+        report("préis", ReportedBreakerState::Open, None),
         HealthReport {
             failures: 0,
             calls: 3,
             since_call_ms: 0,
-            ..report("mail", BreakerState::HalfOpen, Some(300))
+            ..report("mail", ReportedBreakerState::HalfOpen, Some(300))
         },
     ];
     [
