--- a/crates/coralstep-config/src/site/limits.rs
+++ b/crates/coralstep-config/src/site/limits.rs
@@ -1,7 +1,7 @@
 //! The section `limits`: limits that hold for the whole fleet.
 use coralstep_quota::Limit;
 use coralstep_quota::config::resolve_limits;
-use coralstep_quota::lease::shortened_by_drift;
+use coralstep_quota::lease::shorten_by_drift;
 
 use super::error::SiteError;
 use super::fleet::renewal_time_ms;
@@ -29,7 +29,7 @@
                 "fleet.keepers names nobody who could give shares",
             ));
         }
-        let known = coralstep_quota::config::Names {
+        let known = coralstep_quota::config::KnownNames {
             methods: &names.methods,
             calls_dependency: &names.calls,
             tenants: &names.tenants,
@@ -60,7 +60,7 @@
         .filter(|(method, _)| limit.scope.method.is_none_or(|limited| limited == *method))
         .map(|(_, deadline_ms)| *deadline_ms)
         .max();
-    let usable_ms = shortened_by_drift(u64::from(fleet.lease_ms)) - renewal_time_ms(fleet.lease_ms);
+    let usable_ms = shorten_by_drift(u64::from(fleet.lease_ms)) - renewal_time_ms(fleet.lease_ms);
     match longest.filter(|longest| *longest > usable_ms) {
         None => Ok(()),
         Some(longest) => Err(SiteError::invalid(
--- a/crates/coralstep-lab/src/explore/shares.rs
+++ b/crates/coralstep-lab/src/explore/shares.rs
@@ -7,7 +7,7 @@
 use coralstep_quota::config::CutOff;
 use coralstep_quota::election::TERM_MS;
 use coralstep_quota::guarantees::{max_failover_time, max_reclaim_time};
-use coralstep_quota::lease::lengthened_by_drift;
+use coralstep_quota::lease::lengthen_by_drift;
 
 use super::Play;
 use crate::shares::{Cheat, World, limit};
@@ -69,7 +69,7 @@
         ];
         let mut world = World::new(SERVERS, SERVERS, &limits, LEASE, 7, scope.cheat);
         if scope.prelude == Prelude::Settled {
-            world.pass(lengthened_by_drift(LEASE) + max_failover_time() + 1_000);
+            world.pass(lengthen_by_drift(LEASE) + max_failover_time() + 1_000);
             let mut shares = Shares { world };
             for _ in 0..6 {
                 (0..SERVERS).for_each(|server| shares.rpcs(server, 2));
@@ -136,7 +136,7 @@
         // Who left is replaced.
         (0..SERVERS).for_each(|server| self.world.start(server));
         self.world
-            .pass(max_failover_time() + lengthened_by_drift(TERM_MS));
+            .pass(max_failover_time() + lengthen_by_drift(TERM_MS));
         let kept = self.world.keeper().is_some();
         self.world.pass(max_reclaim_time(LEASE, 500));
         // All demand is at one: it gets all.
--- a/crates/coralstep-lab/src/shares.rs
+++ b/crates/coralstep-lab/src/shares.rs
@@ -10,7 +10,7 @@
 use coralstep_quota::guarantees::max_admitted;
 use coralstep_quota::lease::MAX_CLOCK_DRIFT;
 use coralstep_quota::limit::{LimitKey, LimitScope};
-use coralstep_quota::{Limit, LimitKind, Permit, QuotaExtension, RequestKey};
+use coralstep_quota::{Limit, LimitKind, QuotaExtension, QuotaPermit, RequestKey};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -43,7 +43,7 @@
     missed: u64,
     ticked: u64,
     /// RPCs in hand: until when, by the world's clock.
-    hands: Vec<(u64, Permit)>,
+    hands: Vec<(u64, QuotaPermit)>,
     leaving: bool,
 }
 
@@ -323,7 +323,7 @@
             .iter_mut()
             .filter(|(_, server)| server.paused.is_none())
         {
-            let over: Vec<Permit> = server
+            let over: Vec<QuotaPermit> = server
                 .hands
                 .extract_if(.., |(until, _)| *until <= now)
                 .map(|(_, pass)| pass)
@@ -408,7 +408,7 @@
         let local = of.local(now);
         let admitted = of.part.admit(local, RequestKey::default(), holds);
         let admitted = match admitted {
-            Err(_) if cheat == Cheat::Admits && server == 0 => Ok(Permit::default()),
+            Err(_) if cheat == Cheat::Admits && server == 0 => Ok(QuotaPermit::default()),
             other => other,
         };
         let pass = match admitted {
--- a/crates/coralstep-lab/tests/limits.rs
+++ b/crates/coralstep-lab/tests/limits.rs
@@ -7,8 +7,8 @@
 use coralstep_lab::shares::{Cheat, World, limit};
 use coralstep_quota::LimitKind;
 use coralstep_quota::config::CutOff;
-use coralstep_quota::guarantees::{max_admitted_cut_off, max_failover_time, max_reclaim_time};
-use coralstep_quota::lease::lengthened_by_drift;
+use coralstep_quota::guarantees::{max_excess_while_cut_off, max_failover_time, max_reclaim_time};
+use coralstep_quota::lease::lengthen_by_drift;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -29,7 +29,7 @@
         seed,
         Cheat::None,
     );
-    world.pass(lengthened_by_drift(LEASE) + max_failover_time());
+    world.pass(lengthen_by_drift(LEASE) + max_failover_time());
     world.until_kept(20_000);
     assert!(world.keeper().is_some());
     world
@@ -162,7 +162,7 @@
         fleet_total: 6.0,
     };
     let mut world = World::new(6, 3, &[limit(rate(30.0, 30), open)], LEASE, 8, Cheat::None);
-    world.pass(lengthened_by_drift(LEASE) + max_failover_time());
+    world.pass(lengthen_by_drift(LEASE) + max_failover_time());
     for _ in 0..20 {
         (0..6).for_each(|server| _ = world.rpc(server, 100));
         world.pass(100);
@@ -176,7 +176,7 @@
         world.pass(50);
     }
     let (after, ..) = world.figures(1);
-    let most = max_admitted_cut_off(1, 2.0, 6.0, 6, 10_000);
+    let most = max_excess_while_cut_off(1, 2.0, 6.0, 6, 10_000);
     assert!(
         (after - before) as f64 <= most && after - before >= 5,
         "{} of {most}",
--- a/crates/coralstep-quota/src/client.rs
+++ b/crates/coralstep-quota/src/client.rs
@@ -12,7 +12,7 @@
 use crate::Millis;
 use crate::limit::{Limit, LimitKey, LimitScope, RequestKey};
 use crate::message::{GrantBatch, MAX_ENTRIES, QuotaRequest, TermId};
-pub use permit::{Permit, QuotaExhausted};
+pub use permit::{QuotaExhausted, QuotaPermit};
 pub use share::ShareStatus;
 use share::{Round, Share};
 
@@ -114,9 +114,9 @@
         now: Millis,
         request: RequestKey,
         due_within: Millis,
-    ) -> Result<Permit, QuotaExhausted> {
+    ) -> Result<QuotaPermit, QuotaExhausted> {
         if self.shares.is_empty() {
-            return Ok(Permit::default());
+            return Ok(QuotaPermit::default());
         }
         let applicable = self.applicable_shares(request);
         let mut admissions = Vec::with_capacity(applicable.len());
@@ -134,7 +134,7 @@
                 retry_after_ms: retry_at - now,
             });
         }
-        let mut permit = Permit::default();
+        let mut permit = QuotaPermit::default();
         for (position, admission) in applicable.into_iter().zip(admissions) {
             let share = &mut self.shares[position];
             share.take(now, admission);
@@ -160,7 +160,7 @@
     }
 
     /// Gives back the units of an RPC that is answered.
-    pub fn release(&mut self, permit: Permit) {
+    pub fn release(&mut self, permit: QuotaPermit) {
         for key in permit.into_keys() {
             if let Some(position) = self.by_key.get(&key) {
                 self.shares[*position].release();
--- a/crates/coralstep-quota/src/client/permit.rs
+++ b/crates/coralstep-quota/src/client/permit.rs
@@ -5,9 +5,9 @@
 /// The units that an RPC took of limits on RPCs in flight; to be given back with
 /// [`QuotaClient::release`](super::QuotaClient::release).
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Permit(Vec<LimitKey>);
+pub struct QuotaPermit(Vec<LimitKey>);
 
-impl Permit {
+impl QuotaPermit {
     pub(super) fn add(&mut self, key: LimitKey) {
         self.0.push(key);
     }
--- a/crates/coralstep-quota/src/client/share.rs
+++ b/crates/coralstep-quota/src/client/share.rs
@@ -3,7 +3,7 @@
 use super::retries::RetrySchedule;
 use crate::Millis;
 use crate::cut_off::{CutOffBucket, cut_off_allowance};
-use crate::lease::{lease_of, shortened_by_drift};
+use crate::lease::{lease_of, shorten_by_drift};
 use crate::limit::{Limit, LimitKey, LimitKind};
 use crate::message::{Grant, QuotaRequest};
 
@@ -274,7 +274,7 @@
         };
         // Counted from when it requested: the answer may have been under way for long.
         let lease = lease_of(self.limit.kind, in_flight_lease);
-        let expires = request.sent + shortened_by_drift(lease);
+        let expires = request.sent + shorten_by_drift(lease);
         if now >= expires {
             return;
         }
--- a/crates/coralstep-quota/src/client/tests.rs
+++ b/crates/coralstep-quota/src/client/tests.rs
@@ -43,7 +43,7 @@
     client.set_limits(&[], 500);
     assert_eq!(
         client.admit(500, RequestKey::default(), 1_000),
-        Ok(Permit::default())
+        Ok(QuotaPermit::default())
     );
     client.release(first);
     client.set_limits(&[limit], 600);
--- a/crates/coralstep-quota/src/config.rs
+++ b/crates/coralstep-quota/src/config.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 pub use error::LimitConfigError;
-pub use resolve::{Names, resolve_limits};
+pub use resolve::{KnownNames, resolve_limits};
 
 /// The settings of a limit: RPCs of a tenant, a method, a dependency, or of what is all of these, for the whole
 /// fleet. Either `rps` (with `burst`) or `in_flight` is set.
--- a/crates/coralstep-quota/src/config/resolve.rs
+++ b/crates/coralstep-quota/src/config/resolve.rs
@@ -23,7 +23,7 @@
 
 /// The names that settings of limits may refer to.
 #[derive(Clone, Copy, Debug)]
-pub struct Names<'a> {
+pub struct KnownNames<'a> {
     /// Names of the methods, by index.
     pub methods: &'a [String],
     /// Whether each method calls the dependency, by index.
@@ -41,7 +41,7 @@
 /// The first fault found, by the path of the setting.
 pub fn resolve_limits(
     configs: &[LimitConfig],
-    names: &Names<'_>,
+    names: &KnownNames<'_>,
 ) -> Result<Vec<Limit>, LimitConfigError> {
     if configs.len() > MAX_LIMITS {
         return Err(LimitConfigError::TooManyLimits {
@@ -79,7 +79,7 @@
 }
 
 impl Resolver<'_> {
-    fn resolve(&self, names: &Names<'_>) -> Result<Limit, LimitConfigError> {
+    fn resolve(&self, names: &KnownNames<'_>) -> Result<Limit, LimitConfigError> {
         self.check_name()?;
         let scope = self.scope(names)?;
         let kind = self.kind()?;
@@ -104,7 +104,7 @@
         Ok(())
     }
 
-    fn scope(&self, names: &Names<'_>) -> Result<LimitScope, LimitConfigError> {
+    fn scope(&self, names: &KnownNames<'_>) -> Result<LimitScope, LimitConfigError> {
         let index = self.index;
         let tenant = self.find("tenant", self.config.tenant.as_ref(), names.tenants)?;
         let method = self.find("method", self.config.method.as_ref(), names.methods)?;
--- a/crates/coralstep-quota/src/config/tests.rs
+++ b/crates/coralstep-quota/src/config/tests.rs
@@ -14,7 +14,7 @@
         owned(&["a", "b"]),
         owned(&["store"]),
     );
-    let names = Names {
+    let names = KnownNames {
         methods: &methods,
         calls_dependency: &[true, false],
         tenants: &tenants,
--- a/crates/coralstep-quota/src/cut_off.rs
+++ b/crates/coralstep-quota/src/cut_off.rs
@@ -20,7 +20,7 @@
 ///   server ever knew, itself among them.
 ///
 /// Of a rate the allowance comes in evenly and at most one RPC is admitted at once (`CutOffBucket`). What all servers
-/// together may admit is [`crate::guarantees::max_admitted_cut_off`].
+/// together may admit is [`crate::guarantees::max_excess_while_cut_off`].
 pub fn cut_off_allowance(
     policy: CutOff,
     last_grant: Option<Millis>,
--- a/crates/coralstep-quota/src/election.rs
+++ b/crates/coralstep-quota/src/election.rs
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 
 use crate::Millis;
-use crate::lease::{lengthened_by_drift, shortened_by_drift};
+use crate::lease::{lengthen_by_drift, shorten_by_drift};
 use crate::message::{Message, TermId, wire_millis};
 
 /// A leader's term lapses this long after its votes were requested, in milliseconds.
@@ -79,7 +79,7 @@
         candidates.dedup();
         let rank = candidates.iter().position(|name| *name == own.name);
         let rank = rank.unwrap_or(0) as u64;
-        let abstains_until = now + lengthened_by_drift(TERM_MS);
+        let abstains_until = now + lengthen_by_drift(TERM_MS);
         LeaderElection {
             own: own.clone(),
             candidates,
@@ -154,7 +154,7 @@
         let earlier_ballot = earlier.map_or(0, |promise| promise.ballot);
         self.promise = Some(Promise {
             candidate: candidate.clone(),
-            until: now + lengthened_by_drift(TERM_MS),
+            until: now + lengthen_by_drift(TERM_MS),
             ballot: ballot.max(earlier_ballot),
         });
         true
@@ -173,7 +173,7 @@
             return false;
         }
         self.votes.insert(voter.to_owned());
-        let until = self.ballot_started + shortened_by_drift(TERM_MS);
+        let until = self.ballot_started + shorten_by_drift(TERM_MS);
         let is_majority = self.votes.len() * 2 > self.candidates.len();
         if !is_majority || now >= until {
             return false;
--- a/crates/coralstep-quota/src/election/tests.rs
+++ b/crates/coralstep-quota/src/election/tests.rs
@@ -19,7 +19,7 @@
         .iter()
         .map(|name| ((*name).to_owned(), member(name, 1)))
         .collect();
-    let start = lengthened_by_drift(TERM_MS);
+    let start = lengthen_by_drift(TERM_MS);
     assert!(
         all[0].tick(start - 1, &there, false).messages.is_empty(),
         "a voter that has just started promises nothing"
@@ -38,15 +38,15 @@
         "another lease counts differently"
     );
     // It ends by itself, before any promise does.
-    assert!(!all[0].is_leader(start + shortened_by_drift(TERM_MS)));
+    assert!(!all[0].is_leader(start + shorten_by_drift(TERM_MS)));
     assert!(!all[1].handle_vote_request(
-        start + shortened_by_drift(TERM_MS),
+        start + shorten_by_drift(TERM_MS),
         &member("c", 1),
         1,
         10_000
     ));
     assert!(all[1].handle_vote_request(
-        start + 6 + lengthened_by_drift(TERM_MS),
+        start + 6 + lengthen_by_drift(TERM_MS),
         &member("c", 1),
         1,
         10_000
@@ -59,7 +59,7 @@
 fn a_candidate_with_too_few_votes_releases_them() {
     let mut all = three();
     let there: BTreeMap<String, Member> = [("b".to_owned(), member("b", 1))].into();
-    let start = lengthened_by_drift(TERM_MS);
+    let start = lengthen_by_drift(TERM_MS);
     all[0].tick(start, &there, false);
     assert!(!all[0].handle_vote(start + 10, "b", 1, false));
     let tick = all[0].tick(start + BALLOT_INTERVAL_MS, &there, false);
--- a/crates/coralstep-quota/src/extension.rs
+++ b/crates/coralstep-quota/src/extension.rs
@@ -13,7 +13,7 @@
 use coralstep_fleet::gossip::Disseminator;
 
 use crate::Millis;
-use crate::client::{Permit, QuotaClient, QuotaExhausted, RequestBatch};
+use crate::client::{QuotaClient, QuotaExhausted, QuotaPermit, RequestBatch};
 use crate::election::{AddressedMessage, LeaderElection};
 use crate::leader::QuotaLeader;
 use crate::limit::{Limit, RequestKey};
@@ -109,12 +109,12 @@
         now: Millis,
         request: RequestKey,
         due_within: Millis,
-    ) -> Result<Permit, QuotaExhausted> {
+    ) -> Result<QuotaPermit, QuotaExhausted> {
         self.client.admit(now, request, due_within)
     }
 
     /// Gives back the units of an RPC that is answered.
-    pub fn release(&mut self, permit: Permit) {
+    pub fn release(&mut self, permit: QuotaPermit) {
         self.client.release(permit);
     }
 
--- a/crates/coralstep-quota/src/guarantees.rs
+++ b/crates/coralstep-quota/src/guarantees.rs
@@ -4,7 +4,7 @@
 //! rule is found.
 use crate::Millis;
 use crate::election::{BALLOT_INTERVAL_MS, TERM_MS};
-use crate::lease::{MAX_CLOCK_DRIFT, lengthened_by_drift};
+use crate::lease::{MAX_CLOCK_DRIFT, lengthen_by_drift};
 use crate::limit::LimitKind;
 
 /// RPCs that all servers together admit in a window of `window` milliseconds, at most, where no server is cut off
@@ -26,7 +26,7 @@
 ///
 /// `per_server` and `fleet_total` are the policy's figures for a limit of a rate, in RPCs a second; `members` the most
 /// members that each server ever knew. One more may come at once at each server.
-pub fn max_admitted_cut_off(
+pub fn max_excess_while_cut_off(
     servers: usize,
     per_server: f64,
     fleet_total: f64,
@@ -40,7 +40,7 @@
 /// Milliseconds until units of a server that died, or was cut off, are held by others again, at most: its lease on
 /// the leader's clock, and one round of requests.
 pub fn max_reclaim_time(lease: Millis, round: Millis) -> Millis {
-    lengthened_by_drift(lease) + round
+    lengthen_by_drift(lease) + round
 }
 
 /// Milliseconds until another server leads after the leader died or was cut off, at most: its term as the voters
@@ -49,5 +49,5 @@
 /// Reported RPCs in flight are confirmed from then on, and more are granted after a lease; tokens of a rate come in
 /// after [`crate::lease::TOKEN_LIFETIME_MS`].
 pub fn max_failover_time() -> Millis {
-    lengthened_by_drift(TERM_MS) + 3 * BALLOT_INTERVAL_MS
+    lengthen_by_drift(TERM_MS) + 3 * BALLOT_INTERVAL_MS
 }
--- a/crates/coralstep-quota/src/leader.rs
+++ b/crates/coralstep-quota/src/leader.rs
@@ -10,7 +10,7 @@
 use coralstep_fleet::Member;
 
 use crate::Millis;
-use crate::lease::{TOKEN_LIFETIME_MS, lengthened_by_drift};
+use crate::lease::{TOKEN_LIFETIME_MS, lengthen_by_drift};
 use crate::limit::{Limit, LimitKey};
 use crate::message::{Grant, QuotaRequest};
 use ledger::{Ledger, MAX_ALLOCATIONS, Requester};
@@ -57,8 +57,8 @@
     pub fn new(now: Millis, lease: Millis) -> QuotaLeader {
         QuotaLeader {
             lease,
-            recovers_until: now + lengthened_by_drift(lease),
-            tokens_from: now + lengthened_by_drift(TOKEN_LIFETIME_MS),
+            recovers_until: now + lengthen_by_drift(lease),
+            tokens_from: now + lengthen_by_drift(TOKEN_LIFETIME_MS),
             ledgers: BTreeMap::new(),
             clients: HashMap::new(),
         }
--- a/crates/coralstep-quota/src/leader/ledger.rs
+++ b/crates/coralstep-quota/src/leader/ledger.rs
@@ -6,7 +6,7 @@
 use super::fair_share::fair_share;
 use super::{AllocationRow, MIN_ROUND_MS};
 use crate::Millis;
-use crate::lease::{TOKEN_LIFETIME_MS, lease_of, lengthened_by_drift};
+use crate::lease::{TOKEN_LIFETIME_MS, lease_of, lengthen_by_drift};
 use crate::limit::{LimitKey, LimitKind};
 use crate::message::{Grant, QuotaRequest, wire_millis};
 
@@ -275,7 +275,7 @@
     ) {
         let has_any = decision.counted > 0 || claim.wanted > 0;
         let remembered_for = if has_any {
-            lengthened_by_drift(lease)
+            lengthen_by_drift(lease)
         } else {
             // Only for its sequence number.
             TOKEN_LIFETIME_MS
--- a/crates/coralstep-quota/src/leader/tests.rs
+++ b/crates/coralstep-quota/src/leader/tests.rs
@@ -65,7 +65,7 @@
         burst: 5,
     });
     // Tokens of the leader before may be out.
-    let from = lengthened_by_drift(TOKEN_LIFETIME_MS);
+    let from = lengthen_by_drift(TOKEN_LIFETIME_MS);
     assert_eq!(request(&mut leader, from, "a", 1, 0, 3).unwrap().units, 0);
     let mut ask = |now: Millis, of: &str, sequence: u32, held: u32, wanted: u32| {
         request(&mut leader, from + now, of, sequence, held, wanted)
@@ -87,7 +87,7 @@
     );
     assert_eq!(ask(1_900, "c", 2, 0, 1).unwrap().units, 1);
     // Units of a server that died are free when its lease is over.
-    let after = from + 1_100 + lengthened_by_drift(TOKEN_LIFETIME_MS);
+    let after = from + 1_100 + lengthen_by_drift(TOKEN_LIFETIME_MS);
     assert_eq!(allocated(&mut leader, after - 1), 4);
     assert!(allocated(&mut leader, after) <= 2);
 }
@@ -106,7 +106,7 @@
         "nobody's claims exceed the limit"
     );
     assert_eq!(request(&mut leader, 30, "c", 1, 0, 2).unwrap().units, 0);
-    let recovered = lengthened_by_drift(LEASE);
+    let recovered = lengthen_by_drift(LEASE);
     assert_eq!(
         request(&mut leader, recovered, "a", 2, 6, 6).unwrap().units,
         3,
@@ -146,7 +146,7 @@
 #[test]
 fn a_lowered_limit_reclaims_as_leases_end_and_a_raised_one_grants_at_once() {
     let mut leader = leader(LimitKind::InFlight(10));
-    let recovered = lengthened_by_drift(LEASE);
+    let recovered = lengthen_by_drift(LEASE);
     assert_eq!(
         request(&mut leader, recovered, "a", 1, 0, 10)
             .unwrap()
@@ -179,7 +179,7 @@
 #[test]
 fn a_limit_removed_and_added_within_a_lease_keeps_its_allocations() {
     let mut leader = leader(LimitKind::InFlight(4));
-    let recovered = lengthened_by_drift(LEASE);
+    let recovered = lengthen_by_drift(LEASE);
     assert_eq!(
         request(&mut leader, recovered, "a", 1, 0, 4).unwrap().units,
         4
@@ -194,7 +194,7 @@
     );
     // Its lease over, nothing is kept of a removed limit.
     leader.set_limits(recovered + 40, &[]);
-    leader.set_limits(recovered + 2 * lengthened_by_drift(LEASE), &[]);
+    leader.set_limits(recovered + 2 * lengthen_by_drift(LEASE), &[]);
     assert!(leader.ledgers.is_empty());
 }
 
--- a/crates/coralstep-quota/src/lease.rs
+++ b/crates/coralstep-quota/src/lease.rs
@@ -13,12 +13,12 @@
 pub const TOKEN_LIFETIME_MS: Millis = 2_000;
 
 /// How long a span of this server's may last on the clock of another, in milliseconds: the longest.
-pub fn lengthened_by_drift(span: Millis) -> Millis {
+pub fn lengthen_by_drift(span: Millis) -> Millis {
     (span as f64 * (1.0 + 2.0 * MAX_CLOCK_DRIFT)).ceil() as Millis + 1
 }
 
 /// How much of a span that another server counts is safe to use on this server's clock, in milliseconds: the shortest.
-pub fn shortened_by_drift(span: Millis) -> Millis {
+pub fn shorten_by_drift(span: Millis) -> Millis {
     (span as f64 * (1.0 - MAX_CLOCK_DRIFT)) as Millis
 }
 
--- a/crates/coralstep-quota/src/lib.rs
+++ b/crates/coralstep-quota/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod limit;
 pub mod message;
 
-pub use client::{Permit, QuotaExhausted};
+pub use client::{QuotaExhausted, QuotaPermit};
 pub use config::LimitConfig;
 pub use coralstep_fleet::Millis;
 pub use extension::QuotaExtension;
--- a/crates/coralstep-quota/tests/golden.rs
+++ b/crates/coralstep-quota/tests/golden.rs
@@ -3,7 +3,7 @@
 use coralstep_fleet::Member;
 use coralstep_fleet::extension::{GossipExtension, MembershipView};
 use coralstep_quota::QuotaExtension;
-use coralstep_quota::config::{CutOff, LimitConfig, Names, resolve_limits};
+use coralstep_quota::config::{CutOff, KnownNames, LimitConfig, resolve_limits};
 use coralstep_quota::extension::ShareRow;
 use coralstep_quota::limit::{Limit, LimitKey, RequestKey};
 use coralstep_quota::message::{Grant, GrantBatch, Message, QuotaRequest, TermId};
@@ -192,7 +192,7 @@
         names(&["north", "süd"]),
         names(&["stock"]),
     );
-    let known = Names {
+    let known = KnownNames {
         methods: &methods,
         calls_dependency: &[false, true],
         tenants: &tenants,
--- a/crates/coralstep-server/src/decisions/quota.rs
+++ b/crates/coralstep-server/src/decisions/quota.rs
@@ -2,7 +2,7 @@
 //! is answered.
 use std::rc::Rc;
 
-use coralstep_quota::{Permit, QuotaExhausted, RequestKey};
+use coralstep_quota::{QuotaExhausted, QuotaPermit, RequestKey};
 
 use crate::decisions::handle::SchedulerHandle;
 use crate::decisions::idempotency_keys::IdempotencyKey;
@@ -16,15 +16,15 @@
     /// # Errors
     ///
     /// A quota is used up.
-    fn take(&self, request: RequestKey, covers_ms: u64) -> Result<Permit, QuotaExhausted>;
+    fn take(&self, request: RequestKey, covers_ms: u64) -> Result<QuotaPermit, QuotaExhausted>;
 
     /// Gives back what an RPC took.
-    fn give_back(&self, permit: Permit);
+    fn give_back(&self, permit: QuotaPermit);
 }
 
 struct Reservation {
     limiter: Rc<dyn QuotaLimiter>,
-    permit: Permit,
+    permit: QuotaPermit,
 }
 
 /// What an RPC took of the fleet's quotas, if anything; given back when dropped.
--- a/crates/coralstep-server/src/fleet/quotas.rs
+++ b/crates/coralstep-server/src/fleet/quotas.rs
@@ -1,7 +1,7 @@
 //! The fleet's limits: which ones hold, and what RPCs take of them.
 use coralstep_fleet::{Millis, VersionId};
 use coralstep_quota::limit::stricter_limits;
-use coralstep_quota::{Limit, Permit, QuotaExhausted, RequestKey};
+use coralstep_quota::{Limit, QuotaExhausted, QuotaPermit, RequestKey};
 
 use super::service::FleetService;
 use crate::decisions::QuotaLimiter;
@@ -44,14 +44,14 @@
 }
 
 impl QuotaLimiter for FleetService {
-    fn take(&self, request: RequestKey, covers_ms: u64) -> Result<Permit, QuotaExhausted> {
+    fn take(&self, request: RequestKey, covers_ms: u64) -> Result<QuotaPermit, QuotaExhausted> {
         let Some(quota) = &self.quota else {
-            return Ok(Permit::default());
+            return Ok(QuotaPermit::default());
         };
         quota.borrow_mut().admit(self.now(), request, covers_ms)
     }
 
-    fn give_back(&self, permit: Permit) {
+    fn give_back(&self, permit: QuotaPermit) {
         if let Some(quota) = &self.quota {
             quota.borrow_mut().release(permit);
         }
--- a/crates/coralstep-server/src/lifecycle/snapshots.rs
+++ b/crates/coralstep-server/src/lifecycle/snapshots.rs
@@ -13,7 +13,7 @@
 use coralstep_config::site::StateConfig;
 use coralstep_state::DirStorage;
 use coralstep_state::background::{BackgroundScheduler, Budget, StepCost, TaskConfig};
-use coralstep_state::fingerprint::Fingerprint;
+use coralstep_state::fingerprint::ConfigFingerprint;
 use coralstep_state::snapshot::{
     self, LoadedSnapshots, RejectedSnapshot, SaveError, SequenceNumber, SnapshotError,
 };
@@ -101,7 +101,7 @@
         loop {
             Timer::after(CHECK_INTERVAL).await;
             while let Ok(elapsed) = self.completions.try_recv() {
-                background.step_done(TASK.name, cost_of(elapsed));
+                background.complete_step(TASK.name, cost_of(elapsed));
             }
             let now_ms = start.elapsed().as_secs_f64() * 1_000.0;
             if last_requested.elapsed() >= self.interval {
@@ -113,7 +113,7 @@
             if may_request && self.request_snapshot(scheduler) {
                 last_requested = Instant::now();
                 // Its real cost follows with its completion.
-                background.step_done(TASK.name, StepCost::default());
+                background.complete_step(TASK.name, StepCost::default());
             }
         }
     }
@@ -149,7 +149,7 @@
 /// The part that runs on the thread.
 struct SnapshotWriter {
     storage: DirStorage,
-    fingerprint: Fingerprint,
+    fingerprint: ConfigFingerprint,
     last_sequence_number: SequenceNumber,
     is_failing: bool,
 }
@@ -201,8 +201,8 @@
     }
 }
 
-fn fingerprint(config: &Config) -> Fingerprint {
-    Fingerprint {
+fn fingerprint(config: &Config) -> ConfigFingerprint {
+    ConfigFingerprint {
         server: config.name.clone(),
         cores: config.scheduler.cores,
         methods: config.names.methods.clone(),
--- a/crates/coralstep-server/tests/limits.rs
+++ b/crates/coralstep-server/tests/limits.rs
@@ -13,9 +13,9 @@
 use coralstep_lab::fleet::judge::excess;
 use coralstep_lab::fleet::processes::{METHODS, TENANTS};
 use coralstep_lab::fleet::{Drive, Fault, Fleet, Guest, Setup, Told};
-use coralstep_quota::config::{Names, resolve_limits};
+use coralstep_quota::config::{KnownNames, resolve_limits};
 use coralstep_quota::guarantees::{max_admitted, max_failover_time, max_reclaim_time};
-use coralstep_quota::lease::{MAX_CLOCK_DRIFT, TOKEN_LIFETIME_MS, lengthened_by_drift};
+use coralstep_quota::lease::{MAX_CLOCK_DRIFT, TOKEN_LIFETIME_MS, lengthen_by_drift};
 use coralstep_quota::limit::LimitKey;
 use coralstep_quota::message::{Message, QuotaRequest, TermId};
 use coralstep_quota::{LimitConfig, LimitKind};
@@ -49,7 +49,7 @@
         fleet.log(0)
     );
     // Tokens of a keeper before it, which there was none of, are waited for all the same.
-    std::thread::sleep(ms(lengthened_by_drift(TOKEN_LIFETIME_MS)));
+    std::thread::sleep(ms(lengthen_by_drift(TOKEN_LIFETIME_MS)));
     fleet
 }
 
@@ -134,7 +134,7 @@
     let mut fleet = fleet(7, 42, 2.0, rate());
     let drive = Drive::default();
     let mut used = Vec::new();
-    let gap = (max_failover_time() + lengthened_by_drift(TOKEN_LIFETIME_MS) + 1_500) as f64;
+    let gap = (max_failover_time() + lengthen_by_drift(TOKEN_LIFETIME_MS) + 1_500) as f64;
     for fault in ["killed", "cut off", "stopped"] {
         let who = keeper(&fleet).unwrap();
         let rest: Vec<usize> = (0..7).filter(|at| *at != who).collect();
@@ -202,7 +202,7 @@
     let drive = Drive::default();
     let most = |fleet: &Fleet| fleet.crowd.lock().unwrap().most;
     // The first keeper knows of none before it, and waits for their leases all the same.
-    std::thread::sleep(ms(lengthened_by_drift(LEASE)));
+    std::thread::sleep(ms(lengthen_by_drift(LEASE)));
     let load = |fleet: &Fleet, servers: &[usize], lasts: u64| {
         let from = drive.now_ms();
         std::thread::scope(|scope| {
@@ -254,9 +254,7 @@
         served = load(&fleet, &all, 1_000);
         assert!(
             start.elapsed()
-                < ms(max_reclaim_time(LEASE, 500)
-                    + max_failover_time()
-                    + lengthened_by_drift(LEASE))
+                < ms(max_reclaim_time(LEASE, 500) + max_failover_time() + lengthen_by_drift(LEASE))
                     * 2,
             "{served}"
         );
@@ -276,7 +274,7 @@
     };
     assert!(fleet.until(LIMIT, held).is_some());
     // What was out under the old one is over.
-    std::thread::sleep(ms(lengthened_by_drift(TOKEN_LIFETIME_MS) + 500));
+    std::thread::sleep(ms(lengthen_by_drift(TOKEN_LIFETIME_MS) + 500));
     let early = (0..6)
         .filter(|at| fleet.acts_on(*at).is_ok_and(|on| on == version))
         .count();
@@ -341,7 +339,7 @@
             .collect::<Vec<_>>()
     };
     let (methods, tenants) = (owned(&METHODS), owned(&TENANTS));
-    let names = Names {
+    let names = KnownNames {
         methods: &methods,
         calls_dependency: &[false, false],
         tenants: &tenants,
--- a/crates/coralstep-state/src/background.rs
+++ b/crates/coralstep-state/src/background.rs
@@ -138,7 +138,7 @@
     }
 
     /// A step is done and cost this much.
-    pub fn step_done(&mut self, name: &str, cost: StepCost) {
+    pub fn complete_step(&mut self, name: &str, cost: StepCost) {
         self.available.time_ms -= cost.time_ms;
         self.available.cpu_ms -= cost.cpu_ms;
         self.available.bytes -= cost.bytes;
--- a/crates/coralstep-state/src/background/tests.rs
+++ b/crates/coralstep-state/src/background/tests.rs
@@ -14,7 +14,7 @@
             .iter()
             .for_each(|task| scheduler.request_step(task.name, now));
         while let Some(name) = scheduler.next_step(now, busy(tick)) {
-            scheduler.step_done(name, cost);
+            scheduler.complete_step(name, cost);
             scheduler.request_step(name, now);
             got[tasks.iter().position(|task| task.name == name).unwrap()] += cost.cpu_ms;
         }
@@ -76,7 +76,7 @@
         now += 100.0;
         scheduler.request_step("a", now);
         while let Some(name) = scheduler.next_step(now, 0.0) {
-            scheduler.step_done(name, STEP);
+            scheduler.complete_step(name, STEP);
             scheduler.request_step("a", now);
         }
     }
@@ -86,7 +86,7 @@
         now += 100.0;
         if let Some(name) = scheduler.next_step(now, 0.0) {
             row.push(name);
-            scheduler.step_done(name, STEP);
+            scheduler.complete_step(name, STEP);
             scheduler.request_step(name, now);
         }
     }
--- a/crates/coralstep-state/src/fingerprint.rs
+++ b/crates/coralstep-state/src/fingerprint.rs
@@ -4,7 +4,7 @@
 
 /// The parts of a server's configuration that decide whether a snapshot applies to it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fingerprint {
+pub struct ConfigFingerprint {
     /// Name of the server.
     pub server: String,
     /// Cores of its engine.
@@ -24,8 +24,8 @@
 /// and what was learned of calls only for the same share of the dependency.
 pub fn applicable_part(
     learned: &LearnedState,
-    learned_under: &Fingerprint,
-    current: &Fingerprint,
+    learned_under: &ConfigFingerprint,
+    current: &ConfigFingerprint,
 ) -> Option<LearnedState> {
     if learned_under.server != current.server {
         return None;
--- a/crates/coralstep-state/src/fingerprint/tests.rs
+++ b/crates/coralstep-state/src/fingerprint/tests.rs
@@ -14,8 +14,8 @@
     }
 }
 
-fn fingerprint() -> Fingerprint {
-    Fingerprint {
+fn fingerprint() -> ConfigFingerprint {
+    ConfigFingerprint {
         server: "n1".to_owned(),
         cores: 4,
         methods: vec!["read".to_owned(), "pay".to_owned()],
@@ -26,14 +26,15 @@
 
 #[test]
 fn only_what_applies_under_the_current_configuration_is_kept() {
-    let applicable = |current: &Fingerprint| applicable_part(&learned(), &fingerprint(), current);
+    let applicable =
+        |current: &ConfigFingerprint| applicable_part(&learned(), &fingerprint(), current);
     assert_eq!(applicable(&fingerprint()), Some(learned()));
-    let renamed = Fingerprint {
+    let renamed = ConfigFingerprint {
         methods: vec!["pay".to_owned(), "new".to_owned()],
         ..fingerprint()
     };
     assert_eq!(applicable(&renamed).unwrap().run_times, [[2; 12], [0; 12]]);
-    let fewer_cores = Fingerprint {
+    let fewer_cores = ConfigFingerprint {
         cores: 2,
         ..fingerprint()
     };
@@ -42,7 +43,7 @@
         (half.concurrency_limit, half.call_permits),
         (None, Some(4.0))
     );
-    let other_share = Fingerprint {
+    let other_share = ConfigFingerprint {
         dependency_share: Some(9.0),
         ..fingerprint()
     };
@@ -56,7 +57,7 @@
         ),
         (Some(5), None, None, [0; 12])
     );
-    let other_server = Fingerprint {
+    let other_server = ConfigFingerprint {
         server: "n2".to_owned(),
         ..fingerprint()
     };
--- a/crates/coralstep-state/src/framing.rs
+++ b/crates/coralstep-state/src/framing.rs
@@ -21,7 +21,7 @@
     /// A snapshot of what the scheduler learned.
     Learned = 1,
     /// A segment of the write-ahead log of idempotency keys.
-    Tokens = 2,
+    IdempotencyKeys = 2,
     /// The record of active and past configuration versions.
     Fleet = 3,
 }
--- a/crates/coralstep-state/src/framing/tests.rs
+++ b/crates/coralstep-state/src/framing/tests.rs
@@ -47,16 +47,19 @@
 
 #[test]
 fn a_header_states_kind_and_version() {
-    let bytes = file_header(FileKind::Tokens, 7);
+    let bytes = file_header(FileKind::IdempotencyKeys, 7);
     assert_eq!(
         (
             bytes.len(),
-            read_version(&bytes, FileKind::Tokens),
+            read_version(&bytes, FileKind::IdempotencyKeys),
             read_version(&bytes, FileKind::Learned)
         ),
         (HEADER_BYTES, Some(7), None)
     );
-    assert!((0..HEADER_BYTES).all(|cut| read_version(&bytes[..cut], FileKind::Tokens).is_none()));
+    assert!(
+        (0..HEADER_BYTES)
+            .all(|cut| read_version(&bytes[..cut], FileKind::IdempotencyKeys).is_none())
+    );
 }
 
 /// Guards against a marker, length, checksum or header of another order or width, which every file
@@ -65,7 +68,7 @@
 fn headers_and_records_keep_their_bytes() {
     let all = [
         (FileKind::Learned, 1),
-        (FileKind::Tokens, 2),
+        (FileKind::IdempotencyKeys, 2),
         (FileKind::Fleet, 3),
     ];
     for (kind, number) in all {
--- a/crates/coralstep-state/src/snapshot.rs
+++ b/crates/coralstep-state/src/snapshot.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::confidence;
-use crate::fingerprint::{Fingerprint, applicable_part};
+use crate::fingerprint::{ConfigFingerprint, applicable_part};
 use crate::storage::{Storage, StorageError};
 
 mod format;
@@ -147,7 +147,7 @@
 /// configuration.
 ///
 /// `now_s`: seconds since the Unix epoch.
-pub fn load(storage: &impl Storage, current: &Fingerprint, now_s: u64) -> LoadedSnapshots {
+pub fn load(storage: &impl Storage, current: &ConfigFingerprint, now_s: u64) -> LoadedSnapshots {
     let mut loaded = LoadedSnapshots::default();
     let mut newest: Option<Stored> = None;
     for file in GENERATIONS {
@@ -184,7 +184,7 @@
 pub fn save(
     storage: &mut impl Storage,
     learned: &LearnedState,
-    learned_under: &Fingerprint,
+    learned_under: &ConfigFingerprint,
     sequence_number: SequenceNumber,
     now_s: u64,
 ) -> Result<(), SaveError> {
@@ -211,7 +211,11 @@
 }
 
 /// Rejects a snapshot of another server, or of an age without any confidence.
-fn check_origin(stored: &Stored, current: &Fingerprint, now_s: u64) -> Result<(), SnapshotError> {
+fn check_origin(
+    stored: &Stored,
+    current: &ConfigFingerprint,
+    now_s: u64,
+) -> Result<(), SnapshotError> {
     if stored.base.server != current.server {
         return Err(SnapshotError::OtherServer {
             server: stored.base.server.clone(),
--- a/crates/coralstep-state/src/snapshot/format.rs
+++ b/crates/coralstep-state/src/snapshot/format.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Corruption, FORMAT_VERSION, SequenceNumber, SnapshotError};
-use crate::fingerprint::Fingerprint;
+use crate::fingerprint::ConfigFingerprint;
 use crate::framing::{self, FileKind, HEADER_BYTES};
 
 /// Counts of run or call times by the scheduler's bins.
@@ -68,7 +68,7 @@
 impl Stored {
     pub(super) fn new(
         learned: &LearnedState,
-        learned_under: &Fingerprint,
+        learned_under: &ConfigFingerprint,
         sequence_number: SequenceNumber,
         written_at_s: u64,
     ) -> Stored {
@@ -99,9 +99,9 @@
         now_s as i64 - self.base.written_at_s as i64
     }
 
-    pub(super) fn fingerprint(&self) -> Fingerprint {
+    pub(super) fn fingerprint(&self) -> ConfigFingerprint {
         let base = &self.base;
-        Fingerprint {
+        ConfigFingerprint {
             server: base.server.clone(),
             cores: base.cores,
             methods: base.methods.clone(),
--- a/crates/coralstep-state/src/snapshot/tests.rs
+++ b/crates/coralstep-state/src/snapshot/tests.rs
@@ -3,8 +3,8 @@
 use crate::faulty_storage::{Faults, FaultyStorage};
 use crate::framing::{self, FileKind};
 
-fn fingerprint() -> Fingerprint {
-    Fingerprint {
+fn fingerprint() -> ConfigFingerprint {
+    ConfigFingerprint {
         server: "n1".to_owned(),
         cores: 4,
         methods: vec!["read".to_owned()],
@@ -87,7 +87,7 @@
     // Of another server.
     let other = load(
         &storage,
-        &Fingerprint {
+        &ConfigFingerprint {
             server: "n2".to_owned(),
             ..fingerprint()
         },
--- a/crates/coralstep-state/src/wal.rs
+++ b/crates/coralstep-state/src/wal.rs
@@ -44,7 +44,7 @@
 
 /// How a run ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum RecordedOutcome {
     /// It succeeded with this result.
     Succeeded(Vec<u8>),
     /// It failed, and may have had an effect.
@@ -204,7 +204,7 @@
     }
 
     /// Records how a run ended; nothing happens if the key is not known.
-    pub fn record_outcome(&mut self, key: &[u8], outcome: Outcome, now_ms: u64) {
+    pub fn record_outcome(&mut self, key: &[u8], outcome: RecordedOutcome, now_ms: u64) {
         if !self.index.contains(key) {
             return;
         }
--- a/crates/coralstep-state/src/wal/entry.rs
+++ b/crates/coralstep-state/src/wal/entry.rs
@@ -2,7 +2,7 @@
 //! position.
 use serde::{Deserialize, Serialize};
 
-use super::{MAX_RESULT_BYTES, Outcome};
+use super::{MAX_RESULT_BYTES, RecordedOutcome};
 
 /// What is recorded of the run under an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,20 +23,20 @@
 }
 
 impl LogEntry {
-    pub(super) fn of_outcome(key: &[u8], outcome: Outcome) -> LogEntry {
+    pub(super) fn of_outcome(key: &[u8], outcome: RecordedOutcome) -> LogEntry {
         let key = key.to_vec();
         match outcome {
-            Outcome::Succeeded(result) => LogEntry::Ended {
+            RecordedOutcome::Succeeded(result) => LogEntry::Ended {
                 key,
                 succeeded: true,
                 result: Some(result).filter(|result| result.len() <= MAX_RESULT_BYTES),
             },
-            Outcome::Failed => LogEntry::Ended {
+            RecordedOutcome::Failed => LogEntry::Ended {
                 key,
                 succeeded: false,
                 result: None,
             },
-            Outcome::NeverStarted => LogEntry::NeverStarted { key },
+            RecordedOutcome::NeverStarted => LogEntry::NeverStarted { key },
         }
     }
 
--- a/crates/coralstep-state/src/wal/segment.rs
+++ b/crates/coralstep-state/src/wal/segment.rs
@@ -53,7 +53,7 @@
 }
 
 pub(super) fn parse_contents(file: &[u8]) -> SegmentContents<'_> {
-    match framing::read_version(file, FileKind::Tokens) {
+    match framing::read_version(file, FileKind::IdempotencyKeys) {
         Some(FORMAT_VERSION) => {
             SegmentContents::Records(framing::scan_records(&file[HEADER_BYTES..]))
         }
@@ -144,7 +144,7 @@
     fn create_segment(&mut self) -> Result<(), StorageError> {
         let number = self.segments.back().map_or(0, |last| last.number + 1);
         let file = file_name(number);
-        let header = framing::file_header(FileKind::Tokens, FORMAT_VERSION);
+        let header = framing::file_header(FileKind::IdempotencyKeys, FORMAT_VERSION);
         self.storage.create(&file)?;
         self.segments.push_back(Segment {
             number,
--- a/crates/coralstep-state/src/wal/tests.rs
+++ b/crates/coralstep-state/src/wal/tests.rs
@@ -17,7 +17,7 @@
 fn run(
     log: &mut WriteAheadLog<FaultyStorage>,
     key: &[u8],
-    end: Option<Outcome>,
+    end: Option<RecordedOutcome>,
     now_ms: u64,
 ) -> bool {
     if !log.record_start(key, now_ms + WINDOW_MS, now_ms) || log.commit(now_ms).is_err() {
@@ -36,16 +36,21 @@
     assert!(run(
         &mut log,
         b"good",
-        Some(Outcome::Succeeded(b"42".to_vec())),
+        Some(RecordedOutcome::Succeeded(b"42".to_vec())),
+        10
+    ));
+    assert!(run(&mut log, b"bad", Some(RecordedOutcome::Failed), 10));
+    assert!(run(
+        &mut log,
+        b"never",
+        Some(RecordedOutcome::NeverStarted),
         10
     ));
-    assert!(run(&mut log, b"bad", Some(Outcome::Failed), 10));
-    assert!(run(&mut log, b"never", Some(Outcome::NeverStarted), 10));
     assert!(run(&mut log, b"doubt", None, 10));
     assert!(run(
         &mut log,
         b"long",
-        Some(Outcome::Succeeded(vec![1; MAX_RESULT_BYTES + 1])),
+        Some(RecordedOutcome::Succeeded(vec![1; MAX_RESULT_BYTES + 1])),
         10
     ));
     let decisions = |log: &WriteAheadLog<FaultyStorage>, now: u64| {
@@ -82,7 +87,7 @@
                 continue;
             }
             started.push(number);
-            log.record_outcome(&[number], Outcome::Succeeded(vec![number]), 0);
+            log.record_outcome(&[number], RecordedOutcome::Succeeded(vec![number]), 0);
             if log.commit(0).is_ok() {
                 committed.push(number);
             }
@@ -139,7 +144,7 @@
         assert!(run(
             &mut log,
             &number.to_le_bytes(),
-            Some(Outcome::Succeeded(result.clone())),
+            Some(RecordedOutcome::Succeeded(result.clone())),
             u64::from(number)
         ));
     }
@@ -152,11 +157,15 @@
         assert!(run(
             &mut log,
             &(number + 5_000).to_le_bytes(),
-            Some(Outcome::Succeeded(result.clone())),
+            Some(RecordedOutcome::Succeeded(result.clone())),
             3_000
         ));
     }
-    log.record_outcome(b"straddles", Outcome::Succeeded(b"here".to_vec()), 3_000);
+    log.record_outcome(
+        b"straddles",
+        RecordedOutcome::Succeeded(b"here".to_vec()),
+        3_000,
+    );
     log.commit(3_000).unwrap();
     let mut again = open(
         log.into_storage().after_power_cut(3, Faults::default()),
@@ -187,7 +196,7 @@
     assert!(run(
         &mut log,
         b"a",
-        Some(Outcome::Succeeded(b"1".to_vec())),
+        Some(RecordedOutcome::Succeeded(b"1".to_vec())),
         0
     ));
     let mut again = WriteAheadLog::open(log.into_storage(), 64 << 20).unwrap();
@@ -206,7 +215,7 @@
 #[test]
 fn a_full_or_failing_disk_leaves_keys_unprotected_until_it_recovers() {
     let mut log = fresh();
-    assert!(run(&mut log, b"a", Some(Outcome::Failed), 0));
+    assert!(run(&mut log, b"a", Some(RecordedOutcome::Failed), 0));
     log.storage_mut().faults.capacity_bytes = Some(0);
     assert!(log.record_start(b"b", 1_000, 10));
     assert!(matches!(log.commit(10), Err(WalError::Storage(_))));
@@ -220,7 +229,7 @@
     assert!(run(
         &mut log,
         b"d",
-        Some(Outcome::Succeeded(b"4".to_vec())),
+        Some(RecordedOutcome::Succeeded(b"4".to_vec())),
         6_000
     ));
     // What came behind a torn record is read all the same.
@@ -249,7 +258,7 @@
         assert!(run(
             &mut log,
             &number.to_le_bytes(),
-            Some(Outcome::Succeeded(result.clone())),
+            Some(RecordedOutcome::Succeeded(result.clone())),
             0
         ));
     }
@@ -261,7 +270,7 @@
     storage
         .append(
             &later,
-            &framing::file_header(FileKind::Tokens, FORMAT_VERSION + 1),
+            &framing::file_header(FileKind::IdempotencyKeys, FORMAT_VERSION + 1),
         )
         .unwrap();
     let mut again = open(storage, 10);
--- a/crates/coralstep-state/tests/golden.rs
+++ b/crates/coralstep-state/tests/golden.rs
@@ -8,11 +8,13 @@
 use coralstep_fleet::{Fleet, FleetConfig, Member, VersionId};
 use coralstep_state::confidence;
 use coralstep_state::faulty_storage::FaultyStorage;
-use coralstep_state::fingerprint::Fingerprint;
+use coralstep_state::fingerprint::ConfigFingerprint;
 use coralstep_state::fleet_record::{self, FleetRecord, LoadedFleetRecord};
 use coralstep_state::snapshot::{self, LoadedSnapshots, RestoredState, SequenceNumber};
 use coralstep_state::storage::ReadOnlyDir;
-use coralstep_state::wal::{MAX_RESULT_BYTES, Outcome, ReplayDecision, WalEvent, WriteAheadLog};
+use coralstep_state::wal::{
+    MAX_RESULT_BYTES, RecordedOutcome, ReplayDecision, WalEvent, WriteAheadLog,
+};
 use coralstep_state::{DirStorage, Storage};
 
 /// Snapshots were written at these seconds, and are read at `NOW_S`.
@@ -66,8 +68,8 @@
     }
 }
 
-fn fingerprint() -> Fingerprint {
-    Fingerprint {
+fn fingerprint() -> ConfigFingerprint {
+    ConfigFingerprint {
         server: "server-17.alps".to_owned(),
         cores: 144,
         methods: ["search", "order/place", "grüße"]
@@ -95,7 +97,7 @@
     }
 }
 
-fn nothing_optional() -> (LearnedState, Fingerprint) {
+fn nothing_optional() -> (LearnedState, ConfigFingerprint) {
     let learned = LearnedState {
         concurrency_limit: None,
         call_permits: None,
@@ -104,7 +106,7 @@
     };
     (
         learned,
-        Fingerprint {
+        ConfigFingerprint {
             dependency_share: None,
             ..fingerprint()
         },
@@ -160,28 +162,32 @@
 }
 
 /// A run of each end, each known from then on as the verdict says.
-fn runs() -> Vec<(&'static [u8], Option<Outcome>, ReplayDecision)> {
+fn runs() -> Vec<(&'static [u8], Option<RecordedOutcome>, ReplayDecision)> {
     let result: Vec<u8> = (0..200).collect();
     vec![
         (
             b"good",
-            Some(Outcome::Succeeded(result.clone())),
+            Some(RecordedOutcome::Succeeded(result.clone())),
             ReplayDecision::Replay(result),
         ),
         (
             b"good without a result",
-            Some(Outcome::Succeeded(Vec::new())),
+            Some(RecordedOutcome::Succeeded(Vec::new())),
             ReplayDecision::Replay(Vec::new()),
         ),
         (
             b"good, its result too long",
-            Some(Outcome::Succeeded(vec![1; MAX_RESULT_BYTES + 1])),
+            Some(RecordedOutcome::Succeeded(vec![1; MAX_RESULT_BYTES + 1])),
+            ReplayDecision::Aborted,
+        ),
+        (
+            b"bad",
+            Some(RecordedOutcome::Failed),
             ReplayDecision::Aborted,
         ),
-        (b"bad", Some(Outcome::Failed), ReplayDecision::Aborted),
         (
             b"never ran",
-            Some(Outcome::NeverStarted),
+            Some(RecordedOutcome::NeverStarted),
             ReplayDecision::NotSeen,
         ),
         (&[0xfe; 150], None, ReplayDecision::Aborted),
