--- a/crates/coralstep-server/src/app.rs
+++ b/crates/coralstep-server/src/app.rs
@@ -176,7 +176,7 @@
             Box::pin(heartbeats),
             Box::pin(reloads),
             Box::pin(self.connections.sweep()),
-            Box::pin(self.connections.shed_for_own_dials()),
+            Box::pin(self.connections.shed_for_outgoing_connections()),
             Box::pin(drive_scheduler(&self.scheduler, &self.engine)),
         ];
         if self.parts.applications.is_some() {
--- a/crates/coralstep-server/src/base/descriptors.rs
+++ b/crates/coralstep-server/src/base/descriptors.rs
@@ -58,7 +58,7 @@
     }
 
     /// Ends when a dial finds no descriptor.
-    pub fn exhausted(&self) -> EventListener {
+    pub fn listen_for_exhaustion(&self) -> EventListener {
         self.exhausted.listen()
     }
 
--- a/crates/coralstep-server/src/base/endpoints.rs
+++ b/crates/coralstep-server/src/base/endpoints.rs
@@ -11,7 +11,7 @@
 /// An address that a reload may replace.
 pub struct Endpoint<T> {
     address: Cell<T>,
-    replaced: Event,
+    changed: Event,
 }
 
 impl<T: Copy + PartialEq> Endpoint<T> {
@@ -19,7 +19,7 @@
     pub fn new(address: T) -> Endpoint<T> {
         Endpoint {
             address: Cell::new(address),
-            replaced: Event::new(),
+            changed: Event::new(),
         }
     }
 
@@ -31,13 +31,13 @@
     /// Replaces the address.
     pub fn set(&self, address: T) {
         if self.address.replace(address) != address {
-            self.replaced.notify(usize::MAX);
+            self.changed.notify(usize::MAX);
         }
     }
 
     /// Ends when the address is next replaced by another.
-    pub fn replaced(&self) -> EventListener {
-        self.replaced.listen()
+    pub fn listen_for_change(&self) -> EventListener {
+        self.changed.listen()
     }
 }
 
--- a/crates/coralstep-server/src/base/outbox.rs
+++ b/crates/coralstep-server/src/base/outbox.rs
@@ -25,7 +25,7 @@
 }
 
 impl Outbox {
-    /// Lets `write` append a message; its position in bytes since the start, for [`Outbox::may_have_left`].
+    /// Lets `write` append a message; its position in bytes since the start, for [`Outbox::may_have_been_sent`].
     pub fn put(&self, write: impl FnOnce(&mut Vec<u8>)) -> u64 {
         let position = self.total_put.get();
         let mut pending = self.pending.borrow_mut();
@@ -38,7 +38,7 @@
     }
 
     /// Whether any byte of the message at `position` may have left.
-    pub fn may_have_left(&self, position: u64) -> bool {
+    pub fn may_have_been_sent(&self, position: u64) -> bool {
         self.total_written.get() > position
     }
 
--- a/crates/coralstep-server/src/base/outbox/tests.rs
+++ b/crates/coralstep-server/src/base/outbox/tests.rs
@@ -17,10 +17,14 @@
     let first = out.put(|bytes| bytes.extend_from_slice(b"first"));
     let flood = out.put(|bytes| bytes.resize(bytes.len() + (64 << 20), 0));
     let last = out.put(|bytes| bytes.push(1));
-    assert!(!out.may_have_left(first));
+    assert!(!out.may_have_been_sent(first));
     let end = block_on(out.write_with_timeout(&near, Duration::from_millis(20)));
     assert_eq!(end.unwrap_err().kind(), io::ErrorKind::TimedOut);
-    assert!(out.may_have_left(first) && out.may_have_left(flood) && !out.may_have_left(last));
+    assert!(
+        out.may_have_been_sent(first)
+            && out.may_have_been_sent(flood)
+            && !out.may_have_been_sent(last)
+    );
     assert!(out.unsent_bytes() > 0);
 }
 
--- a/crates/coralstep-server/src/callers/connections.rs
+++ b/crates/coralstep-server/src/callers/connections.rs
@@ -204,9 +204,9 @@
     }
 
     /// Sheds an idle connection for each of the server's own dials that found no descriptor; never ends.
-    pub async fn shed_for_own_dials(&self) {
+    pub async fn shed_for_outgoing_connections(&self) {
         loop {
-            self.descriptors.exhausted().await;
+            self.descriptors.listen_for_exhaustion().await;
             note!("descriptors exhausted, shedding an idle connection");
             self.shed_one();
         }
@@ -321,7 +321,7 @@
     }
 
     /// Ends when no connection is left.
-    pub async fn all_closed(&self) {
+    pub async fn wait_until_all_closed(&self) {
         while !self.all.borrow().is_empty() {
             let closed = self.closed.listen();
             if !self.all.borrow().is_empty() {
--- a/crates/coralstep-server/src/lifecycle/drain.rs
+++ b/crates/coralstep-server/src/lifecycle/drain.rs
@@ -59,7 +59,7 @@
         wait_until_before(stop_at, CLOSE_LISTENERS_BEFORE).await;
         self.connections.stop_accepting();
         self.connections
-            .all_closed()
+            .wait_until_all_closed()
             .or(self.close_connections(stop_at))
             .await;
         let rpcs = self.scheduler.request_counts().submitted;
--- a/crates/coralstep-server/src/lifecycle/registration.rs
+++ b/crates/coralstep-server/src/lifecycle/registration.rs
@@ -29,7 +29,7 @@
             started.await;
             continue;
         }
-        let moved = endpoint.replaced();
+        let moved = endpoint.listen_for_change();
         let Some(address) = endpoint.get() else {
             moved.await;
             continue;
--- a/crates/coralstep-server/src/runs/engine/connection.rs
+++ b/crates/coralstep-server/src/runs/engine/connection.rs
@@ -59,7 +59,7 @@
 /// Where the engine is; waits until that is known.
 async fn current_address(endpoint: &Endpoint<Option<SocketAddr>>) -> SocketAddr {
     loop {
-        let moved = endpoint.replaced();
+        let moved = endpoint.listen_for_change();
         if let Some(address) = endpoint.get() {
             return address;
         }
@@ -209,7 +209,7 @@
     async fn replacement(&self, endpoints: &Endpoints, from: SocketAddr) -> Connection {
         let endpoint = &endpoints.engine;
         loop {
-            let moved = endpoint.replaced();
+            let moved = endpoint.listen_for_change();
             let Some(to) = endpoint.get().filter(|to| *to != from) else {
                 moved.await;
                 continue;
--- a/crates/coralstep-server/src/runs/engine/link.rs
+++ b/crates/coralstep-server/src/runs/engine/link.rs
@@ -121,7 +121,7 @@
             return;
         };
         command.read = sent.position < self.read_before;
-        if !self.outbox.may_have_left(sent.position) {
+        if !self.outbox.may_have_been_sent(sent.position) {
             command.sent = None;
         }
     }
