--- a/crates/coralstep/src/answer.rs
+++ b/crates/coralstep/src/answer.rs
@@ -1,4 +1,4 @@
-//! How a request is answered that has no result.
+//! Rejections and failures of requests.
 use crate::actions::Actions;
 use crate::config::Idempotency;
 use crate::request::RpcId;
@@ -6,11 +6,10 @@
 use crate::time::Span;
 
 impl SharedState {
-    /// Rejects a request; one whose run may have had an effect fails instead, so that nobody sends it
-    /// again.
+    /// Rejects a request. One whose run may have had an effect fails instead, so that it is not retried.
     ///
-    /// Only first attempts may go to another server, and only while the fault is this server's own: storms
-    /// of retries make a fault of all servers worse.
+    /// Only first attempts may go to another server, and only while the fault is local to this server:
+    /// retry storms worsen a fault that affects all servers.
     pub(crate) fn reject(&mut self, id: RpcId, retry_after: Span, out: &mut dyn Actions) {
         let Some(request) = self.get(id) else { return };
         if request.has_run && self.method(request).idempotency != Idempotency::Idempotent {
@@ -22,7 +21,7 @@
         }
     }
 
-    /// Answers a request with an error, unless it has its answer.
+    /// Answers a request with an error, unless it is already answered.
     pub(crate) fn fail(&mut self, id: RpcId, out: &mut dyn Actions) {
         if self.get(id).is_some_and(|request| !request.answered) {
             out.fail(id);
--- a/crates/coralstep/src/bulkhead.rs
+++ b/crates/coralstep/src/bulkhead.rs
@@ -1,67 +1,72 @@
-//! The bulkhead around the dependency: permits for calls, how many there are, and what is started towards
-//! them.
+//! The bulkhead around the dependency: the number of permits for calls, and the limit of started requests
+//! that need one.
 use crate::config::SchedulerConfig;
-use crate::measurements::ASSUMED_TIME;
+use crate::measurements::DEFAULT_DURATION;
 use crate::memory_limit;
 use crate::orphans;
-use crate::priority::greatest;
+use crate::priority::max_by_value;
 use crate::request::RpcId;
 use crate::request_table::{Phase, TrackedRequest};
 use crate::shared_state::SharedState;
 use crate::time::{Span, Time};
 
-/// The longest wait for a permit.
+/// Maximum wait for a permit.
 pub(crate) const MAX_PERMIT_WAIT: Span = Span::ms(1_000);
-/// No more is started than the permits serve in this time: a quarter of the wait.
-const MAX_PERMIT_LINE: Span = Span::ms(250);
+/// Requests that must call are started only up to the number whose calls the permits serve in this time;
+/// a quarter of the maximum wait.
+const MAX_PERMIT_QUEUE_TIME: Span = Span::ms(250);
 
-/// Permits as a part of this server's share of a shared dependency.
-const INITIAL_SHARE: f64 = 0.5;
-const MIN_SHARE: f64 = 0.25;
-/// The rest is room for the calls of servers that died.
-const MAX_SHARE: f64 = 0.75;
-/// Permits toward a tier, where that is more than the cores: one lost call must not take half of them.
+/// Initial permits, as a fraction of this server's share of a shared dependency.
+const INITIAL_SHARE_FRACTION: f64 = 0.5;
+/// Minimum permits, as a fraction of the share.
+const MIN_SHARE_FRACTION: f64 = 0.25;
+/// Maximum permits, as a fraction of the share; the rest covers calls of servers that crashed.
+const MAX_SHARE_FRACTION: f64 = 0.75;
+/// Minimum permits toward a tier for servers with fewer cores than this: one lost call must not occupy half
+/// of them.
 const MIN_TIER_PERMITS: f64 = 4.0;
-/// In multiples of the fewest permits toward a tier.
-const MAX_TIER_GROWTH: f64 = 3.0;
-/// Calls this many times as slow as the best usual time mean that the dependency is crowded.
+/// Maximum permits toward a tier, as a multiple of the minimum.
+const MAX_TIER_PERMITS_FACTOR: f64 = 3.0;
+/// Typical call time, as a multiple of the best one, beyond which the dependency counts as overloaded.
 const MAX_SLOWNESS: f64 = 2.5;
-/// Applied to the permits at each review while the dependency is crowded.
+/// Factor applied to the permits at each adjustment while the dependency is overloaded.
 const SHRINK_FACTOR: f64 = 0.95;
-/// Added to the permits at each review otherwise, as a part of the most.
-const GROWTH_PART: f64 = 0.01;
-/// Call times beyond so many are halved, so that they follow a change within seconds.
+/// Added to the permits at each adjustment otherwise, as a fraction of the maximum.
+const GROWTH_FRACTION: f64 = 0.01;
+/// Number of call time samples beyond which the counts are halved, so that they follow a change within
+/// seconds.
 const MAX_CALL_SAMPLES: u64 = 40;
-/// The part of the started requests that may be before or at calls: the rest is for what calls nothing.
-const MAX_STARTED_AT_CALLS: f64 = 0.75;
+/// Maximum fraction of the started requests that are before or at their call; the rest is for requests that
+/// do not call.
+const MAX_FRACTION_AT_CALLS: f64 = 0.75;
 
-/// The fewest and the most permits.
+/// Bounds of the number of permits.
 #[derive(Clone, Copy, Debug, Default)]
 struct PermitRange {
     min: f64,
     max: f64,
 }
 
-/// Calls in flight, and the permit time that they use.
+/// Accounting of the calls in flight and of unused permit time.
 #[derive(Debug, Default)]
 struct InFlightCalls {
-    /// How long the dependency may go on with a call that was abandoned.
+    /// Time for which the dependency may continue to execute an abandoned call.
     abandoned_call_time: Span,
-    /// Until when each abandoned call counts.
+    /// Time until which each abandoned call counts as in flight.
     abandoned_until: Vec<Time>,
-    /// Permit time not used yet, in permits times ticks.
+    /// Unused permit time, in permits times ticks.
     credit: f64,
     counted_at: Time,
 }
 
 impl InFlightCalls {
-    /// Counts the calls in flight and the permit time since the last count. Abandoned calls may still be
-    /// with the dependency and count on.
+    /// Returns the number of calls in flight and adds the unused permit time since the last count. Abandoned
+    /// calls still count, because the dependency may still execute them.
     fn count(&mut self, shared: &SharedState, permits: f64) -> f64 {
         let calls = shared.requests.count(Phase::Calling) + self.abandoned_until.len();
         let in_flight = calls as f64;
         let unused = (permits - in_flight) * (shared.now - self.counted_at).0 as f64;
-        let max_credit = permits * MAX_PERMIT_LINE.0 as f64;
+        let max_credit = permits * MAX_PERMIT_QUEUE_TIME.0 as f64;
         self.credit = (self.credit + unused).min(max_credit);
         self.counted_at = shared.now;
         self.abandoned_until.retain(|until| *until > shared.now);
@@ -80,13 +85,14 @@
 /// The permits for calls to the dependency.
 #[derive(Debug, Default)]
 pub(crate) struct Bulkhead {
-    /// How many calls may be in flight; a part of a permit is a whole one for that part of the time.
+    /// Maximum number of calls in flight. A fraction of a permit allows one call for that fraction of the
+    /// time.
     permits: f64,
     in_flight: InFlightCalls,
-    /// This server's share of the calls that a shared dependency survives.
+    /// This server's share of the concurrent calls that a shared dependency sustains.
     share: Option<f64>,
     range: PermitRange,
-    /// The best usual time of a call, in ticks; 0 before the first.
+    /// Lowest typical call time, in ticks; 0 before the first call.
     best_call_time: u64,
 }
 
@@ -96,12 +102,12 @@
         let min_tier_permits = f64::from(config.cores).max(MIN_TIER_PERMITS);
         let range = match share {
             Some(share) => PermitRange {
-                min: share * MIN_SHARE,
-                max: share * MAX_SHARE,
+                min: share * MIN_SHARE_FRACTION,
+                max: share * MAX_SHARE_FRACTION,
             },
             None => PermitRange {
                 min: min_tier_permits,
-                max: min_tier_permits * MAX_TIER_GROWTH,
+                max: min_tier_permits * MAX_TIER_PERMITS_FACTOR,
             },
         };
         let abandoned_call_time = share.map_or(Span::ZERO, |_| config.abandoned_call_time);
@@ -122,80 +128,85 @@
         self.permits
     }
 
-    /// The best usual time of a call, in ticks; `None` before the first.
+    /// Returns the lowest typical call time, in ticks; `None` before the first call.
     pub(crate) fn best_call_time(&self) -> Option<u64> {
         (self.best_call_time > 0).then_some(self.best_call_time)
     }
 
-    /// Whether another call may be made now.
+    /// Returns whether another call may be made now.
     pub(crate) fn has_permit(&mut self, shared: &SharedState) -> bool {
         let calls = self.in_flight.count(shared, self.permits) + 1.0;
         let max_by_share = self.share.unwrap_or(0.0).ceil();
         calls <= self.permits.floor() || (calls <= max_by_share && self.in_flight.credit >= 0.0)
     }
 
-    /// Notes that a call ended; an abandoned one may still be with the dependency.
+    /// Records the end of a call; the dependency may still execute an abandoned one.
     pub(crate) fn record_end(&mut self, shared: &SharedState, abandoned: bool) {
         self.in_flight.record_end(shared, self.permits, abandoned);
     }
 
-    /// The request whose call is made next: that of the greatest priority weight.
+    /// Returns the request whose call is made next: the one with the highest priority weight.
     pub(crate) fn next_to_call(shared: &SharedState) -> Option<RpcId> {
         let waiting = shared.requests.unanswered_in(Phase::AwaitingCall);
-        greatest(waiting.map(|(id, request)| (shared.method(request).priority_weight, id)))
+        max_by_value(waiting.map(|(id, request)| (shared.method(request).priority_weight, id)))
     }
 
-    /// Whether more requests run towards their call than the permits serve in time.
+    /// Returns whether more requests are about to call than the permits serve in time.
     ///
-    /// Guards against work that would only end in the line for permits.
-    pub(crate) fn line_is_full(&self, shared: &SharedState) -> bool {
-        let call_ticks = shared.measurements.call_times.mean(ASSUMED_TIME).0.max(1) as f64;
-        let served = self.permits * MAX_PERMIT_LINE.0 as f64 / call_ticks;
+    /// Guards against starting requests that would only time out waiting for a permit.
+    pub(crate) fn is_permit_queue_full(&self, shared: &SharedState) -> bool {
+        let call_ticks = shared
+            .measurements
+            .call_times
+            .mean(DEFAULT_DURATION)
+            .0
+            .max(1) as f64;
+        let served = self.permits * MAX_PERMIT_QUEUE_TIME.0 as f64 / call_ticks;
         requests_before_calls(shared) as f64 > served.max(1.0)
     }
 
-    /// Sets the number of permits anew: fewer while calls are slow, else more.
+    /// Adjusts the number of permits: fewer while calls are slow, otherwise more.
     ///
-    /// Guards against a shared dependency that all crowd: it slows long before it falls.
+    /// Guards against overloading a shared dependency: it slows down long before it fails.
     pub(crate) fn adjust(&mut self, shared: &mut SharedState) {
         shared
             .measurements
             .call_times
-            .keep_at_most(MAX_CALL_SAMPLES);
+            .limit_samples(MAX_CALL_SAMPLES);
         self.in_flight.count(shared, self.permits);
-        let usual = self.usual_call_time(shared);
+        let typical = self.typical_call_time(shared);
         self.best_call_time = if self.best_call_time == 0 {
-            usual
+            typical
         } else {
-            self.best_call_time.min(usual)
+            self.best_call_time.min(typical)
         };
-        let is_crowded = usual as f64 > self.best_call_time as f64 * MAX_SLOWNESS;
-        let permits = if is_crowded {
+        let is_overloaded = typical as f64 > self.best_call_time as f64 * MAX_SLOWNESS;
+        let permits = if is_overloaded {
             self.permits * SHRINK_FACTOR
         } else {
-            self.permits + self.range.max * GROWTH_PART
+            self.permits + self.range.max * GROWTH_FRACTION
         };
         self.permits = permits.clamp(self.range.min, self.range.max);
     }
 
-    /// The usual time of a call, in ticks.
-    fn usual_call_time(&self, shared: &SharedState) -> u64 {
+    /// Returns the typical call time, in ticks.
+    fn typical_call_time(&self, shared: &SharedState) -> u64 {
         let call_times = &shared.measurements.call_times;
-        let assumed = Span(self.best_call_time);
+        let fallback = Span(self.best_call_time);
         if self.share.is_some() {
-            call_times.mean(assumed).0
+            call_times.mean(fallback).0
         } else {
-            call_times.median(assumed).0
+            call_times.median(fallback).0
         }
     }
 
-    /// The usual time of a call in multiples of the best; `None` before the first.
+    /// Returns the typical call time as a multiple of the lowest one; `None` before the first call.
     pub(crate) fn slowness(&self, shared: &SharedState) -> Option<f64> {
         let best = self.best_call_time()?;
-        Some(self.usual_call_time(shared) as f64 / best as f64)
+        Some(self.typical_call_time(shared) as f64 / best as f64)
     }
 
-    /// Takes in the permits of an earlier process with `confidence` from 0 to 1.
+    /// Restores the permits of an earlier process with a `confidence` from 0 to 1.
     pub(crate) fn restore_permits(&mut self, learned: f64, confidence: f64) {
         let initial = initial_permits(self.share, self.range);
         let permits = initial + (learned - initial) * confidence;
@@ -203,18 +214,18 @@
         self.permits = permits.clamp(min, max.max(min));
     }
 
-    /// Takes in the best usual time of a call, in ticks, of an earlier process; 0 for none.
+    /// Restores the lowest typical call time of an earlier process, in ticks; 0 if unknown.
     pub(crate) fn restore_best_call_time(&mut self, learned: u64) {
         self.best_call_time = learned;
     }
 }
 
 fn initial_permits(share: Option<f64>, range: PermitRange) -> f64 {
-    share.map_or(range.min, |share| share * INITIAL_SHARE)
+    share.map_or(range.min, |share| share * INITIAL_SHARE_FRACTION)
 }
 
-/// Started requests that must call and have not done so. Those with an answer count on, for they still use
-/// the cores; orphaned ones don't.
+/// Returns the number of started requests that must call and have not called yet. Answered ones count, because
+/// they still use the cores; orphaned ones do not.
 fn requests_before_calls(shared: &SharedState) -> usize {
     let is_before_call = |request: &TrackedRequest| {
         request.call_attempts == 0 && matches!(request.phase, Phase::Running | Phase::AwaitingCall)
@@ -226,7 +237,7 @@
         .count()
 }
 
-/// Started requests that must call and are before or at their call.
+/// Returns the number of started requests that must call and are before or at their call.
 fn requests_at_calls(shared: &SharedState) -> usize {
     let is_at_call = |request: &TrackedRequest| match request.phase {
         Phase::Running => request.call_attempts == 0,
@@ -239,15 +250,16 @@
         .count()
 }
 
-/// Whether nothing more may start that must call, for enough of the `max_started` requests are at calls.
+/// Returns whether no further request that must call may start, given `max_started`.
 ///
-/// Guards against calls that don't come back in all places. Beyond some runs orphaned at their calls, one
-/// more at a time is started as a probe.
-pub(crate) fn calls_fill_cores(shared: &SharedState, max_started: usize) -> bool {
+/// Guards against unresponsive calls that occupy every place among the started requests. Once the maximum
+/// number of runs is orphaned at calls, only one further request at a time is started, to test the
+/// dependency.
+pub(crate) fn is_call_start_limit_reached(shared: &SharedState, max_started: usize) -> bool {
     let orphaned = shared.requests.count(Phase::OrphanedAtCall);
     let max_at_calls = if orphaned < orphans::max_orphans(max_started) {
-        (max_started as f64 * MAX_STARTED_AT_CALLS).max(1.0)
-    } else if memory_limit::may_probe_calls(shared) {
+        (max_started as f64 * MAX_FRACTION_AT_CALLS).max(1.0)
+    } else if memory_limit::may_risk_orphan(shared) {
         1.0
     } else {
         0.0
--- a/crates/coralstep/src/call_retry.rs
+++ b/crates/coralstep/src/call_retry.rs
@@ -1,14 +1,14 @@
-//! Which calls are made again.
+//! Retries of failed calls.
 use crate::config::Idempotency;
 use crate::request::Outcome;
 use crate::request_table::TrackedRequest;
 use crate::shared_state::SharedState;
 
-/// The first call and one retry.
+/// The first attempt and one retry.
 const MAX_CALL_ATTEMPTS: u32 = 2;
 
-/// Whether a call that ended with `outcome` may be made again: where a second one does no harm, or the
-/// first provably never ran.
+/// Returns whether a call that ended with `outcome` may be retried: the method is idempotent, or the
+/// outcome proves that the call never ran.
 pub(crate) fn may_retry_call(
     shared: &SharedState,
     request: &TrackedRequest,
--- a/crates/coralstep/src/call_timeout.rs
+++ b/crates/coralstep/src/call_timeout.rs
@@ -1,31 +1,31 @@
-//! How long a call to the dependency may take.
+//! Timeouts of calls to the dependency.
 use crate::config::Idempotency;
 use crate::deadline::RESPONSE_MARGIN;
-use crate::measurements::ASSUMED_TIME;
+use crate::measurements::DEFAULT_DURATION;
 use crate::request_table::TrackedRequest;
 use crate::shared_state::SharedState;
 use crate::time::Span;
 
-/// In multiples of the median call: almost all end sooner.
-const TIMEOUT_IN_MEDIANS: u64 = 8;
-/// A short pause of the dependency fits in.
+/// Timeout as a multiple of the median call time; almost all calls end sooner.
+const TIMEOUT_MEDIAN_FACTOR: u64 = 8;
+/// Minimum timeout; allows for a short pause of the dependency.
 pub(crate) const MIN_CALL_TIMEOUT: Span = Span::ms(300);
 
-/// The timeout of a request's call.
+/// Returns the timeout of a request's call.
 ///
-/// Guards against lost calls that hold all permits until the deadlines of their requests. Where a call may
-/// have had an effect it is worth waiting for as long as the answer can be within the latency objective.
+/// Guards against lost calls that occupy all permits until the deadlines of their requests. A call that may
+/// have had an effect is awaited for as long as the response can meet the latency objective.
 pub(crate) fn call_timeout(shared: &SharedState, request: &TrackedRequest) -> Span {
     let method = shared.method(request);
     let until_deadline = (request.deadline - shared.now) - RESPONSE_MARGIN;
     let run_time = shared.measurements.mean_run_time(request.method);
-    let last_useful = request.arrived_at + method.latency_objective - run_time;
-    let useful = last_useful - shared.now;
-    let usual = shared.measurements.call_times.median(ASSUMED_TIME) * TIMEOUT_IN_MEDIANS;
+    let latest_useful_end = request.arrived_at + method.latency_objective - run_time;
+    let useful_time = latest_useful_end - shared.now;
+    let typical = shared.measurements.call_times.median(DEFAULT_DURATION) * TIMEOUT_MEDIAN_FACTOR;
     let timeout = if method.idempotency == Idempotency::Idempotent {
-        usual.min(useful)
+        typical.min(useful_time)
     } else {
-        usual.max(useful)
+        typical.max(useful_time)
     };
     until_deadline.min(timeout.max(MIN_CALL_TIMEOUT))
 }
--- a/crates/coralstep/src/circuit_breaker.rs
+++ b/crates/coralstep/src/circuit_breaker.rs
@@ -1,5 +1,4 @@
-//! The circuit breaker: stops calls to a dependency that fails, and lets one probe call decide when to go
-//! on.
+//! The circuit breaker: stops calls to a failing dependency until a probe call succeeds.
 use std::fmt;
 
 use nanorand::{Rng, WyRand};
@@ -8,31 +7,33 @@
 use crate::request::RpcId;
 use crate::time::{Span, Time};
 
-/// The last outcomes that are looked at.
+/// Number of recent outcomes that are evaluated.
 const WINDOW_OUTCOMES: u32 = 20;
-/// The part of them that opens the breaker when it failed.
+/// Failure rate that opens the breaker.
 const MIN_FAILURE_RATE: f64 = 0.5;
-/// A breaker never opens on fewer outcomes of its own, whatever peers report: one failure may be anything.
+/// Minimum number of local outcomes that open the breaker, whatever peers report: a single failure may have
+/// any cause.
 const MIN_LOCAL_OUTCOMES: u32 = 2;
-/// The first cooldown; each failed probe doubles it.
+/// Initial cooldown; each failed probe doubles it.
 const MIN_COOLDOWN: Span = Span::ms(1_000);
+/// Maximum cooldown.
 const MAX_COOLDOWN: Span = Span::ms(30_000);
-/// The shortest part of a cooldown that jitter leaves.
-const MIN_COOLDOWN_PART: f64 = 0.75;
+/// Minimum fraction of a cooldown after jitter.
+const MIN_COOLDOWN_FRACTION: f64 = 0.75;
 
 /// The state of a circuit breaker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BreakerState {
-    /// Calls pass freely.
+    /// All calls pass.
     Closed,
-    /// No call passes until the cooldown is over.
+    /// No call passes until the cooldown ends.
     Open,
-    /// One probe call decides.
+    /// One probe call passes; its outcome decides.
     HalfOpen,
 }
 
 impl BreakerState {
-    /// Its name in logs: `closed`, `open` or `half-open`.
+    /// Returns the name in logs: `closed`, `open` or `half-open`.
     pub fn as_str(self) -> &'static str {
         match self {
             BreakerState::Closed => "closed",
@@ -51,11 +52,11 @@
 /// A change of a circuit breaker's state.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BreakerTransition {
-    /// The state that it left.
+    /// Previous state.
     pub from: BreakerState,
-    /// The state that it entered.
+    /// New state.
     pub to: BreakerState,
-    /// The part of the calls that failed, from 0 to 1, which led to the change.
+    /// Failure rate that led to the change, from 0 to 1.
     pub failure_rate: f64,
 }
 
@@ -70,12 +71,12 @@
     }
 }
 
-/// What is done with a call.
+/// Decision of the circuit breaker on a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallDecision {
-    /// Whether it passes.
+    /// Whether the call passes, waits or is rejected.
     pub flow: Flow,
-    /// The change of state that this led to.
+    /// State change caused by the decision.
     pub transition: Option<BreakerTransition>,
 }
 
@@ -110,22 +111,22 @@
     }
 }
 
-/// A circuit breaker: counts the failures of one's own calls, cools down, and lets one probe call decide.
+/// A circuit breaker: opens on failures of local calls, cools down, and closes after a successful probe call.
 #[derive(Clone, Debug)]
 pub struct CircuitBreaker {
     state: State,
-    /// The last outcomes, a bit each, 1 for a failure.
+    /// Recent outcomes, one bit each, 1 for a failure.
     window: u32,
-    /// Outcomes in the window.
+    /// Number of outcomes in the window.
     outcomes: u32,
     cooldown: Span,
     state_since: Time,
-    /// Of the last outcomes so many are looked at: fewer where most peers report that their calls fail.
+    /// Number of recent outcomes that are evaluated; lower if most peers report that their calls fail.
     min_outcomes: u32,
 }
 
 impl CircuitBreaker {
-    /// A closed breaker that has seen no call.
+    /// Creates a closed breaker without outcomes.
     pub fn new(now: Time) -> CircuitBreaker {
         CircuitBreaker {
             state: State::Closed,
@@ -137,17 +138,17 @@
         }
     }
 
-    /// Its state.
+    /// Returns the state.
     pub fn state(&self) -> BreakerState {
         self.state.kind()
     }
 
-    /// Whether calls pass freely.
+    /// Returns whether the breaker is closed.
     pub fn is_closed(&self) -> bool {
         self.state == State::Closed
     }
 
-    /// The end of the cooldown, while open.
+    /// Returns the end of the cooldown while open.
     pub fn open_until(&self) -> Option<Time> {
         if let State::Open { until } = self.state {
             Some(until)
@@ -156,30 +157,30 @@
         }
     }
 
-    /// The cooldown left, while open and not over.
+    /// Returns the remaining cooldown while open; `None` once it has ended.
     pub fn cooldown_left(&self, now: Time) -> Option<Span> {
         self.open_until()
             .filter(|until| *until > now)
             .map(|until| until - now)
     }
 
-    /// Whether the probe call is in flight.
+    /// Returns whether a probe call is in flight.
     pub fn has_probe(&self) -> bool {
         matches!(self.state, State::HalfOpen { probe: Some(_) })
     }
 
-    /// Whether the call of this request is the probe.
+    /// Returns whether the call of this request is the probe call.
     pub fn is_probe(&self, id: RpcId) -> bool {
         self.state == State::HalfOpen { probe: Some(id) }
     }
 
-    /// Whether the next call would be the probe.
+    /// Returns whether the next call would be the probe call.
     pub fn awaits_probe(&self, now: Time) -> bool {
         !self.is_closed() && !self.has_probe() && self.cooldown_left(now).is_none()
     }
 
-    /// Lets a call pass or not: while open none, after the cooldown one probe at a time, for which the
-    /// others wait.
+    /// Decides whether a call passes: none while open, and after the cooldown one probe call at a time, for
+    /// which other calls wait.
     pub fn admit_call(&mut self, now: Time, id: RpcId) -> CallDecision {
         let half_open = State::HalfOpen { probe: Some(id) };
         match self.state {
@@ -197,8 +198,8 @@
         }
     }
 
-    /// Notes that a request ended before its call; true where that was the probe, which then decides
-    /// nothing: the next call is the probe.
+    /// Records that a request ended before its call. Returns true if that was the probe call, which then has
+    /// no outcome: the next call becomes the probe call.
     pub fn abandon_probe(&mut self, id: RpcId) -> bool {
         let was_probe = self.is_probe(id);
         if was_probe {
@@ -207,20 +208,20 @@
         was_probe
     }
 
-    /// Notes how a call that began at `began` ended; calls from before the last change of state decide
-    /// nothing.
+    /// Records the outcome of a call that started at `started_at`. Calls from before the last state change are
+    /// ignored.
     pub fn record_call(
         &mut self,
         now: Time,
         id: RpcId,
-        began: Time,
+        started_at: Time,
         failed: bool,
         rng: &mut WyRand,
     ) -> Option<BreakerTransition> {
         if self.is_probe(id) {
             return Some(self.record_probe(now, failed, rng));
         }
-        if !self.is_closed() || began < self.state_since {
+        if !self.is_closed() || started_at < self.state_since {
             return None;
         }
         self.window = (self.window << 1 | u32::from(failed)) & ((1 << WINDOW_OUTCOMES) - 1);
@@ -230,7 +231,7 @@
     }
 
     fn record_probe(&mut self, now: Time, failed: bool, rng: &mut WyRand) -> BreakerTransition {
-        // The failure rate of this transition is that of the probe alone.
+        // The failure rate of this transition covers only the probe call.
         (self.window, self.outcomes) = (u32::from(failed), 1);
         if !failed {
             return self.change_state(now, State::Closed);
@@ -239,8 +240,8 @@
         self.open(now, rng)
     }
 
-    /// What peers saw: so many outcomes of one's own suffice, and a cooldown that runs ends at `until`,
-    /// which may be sooner or later than before. Only own calls open the breaker.
+    /// Applies the reports of peers: `min_outcomes` local outcomes suffice to open the breaker, and a running
+    /// cooldown ends at `until`, earlier or later than before. Only local calls open the breaker.
     pub fn apply_peer_reports(&mut self, min_outcomes: u32, until: Option<Time>) {
         self.min_outcomes = min_outcomes.clamp(MIN_LOCAL_OUTCOMES, WINDOW_OUTCOMES);
         if let (State::Open { .. }, Some(until)) = (self.state, until) {
@@ -248,16 +249,17 @@
         }
     }
 
-    /// The part of the last outcomes that failed, from 0 to 1.
+    /// Returns the fraction of recent outcomes that failed, from 0 to 1.
     fn failure_rate(&self) -> f64 {
         let last = self.window & ((1 << self.min_outcomes) - 1);
         f64::from(last.count_ones()) / f64::from(self.outcomes.clamp(1, self.min_outcomes))
     }
 
-    /// Jitter shortens cooldowns, so that servers which opened together don't probe together.
+    /// Opens the breaker. Jitter shortens the cooldown, so that servers whose breakers opened together do not
+    /// send their probe calls together.
     fn open(&mut self, now: Time, rng: &mut WyRand) -> BreakerTransition {
-        let jitter = (1.0 - MIN_COOLDOWN_PART) * f64::from(rng.generate::<u32>());
-        let part = MIN_COOLDOWN_PART + jitter / f64::from(u32::MAX);
+        let jitter = (1.0 - MIN_COOLDOWN_FRACTION) * f64::from(rng.generate::<u32>());
+        let part = MIN_COOLDOWN_FRACTION + jitter / f64::from(u32::MAX);
         let until = now + self.cooldown.scaled(part);
         self.change_state(now, State::Open { until })
     }
--- a/crates/coralstep/src/config.rs
+++ b/crates/coralstep/src/config.rs
@@ -1,57 +1,56 @@
-//! What a [`crate::Scheduler`] is configured with at its start.
+//! The configuration of a [`crate::Scheduler`].
 use crate::time::Span;
 
-/// What may happen when a method runs twice for one request.
+/// Whether a method may run twice for one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// A second run does no harm.
+    /// A second run has no further effect.
     #[default]
     Idempotent,
-    /// Requests carry an idempotency key, by which a repeat of one that may have run is answered with its
-    /// result.
+    /// Requests carry an idempotency key; a repeat of one that may have run is answered with its result.
     Keyed,
-    /// A second run does harm, and nothing tells a repeat from a new request.
+    /// A second run repeats the effect, and repeats cannot be told from new requests.
     NonIdempotent,
 }
 
-/// The settings of one method.
+/// Settings of one method.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Method {
-    /// What may happen when it runs twice.
+    /// Whether the method may run twice for one request.
     pub idempotency: Idempotency,
-    /// When an answer is wanted, from the request's arrival.
+    /// Time from arrival within which a response counts as served.
     pub latency_objective: Span,
-    /// When its caller stops waiting, from the request's arrival, unless the request says otherwise.
+    /// Time from arrival after which the client stops waiting, unless the request states a deadline.
     pub deadline: Span,
-    /// How long after its arrival a keyed request may be sent again.
+    /// Time from arrival during which a keyed request may be retried.
     pub retry_window: Span,
-    /// What an answer within the latency objective is worth, beside other methods.
+    /// Value of a response within the latency objective, relative to other methods.
     pub priority_weight: f64,
-    /// The part of the priority weight that an answer past the latency objective still earns. No rule uses
-    /// it.
+    /// Fraction of the priority weight that a response after the latency objective earns. Unused by the
+    /// rules.
     pub late_value: f64,
-    /// The part of the priority weight that an answer without the dependency call earns; 0 where the call
+    /// Fraction of the priority weight that a response without the dependency call earns; 0 if the call
     /// can't be skipped.
     pub skip_value: f64,
-    /// Whether its runs call the dependency.
+    /// Whether runs of the method call the dependency.
     pub calls: bool,
 }
 
-/// What the runs call.
+/// The dependency that runs call.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Dependency {
-    /// Nothing.
+    /// Runs call no dependency.
     #[default]
     None,
-    /// One dependency that all servers share; the field is the part of the concurrent calls it survives
-    /// that is this server's, 0 where it is not known.
+    /// One dependency shared by all servers. The field is this server's share of the concurrent calls that
+    /// the dependency sustains, 0 if unknown.
     Shared(f64),
-    /// Servers that run this code.
+    /// A tier of servers that run this scheduler themselves.
     Tier,
 }
 
 impl Dependency {
-    /// The concurrent calls to a shared dependency that are this server's, where that is known.
+    /// Returns this server's share of the concurrent calls to a shared dependency, if known.
     pub fn share(self) -> Option<f64> {
         match self {
             Dependency::Shared(share) if share > 0.0 => Some(share),
@@ -60,93 +59,92 @@
     }
 }
 
-/// How callers read the value of [`crate::Actions::report_load`].
+/// Meaning of the value passed to [`crate::Actions::report_load`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadReportKind {
     /// No load is reported.
     #[default]
     Off,
-    /// Callers send only requests whose rank is above the value, from 0 to 1.
+    /// Clients send only requests whose rank exceeds the value, from 0 to 1.
     Threshold,
-    /// Each caller sends at most so many requests at once.
+    /// Maximum number of concurrent requests that each client sends.
     Credit,
-    /// The probability, from 0 to 1, that a caller doesn't pass this server over.
+    /// Probability, from 0 to 1, with which a client that selects this server sends to it.
     Weight,
 }
 
-/// What may be done to running work that nobody waits for any more.
+/// How a run whose client stopped waiting may be preempted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Preemption {
-    /// Nothing.
+    /// Runs are not preempted.
     #[default]
     Off,
-    /// It may be cancelled.
+    /// Runs may be cancelled.
     Cancel,
-    /// It may be paused.
+    /// Runs may be paused.
     Pause,
 }
 
-/// The settings of one server. A value that is left at its default limits nothing.
+/// Settings of one server. A default value imposes no limit.
 #[derive(Clone, Debug, Default)]
 pub struct SchedulerConfig {
-    /// The methods, in the order of [`crate::Request::method`].
+    /// Methods, indexed by [`crate::Request::method`].
     pub methods: Vec<Method>,
-    /// The quota of each tenant over all servers, in requests a second, in the order of
-    /// [`crate::Request::tenant`].
+    /// Fleet-wide quota of each tenant in requests per second, indexed by [`crate::Request::tenant`].
     pub tenant_quotas: Vec<f64>,
-    /// How many servers share the traffic.
+    /// Number of servers that share the traffic.
     pub fleet_size: u32,
-    /// What a request beyond its tenant's quota is worth, as a part of its priority weight.
+    /// Fraction of the priority weight that applies to traffic beyond a tenant's quota.
     pub over_quota_weight: f64,
-    /// Cores that the runs may use.
+    /// Number of cores available to runs.
     pub cores: u32,
     /// Memory for requests and idempotency keys, in kilobytes.
     pub memory_kb: f64,
-    /// The memory of a started request, in multiples of what it took while it was queued.
+    /// Memory of a started request as a multiple of its memory while queued.
     pub run_memory_factor: f64,
-    /// The memory of a retained idempotency key, in kilobytes.
+    /// Memory of a retained idempotency key, in kilobytes.
     pub key_kb: f64,
-    /// Whether the server has just started and is still warming up.
+    /// Whether the server starts cold and has to warm up.
     pub warming_up: bool,
-    /// The speed of a server that starts to warm up, as a part of its full one.
+    /// Speed at the start of the warm-up, as a fraction of full speed.
     pub cold_speed: f64,
-    /// How long warming up takes.
+    /// Duration of the warm-up.
     pub warm_up_time: Span,
-    /// Started requests for each core that a warm server survives.
+    /// Maximum number of started requests per core that a warm server sustains.
     pub max_started_per_core: f64,
-    /// For how long after the notice of a shutdown requests that arrive are still served.
+    /// Time after the start of a drain during which arriving requests are still served.
     pub drain_grace: Span,
-    /// What the runs call.
+    /// The dependency that runs call.
     pub dependency: Dependency,
-    /// How long the dependency may go on with a call that was abandoned.
+    /// Time for which the dependency may continue to execute an abandoned call.
     pub abandoned_call_time: Span,
-    /// How many callers send to this server.
+    /// Number of clients that send to this server.
     pub callers: u32,
-    /// How the load is reported to callers.
+    /// How load is reported to clients.
     pub load_report: LoadReportKind,
-    /// What may be done to running work that nobody waits for.
+    /// How a run whose client stopped waiting may be preempted.
     pub preemption: Preemption,
-    /// How long callers keep an idle connection at the most.
+    /// Maximum time for which clients keep an idle connection open.
     pub max_idle_time: Span,
-    /// Whether priority weights are a worth per unit of work rather than per request.
+    /// Whether priority weights state a value per unit of work instead of per request.
     pub weight_per_work: bool,
-    /// What is to be kept high.
+    /// Weights of the service goals that the queue priority serves.
     pub goal: GoalWeights,
 }
 
-/// The weights of what a server is judged by; all 0 counts the whole alone.
+/// Weights of the service goals; if all are 0, only the overall goal counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct GoalWeights {
-    /// Of all that is served in time.
+    /// Weight of the overall rate of requests served in time.
     pub overall: f64,
-    /// Of the service of the worst-served method.
+    /// Weight of the service ratio of the worst-served method.
     pub worst_method: f64,
-    /// Of the service of the worst-served tenant. No rule uses it.
+    /// Weight of the service ratio of the worst-served tenant. Unused by the rules.
     pub worst_tenant: f64,
 }
 
 impl GoalWeights {
-    /// These weights, or those that count the whole alone where all are 0.
+    /// Returns these weights, or the overall goal alone if all are 0.
     pub(crate) fn or_overall(self) -> GoalWeights {
         if self.overall + self.worst_method + self.worst_tenant > 0.0 {
             self
--- a/crates/coralstep/src/connection_limit.rs
+++ b/crates/coralstep/src/connection_limit.rs
@@ -1,28 +1,29 @@
-//! How long a connection may be idle. Guards against a table full of idle connections: many callers with
-//! little traffic each keep one open.
+//! Idle timeout of connections. Guards against a full connection table: many clients with little traffic
+//! each keep an idle connection open.
 use crate::config::SchedulerConfig;
 use crate::measurements::ServiceRatio;
 use crate::time::Span;
 
-/// Open connections for each request that may be started, beyond which idle ones close sooner: one works,
-/// one comes.
+/// Open connections per request that may be started, beyond which idle ones are closed sooner: one active,
+/// one for the next request.
 const MAX_CONNECTIONS_PER_REQUEST: f64 = 2.0;
-/// The part of the attempts read that are begun, below which more connections only bring more rejections.
-const MIN_BEGUN_IN_RETRY_STORM: f64 = 0.2;
-/// Applied to the counted attempts at each review.
+/// Fraction of the read attempts that is started, below which more connections only cause more rejections.
+const RETRY_STORM_STARTED_FRACTION: f64 = 0.2;
+/// Factor applied to the counted attempts at each adjustment.
 const ATTEMPTS_DECAY: f64 = 0.9;
-/// Steps of the idle timeout at each review: while there are too many connections, otherwise, and in a
-/// storm of retries.
+/// Factor of the idle timeout at each adjustment while there are too many connections.
 const SHRINK_FACTOR: f64 = 0.8;
+/// Factor of the idle timeout at each adjustment otherwise.
 const GROWTH_FACTOR: f64 = 1.05;
-const STORM_GROWTH_FACTOR: f64 = 1.5;
+/// Factor of the idle timeout at each adjustment in a retry storm.
+const RETRY_STORM_GROWTH_FACTOR: f64 = 1.5;
 const MIN_IDLE_TIMEOUT: Span = Span::ms(100);
 
-/// The idle timeout of connections.
+/// Current and maximum idle timeout of connections.
 #[derive(Debug)]
 pub(crate) struct ConnectionLimit {
     idle_timeout: Span,
-    /// The most that callers leave a connection idle.
+    /// Maximum time for which clients keep an idle connection open.
     max_idle_timeout: Span,
 }
 
@@ -34,21 +35,21 @@
         }
     }
 
-    /// Shortens the idle timeout while too many connections are open, and returns it where it changed.
+    /// Shortens the idle timeout while too many connections are open, and returns it if it changed.
     ///
-    /// In a storm of retries the table may fill: what it keeps out costs neither a new connection nor
-    /// reading.
+    /// In a retry storm the connection table may fill up: attempts that it keeps out cost neither a new
+    /// connection nor reading.
     pub(crate) fn adjust(
         &mut self,
         open_connections: f64,
         max_started: usize,
         attempts: &mut ServiceRatio,
     ) -> Option<Span> {
-        let is_storm = attempts.served < attempts.requested * MIN_BEGUN_IN_RETRY_STORM;
+        let is_retry_storm = attempts.served < attempts.requested * RETRY_STORM_STARTED_FRACTION;
         attempts.scale(ATTEMPTS_DECAY);
         let max_connections = max_started as f64 * MAX_CONNECTIONS_PER_REQUEST;
-        let factor = if is_storm {
-            STORM_GROWTH_FACTOR
+        let factor = if is_retry_storm {
+            RETRY_STORM_GROWTH_FACTOR
         } else if open_connections > max_connections {
             SHRINK_FACTOR
         } else {
--- a/crates/coralstep/src/deadline.rs
+++ b/crates/coralstep/src/deadline.rs
@@ -1,20 +1,20 @@
-//! Deadlines: nothing is run whose caller has given up by the time it ends.
+//! Deadlines: a request is not run if its client will stop waiting before the run ends.
 use crate::request_table::{Phase, TrackedRequest};
 use crate::shared_state::SharedState;
 use crate::time::{Span, Time};
 
-/// Answers leave so long before their deadline: the timer's period and the sending fit in.
+/// Time before the deadline at which a response is sent; allows for the timer period and transmission.
 pub(crate) const RESPONSE_MARGIN: Span = Span::ms(50);
 
-/// Whether an answer must leave now to be in time for `deadline`.
+/// Returns whether a response must be sent now to meet `deadline`.
 pub(crate) fn is_due(now: Time, deadline: Time) -> bool {
     now + RESPONSE_MARGIN >= deadline
 }
 
-/// Whether a request would end only after its deadline.
+/// Returns whether a request would end after its deadline.
 ///
-/// Guards against work for nobody. On idle cores it is tried all the same, so that a method that was slow
-/// is seen to be quick again.
+/// Guards against work whose result nobody waits for. Idle cores run the request regardless, so that a
+/// method that was slow can be measured as fast again.
 pub(crate) fn would_miss_deadline(shared: &SharedState, request: &TrackedRequest) -> bool {
     let cores_are_idle = shared.requests.count(Phase::Running) < shared.settings.cores;
     let run_time = if cores_are_idle {
--- a/crates/coralstep/src/deduplication.rs
+++ b/crates/coralstep/src/deduplication.rs
@@ -1,4 +1,4 @@
-//! Runs a keyed request once: a repeat of one that may have run is answered with its result and never runs.
+//! Runs a keyed request at most once: a repeat of one that may have run is answered with its result.
 use crate::actions::Actions;
 use crate::config::{Idempotency, SchedulerConfig};
 use crate::flow::Flow;
@@ -9,10 +9,10 @@
 use crate::shared_state::SharedState;
 use crate::time::Span;
 
-/// A key is retained so much longer than its window: times are rounded on their way here.
+/// Extra time for which a key is retained after its retry window, because times are rounded to ticks.
 const RETENTION_MARGIN: Span = Span::ms(50);
 
-/// The idempotency keys that are retained.
+/// Memory accounting of the retained idempotency keys.
 #[derive(Debug)]
 pub(crate) struct Deduplication {
     key_kb: f64,
@@ -29,7 +29,7 @@
 
     /// Retains the key of a request that was read, or replays the result of its earlier attempt.
     ///
-    /// A repeat of an attempt that has not run takes that one's place.
+    /// A repeat of an attempt that has not run supersedes that attempt.
     pub(crate) fn check(
         &mut self,
         shared: &mut SharedState,
@@ -49,14 +49,14 @@
             EarlierAttempt::None => None,
             EarlierAttempt::Known(old) if has_not_run(shared, old) => Some(old),
             _ => {
-                // Guards against a second run: the earlier attempt ran, or nobody knows any more.
+                // Guards against a second run: the earlier attempt ran, or may have run.
                 shared.move_to(id, Phase::Replaying);
                 out.replay(id);
                 return Flow::Wait;
             }
         };
         if !self.take_over_key(shared, superseded) && !self.reserve_key(shared) {
-            // Guards against a run whose repeat could not be told from a new request.
+            // Guards against a run whose repeats could not be recognized.
             shared.reject(id, DEFAULT_RETRY_AFTER, out);
             return Flow::Reject;
         }
@@ -68,20 +68,20 @@
             if let Some(request) = shared.get_mut(old) {
                 request.superseded_by = Some(id);
             }
-            // The newest attempt is the one whose caller still waits.
+            // The client waits only for its newest attempt.
             shared.reject(old, Span::ZERO, out);
         }
         Flow::Continue
     }
 
-    /// Takes the key of an attempt that is superseded; false where it has none.
+    /// Takes the key of the superseded attempt; returns false if there is none.
     fn take_over_key(&self, shared: &mut SharedState, superseded: Option<RpcId>) -> bool {
         superseded
             .and_then(|old| shared.get_mut(old)?.key_until.take())
             .is_some()
     }
 
-    /// Books memory for another key; false where there is too little.
+    /// Reserves memory for another key; returns false if there is too little.
     fn reserve_key(&mut self, shared: &mut SharedState) -> bool {
         if memory_limit::is_full_for_keys(shared, self.retained, self.key_kb) {
             return false;
@@ -91,7 +91,7 @@
         true
     }
 
-    /// Forgets the key of a request that never ran, or whose retry window is over.
+    /// Releases the key of a request that never ran or whose retry window has ended.
     pub(crate) fn release_key(
         &mut self,
         shared: &mut SharedState,
--- a/crates/coralstep/src/degradation.rs
+++ b/crates/coralstep/src/degradation.rs
@@ -1,14 +1,14 @@
-//! Degradation levels: what a level asks of the decisions, and which level each request is decided under.
+//! Degradation levels: the restrictions of a level, and the level that applies to each request.
 //!
-//! Which level holds is decided elsewhere (`coralstep-degradation`).
+//! The current level is chosen by `coralstep-degradation`.
 use crate::config::{Idempotency, Method};
 use crate::time::Span;
 
-/// Versions of the configuration that requests here may have been read under: more come only if several
-/// change within one deadline.
+/// Number of configuration versions whose level is kept. A request outlives more versions only if the
+/// configuration changes this often within one deadline.
 const MAX_VERSIONS: usize = 8;
 
-/// What a degradation level asks of the decisions, on top of what they do anyway.
+/// Restrictions that a degradation level adds to the usual rules.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DegradationLevel {
     /// Requests of methods with a lower priority weight are rejected.
@@ -17,21 +17,21 @@
     pub reject_idempotent: bool,
     /// All requests are rejected.
     pub reject_all: bool,
-    /// The server is excluded off: it rejects all that it has read, under whatever version of the
-    /// configuration.
+    /// The server is excluded: it rejects every new or queued request, regardless of the configuration
+    /// version under which it was read.
     pub excluded: bool,
-    /// Calls that can be skipped are.
+    /// Calls are skipped wherever the method allows it.
     pub skip_calls: bool,
-    /// The queue limit, as a part of the usual one.
+    /// Factor applied to the queue limit.
     pub queue_limit_factor: f64,
-    /// The accepted load that is reported, as a part of the usual one.
+    /// Factor applied to the reported accepted load.
     pub load_report_factor: f64,
-    /// The level can't change sooner: the Retry-After of what it rejects.
+    /// Retry-After of requests that the level rejects: the minimum time until the level can change.
     pub retry_after: Span,
 }
 
 impl Default for DegradationLevel {
-    /// Full service.
+    /// Returns the level of full service.
     fn default() -> DegradationLevel {
         DegradationLevel {
             min_priority_weight: 0.0,
@@ -47,8 +47,8 @@
 }
 
 impl DegradationLevel {
-    /// Whether a request of `method` is rejected before it runs.
-    pub fn sheds(&self, method: &Method) -> bool {
+    /// Returns whether requests of `method` are rejected before they run.
+    pub fn rejects(&self, method: &Method) -> bool {
         self.reject_all
             || self.excluded
             || (self.reject_idempotent && method.idempotency == Idempotency::Idempotent)
@@ -56,11 +56,11 @@
     }
 }
 
-/// The level that holds, and the last level under each earlier version of the configuration.
+/// The current level, and the last level under each earlier configuration version.
 #[derive(Debug, Default)]
 pub(crate) struct VersionedDegradation {
     current: DegradationLevel,
-    /// The version of the configuration.
+    /// Current configuration version.
     version: u32,
     previous: [DegradationLevel; MAX_VERSIONS],
 }
@@ -74,14 +74,14 @@
         self.version
     }
 
-    /// Sets the level that holds; true where it is another one.
+    /// Sets the current level and returns whether it changed.
     pub(crate) fn set(&mut self, level: DegradationLevel) -> bool {
         let changed = level != self.current;
         self.current = level;
         changed
     }
 
-    /// Begins another version of the configuration. A fence is no level of the version that ends.
+    /// Begins a new configuration version. An exclusion is not kept as the level of the previous version.
     pub(crate) fn begin_version(&mut self) {
         self.previous[self.version as usize % MAX_VERSIONS] = if self.current.excluded {
             DegradationLevel::default()
@@ -91,8 +91,8 @@
         self.version = self.version.wrapping_add(1);
     }
 
-    /// The level for what was read under `version`. A fence holds for all.
-    pub(crate) fn under(&self, version: u32) -> &DegradationLevel {
+    /// Returns the level for requests read under `version`. An exclusion applies to all versions.
+    pub(crate) fn level_for(&self, version: u32) -> &DegradationLevel {
         if version == self.version || self.current.excluded {
             return &self.current;
         }
--- a/crates/coralstep/src/drain.rs
+++ b/crates/coralstep/src/drain.rs
@@ -1,12 +1,12 @@
-//! The graceful shutdown: what arrived before the notice, or shortly after, is still served.
+//! Graceful shutdown: requests that arrive before the drain or within its grace period are served.
 use crate::config::SchedulerConfig;
 use crate::time::{Span, Time};
-use crate::timer::TICK;
+use crate::timer::TIMER_PERIOD;
 
-/// The last answers leave so long before the process is stopped: a pause of the process fits in.
-const LAST_ANSWER_MARGIN: Span = Span::ms(400);
+/// Time before the stop of the process at which all requests are answered; allows for a process pause.
+const FINAL_RESPONSE_MARGIN: Span = Span::ms(400);
 
-/// Whether and until when the server drains.
+/// Drain state of the server.
 #[derive(Debug)]
 pub(crate) struct Drain {
     grace: Span,
@@ -32,15 +32,15 @@
         self.notice_at.is_some()
     }
 
-    /// Whether a request arrived too late to be served; a tick of margin, for the notice itself was
-    /// rounded.
+    /// Returns whether a request arrived too late to be served. The margin of one timer period covers the
+    /// rounding of the start of the drain.
     pub(crate) fn is_too_late(&self, arrived_at: Time) -> bool {
         self.notice_at
-            .is_some_and(|notice| arrived_at + TICK > notice + self.grace)
+            .is_some_and(|notice| arrived_at + TIMER_PERIOD > notice + self.grace)
     }
 
-    /// Whether the process stops so soon that all must be answered now.
+    /// Returns whether the process stops so soon that every request must be answered now.
     pub(crate) fn must_answer_all(&self, now: Time) -> bool {
-        now + LAST_ANSWER_MARGIN >= self.stop_at
+        now + FINAL_RESPONSE_MARGIN >= self.stop_at
     }
 }
--- a/crates/coralstep/src/event.rs
+++ b/crates/coralstep/src/event.rs
@@ -1,56 +1,56 @@
-//! What is worth a line in the log.
+//! Log events of a scheduler.
 use std::fmt;
 
 use crate::circuit_breaker::BreakerTransition;
 use crate::time::Span;
 
-/// A run whose request is answered and which has had no end for too long.
+/// A run that has not ended although its request was answered long ago.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrphanedRun {
-    /// How long ago its request was answered.
+    /// Time since its request was answered.
     pub since_answer: Span,
-    /// How many runs are orphaned with it.
+    /// Number of orphaned runs, including this one.
     pub orphaned: usize,
-    /// How many may be.
+    /// Maximum number of orphaned runs.
     pub max_orphaned: usize,
 }
 
 impl OrphanedRun {
-    /// How long ago its request was answered, in whole milliseconds.
+    /// Returns the time since its request was answered, in whole milliseconds.
     pub fn since_answer_ms(&self) -> u64 {
         self.since_answer.0 / Span::ms(1).0
     }
 }
 
-/// An event of a scheduler. Written out it is [`Event::message`] and its fields as `name=value`.
+/// A log event of a scheduler. Its `Display` output is [`Event::message`] followed by `name=value` fields.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
     /// The circuit breaker changed its state (`circuit_breaker.rs`).
     BreakerChanged(BreakerTransition),
-    /// A run counts as orphaned, and another may run in its place (`orphans.rs`).
+    /// A run was marked as orphaned and no longer counts against the concurrency limit (`orphans.rs`).
     RunOrphaned(OrphanedRun),
-    /// A run at a call that is over counts as orphaned (`orphans.rs`).
+    /// A run was marked as orphaned after its call ended (`orphans.rs`).
     RunOrphanedAtCall(OrphanedRun),
-    /// The most runs that may be orphaned are, or no longer are (`health.rs`).
+    /// The number of orphaned runs reached its limit or fell below it (`health.rs`).
     OrphanLimit {
-        /// Whether as many runs are orphaned as may be.
+        /// Whether the limit is reached.
         reached: bool,
-        /// How many runs are orphaned.
+        /// Number of orphaned runs.
         orphaned: usize,
-        /// How many may be.
+        /// Maximum number of orphaned runs.
         max_orphaned: usize,
     },
-    /// The server stalled or fell behind with reading, or no longer does (`health.rs`).
+    /// The server stalled, built up a read backlog, or recovered (`health.rs`).
     HealthChanged {
-        /// Whether full cores finish nothing.
+        /// Whether all cores are in use and no run finishes.
         stalled: bool,
-        /// Whether requests are read too late for an answer in time.
+        /// Whether requests are read too late to be answered in time.
         read_backlog: bool,
     },
 }
 
 impl Event {
-    /// What happened, in words that never vary: to be searched for.
+    /// Returns the fixed message of the event, without its fields.
     pub fn message(&self) -> &'static str {
         match self {
             Event::BreakerChanged(_) => "circuit breaker changed state",
--- a/crates/coralstep/src/flow.rs
+++ b/crates/coralstep/src/flow.rs
@@ -1,12 +1,12 @@
-//! What a stage does with what it is asked about.
+//! Decisions of a processing stage.
 
-/// What a stage does with a request or a call.
+/// Decision of a processing stage on a request or a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flow {
-    /// It goes on to the next stage.
+    /// Proceeds to the next stage.
     Continue,
-    /// It waits at this stage.
+    /// Waits at this stage.
     Wait,
-    /// It ends here.
+    /// Is rejected by this stage.
     Reject,
 }
--- a/crates/coralstep/src/health.rs
+++ b/crates/coralstep/src/health.rs
@@ -1,4 +1,4 @@
-//! What the health check answers: not healthy while nothing can be answered in time here.
+//! Health of the server: unhealthy while it cannot answer requests in time.
 use crate::actions::Actions;
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::drain::Drain;
@@ -9,24 +9,25 @@
 use crate::shared_state::SharedState;
 use crate::time::{Span, Time};
 
-/// Full cores that finish nothing for so long are stalled: several times any ordinary run.
+/// Maximum time without a completion while all cores are in use; several times the duration of any
+/// ordinary run.
 const MAX_TIME_WITHOUT_PROGRESS: Span = Span::ms(1_500);
-/// A read backlog begins when work is read later than this many latency objectives after its arrival, and
-/// ends when it is read within its queue limit.
+/// Read delay, in latency objectives, beyond which a read backlog begins. It ends once the read delay is
+/// within the queue limit.
 const MAX_READ_DELAY_OBJECTIVES: f64 = 2.0;
-/// Kept of the longest wait unread at each review.
+/// Factor applied to the maximum read delay at each adjustment.
 const READ_DELAY_DECAY: f64 = 0.8;
 
-/// What the server's health is judged by.
+/// State behind the server's health.
 #[derive(Debug)]
 pub(crate) struct Health {
-    /// When the cores last got something done, or had room.
+    /// Time of the last completion or free core.
     last_progress: Time,
     stalled: bool,
-    /// The longest wait unread of late, in queue limits.
+    /// Recent maximum of the read delay, as a multiple of the queue limit.
     read_delay: f64,
     read_backlog: bool,
-    /// As many runs are orphaned as may be.
+    /// Whether the maximum number of runs is orphaned.
     orphans_exhausted: bool,
 }
 
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Whether full cores finish nothing.
+    /// Returns whether all cores are in use and no run finishes.
     pub(crate) fn is_stalled(&self) -> bool {
         self.stalled
     }
@@ -54,7 +55,7 @@
         self.last_progress = now;
     }
 
-    /// Notes how long a request waited unread, in queue limits.
+    /// Records the read delay of a request, as a multiple of its queue limit.
     pub(crate) fn record_read_delay(&mut self, waited: f64) {
         self.read_delay = waited.max(self.read_delay);
     }
@@ -63,10 +64,10 @@
         self.read_delay *= READ_DELAY_DECAY;
     }
 
-    /// Judges the health anew, and whether a fault is this server's alone.
+    /// Updates the health, and whether a fault is local to this server.
     ///
-    /// Guards against a server that reads and queues but gets nothing done, whatever stopped its cores, and
-    /// against one that reads too late for any answer in time: it leaves until it has read up.
+    /// Guards against a server that reads and queues requests but completes none, whatever the cause, and
+    /// against one that reads requests too late to answer in time: it is unhealthy until it has caught up.
     pub(crate) fn update(
         &mut self,
         shared: &mut SharedState,
@@ -82,10 +83,11 @@
         let orphaned = shared.requests.count(Phase::Orphaned);
         let max_orphaned = orphans::max_orphans(limit.max_started(shared));
         let orphans_exhausted = orphaned >= max_orphaned;
-        let is_away = limit.is_warming_up(shared.now) || drain.is_draining();
-        shared.fault_is_local = stalled || read_backlog || orphans_exhausted || is_away;
+        let is_warming_up_or_draining = limit.is_warming_up(shared.now) || drain.is_draining();
+        shared.fault_is_local =
+            stalled || read_backlog || orphans_exhausted || is_warming_up_or_draining;
         let orphans_changed = orphans_exhausted != self.orphans_exhausted;
-        let cores_changed = (stalled, read_backlog) != (self.stalled, self.read_backlog);
+        let health_changed = (stalled, read_backlog) != (self.stalled, self.read_backlog);
         if orphans_changed {
             out.log(Event::OrphanLimit {
                 reached: orphans_exhausted,
@@ -93,7 +95,7 @@
                 max_orphaned,
             });
         }
-        if cores_changed {
+        if health_changed {
             out.log(Event::HealthChanged {
                 stalled,
                 read_backlog,
@@ -102,18 +104,18 @@
         self.stalled = stalled;
         self.read_backlog = read_backlog;
         self.orphans_exhausted = orphans_exhausted;
-        if orphans_changed || cores_changed {
+        if orphans_changed || health_changed {
             let healthy = !stalled && !read_backlog && !orphans_exhausted;
             out.set_health(healthy && !drain.is_draining());
         }
     }
 
-    /// The longest wait unread that is no read backlog, in queue limits.
+    /// Returns the maximum read delay without a read backlog, as a multiple of the queue limit.
     fn max_read_delay(&self) -> f64 {
         if self.read_backlog {
             1.0
         } else {
-            MAX_READ_DELAY_OBJECTIVES / queue::MAX_WAIT_PART
+            MAX_READ_DELAY_OBJECTIVES / queue::MAX_WAIT_FRACTION
         }
     }
 }
--- a/crates/coralstep/src/learned_state.rs
+++ b/crates/coralstep/src/learned_state.rs
@@ -1,57 +1,57 @@
-//! What a scheduler has learned, as a plain record that may outlive its process.
+//! Learned state of a scheduler, as a plain record that can be restored in a later process.
 //!
-//! Where it is kept and how far it may be believed is decided elsewhere (`coralstep-state`).
+//! `coralstep-state` stores it and decides how far it can be trusted.
 use crate::measurements::{HISTOGRAM_BINS, Histogram, Measurements, ServiceRatio};
 
-/// Measurements and limits of one scheduler. An absent one says nothing.
+/// Measurements and limits of one scheduler. Absent values are unknown.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedState {
-    /// The time on the cores of each method's runs, as the bins of a histogram.
+    /// Time on the cores of each method's runs, as histogram bins.
     pub run_times: Vec<[u32; HISTOGRAM_BINS]>,
-    /// The time of calls, as the bins of a histogram.
+    /// Call times, as histogram bins.
     pub call_times: [u32; HISTOGRAM_BINS],
-    /// How many requests may run at once.
+    /// Maximum number of concurrently running requests.
     pub concurrency_limit: Option<u32>,
-    /// How many calls may be in flight.
+    /// Maximum number of calls in flight.
     pub call_permits: Option<f64>,
-    /// The best usual time of a call, in ticks of 0.1 ms.
+    /// Lowest typical call time, in ticks of 0.1 ms.
     pub best_call_time: Option<u64>,
-    /// How each tenant was served of late.
+    /// Recent service of each tenant.
     pub tenants: Vec<TenantService>,
 }
 
-/// How a tenant was served of late; counts lose weight with time, so they need not be whole.
+/// Recent service of a tenant. Counts decay over time, so they may be fractional.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TenantService {
-    /// First attempts that were read.
+    /// Number of first attempts that were read.
     pub requested: f64,
-    /// Those that were answered within their latency objective.
+    /// Number of those that were answered within the latency objective.
     pub served: f64,
 }
 
-/// Guards against a record that nobody wrote so: a bin never holds more than this.
-const MAX_BIN: u32 = 1 << 20;
-/// What was measured by an earlier process weighs at most as many samples: wrong knowledge is outweighed in
-/// seconds.
+/// Maximum value of a restored histogram bin. Guards against corrupt records.
+const MAX_BIN_VALUE: u32 = 1 << 20;
+/// Maximum number of samples restored into a histogram, so that new measurements outweigh outdated ones
+/// within seconds.
 const MAX_RESTORED_SAMPLES: u64 = 20;
-/// Figures from here on are none that a scheduler wrote.
-const MAX_FIGURE: f64 = 1e9;
-/// Best call times from here on, in ticks, are none that a scheduler wrote.
-const MAX_BEST_CALL_TIME: u64 = 1 << 32;
-/// A best call time is taken in only with more confidence: one that is too good would look like a crowd for
-/// ever.
-const MIN_CONFIDENCE_IN_BEST: f64 = 0.5;
+/// Values from this limit on are not plausible.
+const MAX_PLAUSIBLE_VALUE: f64 = 1e9;
+/// Best call times from this limit on, in ticks, are not plausible.
+const MAX_PLAUSIBLE_CALL_TIME: u64 = 1 << 32;
+/// A best call time is restored only above this confidence: one that is too low would make the dependency
+/// look overloaded permanently.
+const MIN_CALL_TIME_CONFIDENCE: f64 = 0.5;
 
 impl LearnedState {
-    /// The best call time, in ticks, where `confidence` suffices for it.
-    pub(crate) fn believed_best_call_time(&self, confidence: f64) -> Option<u64> {
+    /// Returns the best call time in ticks, if it is plausible and `confidence` suffices.
+    pub(crate) fn trusted_best_call_time(&self, confidence: f64) -> Option<u64> {
         self.best_call_time
-            .filter(|best| confidence > MIN_CONFIDENCE_IN_BEST && *best < MAX_BEST_CALL_TIME)
+            .filter(|best| confidence > MIN_CALL_TIME_CONFIDENCE && *best < MAX_PLAUSIBLE_CALL_TIME)
     }
 
-    /// The call permits, where a scheduler may have written them.
-    pub(crate) fn sound_call_permits(&self) -> Option<f64> {
-        self.call_permits.filter(|permits| is_sound(*permits))
+    /// Returns the call permits, if plausible.
+    pub(crate) fn plausible_call_permits(&self) -> Option<f64> {
+        self.call_permits.filter(|permits| is_plausible(*permits))
     }
 }
 
@@ -62,7 +62,7 @@
         }
         self.call_times = restored_histogram(&learned.call_times, confidence);
         for (ratio, tenant) in self.tenants.iter_mut().zip(&learned.tenants) {
-            if is_sound(tenant.requested) && is_sound(tenant.served) {
+            if is_plausible(tenant.requested) && is_plausible(tenant.served) {
                 *ratio = ServiceRatio {
                     requested: tenant.requested * confidence,
                     served: tenant.served.min(tenant.requested) * confidence,
@@ -75,9 +75,9 @@
 fn restored_histogram(bins: &[u32; HISTOGRAM_BINS], confidence: f64) -> Histogram {
     let samples = Histogram::from_bins(*bins).samples();
     let part = confidence * (MAX_RESTORED_SAMPLES as f64 / samples.max(1) as f64).min(1.0);
-    Histogram::from_bins(bins.map(|bin| (f64::from(bin.min(MAX_BIN)) * part) as u32))
+    Histogram::from_bins(bins.map(|bin| (f64::from(bin.min(MAX_BIN_VALUE)) * part) as u32))
 }
 
-fn is_sound(figure: f64) -> bool {
-    figure.is_finite() && (0.0..MAX_FIGURE).contains(&figure)
+fn is_plausible(value: f64) -> bool {
+    value.is_finite() && (0.0..MAX_PLAUSIBLE_VALUE).contains(&value)
 }
--- a/crates/coralstep/src/lib.rs
+++ b/crates/coralstep/src/lib.rs
@@ -1,20 +1,21 @@
-//! Admission and scheduling decisions for one server behind balancers nobody can change.
+//! Admission and scheduling decisions for an RPC server behind load balancers that cannot be changed.
 //!
-//! A [`Scheduler`] makes every decision. It is told what happens (`handle_request`, `handle_completion`, ...)
-//! with the time at which it happens, and its decisions go at once to the [`Actions`] it is given. It has no
-//! I/O, clock or threads. Each rule is a function in a module named for it; `scheduler` joins them:
+//! [`Scheduler`] makes every decision. Its caller reports each event (`handle_request`,
+//! `handle_completion`, ...) with the time at which it happened, and the scheduler immediately invokes the
+//! resulting [`Actions`]. It has no I/O, clock or threads. Each rule has a module of its own; `scheduler`
+//! combines them:
 //!
 //! | question | module |
 //! | --- | --- |
-//! | Is this a repeat of a request that may have run? | `deduplication` |
-//! | Is it rejected as soon as it is read, and why? | `admission`, `deadline`, `drain`, `memory_limit` |
-//! | How long may it be queued, and which starts first? | `queue`, `priority` |
-//! | How many run at once? | `concurrency_limit` |
-//! | May it call the dependency, for how long, and again? | `bulkhead`, `circuit_breaker`, `call_timeout`, `call_retry` |
-//! | What is its caller told? | `answer`, `retry_after` |
-//! | What happens when its time is over, or its run never ends? | `scheduler::enforcement`, `orphans` |
-//! | What do callers and the health check see? | `load_report`, `connection_limit`, `health` |
-//! | What changes under a degradation level? | `degradation` |
+//! | Does the request repeat one that may have run? | `deduplication` |
+//! | Is the request rejected on arrival? | `admission`, `deadline`, `drain`, `memory_limit` |
+//! | How long may a request be queued, and which one starts first? | `queue`, `priority` |
+//! | How many requests run concurrently? | `concurrency_limit` |
+//! | May a run call the dependency, with which timeout, and retry the call? | `bulkhead`, `circuit_breaker`, `call_timeout`, `call_retry` |
+//! | Is the request rejected or failed, and with which Retry-After? | `answer`, `retry_after` |
+//! | What happens at a deadline, or if a run never ends? | `scheduler::enforcement`, `orphans` |
+//! | Which load and health are reported, and when are idle connections closed? | `load_report`, `connection_limit`, `health` |
+//! | What does a degradation level change? | `degradation` |
 //!
 //! ```
 //! use coralstep::*;
--- a/crates/coralstep/src/load_report.rs
+++ b/crates/coralstep/src/load_report.rs
@@ -1,22 +1,23 @@
-//! The load that is reported to callers, so that they send less while requests wait long.
+//! Load reports, which make clients send less while requests wait long.
 use crate::config::{LoadReportKind, SchedulerConfig};
 use crate::queue;
 use crate::shared_state::SharedState;
 
-/// Less is asked for while a request has waited longer than this part of its queue limit.
-const MAX_WAITED_PART: f64 = 0.5;
-/// The step of the part that is shed, at each review.
+/// Longest wait, as a fraction of the queue limit, beyond which less load is accepted.
+const MAX_WAITED_FRACTION: f64 = 0.5;
+/// Change of the shed fraction at each adjustment.
 const SHED_STEP: f64 = 0.1;
+/// Maximum fraction of the load that is shed.
 const MAX_SHED: f64 = 0.95;
-/// Requests for each core that all callers together may have here.
+/// Credit of all clients together, in concurrent requests per core.
 const CREDIT_PER_CORE: f64 = 4.0;
 
-/// What is reported, and how.
+/// The reported load and its kind.
 #[derive(Debug)]
 pub(crate) struct LoadReport {
     kind: LoadReportKind,
     callers: f64,
-    /// The part of the load that callers are asked to keep away, from 0 to 0.95.
+    /// Fraction of the load that clients are asked to withhold, from 0 to 0.95.
     shed: f64,
 }
 
@@ -29,10 +30,10 @@
         }
     }
 
-    /// The value to report: it asks for less while requests wait long, and for nothing while the server is
-    /// not `available`. `None` where no load is reported.
+    /// Updates and returns the value to report. It accepts less while requests wait long, and no load while
+    /// the server is not `available`. `None` if load reports are off.
     pub(crate) fn update(&mut self, shared: &SharedState, available: bool) -> Option<f64> {
-        let waits_long = queue::longest_waited_part(shared) > MAX_WAITED_PART;
+        let waits_long = queue::longest_waited_fraction(shared) > MAX_WAITED_FRACTION;
         let step = if waits_long { SHED_STEP } else { -SHED_STEP };
         self.shed = (self.shed + step).clamp(0.0, MAX_SHED);
         let accepted = if available { 1.0 - self.shed } else { 0.0 };
--- a/crates/coralstep/src/measurements.rs
+++ b/crates/coralstep/src/measurements.rs
@@ -1,19 +1,19 @@
-//! What is measured: how long runs, calls and reading take, and how much of what was requested is served in
-//! time. Nothing is decided here.
+//! Measurements that the rules read: durations of runs and calls, read delays, and the fraction of requests
+//! served in time.
 use crate::config::SchedulerConfig;
 use crate::time::{Span, Time};
 
-/// Assumed for a run or a call while none was measured.
-pub(crate) const ASSUMED_TIME: Span = Span::ms(250);
-/// Counts are halved this often, so that they follow the traffic.
+/// Assumed duration of a run or a call before the first measurement.
+pub(crate) const DEFAULT_DURATION: Span = Span::ms(250);
+/// Interval at which counts are halved, so that they follow the traffic.
 const HALVING_PERIOD: Span = Span::ms(8_000);
 
-/// Bins of a [`Histogram`].
+/// Number of bins of a [`Histogram`].
 pub(crate) const HISTOGRAM_BINS: usize = 12;
-/// What one sample adds to its bin, so that halving a few samples keeps some of them.
+/// Value that one sample adds to its bin; above 1, so that halving preserves small counts.
 const SAMPLE_WEIGHT: u32 = 8;
 
-/// Times in bins whose width doubles, from 12.8 ms up.
+/// Histogram of durations, in bins whose width doubles from 12.8 ms.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Histogram([u32; HISTOGRAM_BINS]);
 
@@ -37,8 +37,8 @@
         self.0.iter_mut().for_each(|bin| *bin /= 2);
     }
 
-    /// Halves the counts where they are more than `max_samples`.
-    pub(crate) fn keep_at_most(&mut self, max_samples: u64) {
+    /// Halves the counts if there are more than `max_samples` samples.
+    pub(crate) fn limit_samples(&mut self, max_samples: u64) {
         if self.samples() > max_samples {
             self.halve();
         }
@@ -48,33 +48,33 @@
         self.0.iter().map(|bin| u64::from(*bin)).sum::<u64>() / u64::from(SAMPLE_WEIGHT)
     }
 
-    /// The bin of the median; `assumed` while nothing was recorded.
-    pub(crate) fn median(&self, assumed: Span) -> Span {
+    /// Returns the midpoint of the median's bin, or `fallback` if nothing was recorded.
+    pub(crate) fn median(&self, fallback: Span) -> Span {
         let half = self.0.iter().sum::<u32>().div_ceil(2);
         let mut below = 0;
         let bin = self.0.iter().position(|bin| {
             below += bin;
             below >= half.max(1)
         });
-        bin.map_or(assumed, middle_of_bin)
+        bin.map_or(fallback, bin_midpoint)
     }
 
-    /// The mean; `assumed` while nothing was recorded.
-    pub(crate) fn mean(&self, assumed: Span) -> Span {
+    /// Returns the mean, or `fallback` if nothing was recorded.
+    pub(crate) fn mean(&self, fallback: Span) -> Span {
         let count = |bin: usize| u64::from(self.0[bin]);
         let sum: u64 = (0..HISTOGRAM_BINS)
-            .map(|bin| count(bin) * middle_of_bin(bin).0)
+            .map(|bin| count(bin) * bin_midpoint(bin).0)
             .sum();
         sum.checked_div((0..HISTOGRAM_BINS).map(count).sum())
-            .map_or(assumed, Span)
+            .map_or(fallback, Span)
     }
 }
 
-fn middle_of_bin(bin: usize) -> Span {
+fn bin_midpoint(bin: usize) -> Span {
     Span(96 << bin)
 }
 
-/// How much was requested of late, and how much of it was served.
+/// Decaying counts of requests and of served requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServiceRatio {
     pub(crate) requested: f64,
@@ -82,7 +82,7 @@
 }
 
 impl ServiceRatio {
-    /// The part that was served, from 0 to 1; 1 before anything was requested.
+    /// Returns the fraction that was served, from 0 to 1; 1 before the first request.
     pub(crate) fn ratio(&self) -> f64 {
         (self.served + 1.0) / (self.requested + 1.0)
     }
@@ -99,19 +99,19 @@
 /// All measurements of one server.
 #[derive(Debug)]
 pub(crate) struct Measurements {
-    /// The time on the cores of each method's runs.
+    /// Time on the cores of the runs of each method.
     pub(crate) run_times: Vec<Histogram>,
     pub(crate) call_times: Histogram,
     pub(crate) last_call_end: Time,
-    /// How long requests waited before they were read.
+    /// Time between arrival and reading of requests.
     pub(crate) read_delays: Histogram,
-    /// First attempts of each method, and those answered within the latency objective.
+    /// First attempts per method, and those answered within the latency objective.
     pub(crate) methods: Vec<ServiceRatio>,
-    /// The same of each tenant.
+    /// First attempts per tenant, and those answered within the latency objective.
     pub(crate) tenants: Vec<ServiceRatio>,
-    /// All attempts that were read, and those that were begun.
+    /// Attempts that were read, and those that were started.
     pub(crate) attempts: ServiceRatio,
-    /// Since when the counts of methods and tenants count.
+    /// Start of the period that the counts of methods and tenants cover.
     pub(crate) counted_since: Time,
 }
 
@@ -129,9 +129,9 @@
         }
     }
 
-    /// The mean time of a method's runs on the cores.
+    /// Returns the mean time on the cores of a method's runs.
     pub(crate) fn mean_run_time(&self, method: usize) -> Span {
-        self.run_times[method].mean(ASSUMED_TIME)
+        self.run_times[method].mean(DEFAULT_DURATION)
     }
 
     pub(crate) fn record_request(&mut self, method: usize, tenant: Option<usize>) {
@@ -153,8 +153,8 @@
         self.last_call_end = now;
     }
 
-    /// Halves what was counted long enough ago.
-    pub(crate) fn halve_when_due(&mut self, now: Time) {
+    /// Halves the counts if they cover two halving periods.
+    pub(crate) fn halve_if_due(&mut self, now: Time) {
         if now - self.counted_since < HALVING_PERIOD * 2 {
             return;
         }
--- a/crates/coralstep/src/orphans.rs
+++ b/crates/coralstep/src/orphans.rs
@@ -1,10 +1,9 @@
-//! Calls and runs that have no end, or whose end is never reported. Guards against capacity that is taken
-//! for good.
+//! Calls and runs that never end, or whose end is never reported. Guards against leaking their capacity.
 //!
-//! What can't be proven ended is asked after, then counted as orphaned, up to a bound: another may run in
-//! its place, while its memory, its idempotency key and its part of the started requests stay booked. A
-//! late end only removes it. A run at a call that is over is orphaned at its call: nothing can bring it
-//! back to the cores.
+//! An answered run without an end is queried for its status, then counted as orphaned, up to a limit. An
+//! orphaned run no longer counts against the concurrency limit, but its memory and its idempotency key stay
+//! reserved and it still counts as started. If it ends later, it is only removed. A run whose call has
+//! ended is orphaned at its call: it cannot return to the cores, and does not count as started.
 use crate::actions::Actions;
 use crate::event::{Event, OrphanedRun};
 use crate::request::RpcId;
@@ -12,23 +11,24 @@
 use crate::shared_state::SharedState;
 use crate::time::Span;
 
-/// So long after its answer a run without an end is asked after, and again each time that this has passed.
+/// Interval between status queries of a run without an end, counted from its answer.
 const QUERY_PERIOD: Span = Span::ms(2_000);
-/// So long after its answer a run counts as orphaned: longer than most pauses of a machine.
+/// Time after its answer at which a run counts as orphaned; longer than most pauses of a machine.
 const ORPHANED_AFTER: Span = Span::ms(10_000);
-/// So long after its answer a run at a call that is over counts as orphaned: it was asked after twice.
+/// Time after its answer at which a run whose call has ended counts as orphaned; two status queries fit.
 const ORPHANED_AT_CALL_AFTER: Span = Span::ms(4_500);
-/// The part of the started requests that orphans may be; beyond it they keep their places.
-const MAX_ORPHAN_PART: f64 = 0.5;
-/// A call counts as lost when nothing is reported so long after its timeout.
+/// Maximum fraction of the started requests that may be orphaned; further runs still count against the
+/// concurrency limit.
+const MAX_ORPHAN_FRACTION: f64 = 0.5;
+/// Time after its timeout at which an unreported call counts as lost.
 const CALL_LOST_AFTER: Span = Span::ms(1_000);
 
-/// How many runs may count as orphaned.
+/// Returns the maximum number of orphaned runs.
 pub(crate) fn max_orphans(max_started: usize) -> usize {
-    ((max_started as f64 * MAX_ORPHAN_PART) as usize).max(1)
+    ((max_started as f64 * MAX_ORPHAN_FRACTION) as usize).max(1)
 }
 
-/// How long a request's call has taken, where its end can't be waited for any more.
+/// Returns the time since the start of a request's call if the call counts as lost.
 pub(crate) fn lost_call_time(shared: &SharedState, id: RpcId) -> Option<Span> {
     let request = shared
         .get(id)
@@ -37,8 +37,8 @@
     is_lost.then(|| shared.now - request.phase_since)
 }
 
-/// Whether a request is answered while its run has no end.
-fn has_no_end(request: &TrackedRequest) -> bool {
+/// Returns whether a request is answered while its run has not ended.
+fn is_answered_without_end(request: &TrackedRequest) -> bool {
     request.answered
         && matches!(
             request.phase,
@@ -46,10 +46,13 @@
         )
 }
 
-/// Asks after a run without an end, where that is due.
+/// Queries the status of an answered run without an end, if a query is due.
 pub(crate) fn query_run(shared: &mut SharedState, id: RpcId, out: &mut dyn Actions) {
     let now = shared.now;
-    let Some(request) = shared.get_mut(id).filter(|request| has_no_end(request)) else {
+    let Some(request) = shared
+        .get_mut(id)
+        .filter(|request| is_answered_without_end(request))
+    else {
         return;
     };
     if now - request.queried_at >= QUERY_PERIOD {
@@ -58,19 +61,22 @@
     }
 }
 
-/// Counts a run without an end as orphaned, where it is time.
+/// Marks an answered run without an end as orphaned, if it is old enough and the limit permits.
 pub(crate) fn mark_orphaned(
     shared: &mut SharedState,
     id: RpcId,
     max_started: usize,
     out: &mut dyn Actions,
 ) {
-    let Some(request) = shared.get(id).filter(|request| has_no_end(request)) else {
+    let Some(request) = shared
+        .get(id)
+        .filter(|request| is_answered_without_end(request))
+    else {
         return;
     };
     let (phase, since_answer) = (request.phase, shared.now - request.answered_at);
     let max_orphaned = max_orphans(max_started);
-    let orphaned_as = |orphaned| OrphanedRun {
+    let orphaned_run = |orphaned| OrphanedRun {
         since_answer,
         orphaned,
         max_orphaned,
@@ -78,13 +84,13 @@
     if phase == Phase::AwaitingCall && since_answer >= ORPHANED_AT_CALL_AFTER {
         shared.move_to(id, Phase::OrphanedAtCall);
         let orphaned = shared.requests.count(Phase::OrphanedAtCall);
-        out.log(Event::RunOrphanedAtCall(orphaned_as(orphaned)));
+        out.log(Event::RunOrphanedAtCall(orphaned_run(orphaned)));
     } else if phase == Phase::Running
         && since_answer >= ORPHANED_AFTER
         && shared.requests.count(Phase::Orphaned) < max_orphaned
     {
         shared.move_to(id, Phase::Orphaned);
         let orphaned = shared.requests.count(Phase::Orphaned);
-        out.log(Event::RunOrphaned(orphaned_as(orphaned)));
+        out.log(Event::RunOrphaned(orphaned_run(orphaned)));
     }
 }
--- a/crates/coralstep/src/priority.rs
+++ b/crates/coralstep/src/priority.rs
@@ -1,23 +1,24 @@
-//! Which queued request is served first.
+//! Priority of queued requests.
 use crate::measurements::ServiceRatio;
 use crate::request_table::TrackedRequest;
 use crate::shared_state::SharedState;
 
-/// The weight of a retry beside a first attempt: its caller has waited already, nobody says for how long.
+/// Weight of a retry relative to a first attempt: its client has already waited for an unknown time.
 const RETRY_WEIGHT: f64 = 0.25;
-/// How far behind the worst-served method another still gets part of its boost, as a part of all service.
-const UNDERSERVED_BAND: f64 = 0.1;
-/// The least part of all requests that a boosted method is taken to have.
-const MIN_REQUESTED_PART: f64 = 0.02;
-/// Added to the requests of each method, so that one that was not requested yet has a weight.
+/// Difference in service ratio to the worst-served method within which a method still gets part of the
+/// boost.
+const BOOST_BAND: f64 = 0.1;
+/// Minimum fraction of all requests assumed for a boosted method.
+const MIN_REQUESTED_FRACTION: f64 = 0.02;
+/// Added to the requests of each method, so that one without requests has a weight.
 const REQUESTED_OFFSET: f64 = 0.1;
-/// The least time over which a tenant's rate is measured, in seconds.
+/// Minimum time over which a tenant's rate is measured, in seconds.
 const MIN_RATE_SECONDS: f64 = 2.0;
 const TICKS_PER_SECOND: f64 = 10_000.0;
 
-/// What is won by serving a request, for each tick of work unless weights are stated per work: its priority
-/// weight beside the mean of what is requested, and a boost for the method served worst. Traffic beyond a
-/// tenant's quota and retries count for less.
+/// Returns the priority of a request: its priority weight relative to the mean of all requests, plus a boost
+/// for badly served methods. It is divided by the expected run time unless weights are stated per unit of
+/// work. Retries and traffic beyond a tenant's quota get less.
 pub(crate) fn priority(shared: &SharedState, request: &TrackedRequest) -> f64 {
     let (settings, measured) = (&shared.settings, &shared.measurements);
     let weights = measured
@@ -45,22 +46,21 @@
     }
 }
 
-/// How much the worst service is raised by serving one of `ratios`: most for the worst served, 0 beyond the
-/// band.
+/// Returns the boost of the method at `index`: highest for the worst-served one, 0 beyond the band.
 fn underserved_boost(ratios: &[ServiceRatio], index: usize) -> f64 {
     let worst = ratios.iter().map(ServiceRatio::ratio).fold(1.0, f64::min);
     let requested: f64 = ratios.iter().map(|ratio| ratio.requested).sum();
-    let ahead = (ratios[index].ratio() - worst) / UNDERSERVED_BAND;
+    let ahead = (ratios[index].ratio() - worst) / BOOST_BAND;
     let nearness = (1.0 - ahead).max(0.0);
     let own_requested = ratios[index]
         .requested
-        .max(requested * MIN_REQUESTED_PART)
+        .max(requested * MIN_REQUESTED_FRACTION)
         .max(1.0);
     nearness * requested.max(1.0) / own_requested
 }
 
-/// The part of a tenant's present traffic that counts; its quota is taken to be spread evenly over the
-/// fleet.
+/// Returns the weight of a tenant's requests at its current rate. Its quota is assumed to be spread evenly
+/// over the fleet.
 fn quota_weight(shared: &SharedState, tenant: usize) -> f64 {
     let (settings, measured) = (&shared.settings, &shared.measurements);
     let seconds = (shared.now - measured.counted_since).0 as f64 / TICKS_PER_SECOND;
@@ -73,8 +73,8 @@
     }
 }
 
-/// The id with the greatest value; the first of several.
-pub(crate) fn greatest<Id>(values: impl Iterator<Item = (f64, Id)>) -> Option<Id> {
+/// Returns the id with the highest value; the first of equal ones.
+pub(crate) fn max_by_value<Id>(values: impl Iterator<Item = (f64, Id)>) -> Option<Id> {
     values
         .reduce(|best, next| if next.0 > best.0 { next } else { best })
         .map(|(_, id)| id)
--- a/crates/coralstep/src/request.rs
+++ b/crates/coralstep/src/request.rs
@@ -1,70 +1,70 @@
-//! What a [`crate::Scheduler`] is told of requests, their runs and their calls.
+//! Input types of a [`crate::Scheduler`]: requests, outcomes of runs and calls, and gauges.
 use crate::time::{Span, Time};
 
-/// A request's small index. The caller may give it to another request once [`crate::Actions::release_id`]
-/// named it.
+/// A small index that identifies a request. The caller may reuse it for another request after
+/// [`crate::Actions::release_id`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RpcId(pub u32);
 
 /// The earlier attempt that an arriving request repeats.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EarlierAttempt {
-    /// There is none.
+    /// The request is not a repeat.
     #[default]
     None,
-    /// The request with this index.
+    /// The request repeats the one with this id.
     Known(RpcId),
-    /// There is one, but the caller no longer holds its index.
+    /// The request repeats one whose id is no longer known.
     Forgotten,
 }
 
 /// A request that has been read.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Request {
-    /// The index that its caller gave it.
+    /// Id assigned by the scheduler's caller.
     pub id: RpcId,
-    /// The index of its method in [`crate::SchedulerConfig::methods`].
+    /// Index of its method in [`crate::SchedulerConfig::methods`].
     pub method: usize,
-    /// The index of its tenant in [`crate::SchedulerConfig::tenant_quotas`]; one that is not there counts
-    /// as none.
+    /// Index of its tenant in [`crate::SchedulerConfig::tenant_quotas`]; an index out of range counts as
+    /// `None`.
     pub tenant: Option<usize>,
-    /// When its caller stops waiting, where that is stated.
+    /// Time at which its client stops waiting, if stated.
     pub deadline: Option<Time>,
-    /// The memory it takes while it is queued, in kilobytes.
+    /// Memory while queued, in kilobytes.
     pub queued_kb: f64,
-    /// Whether it is not its caller's first attempt.
+    /// Whether it is a retry, not the client's first attempt.
     pub is_retry: bool,
-    /// How long ago it reached the machine.
+    /// Time since its arrival at the machine.
     pub age: Span,
-    /// The age is only what an unknown caller states: nothing about the load is learned from it.
+    /// Whether the age was stated by an untrusted client and must not affect load measurements.
     pub untrusted_age: bool,
-    /// The attempt that it repeats.
+    /// Earlier attempt that it repeats.
     pub earlier_attempt: EarlierAttempt,
 }
 
-/// How a run or a call ended.
+/// Outcome of a run or a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Well.
+    /// It succeeded.
     Ok,
-    /// With an error from what ran it.
+    /// The server that ran it answered with an error.
     Error,
-    /// It was rejected before it began.
+    /// It was rejected before it started.
     Rejected,
-    /// Nothing came back within its timeout.
+    /// No response arrived within the timeout.
     TimedOut,
-    /// Nothing could be sent, so it never began.
+    /// It could not be sent, so it never started.
     Unreachable,
     /// The connection was lost after it was sent.
     ConnectionLost,
-    /// It was cancelled from here.
+    /// It was cancelled by this server.
     Cancelled,
-    /// It was no longer needed and never began.
+    /// It was no longer needed and never started.
     NoLongerNeeded,
 }
 
 impl Outcome {
-    /// Whether it is certain that nothing ran, so that another attempt is safe for any method.
+    /// Returns whether the outcome proves that nothing ran, so that a retry is safe for any method.
     pub fn proves_never_ran(self) -> bool {
         matches!(
             self,
@@ -73,11 +73,11 @@
     }
 }
 
-/// The server's own readings; a reading is `None` where there is none.
+/// Gauges of the server; a value is `None` if unknown.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// The part of the cores that is busy, from 0 to 1.
+    /// CPU utilization, from 0 to 1.
     pub cpu_busy: Option<f64>,
-    /// Open connections from callers.
+    /// Number of open connections from clients.
     pub open_connections: Option<f64>,
 }
--- a/crates/coralstep/src/request_table.rs
+++ b/crates/coralstep/src/request_table.rs
@@ -1,64 +1,62 @@
-//! The requests that the scheduler knows, the phase that each is in, and the memory that they take. Nothing
-//! is decided here.
+//! The requests known to the scheduler, their phases and their memory. No decisions are made here.
 use crate::request::{EarlierAttempt, Request, RpcId};
 use crate::time::{Span, Time};
 
-/// How far a request has come.
+/// Processing phase of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// In the admission queue.
     Queued,
     Running,
-    /// At a call, without a permit for it.
+    /// Needs a call and waits for a permit.
     AwaitingCall,
     Calling,
-    /// Waits for the result of its earlier attempt.
+    /// Waiting for the result of its earlier attempt.
     Replaying,
-    /// Started, answered, and without an end for too long: another may run in its place.
+    /// Started and answered, but without an end for too long: no longer counts against the concurrency limit.
     Orphaned,
-    /// Started, answered, and without an end at a call that is over: nothing can bring it back to the
-    /// cores.
+    /// Started and answered, but without an end after its call ended: it cannot return to the cores.
     OrphanedAtCall,
     Finished,
 }
 
 const PHASES: usize = 8;
 
-/// A request and what became of it so far.
+/// A request and its progress.
 #[derive(Debug)]
 pub(crate) struct TrackedRequest {
     pub(crate) method: usize,
     pub(crate) tenant: Option<usize>,
     pub(crate) arrived_at: Time,
     pub(crate) deadline: Time,
-    /// Memory while it is queued, in kilobytes.
+    /// Memory while queued, in kilobytes.
     pub(crate) queued_kb: f64,
     pub(crate) is_retry: bool,
     pub(crate) phase: Phase,
-    /// When it came to its phase.
+    /// Start of the current phase.
     pub(crate) phase_since: Time,
     pub(crate) time_on_cores: Span,
     pub(crate) has_run: bool,
     pub(crate) answered: bool,
     pub(crate) answered_at: Time,
-    /// When its run was last asked after; its answer counts as the first time.
+    /// Time of the last status query; initially the time of the answer.
     pub(crate) queried_at: Time,
-    /// When its call times out.
+    /// Time at which the current call times out.
     pub(crate) call_timeout_at: Time,
-    /// Its deadline came while it was at its call.
+    /// Whether the deadline expired during the call.
     pub(crate) expired_at_call: bool,
-    /// Attempts of its present call.
+    /// Number of attempts of the current call.
     pub(crate) call_attempts: u32,
-    /// Until when its idempotency key is retained.
+    /// Time until which the idempotency key is retained.
     pub(crate) key_until: Option<Time>,
-    /// The version of the configuration that it was read under.
+    /// Configuration version under which the request was read.
     pub(crate) config_version: u32,
-    /// The attempt that took its idempotency key over.
+    /// Attempt that took over the idempotency key.
     pub(crate) superseded_by: Option<RpcId>,
 }
 
 impl TrackedRequest {
-    /// A request that was just read, in the admission queue.
+    /// Creates the entry of a request that was just read, in the admission queue.
     pub(crate) fn queued(
         now: Time,
         request: &Request,
@@ -90,7 +88,7 @@
         }
     }
 
-    /// Its memory in a phase, in kilobytes.
+    /// Returns the memory of the request in `phase`, in kilobytes.
     fn memory_kb(&self, phase: Phase, run_memory_factor: f64) -> f64 {
         match phase {
             Phase::Queued | Phase::Replaying => self.queued_kb,
@@ -104,14 +102,14 @@
     }
 }
 
-/// All requests that are not finished, or whose idempotency key is retained.
+/// All requests that are unfinished or whose idempotency key is retained.
 #[derive(Debug)]
 pub(crate) struct RequestTable {
     requests: Vec<Option<TrackedRequest>>,
-    /// The requests in the order of their arrival.
+    /// Ids of all requests, in order of arrival.
     live: Vec<RpcId>,
     phase_counts: [usize; PHASES],
-    /// Memory booked for requests and idempotency keys, in kilobytes.
+    /// Memory reserved for requests and idempotency keys, in kilobytes.
     pub(crate) used_kb: f64,
     pub(crate) run_memory_factor: f64,
 }
@@ -139,19 +137,19 @@
         self.live.is_empty()
     }
 
-    /// All ids, in the order of arrival.
+    /// Returns all ids, in order of arrival.
     pub(crate) fn ids(&self) -> Vec<RpcId> {
         self.live.clone()
     }
 
-    /// All requests, in the order of arrival.
+    /// Returns all requests, in order of arrival.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (RpcId, &TrackedRequest)> {
         self.live
             .iter()
             .filter_map(|id| Some((*id, self.get(*id)?)))
     }
 
-    /// The requests in `phase` that nobody has answered, in the order of arrival.
+    /// Returns the unanswered requests in `phase`, in order of arrival.
     pub(crate) fn unanswered_in(
         &self,
         phase: Phase,
@@ -160,12 +158,12 @@
             .filter(move |(_, request)| request.phase == phase && !request.answered)
     }
 
-    /// How many requests are in `phase`, answered ones included.
+    /// Returns the number of requests in `phase`, including answered ones.
     pub(crate) fn count(&self, phase: Phase) -> usize {
         self.phase_counts[phase as usize]
     }
 
-    /// Started requests that are on the cores, or may come back to them.
+    /// Returns the number of started requests that are on the cores or may return to them.
     pub(crate) fn started(&self) -> usize {
         self.count(Phase::Running)
             + self.count(Phase::AwaitingCall)
@@ -173,7 +171,7 @@
             + self.count(Phase::Orphaned)
     }
 
-    /// The attempt that stands for `earlier` now, after those that superseded it.
+    /// Follows the chain of attempts that superseded `earlier` and returns the latest one.
     pub(crate) fn latest_attempt(&self, mut earlier: EarlierAttempt) -> EarlierAttempt {
         while let EarlierAttempt::Known(id) = earlier {
             let Some(request) = self.get(id) else {
@@ -216,7 +214,7 @@
         self.phase_counts[phase as usize] += 1;
     }
 
-    /// Notes that a request has its answer. One that has not started is finished with it.
+    /// Marks a request as answered. One that has not started is finished.
     pub(crate) fn mark_answered(&mut self, now: Time, id: RpcId) {
         let Some(request) = self.get_mut(id) else {
             return;
--- a/crates/coralstep/src/retry_after.rs
+++ b/crates/coralstep/src/retry_after.rs
@@ -1,16 +1,17 @@
-//! How long the caller of a rejected request is told to stay away (Retry-After).
+//! Retry-After values of rejected requests.
 use crate::circuit_breaker::CircuitBreaker;
 use crate::request_table::TrackedRequest;
 use crate::shared_state::SharedState;
 use crate::time::Span;
 
-/// Long enough for a few runs to end.
+/// Usual Retry-After; long enough for a few runs to end.
 pub(crate) const DEFAULT_RETRY_AFTER: Span = Span::ms(250);
-/// Where the server stops or stands still, or a call waited for a permit in vain.
+/// Retry-After while the server drains or is stalled, and after a timed-out wait for a permit.
 pub(crate) const UNAVAILABLE_RETRY_AFTER: Span = Span::ms(5_000);
 
-/// Of a request that the degradation level rejects: until the level may change, where that is known.
-pub(crate) fn of_degradation(shared: &SharedState) -> Span {
+/// Returns the Retry-After of a request that the degradation level rejects: at least the time until the
+/// level can change.
+pub(crate) fn for_degradation(shared: &SharedState) -> Span {
     shared
         .degradation
         .current()
@@ -18,8 +19,9 @@
         .max(DEFAULT_RETRY_AFTER)
 }
 
-/// Of a request that waited too long: one that must call is told when the breaker may let it through.
-pub(crate) fn of_expired(
+/// Returns the Retry-After of a request that expired in the queue. If it must call the dependency, that is
+/// at least the remaining cooldown of the circuit breaker.
+pub(crate) fn for_expired(
     shared: &SharedState,
     breaker: &CircuitBreaker,
     request: &TrackedRequest,
--- a/crates/coralstep/src/scheduler.rs
+++ b/crates/coralstep/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler: takes events, asks the rules, and hands their decisions to the [`Actions`].
+//! The scheduler: evaluates the rules for each event and invokes the resulting [`Actions`].
 use crate::actions::Actions;
 use crate::admission;
 use crate::bulkhead::Bulkhead;
@@ -20,17 +20,18 @@
 use crate::retry_after::DEFAULT_RETRY_AFTER;
 use crate::shared_state::SharedState;
 use crate::time::{Span, Time};
-use crate::timer::{TICK, Timer};
+use crate::timer::{TIMER_PERIOD, Timer};
 
 mod dispatch;
 mod enforcement;
 mod observation;
 
-/// Decides for one server: what is admitted, queued, run, called, retried, rejected and given up.
+/// Decides which requests of one server are admitted, queued, run, rejected or cancelled, and which calls
+/// they make and retry.
 ///
-/// A request passes deduplication, admission, the queue and the concurrency limit, and at a call the
-/// bulkhead and the circuit breaker. Each event is reported with the time at which it happened; times never
-/// go back.
+/// A request passes deduplication, admission, the queue and the concurrency limit, and for a call the
+/// bulkhead and the circuit breaker. Each event is reported with the time at which it happened; times must
+/// not decrease.
 #[derive(Debug)]
 pub struct Scheduler {
     shared: SharedState,
@@ -46,15 +47,14 @@
 }
 
 impl Scheduler {
-    /// A scheduler before its first request. The same events after the same `seed` lead to the same
-    /// decisions.
+    /// Creates a scheduler and sets its first timer. The same `seed` and events lead to the same decisions.
     pub fn start(
         config: &SchedulerConfig,
         seed: u64,
         now: Time,
         out: &mut dyn Actions,
     ) -> Scheduler {
-        out.set_timer(TICK);
+        out.set_timer(TIMER_PERIOD);
         Scheduler {
             shared: SharedState::new(config, seed, now),
             deduplication: Deduplication::new(config),
@@ -69,10 +69,10 @@
         }
     }
 
-    /// A request was read.
+    /// Handles a request that was read.
     pub fn handle_request(&mut self, now: Time, request: Request, out: &mut dyn Actions) {
         self.shared.now = now;
-        if let Some(span) = self.timer.hasten(now) {
+        if let Some(span) = self.timer.bring_forward(now) {
             out.set_timer(span);
         }
         self.shared.enqueue(&request);
@@ -87,13 +87,13 @@
         self.dispatch(out);
     }
 
-    /// Guards against unknown callers whose times would make the server look unhealthy.
+    /// Guards against untrusted clients whose stated ages would make the server look unhealthy.
     fn record_read_delay(&mut self, request: &Request) {
         if request.untrusted_age {
             return;
         }
         if let Some(tracked) = self.shared.get(request.id) {
-            let waited = queue::part_of_limit(&self.shared, tracked, request.age);
+            let waited = queue::fraction_of_limit(&self.shared, tracked, request.age);
             self.health.record_read_delay(waited);
         }
     }
@@ -109,7 +109,7 @@
         }
     }
 
-    /// A run or a replay ended.
+    /// Handles the end of a run or a replay.
     pub fn handle_completion(
         &mut self,
         now: Time,
@@ -137,26 +137,27 @@
         self.dispatch(out);
     }
 
-    /// A run ended at its call: the call's outcome will not be known.
+    /// Handles a run that ended during its call, whose outcome stays unknown.
     ///
-    /// Guards against a dependency that hangs until the deadlines: a call that its request's deadline cut
-    /// short counts as failed.
+    /// Guards against a dependency that hangs until the deadlines: a call that was cut short by the deadline
+    /// of its request counts as failed.
     fn abandon_call(&mut self, id: RpcId, out: &mut dyn Actions) {
         self.bulkhead.record_end(&self.shared, true);
         let Some(request) = self.shared.get(id) else {
             return;
         };
-        let began = request.phase_since;
-        let is_telling = self.breaker.is_probe(id) || self.shared.now - began >= MIN_CALL_TIMEOUT;
-        if request.expired_at_call && is_telling {
-            self.record_call_outcome(id, began, true, out);
+        let started_at = request.phase_since;
+        let is_conclusive =
+            self.breaker.is_probe(id) || self.shared.now - started_at >= MIN_CALL_TIMEOUT;
+        if request.expired_at_call && is_conclusive {
+            self.record_call_outcome(id, started_at, true, out);
         } else {
             self.breaker.abandon_probe(id);
         }
     }
 
-    /// The run provably never began, so the request may go to another server, and its idempotency key may
-    /// be used again.
+    /// Rejects a request whose run provably never started, so that it may go to another server and its
+    /// idempotency key may be reused.
     fn reject_unstarted(&mut self, id: RpcId, out: &mut dyn Actions) {
         if let Some(request) = self.shared.get_mut(id) {
             request.has_run = false;
@@ -164,7 +165,7 @@
         self.shared.reject(id, DEFAULT_RETRY_AFTER, out);
     }
 
-    /// A run can't go on without its call.
+    /// Handles a run that needs its call to continue.
     pub fn handle_call_needed(&mut self, now: Time, id: RpcId, out: &mut dyn Actions) {
         self.shared.now = now;
         self.health.record_progress(now);
@@ -176,7 +177,7 @@
         request.call_attempts = 0;
         self.shared.move_to(id, Phase::AwaitingCall);
         if self.degradation_skips_call(id) {
-            self.go_on_without_call(id, DEFAULT_RETRY_AFTER, out);
+            self.skip_call_or_reject(id, DEFAULT_RETRY_AFTER, out);
         }
         self.enforce_deadlines(id, out);
         self.dispatch(out);
@@ -188,7 +189,7 @@
         })
     }
 
-    /// A call ended after `duration`. Unless it ended well, its run still needs one.
+    /// Handles a call that ended after `duration`. Unless it succeeded, its run still needs a call.
     pub fn handle_call_result(
         &mut self,
         now: Time,
@@ -209,7 +210,7 @@
         if !outcome.proves_never_ran() {
             self.shared.measurements.record_call(now, duration);
         }
-        // Rejected calls and lost connections count as failures too: the dependency did not serve them.
+        // Rejected calls and lost connections are failures, too: the dependency did not serve them.
         self.record_call_outcome(id, now - duration, !succeeded, out);
         self.bulkhead
             .record_end(&self.shared, outcome == Outcome::TimedOut);
@@ -221,21 +222,27 @@
         self.shared.move_to(id, phase);
         if needs_answer {
             let cooldown = self.breaker.cooldown_left(now);
-            self.go_on_without_call(id, cooldown.unwrap_or(DEFAULT_RETRY_AFTER), out);
+            self.skip_call_or_reject(id, cooldown.unwrap_or(DEFAULT_RETRY_AFTER), out);
         }
         self.enforce_deadlines(id, out);
         self.dispatch(out);
     }
 
-    fn record_call_outcome(&mut self, id: RpcId, began: Time, failed: bool, out: &mut dyn Actions) {
+    fn record_call_outcome(
+        &mut self,
+        id: RpcId,
+        started_at: Time,
+        failed: bool,
+        out: &mut dyn Actions,
+    ) {
         let now = self.shared.now;
         let rng = &mut self.shared.rng;
-        if let Some(transition) = self.breaker.record_call(now, id, began, failed, rng) {
+        if let Some(transition) = self.breaker.record_call(now, id, started_at, failed, rng) {
             out.breaker_transition(transition);
         }
     }
 
-    /// The caller of a request went away.
+    /// Handles a request that its client has cancelled.
     pub fn handle_cancellation(&mut self, now: Time, id: RpcId, out: &mut dyn Actions) {
         self.shared.now = now;
         let Some(request) = self.shared.get(id) else {
@@ -250,15 +257,15 @@
         self.dispatch(out);
     }
 
-    /// The process will be stopped at `stop_at`: what arrives after the grace period is rejected, the rest
-    /// is answered.
+    /// Begins a drain: the process stops at `stop_at`. Requests that arrive after the grace period are
+    /// rejected, all others are answered.
     pub fn begin_drain(&mut self, now: Time, stop_at: Time, out: &mut dyn Actions) {
         self.shared.now = now;
         self.drain.begin(now, stop_at);
         out.set_health(false);
     }
 
-    /// The timer that was set last has run out.
+    /// Handles the expiry of the timer that was set last.
     pub fn handle_timeout(&mut self, now: Time, gauges: Gauges, out: &mut dyn Actions) {
         if !self.timer.is_due(now) {
             return;
@@ -270,17 +277,17 @@
             self.reap_orphan(id, out);
             self.enforce_deadlines(id, out);
         }
-        self.shared.measurements.halve_when_due(now);
-        if self.timer.begin_review(now) {
-            self.review(gauges, out);
+        self.shared.measurements.halve_if_due(now);
+        if self.timer.begin_adjustment(now) {
+            self.adjust_limits(gauges, out);
         }
         let is_idle = self.shared.requests.is_empty();
         out.set_timer(self.timer.schedule(now, is_idle));
         self.dispatch(out);
     }
 
-    /// Sets the limits and the load report anew.
-    fn review(&mut self, gauges: Gauges, out: &mut dyn Actions) {
+    /// Adjusts the limits and the load report.
+    fn adjust_limits(&mut self, gauges: Gauges, out: &mut dyn Actions) {
         self.bulkhead.adjust(&mut self.shared);
         let cpu_busy = gauges.cpu_busy.unwrap_or(1.0);
         self.concurrency
@@ -301,7 +308,7 @@
         }
     }
 
-    /// Guards against calls and runs without an end, which would keep their places for good.
+    /// Guards against calls and runs that never end and would occupy permits and cores permanently.
     fn reap_orphan(&mut self, id: RpcId, out: &mut dyn Actions) {
         if let Some(duration) = orphans::lost_call_time(&self.shared, id) {
             self.handle_call_result(self.shared.now, id, Outcome::TimedOut, duration, out);
--- a/crates/coralstep/src/scheduler/dispatch.rs
+++ b/crates/coralstep/src/scheduler/dispatch.rs
@@ -1,4 +1,4 @@
-//! Moves on whatever can move: calls first, for they hold memory, then queued requests.
+//! Starts pending calls and queued requests. Calls come first, because their runs occupy memory.
 use super::Scheduler;
 use crate::actions::Actions;
 use crate::bulkhead::{self, Bulkhead};
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Makes the call of a request; false where the bulkhead or the circuit breaker makes it wait.
+    /// Makes the call of a request; returns false if the bulkhead or the circuit breaker does not permit it.
     fn start_call(&mut self, id: RpcId, out: &mut dyn Actions) -> bool {
         if !self.bulkhead.has_permit(&self.shared) {
             return false;
@@ -47,25 +47,25 @@
         true
     }
 
-    /// The queued request that starts next, where one may.
+    /// Returns the queued request that starts next, if any may start.
     fn next_to_start(&self) -> Option<RpcId> {
         if self.health.is_stalled() || !self.concurrency.has_capacity(&self.shared) {
             return None;
         }
-        let calls_are_held_back = self.calls_are_held_back();
+        let blocks_new_calls = self.blocks_new_calls();
         queue::next_to_start(&self.shared, |request| {
             memory_limit::may_start(&self.shared, request)
-                && !(calls_are_held_back && self.shared.must_call(request))
+                && !(blocks_new_calls && self.shared.must_call(request))
         })
     }
 
-    /// Whether nothing is started that must call: it would only end at an open circuit breaker, or wait at
-    /// its call.
-    fn calls_are_held_back(&self) -> bool {
+    /// Returns whether requests that must call are not started: they would only fail at an open circuit
+    /// breaker or wait for a permit.
+    fn blocks_new_calls(&self) -> bool {
         let max_started = self.concurrency.max_started(&self.shared);
         self.breaker.cooldown_left(self.shared.now).is_some()
             || self.breaker.has_probe()
-            || self.bulkhead.line_is_full(&self.shared)
-            || bulkhead::calls_fill_cores(&self.shared, max_started)
+            || self.bulkhead.is_permit_queue_full(&self.shared)
+            || bulkhead::is_call_start_limit_reached(&self.shared, max_started)
     }
 }
--- a/crates/coralstep/src/scheduler/enforcement.rs
+++ b/crates/coralstep/src/scheduler/enforcement.rs
@@ -1,4 +1,4 @@
-//! What time does to a request: deadlines, limits of waiting, and a degradation level that came meanwhile.
+//! Enforces deadlines, wait limits and a changed degradation level on known requests.
 use super::Scheduler;
 use crate::actions::Actions;
 use crate::bulkhead::MAX_PERMIT_WAIT;
@@ -9,17 +9,17 @@
 use crate::retry_after::{self, UNAVAILABLE_RETRY_AFTER};
 use crate::time::Span;
 
-/// What is done with a request whose time is over.
+/// Action for a request that has expired.
 enum Expiry {
     Reject { retry_after: Span },
     Fail,
     FailAtCall,
-    GoOnWithoutCall { retry_after: Span },
+    SkipCall { retry_after: Span },
 }
 
 impl Scheduler {
-    /// Answers a request whose time is over: its deadline, its limit in the queue, its wait for a permit, or
-    /// a degradation level or drain that no longer admits it. Removes it where it is finished.
+    /// Answers a request that has reached its deadline, its queue limit or the limit of its wait for a
+    /// permit, or that the degradation level or a drain no longer admits. Removes it if it is finished.
     pub(super) fn enforce_deadlines(&mut self, id: RpcId, out: &mut dyn Actions) {
         let Some(request) = self.shared.get(id) else {
             return;
@@ -33,7 +33,7 @@
         self.remove_if_finished(id, out);
     }
 
-    /// What is to be done with an unanswered request; `None` while it may go on.
+    /// Returns the action for an unanswered request, or `None` while it may continue.
     fn expiry(&self, request: &TrackedRequest) -> Option<Expiry> {
         let now = self.shared.now;
         if request.phase == Phase::Queued
@@ -55,21 +55,21 @@
             .breaker
             .cooldown_left(now)
             .or(waited_too_long.then_some(UNAVAILABLE_RETRY_AFTER))?;
-        Some(Expiry::GoOnWithoutCall { retry_after })
+        Some(Expiry::SkipCall { retry_after })
     }
 
-    /// The Retry-After of a queued request that is not to be queued any longer.
+    /// Returns the Retry-After of a queued request that must be rejected, or `None` while it may wait.
     fn queue_expiry(&self, request: &TrackedRequest) -> Option<Span> {
         let shared = &self.shared;
         if self.drain.must_answer_all(shared.now) || self.health.is_stalled() {
             return Some(UNAVAILABLE_RETRY_AFTER);
         }
-        if shared.level_of(request).sheds(shared.method(request)) {
-            return Some(retry_after::of_degradation(shared));
+        if shared.level_of(request).rejects(shared.method(request)) {
+            return Some(retry_after::for_degradation(shared));
         }
         let is_expired = deadline::would_miss_deadline(shared, request)
-            || queue::waited_part(shared, request) >= 1.0;
-        is_expired.then(|| retry_after::of_expired(shared, &self.breaker, request))
+            || queue::waited_fraction(shared, request) >= 1.0;
+        is_expired.then(|| retry_after::for_expired(shared, &self.breaker, request))
     }
 
     fn expire(&mut self, id: RpcId, expiry: Expiry, out: &mut dyn Actions) {
@@ -82,15 +82,15 @@
                 }
                 self.shared.fail(id, out);
             }
-            Expiry::GoOnWithoutCall { retry_after } => {
-                self.go_on_without_call(id, retry_after, out);
+            Expiry::SkipCall { retry_after } => {
+                self.skip_call_or_reject(id, retry_after, out);
             }
         }
     }
 
-    /// Skips the call of a run where its method can do without, else answers the request: it is rejected,
-    /// or fails where the run may have had an effect.
-    pub(super) fn go_on_without_call(
+    /// Skips the call of a run if its method allows that. Otherwise rejects the request, or fails it if its
+    /// run may have had an effect.
+    pub(super) fn skip_call_or_reject(
         &mut self,
         id: RpcId,
         retry_after: Span,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Removes a finished request, and lets go of its index, once its idempotency key need not be retained.
+    /// Removes a finished request and releases its id, once its idempotency key need not be retained.
     pub(super) fn remove_if_finished(&mut self, id: RpcId, out: &mut dyn Actions) {
         let Some(request) = self.shared.get(id) else {
             return;
--- a/crates/coralstep/src/scheduler/observation.rs
+++ b/crates/coralstep/src/scheduler/observation.rs
@@ -1,4 +1,4 @@
-//! What a scheduler tells of itself, and what it is told by others.
+//! Interfaces to other components: degradation levels, peer reports, signals and learned state.
 use std::hash::{DefaultHasher, Hasher};
 
 use super::Scheduler;
@@ -14,8 +14,8 @@
 use crate::time::{Span, Time};
 
 impl Scheduler {
-    /// Another degradation level holds from now on. What is queued and not admitted under it is rejected at
-    /// once; what has run is untouched.
+    /// Applies a degradation level. Queued requests that it does not admit are rejected at once; requests
+    /// that have started are unaffected.
     pub fn set_degradation(&mut self, now: Time, level: DegradationLevel, out: &mut dyn Actions) {
         self.shared.now = now;
         if !self.shared.degradation.set(level) {
@@ -32,19 +32,19 @@
         }
     }
 
-    /// Another version of the configuration holds for what is read from now on; what was read before is
-    /// decided under the one it was read under.
+    /// Begins a new configuration version for requests read from now on. Requests read earlier keep the
+    /// degradation level of their own version.
     pub fn begin_config_version(&mut self) {
         self.shared.degradation.begin_version();
     }
 
-    /// The circuit breaker, for reports to peers.
+    /// Returns the circuit breaker, for reports to peers.
     pub fn breaker(&self) -> &CircuitBreaker {
         &self.breaker
     }
 
-    /// What peers saw of the dependency: `min_outcomes` of one's own suffice to open the circuit breaker,
-    /// and a cooldown that runs ends after `cooldown_left`, where that is stated.
+    /// Applies the health of the dependency as reported by peers: `min_outcomes` local outcomes suffice to
+    /// open the circuit breaker, and `cooldown_left`, if given, replaces a running cooldown.
     pub fn apply_peer_reports(
         &mut self,
         now: Time,
@@ -55,25 +55,25 @@
         self.breaker.apply_peer_reports(min_outcomes, until);
     }
 
-    /// What the decisions observe of themselves.
+    /// Returns the current load signals.
     pub fn signals(&self) -> Signals {
         let shared = &self.shared;
         let running = shared.requests.count(Phase::Running) as f64;
         let is_warming_up = self.concurrency.is_warming_up(shared.now);
         Signals {
-            queue_wait: Some(queue::longest_waited_part(shared)),
-            rejected: Some(1.0 - self.begun_part()),
+            queue_wait: Some(queue::longest_waited_fraction(shared)),
+            rejected: Some(1.0 - self.started_fraction()),
             concurrency: Some(running / self.concurrency.limit().max(1) as f64),
-            breaker_open: Some(flag(!self.breaker.is_closed())),
+            breaker_open: Some(signal_value(!self.breaker.is_closed())),
             call_slowness: self.call_slowness(),
             memory: Some(shared.requests.used_kb / shared.settings.memory_kb),
             read_delay: Some(self.health.read_delay()),
-            warming_up: Some(flag(is_warming_up)),
+            warming_up: Some(signal_value(is_warming_up)),
         }
     }
 
-    /// The part of the attempts of late that was begun; while nothing is requested, nothing is rejected.
-    fn begun_part(&self) -> f64 {
+    /// Returns the fraction of recent attempts that were started; 1 without attempts, as none is rejected.
+    fn started_fraction(&self) -> f64 {
         let attempts = &self.shared.measurements.attempts;
         if attempts.requested < 1.0 {
             1.0
@@ -91,7 +91,7 @@
             .flatten()
     }
 
-    /// What was learned so far, for [`Scheduler::restore`] in a later process.
+    /// Returns the learned state, for [`Scheduler::restore`] in a later process.
     pub fn learned_state(&self) -> LearnedState {
         let measured = &self.shared.measurements;
         LearnedState {
@@ -111,11 +111,11 @@
         }
     }
 
-    /// Takes in what an earlier process learned, with `confidence` from 0 (as if nothing were known) to 1
-    /// (as if it had been learned here). To be called before the first request.
+    /// Restores the learned state of an earlier process with a `confidence` from 0 (ignored) to 1 (as if
+    /// learned here). Must be called before the first request.
     ///
-    /// The circuit breaker starts closed, whatever it was: an open one's cooldown is over long before
-    /// anybody could know.
+    /// The circuit breaker always starts closed: the cooldown of an open one would have ended before the
+    /// restart.
     pub fn restore(&mut self, learned: &LearnedState, confidence: f64) {
         let confidence = if confidence.is_finite() {
             confidence.clamp(0.0, 1.0)
@@ -127,29 +127,29 @@
             let cores = self.shared.settings.cores;
             self.concurrency.restore(cores, limit, confidence);
         }
-        if let Some(permits) = learned.sound_call_permits() {
+        if let Some(permits) = learned.plausible_call_permits() {
             self.bulkhead.restore_permits(permits, confidence);
         }
-        let best_call_time = learned.believed_best_call_time(confidence);
+        let best_call_time = learned.trusted_best_call_time(confidence);
         self.bulkhead
             .restore_best_call_time(best_call_time.unwrap_or(0));
     }
 
-    /// The whole state as one figure: the same for schedulers that will decide alike from now on, almost
-    /// never the same for others. No decision reads it.
+    /// Returns a hash of the whole state. Schedulers with equal hashes almost certainly make the same
+    /// decisions from now on. No decision depends on it.
     pub fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         hasher.write(self.state_text().as_bytes());
         hasher.finish()
     }
 
-    /// The whole state, for diagnosis and tests; its form may change with any version.
+    /// Returns the whole state as text, for diagnosis and tests. The format is not stable.
     pub fn state_text(&self) -> String {
         format!("{self:?}")
     }
 }
 
-/// 1 where `is_set`, else 0.
-fn flag(is_set: bool) -> f64 {
+/// Returns 1 if `is_set`, otherwise 0.
+fn signal_value(is_set: bool) -> f64 {
     f64::from(u8::from(is_set))
 }
--- a/crates/coralstep/src/shared_state.rs
+++ b/crates/coralstep/src/shared_state.rs
@@ -1,4 +1,4 @@
-//! What all rules read: the time, the settings, the requests, what was measured, and the degradation level.
+//! State shared by all rules: the time, settings, requests, measurements and degradation level.
 use nanorand::WyRand;
 
 use crate::config::{GoalWeights, Method, Preemption, SchedulerConfig};
@@ -8,11 +8,11 @@
 use crate::request_table::{Phase, RequestTable, TrackedRequest};
 use crate::time::{Span, Time};
 
-/// The settings that more than one rule reads.
+/// Settings that several rules read.
 #[derive(Debug)]
 pub(crate) struct Settings {
     pub(crate) methods: Vec<Method>,
-    /// Requests a second over all servers.
+    /// Fleet-wide quotas in requests per second.
     pub(crate) tenant_quotas: Vec<f64>,
     pub(crate) fleet_size: f64,
     pub(crate) over_quota_weight: f64,
@@ -43,7 +43,7 @@
     }
 }
 
-/// What all rules read, and what they note for each other.
+/// State that all rules read and update.
 #[derive(Debug)]
 pub(crate) struct SharedState {
     pub(crate) now: Time,
@@ -51,7 +51,7 @@
     pub(crate) requests: RequestTable,
     pub(crate) measurements: Measurements,
     pub(crate) degradation: VersionedDegradation,
-    /// Whether only this server has a fault, as far as it can tell.
+    /// Whether a fault appears to affect only this server.
     pub(crate) fault_is_local: bool,
     pub(crate) rng: WyRand,
 }
@@ -81,15 +81,15 @@
         &self.settings.methods[request.method]
     }
 
-    /// Whether the runs of a request's method call the dependency and can't go on without.
+    /// Returns whether runs of a request's method must call the dependency.
     pub(crate) fn must_call(&self, request: &TrackedRequest) -> bool {
         let method = self.method(request);
         method.calls && method.skip_value == 0.0
     }
 
-    /// The degradation level that a request is decided under.
+    /// Returns the degradation level that applies to a request.
     pub(crate) fn level_of(&self, request: &TrackedRequest) -> &DegradationLevel {
-        self.degradation.under(request.config_version)
+        self.degradation.level_for(request.config_version)
     }
 
     pub(crate) fn move_to(&mut self, id: RpcId, phase: Phase) {
@@ -100,7 +100,7 @@
         self.requests.mark_answered(self.now, id);
     }
 
-    /// Puts a request that was just read into the admission queue.
+    /// Adds a request that was just read to the admission queue.
     pub(crate) fn enqueue(&mut self, request: &Request) {
         let default_deadline = self.settings.methods[request.method].deadline;
         let version = self.degradation.version();
@@ -118,7 +118,7 @@
         self.requests.insert(request.id, tracked);
     }
 
-    /// Measures a run that ended well while the request was in `phase`.
+    /// Records the measurements of a successful run that ended in `phase`.
     pub(crate) fn record_completion(&mut self, id: RpcId, phase: Phase, outcome: Outcome) {
         let Some(request) = self.requests.get(id).filter(|_| outcome == Outcome::Ok) else {
             return;
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Sets when the call of a request times out.
+    /// Sets the time at which the call of a request times out.
     pub(crate) fn set_call_timeout(&mut self, id: RpcId, timeout: Span) {
         let at = self.now + timeout;
         if let Some(request) = self.get_mut(id) {
--- a/crates/coralstep/src/signals.rs
+++ b/crates/coralstep/src/signals.rs
@@ -1,26 +1,26 @@
-//! What the decisions observe of themselves, for whoever decides on degradation levels.
+//! Load signals of a scheduler, from which degradation levels are chosen.
 use crate::time::Span;
 
-/// So long after the last call ended nothing is known of its dependency's present slowness.
+/// Age of the last ended call beyond which the slowness of the dependency is unknown.
 pub(crate) const MAX_CALL_AGE: Span = Span::ms(5_000);
 
-/// Observations of a scheduler, each `None` while nothing can be said.
+/// Load signals of a scheduler; each is `None` while unknown.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Signals {
-    /// The longest wait in the admission queue, as a part of the queue limit.
+    /// Longest wait in the admission queue, as a fraction of the queue limit.
     pub queue_wait: Option<f64>,
-    /// The part of the attempts read of late that was not begun, from 0 to 1.
+    /// Fraction of the recently read attempts that were not started, from 0 to 1.
     pub rejected: Option<f64>,
-    /// What runs, as a part of the concurrency limit.
+    /// Running requests as a fraction of the concurrency limit.
     pub concurrency: Option<f64>,
-    /// 1 while the circuit breaker is open or half-open, else 0.
+    /// 1 while the circuit breaker is open or half-open, otherwise 0.
     pub breaker_open: Option<f64>,
-    /// The usual time of a call, in multiples of the best usual time; `None` while no call ends.
+    /// Typical call time as a multiple of the lowest one; `None` while no call ends.
     pub call_slowness: Option<f64>,
-    /// Memory booked, as a part of all.
+    /// Reserved memory as a fraction of all memory.
     pub memory: Option<f64>,
-    /// The longest wait unread of late, as a part of the queue limit.
+    /// Recent maximum of the read delay, as a multiple of the queue limit.
     pub read_delay: Option<f64>,
-    /// 1 while the server warms up, else 0.
+    /// 1 while the server warms up, otherwise 0.
     pub warming_up: Option<f64>,
 }
--- a/crates/coralstep/src/time.rs
+++ b/crates/coralstep/src/time.rs
@@ -1,24 +1,24 @@
-//! Moments and lengths of time, in ticks of a tenth of a millisecond.
+//! Points in time and durations, in ticks of 0.1 ms.
 use std::ops::{Add, Mul, Sub};
 
-/// A moment, in ticks of 0.1 ms on the caller's clock.
+/// A point in time, in ticks of 0.1 ms on the caller's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(pub u64);
 
-/// A length of time, in ticks of 0.1 ms.
+/// A duration, in ticks of 0.1 ms.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub u64);
 
 impl Span {
-    /// No time at all.
+    /// A duration of zero.
     pub const ZERO: Span = Span(0);
 
-    /// A span of so many milliseconds.
+    /// Creates a span from milliseconds.
     pub const fn ms(ms: u64) -> Span {
         Span(ms * 10)
     }
 
-    /// This span times `factor`, rounded down to a tick.
+    /// Multiplies the span by `factor` and rounds down to a whole tick.
     pub fn scaled(self, factor: f64) -> Span {
         Span((self.0 as f64 * factor) as u64)
     }
@@ -31,7 +31,7 @@
     }
 }
 
-/// Stops at the start of the clock.
+/// Saturates at time 0.
 impl Sub<Span> for Time {
     type Output = Time;
     fn sub(self, span: Span) -> Time {
@@ -39,7 +39,7 @@
     }
 }
 
-/// [`Span::ZERO`] where `earlier` is in fact the later one.
+/// Returns [`Span::ZERO`] if `earlier` is the later of the two.
 impl Sub for Time {
     type Output = Span;
     fn sub(self, earlier: Time) -> Span {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Stops at [`Span::ZERO`].
+/// Saturates at [`Span::ZERO`].
 impl Sub for Span {
     type Output = Span;
     fn sub(self, other: Span) -> Span {
