--- a/crates/coralstep/tests/degradation.rs
+++ b/crates/coralstep/tests/degradation.rs
@@ -1,7 +1,7 @@
-//! Which degradation level a request is decided under.
+//! Selection of the degradation level that applies to a request.
 use coralstep::*;
 
-/// The requests that were rejected.
+/// Records the ids of rejected requests.
 #[derive(Default)]
 struct Rejected(Vec<u32>);
 
@@ -35,29 +35,29 @@
 }
 
 #[test]
-fn a_request_is_decided_under_the_version_it_was_read_under_and_a_fenced_server_queues_nothing() {
-    let sheds_all = DegradationLevel {
+fn request_keeps_level_of_its_config_version_unless_server_is_excluded() {
+    let reject_every_method = DegradationLevel {
         min_priority_weight: 2.0,
         ..DegradationLevel::default()
     };
     for excluded in [false, true] {
         let mut rejected = Rejected::default();
         let mut scheduler = Scheduler::start(&config(), 7, Time(0), &mut rejected);
-        // One runs, the others are queued.
+        // Request 0 runs, the others are queued.
         (0..3).for_each(|id| scheduler.handle_request(Time(10), request(id), &mut rejected));
         scheduler.begin_config_version();
-        scheduler.set_degradation(Time(20), sheds_all, &mut rejected);
-        assert_eq!(rejected.0, [], "they were read before");
+        scheduler.set_degradation(Time(20), reject_every_method, &mut rejected);
+        assert_eq!(rejected.0, [], "requests read under the earlier version");
         scheduler.handle_request(Time(20), request(3), &mut rejected);
         assert_eq!(rejected.0, [3]);
-        // The same level a second time, under no other version: it holds for what was read under this one.
+        // Set again within one version, the level applies to all requests read under that version.
         scheduler.set_degradation(Time(30), DegradationLevel::default(), &mut rejected);
         scheduler.handle_request(Time(30), request(4), &mut rejected);
-        scheduler.set_degradation(Time(40), sheds_all, &mut rejected);
+        scheduler.set_degradation(Time(40), reject_every_method, &mut rejected);
         assert_eq!(rejected.0, [3, 4]);
         let level = DegradationLevel {
             excluded,
-            ..sheds_all
+            ..reject_every_method
         };
         scheduler.set_degradation(Time(50), level, &mut rejected);
         assert_eq!(
--- a/crates/coralstep/tests/learned_state.rs
+++ b/crates/coralstep/tests/learned_state.rs
@@ -1,4 +1,4 @@
-//! What a scheduler learned is restored in a later one as far as it is believed.
+//! Restoring learned state with a confidence from 0 to 1.
 use coralstep::*;
 
 struct NoActions;
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn learned_state_is_restored_as_far_as_it_is_believed() {
+fn learned_state_is_restored_in_proportion_to_confidence() {
     let mut bins = [0; 12];
     bins[4] = 80;
     let learned = LearnedState {
@@ -57,15 +57,15 @@
         ),
         (Some(6), Some(12.0), None, 40)
     );
-    // A confidence of NaN believes nothing.
+    // A confidence of NaN counts as 0.
     let mut nan = scheduler();
     nan.restore(&learned, f64::NAN);
     assert_eq!(nan.learned_state(), cold);
 }
 
 #[test]
-fn a_learned_state_that_no_scheduler_could_have_written_does_no_harm() {
-    let wild = LearnedState {
+fn implausible_learned_state_is_clamped_or_ignored() {
+    let implausible = LearnedState {
         run_times: vec![[u32::MAX; 12]; 9],
         call_times: [u32::MAX; 12],
         concurrency_limit: Some(u32::MAX),
@@ -74,7 +74,7 @@
         tenants: vec![tenant(f64::NAN, 1e300); 3],
     };
     let mut scheduler = scheduler();
-    scheduler.restore(&wild, 1.0);
+    scheduler.restore(&implausible, 1.0);
     let learned = scheduler.learned_state();
     assert_eq!(
         (
--- a/crates/coralstep/tests/pinned.rs
+++ b/crates/coralstep/tests/pinned.rs
@@ -1,12 +1,12 @@
-//! Pinned digests of the decisions: pseudo-random histories must give the very same actions and the same state.
+//! Pinned digests: pseudo-random event histories must lead to the same actions and the same state.
 use std::collections::BTreeMap;
 
 use coralstep::*;
 
-/// Events of one history.
+/// Number of events in one history.
 const EVENTS: u32 = 40_000;
 
-/// FNV-1a, whose result is the same with every toolchain.
+/// FNV-1a hash, which is the same with every toolchain.
 struct Digest(u64);
 
 impl Digest {
@@ -17,7 +17,7 @@
     }
 }
 
-/// A linear congruential generator, so that a history depends on its seed alone.
+/// Linear congruential generator, so that a history depends only on its seed.
 struct Rng(u64);
 
 impl Rng {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Where the history has an RPC.
+/// Phase of an RPC in the history.
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
     Waiting,
@@ -39,7 +39,7 @@
     Replaying,
 }
 
-/// Hashes every action and follows it as a server would.
+/// Hashes every action and executes it as a server would.
 struct Recorder {
     digest: Digest,
     phases: BTreeMap<u32, Phase>,
@@ -55,7 +55,7 @@
         self.digest.add(value);
     }
 
-    fn id(&mut self) -> RpcId {
+    fn allocate_id(&mut self) -> RpcId {
         let id = self.free.pop().unwrap_or(self.next);
         self.next = self.next.max(id + 1);
         self.phases.insert(id, Phase::Waiting);
@@ -197,7 +197,7 @@
         _ => EarlierAttempt::None,
     };
     Request {
-        id: out.id(),
+        id: out.allocate_id(),
         method: rng.below(4) as usize,
         tenant: rng.below(3).checked_sub(1).map(|tenant| tenant as usize),
         deadline: (rng.below(3) == 0).then_some(out.now + Span(rng.below(20_000))),
@@ -209,7 +209,7 @@
     }
 }
 
-fn call_result(rng: &mut Rng, failing: bool) -> Outcome {
+fn call_outcome(rng: &mut Rng, failing: bool) -> Outcome {
     const FAILED: [Outcome; 5] = [
         Outcome::Error,
         Outcome::TimedOut,
@@ -224,7 +224,7 @@
     }
 }
 
-fn run_result(rng: &mut Rng) -> Outcome {
+fn run_outcome(rng: &mut Rng) -> Outcome {
     match rng.below(30) {
         0 => Outcome::Error,
         1 => Outcome::Unreachable,
@@ -233,15 +233,15 @@
     }
 }
 
-/// One event of the history; the dependency fails in every third stretch of 5,000 events.
-fn step(scheduler: &mut Scheduler, rng: &mut Rng, out: &mut Recorder, event: u32) {
+/// Plays one event of the history. Calls fail in every third block of 5,000 events.
+fn play_event(scheduler: &mut Scheduler, rng: &mut Rng, out: &mut Recorder, event: u32) {
     match rng.below(20) {
         0..6 => {
             let request = request(rng, out);
             scheduler.handle_request(out.now, request, out);
         }
         6..10 => end_run(scheduler, rng, out),
-        10..13 => need_call(scheduler, rng, out),
+        10..13 => request_call(scheduler, rng, out),
         13..17 => end_call(scheduler, rng, out, event / 5_000 % 3 == 1),
         17 if rng.below(4) == 0 => {
             if let Some(id) = out.pick(rng, |_| true) {
@@ -263,11 +263,11 @@
         matches!(phase, Phase::Running | Phase::Replaying)
     });
     if let Some(id) = id {
-        scheduler.handle_completion(out.now, id, run_result(rng), out);
+        scheduler.handle_completion(out.now, id, run_outcome(rng), out);
     }
 }
 
-fn need_call(scheduler: &mut Scheduler, rng: &mut Rng, out: &mut Recorder) {
+fn request_call(scheduler: &mut Scheduler, rng: &mut Rng, out: &mut Recorder) {
     if let Some(id) = out.pick(rng, |phase| phase == Phase::Running) {
         out.phases.insert(id.0, Phase::Waiting);
         scheduler.handle_call_needed(out.now, id, out);
@@ -281,7 +281,7 @@
     let Some(Phase::Calling(began)) = out.phases.insert(id.0, Phase::Waiting) else {
         return;
     };
-    let outcome = call_result(rng, failing);
+    let outcome = call_outcome(rng, failing);
     if outcome == Outcome::Ok {
         out.phases.insert(id.0, Phase::Running);
     }
@@ -304,7 +304,7 @@
     scheduler.begin_config_version();
 }
 
-/// The numbers and truth values of the whole state, sorted: the same whatever the fields are called and wherever they stand.
+/// Hashes the sorted numbers and booleans of the state, so that names and order of fields do not matter.
 fn state_digest(scheduler: &Scheduler) -> u64 {
     let text = scheduler.state_text();
     let words = text.split(|at: char| !at.is_ascii_alphanumeric() && !matches!(at, '.' | '-'));
@@ -322,8 +322,8 @@
     digest.0
 }
 
-/// The digests of all actions, and of the state at the end.
-fn play(variant: u64, seed: u64) -> (u64, u64) {
+/// Plays a history and returns the digests of its actions and of the final state.
+fn play_history(variant: u64, seed: u64) -> (u64, u64) {
     let mut out = Recorder {
         digest: Digest(0xcbf2_9ce4_8422_2325),
         phases: BTreeMap::new(),
@@ -346,7 +346,7 @@
         if event == EVENTS - 2_000 {
             scheduler.begin_drain(out.now, out.now + Span::ms(4_000), &mut out);
         }
-        step(&mut scheduler, &mut rng, &mut out, event);
+        play_event(&mut scheduler, &mut rng, &mut out, event);
         if event % 1_000 == 0 {
             out.digest.add(state_digest(&scheduler));
         }
@@ -354,9 +354,9 @@
     (out.digest.0, state_digest(&scheduler))
 }
 
-/// Guards against a change of names or files that changes a decision, the order of a sum or a random draw.
+/// Guards against refactorings that change a decision, the order of a sum or a random draw.
 #[test]
-fn decisions_and_state_are_the_same_as_pinned() {
+fn actions_and_state_match_pinned_digests() {
     let pinned: [(u64, u64, u64, u64); 6] = [
         (0, 11, 1_029_266_313_548_693_095, 2_760_822_768_949_938_020),
         (0, 12, 5_494_593_168_559_385_049, 15_806_529_715_442_292_236),
@@ -371,7 +371,7 @@
         (2, 12, 3_027_950_431_325_850_106, 15_807_281_336_624_211_255),
     ];
     let played = pinned.map(|(variant, seed, ..)| {
-        let (actions, state) = play(variant, seed);
+        let (actions, state) = play_history(variant, seed);
         (variant, seed, actions, state)
     });
     assert_eq!(played, pinned);
--- a/crates/coralstep/tests/scenarios.rs
+++ b/crates/coralstep/tests/scenarios.rs
@@ -1,16 +1,16 @@
-//! Plays the scenarios in `tests/scenarios/*.txt`; the notation is described in `tests/scenarios/NOTATION.md`.
+//! Plays the scenarios in `tests/scenarios/*.txt`; `tests/scenarios/NOTATION.md` describes the notation.
 use std::collections::HashMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::Path;
 
 use coralstep::*;
 
-/// The Retry-After values that the notation leaves out, in milliseconds.
+/// Retry-After values that the notation omits, in milliseconds.
 const USUAL_RETRY_AFTER_MS: [u64; 3] = [0, 250, 5_000];
-/// Between two ticks.
-const TICK: Span = Span::ms(20);
+/// Interval between timeouts while time passes.
+const TIMER_PERIOD: Span = Span::ms(20);
 
-/// The actions of one event, as the scenarios write them.
+/// Records the actions of one event in the notation of the scenarios.
 #[derive(Default)]
 struct Recorder(Vec<String>);
 
@@ -76,14 +76,14 @@
 
 fn number(word: &str) -> f64 {
     word.parse()
-        .unwrap_or_else(|_| panic!("{word} is no number"))
+        .unwrap_or_else(|_| panic!("invalid number {word:?}"))
 }
 
 fn ms(word: &str) -> Span {
     Span::ms(number(word) as u64)
 }
 
-/// The words of a line, and the values of those that are `name=value`.
+/// The words of a line, and the values of its `name=value` words.
 struct Line<'a> {
     words: &'a [&'a str],
     values: HashMap<&'a str, &'a str>,
@@ -102,17 +102,15 @@
         self.words.contains(&word)
     }
 
-    fn number(&self, name: &str, otherwise: f64) -> f64 {
-        self.values
-            .get(name)
-            .map_or(otherwise, |value| number(value))
+    fn number(&self, name: &str, default: f64) -> f64 {
+        self.values.get(name).map_or(default, |value| number(value))
     }
 
     fn ms(&self, name: &str) -> Span {
         Span::ms(self.number(name, 0.0) as u64)
     }
 
-    /// The id after the first word.
+    /// Returns the request id after the first word.
     fn id(&self) -> RpcId {
         RpcId(number(self.words[1]) as u32)
     }
@@ -124,7 +122,7 @@
             "idempotent" => Idempotency::Idempotent,
             "keyed" => Idempotency::Keyed,
             "non-idempotent" => Idempotency::NonIdempotent,
-            other => panic!("no idempotency {other}"),
+            other => panic!("unknown idempotency {other:?}"),
         },
         latency_objective: line.ms("objective"),
         deadline: line.ms("deadline"),
@@ -156,7 +154,7 @@
             }
             "dependency_share" => config.dependency = Dependency::Shared(number(value)),
             "dependency" => config.dependency = dependency(value),
-            other => panic!("no setting {other}"),
+            other => panic!("unknown setting {other:?}"),
         }
     }
 }
@@ -166,7 +164,7 @@
         "weight" => LoadReportKind::Weight,
         "threshold" => LoadReportKind::Threshold,
         "credit" => LoadReportKind::Credit,
-        other => panic!("no load report {other}"),
+        other => panic!("unknown load report {other:?}"),
     }
 }
 
@@ -174,7 +172,7 @@
     match word {
         "cancel" => Preemption::Cancel,
         "pause" => Preemption::Pause,
-        other => panic!("no preemption {other}"),
+        other => panic!("unknown preemption {other:?}"),
     }
 }
 
@@ -182,7 +180,7 @@
     match word {
         "tier" => Dependency::Tier,
         "none" => Dependency::None,
-        other => panic!("no dependency {other}"),
+        other => panic!("unknown dependency {other:?}"),
     }
 }
 
@@ -208,16 +206,16 @@
         "unreachable" => Outcome::Unreachable,
         "connection_lost" => Outcome::ConnectionLost,
         "cancelled" => Outcome::Cancelled,
-        other => panic!("no outcome {other}"),
+        other => panic!("unknown outcome {other:?}"),
     }
 }
 
 fn request(now: Time, line: &Line<'_>) -> Request {
     let age = line.ms("age");
     let arrived = now - age;
-    // From its arrival; before it where that is below 0.
+    // Relative to the arrival; negative values are before it.
     let deadline = |text: &&str| match text.strip_prefix('-') {
-        Some(before) => arrived - ms(before),
+        Some(time_before) => arrived - ms(time_before),
         None => arrived + ms(text),
     };
     let earlier = line.values.get("earlier");
@@ -236,14 +234,14 @@
     }
 }
 
-/// A scenario that is being played.
+/// State of the scenario being played.
 struct Scenario {
     config: SchedulerConfig,
     scheduler: Option<Scheduler>,
     now: Time,
     gauges: Gauges,
     actions: Recorder,
-    /// Expectations that were met.
+    /// Number of fulfilled expectations.
     expectations: usize,
 }
 
@@ -259,7 +257,7 @@
         }
     }
 
-    fn line(&mut self, words: &[&str]) {
+    fn play_line(&mut self, words: &[&str]) {
         let line = Line::new(words);
         match words[0] {
             "config" => configure(&mut self.config, &line),
@@ -267,7 +265,7 @@
             "busy" => self.gauges.cpu_busy = Some(number(words[1])),
             "open" => self.gauges.open_connections = Some(number(words[1])),
             "=>" => self.expect(&words[1..].join(" ")),
-            _ => self.event(&line),
+            _ => self.play_event(&line),
         }
     }
 
@@ -280,7 +278,7 @@
         self.expectations += 1;
     }
 
-    fn event(&mut self, line: &Line<'_>) {
+    fn play_event(&mut self, line: &Line<'_>) {
         let (now, out, words) = (self.now, &mut self.actions, line.words);
         out.0.clear();
         let scheduler = self
@@ -299,11 +297,11 @@
             "degradation" => scheduler.set_degradation(now, degradation(line), out),
             "drain" => scheduler.begin_drain(now, now + ms(words[1]), out),
             "wait" => self.wait(ms(words[1])),
-            other => panic!("no event {other}"),
+            other => panic!("unknown event {other:?}"),
         }
     }
 
-    /// So many calls of one request, as it needs them and as they end.
+    /// Plays several calls of one request: each call as the run needs it, and its result.
     fn call_results(&mut self, line: &Line<'_>) {
         let (now, id, out) = (self.now, line.id(), &mut self.actions);
         let Some(scheduler) = &mut self.scheduler else {
@@ -325,14 +323,14 @@
             return;
         };
         while self.now < until {
-            self.now = (self.now + TICK).min(until);
+            self.now = (self.now + TIMER_PERIOD).min(until);
             scheduler.handle_timeout(self.now, self.gauges, &mut self.actions);
         }
     }
 }
 
-/// Plays all scenarios of a file; how many expectations were met.
-fn play(path: &Path) -> usize {
+/// Plays all scenarios of a file and returns the number of fulfilled expectations.
+fn play_file(path: &Path) -> usize {
     let text = std::fs::read_to_string(path).unwrap();
     let (mut scenario, mut expectations) = (Scenario::new(), 0);
     for (number, line) in text.lines().enumerate() {
@@ -342,7 +340,7 @@
             scenario = Scenario::new();
         } else if !line.is_empty() {
             let words: Vec<&str> = line.split_whitespace().collect();
-            let played = catch_unwind(AssertUnwindSafe(|| scenario.line(&words)));
+            let played = catch_unwind(AssertUnwindSafe(|| scenario.play_line(&words)));
             assert!(played.is_ok(), "{}:{}: {line}", path.display(), number + 1);
         }
     }
@@ -350,7 +348,7 @@
 }
 
 #[test]
-fn each_event_of_the_scenarios_leads_to_the_expected_actions() {
+fn scenario_events_lead_to_expected_actions() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
     let mut files: Vec<_> = std::fs::read_dir(folder)
         .unwrap()
@@ -361,6 +359,10 @@
         .iter()
         .filter(|file| file.extension().is_some_and(|end| end == "txt"));
     for file in texts {
-        assert!(play(file) > 0, "{} expects nothing", file.display());
+        assert!(
+            play_file(file) > 0,
+            "{} contains no expectations",
+            file.display()
+        );
     }
 }
--- a/crates/coralstep/tests/state_digest.rs
+++ b/crates/coralstep/tests/state_digest.rs
@@ -1,11 +1,11 @@
-//! The digest of a scheduler tells states apart.
+//! The digest of a scheduler distinguishes states.
 use coralstep::*;
 
 struct NoActions;
 impl Actions for NoActions {}
 
 #[test]
-fn the_digest_is_the_same_for_the_same_events_and_another_for_others() {
+fn digest_is_equal_for_equal_events_and_differs_for_other_events() {
     let mut config = SchedulerConfig {
         cores: 2,
         memory_kb: 10_000.0,
@@ -16,7 +16,7 @@
         deadline: Span::ms(2_000),
         ..Method::default()
     });
-    let play = |requests: u32| {
+    let digest_after = |requests: u32| {
         let mut scheduler = Scheduler::start(&config, 7, Time(0), &mut NoActions);
         for id in 0..requests {
             let request = Request {
@@ -28,6 +28,6 @@
         }
         scheduler.digest()
     };
-    assert_eq!(play(2), play(2));
-    assert!(play(1) != play(2) && play(0) != play(1));
+    assert_eq!(digest_after(2), digest_after(2));
+    assert!(digest_after(1) != digest_after(2) && digest_after(0) != digest_after(1));
 }
