--- a/crates/coralstep-adapter/src/error.rs
+++ b/crates/coralstep-adapter/src/error.rs
@@ -2,31 +2,31 @@
 use coralstep_config::SettingError;
 use thiserror::Error;
 
-/// Why a line of input is refused.
+/// Reason for which a line of input is rejected.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub(crate) enum LineError {
-    /// A field is missing.
+    /// A required field is missing.
     #[error("no {0}")]
     MissingField(&'static str),
-    /// A field's value, or a setting, is refused.
+    /// The value of a field or a setting is invalid.
     #[error(transparent)]
     Value(#[from] SettingError),
-    /// Time stamps must not decrease.
+    /// The timestamp is earlier than that of the previous batch.
     #[error("the clock went back from {from_ns} to {to_ns}")]
     ClockWentBack { from_ns: u64, to_ns: u64 },
-    /// A batch must end before the next one.
+    /// A batch begins before the previous one ended.
     #[error("MARK inside a batch")]
     NestedBatch,
-    /// Events stand inside a batch.
+    /// An event is outside a batch.
     #[error("{0} outside a batch")]
     OutsideBatch(String),
     /// The message is not part of the protocol.
     #[error("unknown message {0}")]
     UnknownMessage(String),
-    /// The server's name is not `server/` and a number.
+    /// The server's name is not `server/` followed by a number.
     #[error("no server of the name {0}")]
     ServerName(String),
-    /// No instance of this server is running.
+    /// The server is not running.
     #[error("{0} was never booted")]
     NotBooted(String),
     /// The RPC's method is not in the settings.
@@ -38,15 +38,15 @@
     /// The handle is still in use.
     #[error("RPC {0} was delivered twice")]
     DuplicateHandle(u64),
-    /// The handle was never delivered, or so long ago that it is forgotten.
+    /// The handle is unknown, or was released too long ago.
     #[error("RPC {0} was never delivered")]
     UnknownHandle(u64),
 }
 
-/// Why the adapter ends before its input does.
+/// Error that ends the adapter.
 #[derive(Debug, Error)]
 pub(crate) enum AdapterError {
-    /// A line is refused.
+    /// A line is invalid.
     #[error("line {line}: {source}")]
     Line { line: u64, source: LineError },
     /// A line is not UTF-8.
--- a/crates/coralstep-adapter/src/handles.rs
+++ b/crates/coralstep-adapter/src/handles.rs
@@ -1,20 +1,20 @@
-//! The protocol's handles of RPCs and the small ids that the scheduler knows them by.
+//! Mapping between the protocol's RPC handles and the scheduler's ids.
 use std::collections::{HashMap, VecDeque};
 
 use coralstep::{EarlierAttempt, RpcId};
 
 use crate::error::LineError;
 
-/// A handle stays known this long after its RPC is over, for events that come late.
+/// Time for which a handle stays known after its RPC was released, for late events.
 const LATE_EVENTS_NS: u64 = 60_000_000_000;
 
-/// A two-way table of handles and ids.
+/// Bidirectional map of handles and ids.
 #[derive(Default)]
-pub(crate) struct Handles {
+pub(crate) struct HandleMap {
     ids: HashMap<u64, RpcId>,
-    /// The handle of each id.
+    /// HandleMap, indexed by id.
     handles: Vec<u64>,
-    /// Ids that may be given out again, oldest first.
+    /// Released ids, oldest first.
     released: VecDeque<Released>,
 }
 
@@ -23,19 +23,19 @@
     id: RpcId,
 }
 
-impl Handles {
-    /// The id of `handle`.
+impl HandleMap {
+    /// Returns the id of `handle`.
     pub(crate) fn id(&self, handle: u64) -> Result<RpcId, LineError> {
         let id = self.ids.get(&handle).copied();
         id.ok_or(LineError::UnknownHandle(handle))
     }
 
-    /// The handle of `id`.
+    /// Returns the handle of `id`.
     pub(crate) fn handle(&self, id: RpcId) -> u64 {
         self.handles[id.0 as usize]
     }
 
-    /// The earlier attempt that `handle` names; absent or 0: there is none.
+    /// Returns the earlier attempt with `handle`; an absent handle or 0 means that there is none.
     pub(crate) fn earlier_attempt(&self, handle: Option<u64>) -> EarlierAttempt {
         match handle {
             None | Some(0) => EarlierAttempt::None,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Gives `handle` an id.
+    /// Assigns an id to `handle`.
     pub(crate) fn add(&mut self, handle: u64, now_ns: u64) -> Result<RpcId, LineError> {
         if self.ids.contains_key(&handle) {
             return Err(LineError::DuplicateHandle(handle));
@@ -69,7 +69,7 @@
         Ok(id)
     }
 
-    /// The scheduler is done with `id`.
+    /// Releases `id`, which the scheduler no longer uses.
     pub(crate) fn release(&mut self, id: RpcId, now_ns: u64) {
         self.released.push_back(Released { at_ns: now_ns, id });
     }
--- a/crates/coralstep-adapter/src/host.rs
+++ b/crates/coralstep-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! All simulated servers of one process, and the batch that is being read.
+//! The simulated servers of one process, and the batch being read.
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
 
@@ -6,7 +6,7 @@
 use crate::fields::Fields;
 use crate::instance::{Context, Instance};
 
-/// What a server's name begins with; a number follows.
+/// Prefix of a server's name; its number follows.
 const SERVER_PREFIX: &str = "server/";
 
 #[derive(Default)]
@@ -18,8 +18,8 @@
 }
 
 impl Host {
-    /// Takes one line; true once the batch is complete and `reply` holds its answer.
-    fn line(&mut self, line: &str) -> Result<bool, LineError> {
+    /// HandleMap one line; returns true if it completed a batch, whose reply is then in `reply`.
+    fn handle_line(&mut self, line: &str) -> Result<bool, LineError> {
         let (message, rest) = line.split_once(' ').unwrap_or((line, ""));
         if message.is_empty() {
             return Ok(false);
@@ -34,7 +34,7 @@
                 Ok(true)
             }
             (_, false) => Err(LineError::OutsideBatch(message.to_owned())),
-            (_, true) => self.event(message, &fields).map(|()| false),
+            (_, true) => self.handle_event(message, &fields).map(|()| false),
         }
     }
 
@@ -52,7 +52,7 @@
         Ok(())
     }
 
-    fn event(&mut self, message: &str, fields: &Fields<'_>) -> Result<(), LineError> {
+    fn handle_event(&mut self, message: &str, fields: &Fields<'_>) -> Result<(), LineError> {
         let server = fields
             .text("server")
             .ok_or(LineError::MissingField("server"))?;
@@ -86,7 +86,7 @@
 /// Answers the batches of `input` on `output` until the input ends.
 ///
 /// # Errors
-/// The first line that is refused, with its number; input that ends inside a batch; failed I/O.
+/// Fails at the first invalid line, with its number, if the input ends inside a batch, or on an I/O error.
 pub(crate) fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut bytes = Vec::new();
@@ -99,7 +99,7 @@
         let text = std::str::from_utf8(&bytes)
             .map_err(|source| AdapterError::Encoding { line, source })?;
         let is_complete = host
-            .line(text.trim_end_matches(['\n', '\r']))
+            .handle_line(text.trim_end_matches(['\n', '\r']))
             .map_err(|source| AdapterError::Line { line, source })?;
         if is_complete {
             output
--- a/crates/coralstep-adapter/src/host/tests.rs
+++ b/crates/coralstep-adapter/src/host/tests.rs
@@ -14,8 +14,8 @@
     (result, String::from_utf8(output).unwrap())
 }
 
-/// What `events` lead to right after the start of server 3.
-fn after_boot(events: &str) -> (Result<(), String>, String) {
+/// Boots server 3, plays `events` and returns the result and the output after the boot.
+fn run_after_boot(events: &str) -> (Result<(), String>, String) {
     let (result, output) = run(&format!(
         "MARK ts=1000000000\n{BOOT}\nEOF_BATCH\nMARK ts=1002000000\n{events}"
     ));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn batches_without_events() {
+fn batch_without_events_is_answered_with_ready() {
     assert_eq!(run(""), (Ok(()), String::new()));
     assert_eq!(
         run("MARK ts=1\nEOF_BATCH\n\nMARK ts=1\r\nEOF_BATCH\r\n"),
@@ -33,8 +33,8 @@
 }
 
 #[test]
-fn ids_come_back_exactly_and_unknown_fields_do_no_harm() {
-    let (result, output) = after_boot(
+fn large_handle_is_preserved_and_unknown_fields_are_ignored() {
+    let (result, output) = run_after_boot(
         "INBOUND server=server/3 new=x handle=4503599627370495 type=read user_group=north footprint=9.5 prior=0\n\
          WANTS_CALL server=server/3 handle=4503599627370495\nEOF_BATCH\n",
     );
@@ -49,9 +49,10 @@
 }
 
 #[test]
-fn a_prior_that_nobody_knows_is_taken_for_one_that_ran() {
-    let (result, output) =
-        after_boot("INBOUND server=server/3 handle=5 type=save footprint=9 prior=4\nEOF_BATCH\n");
+fn repeat_of_unknown_attempt_is_replayed() {
+    let (result, output) = run_after_boot(
+        "INBOUND server=server/3 handle=5 type=save footprint=9 prior=4\nEOF_BATCH\n",
+    );
     assert_eq!(
         (result, output.as_str()),
         (Ok(()), "REPLAY server=server/3 handle=5\nREADY\n")
@@ -59,8 +60,8 @@
 }
 
 #[test]
-fn a_server_that_starts_again_in_the_same_batch_knows_nothing() {
-    let (result, output) = after_boot(&format!(
+fn server_restarted_within_a_batch_has_no_earlier_state() {
+    let (result, output) = run_after_boot(&format!(
         "INBOUND server=server/3 handle=5 type=read footprint=9\nHALT server=server/3\n{BOOT}\n\
          INBOUND server=server/3 handle=5 type=read footprint=9\nEOF_BATCH\n"
     ));
@@ -74,8 +75,8 @@
 
 #[test]
 #[allow(clippy::too_many_lines, reason = "a table of cases")]
-fn bad_input_names_its_line_and_gets_no_reply() {
-    for (events, why) in [
+fn invalid_input_is_reported_with_line_number_and_without_reply() {
+    for (events, error) in [
         (
             "NOVELTY server=server/3\n",
             "line 5: unknown message NOVELTY",
@@ -109,8 +110,8 @@
         ("", "the input ended inside a batch, before EOF_BATCH"),
     ] {
         assert_eq!(
-            after_boot(events),
-            (Err(why.to_owned()), String::new()),
+            run_after_boot(events),
+            (Err(error.to_owned()), String::new()),
             "{events}"
         );
     }
@@ -124,16 +125,16 @@
     );
 }
 
-/// The module gets the due time of each RPC as it came; gauges that stop, and tenants that nobody named at the start, end nothing.
+/// Deadlines reach the scheduler unchanged; absent gauges and unknown tenants are no errors.
 #[test]
-fn due_times_and_what_is_missing_are_passed_on_as_they_are() {
+fn deadline_is_passed_on_and_missing_gauges_and_tenants_are_accepted() {
     let rpc = |handle: u32, rest: &str| {
         format!("INBOUND server=server/3 handle={handle} type=read footprint=9 {rest}\n")
     };
     let wait =
         "EOF_BATCH\nMARK ts=1952000000\nREMINDER server=server/3 name=beat load=,\nEOF_BATCH\n";
-    let aborted = |rest: &str| {
-        let (result, output) = after_boot(&format!("{}{wait}", rpc(5, rest)));
+    let fails = |rest: &str| {
+        let (result, output) = run_after_boot(&format!("{}{wait}", rpc(5, rest)));
         assert_eq!(result, Ok(()));
         assert!(
             output.contains("ADMIT server=server/3 handle=5\n"),
@@ -141,10 +142,10 @@
         );
         output.contains("SURRENDER server=server/3 handle=5\n")
     };
-    // 950 ms pass: one that is due after a second is answered early, within its slack, one that says nothing is not due yet.
-    assert!(aborted("due=2000000000"));
-    assert!(!aborted("due=2100000000") && !aborted("due=0") && !aborted("user_group=nobody"));
-    let (result, _) = after_boot(&rpc(6, "due=soon"));
+    // After 950 ms a deadline of 1 s is within the response margin; later or absent deadlines are not.
+    assert!(fails("due=2000000000"));
+    assert!(!fails("due=2100000000") && !fails("due=0") && !fails("user_group=nobody"));
+    let (result, _) = run_after_boot(&rpc(6, "due=soon"));
     assert_eq!(
         result,
         Err("line 5: due=soon is no proper value".to_owned())
--- a/crates/coralstep-adapter/src/instance.rs
+++ b/crates/coralstep-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One simulated server: its scheduler, the names it was booted with, and the handles of its RPCs.
+//! One simulated server: its scheduler, configured names and RPC handles.
 use coralstep::{Actions, Gauges, Outcome, Request, RpcId, Scheduler};
 use coralstep_config::Names;
 use coralstep_config::settings::{parse, parse_amount, parse_flag};
@@ -6,18 +6,18 @@
 use crate::action_writer::ActionWriter;
 use crate::error::LineError;
 use crate::fields::Fields;
-use crate::handles::Handles;
-use crate::units::{span_up, time};
+use crate::handles::HandleMap;
+use crate::units::{span_rounded_up, time};
 
-/// A running scheduler.
+/// A running simulated server.
 pub(crate) struct Instance {
     number: u64,
     scheduler: Scheduler,
     names: Names,
-    handles: Handles,
+    handles: HandleMap,
 }
 
-/// When an event happens, and where the actions that follow go.
+/// Time of an event and destination of the resulting actions.
 pub(crate) struct Context<'a> {
     pub(crate) now_ns: u64,
     pub(crate) reply: &'a mut String,
@@ -32,7 +32,7 @@
     ) -> Result<Instance, LineError> {
         let seed = fields.get("entropy")?.unwrap_or(0);
         let (config, names) = coralstep_config::from_pairs(fields.pairs())?;
-        let mut handles = Handles::default();
+        let mut handles = HandleMap::default();
         let mut actions = ActionWriter {
             server: number,
             now_ns: context.now_ns,
@@ -59,45 +59,45 @@
         match message {
             "INBOUND" => {
                 let request = self.request(fields, context.now_ns)?;
-                self.drive(context, |scheduler, actions| {
+                self.with_scheduler(context, |scheduler, actions| {
                     scheduler.handle_request(now, request, actions);
                 });
             }
             "SETTLED" => {
                 let (rpc, outcome) = self.rpc_outcome(fields)?;
                 fields.span("latency")?;
-                self.drive(context, |scheduler, actions| {
+                self.with_scheduler(context, |scheduler, actions| {
                     scheduler.handle_completion(now, rpc, outcome, actions);
                 });
             }
             "CALLED" => {
                 let (rpc, outcome) = self.rpc_outcome(fields)?;
                 let latency = fields.span("latency")?.unwrap_or_default();
-                self.drive(context, |scheduler, actions| {
+                self.with_scheduler(context, |scheduler, actions| {
                     scheduler.handle_call_result(now, rpc, outcome, latency, actions);
                 });
             }
             "WANTS_CALL" => {
                 let rpc = self.rpc(fields)?;
-                self.drive(context, |scheduler, actions| {
+                self.with_scheduler(context, |scheduler, actions| {
                     scheduler.handle_call_needed(now, rpc, actions);
                 });
             }
             "ABORTED" => {
                 let rpc = self.rpc(fields)?;
-                self.drive(context, |scheduler, actions| {
+                self.with_scheduler(context, |scheduler, actions| {
                     scheduler.handle_cancellation(now, rpc, actions);
                 });
             }
             "WIND_DOWN" => {
                 let stop = time(fields.require("due")?);
-                self.drive(context, |scheduler, actions| {
+                self.with_scheduler(context, |scheduler, actions| {
                     scheduler.begin_drain(now, stop, actions);
                 });
             }
             "REMINDER" => {
                 let gauges = self.gauges(fields.text("load").unwrap_or(""))?;
-                self.drive(context, |scheduler, actions| {
+                self.with_scheduler(context, |scheduler, actions| {
                     scheduler.handle_timeout(now, gauges, actions);
                 });
             }
@@ -106,10 +106,10 @@
         Ok(())
     }
 
-    fn drive(
+    fn with_scheduler(
         &mut self,
         context: &mut Context<'_>,
-        event: impl FnOnce(&mut Scheduler, &mut dyn Actions),
+        handle_event: impl FnOnce(&mut Scheduler, &mut dyn Actions),
     ) {
         let mut actions = ActionWriter {
             server: self.number,
@@ -117,7 +117,7 @@
             handles: &mut self.handles,
             reply: context.reply,
         };
-        event(&mut self.scheduler, &mut actions);
+        handle_event(&mut self.scheduler, &mut actions);
     }
 
     fn rpc(&self, fields: &Fields<'_>) -> Result<RpcId, LineError> {
@@ -142,13 +142,13 @@
                     request.tenant = position(&self.names.tenants, value);
                 }
                 "due" => request.deadline = non_zero(parse(name, value)?).map(time),
-                // Checked only: no rule uses the predicted work.
+                // Only validated: no rule uses the predicted work.
                 "predicted" => {
                     parse::<u64>(name, value)?;
                 }
                 "footprint" => request.queued_kb = parse_amount(name, value)?,
                 "again_by_client" => request.is_retry = parse_flag(name, value)?,
-                "queued_for" => request.age = span_up(parse(name, value)?),
+                "queued_for" => request.age = span_rounded_up(parse(name, value)?),
                 "prior" => earlier = Some(parse(name, value)?),
                 _ => {}
             }
@@ -164,7 +164,7 @@
         position(&self.names.methods, name).ok_or_else(|| LineError::UnknownMethod(name.to_owned()))
     }
 
-    /// The readings in `load`, in the order of the gauges that the settings name; an empty one is missing.
+    /// Parses the values in `load`, in the order of the configured gauges; an empty value is unknown.
     fn gauges(&self, load: &str) -> Result<Gauges, LineError> {
         let mut gauges = Gauges::default();
         for (name, value) in self.names.gauges.iter().zip(load.split(',')) {
@@ -185,12 +185,12 @@
     names.iter().position(|known| known == name)
 }
 
-/// The protocol writes 0 for an absent time.
+/// Converts the protocol's 0 for an absent time to `None`.
 fn non_zero(ns: u64) -> Option<u64> {
     (ns > 0).then_some(ns)
 }
 
-/// The outcome of a run or a call, by the protocol's code.
+/// Converts the protocol's code to the outcome of a run or a call.
 fn outcome(code: u64) -> Result<Outcome, LineError> {
     Ok(match code {
         200 => Outcome::Ok,
--- a/crates/coralstep-adapter/src/log_words.rs
+++ b/crates/coralstep-adapter/src/log_text.rs
@@ -1,12 +1,13 @@
-//! The words of the wire's `LOG` lines, which stay as its readers know them.
+//! Texts of the protocol's `LOG` lines. They are part of the wire format and independent of [`Event`]'s own
+//! messages.
 use std::fmt;
 
 use coralstep::{BreakerTransition, Event, OrphanedRun};
 
-/// An event in the words of the wire.
-pub(crate) struct LogWords(pub(crate) Event);
+/// Formats an event as the text of a `LOG` line.
+pub(crate) struct LogText(pub(crate) Event);
 
-impl fmt::Display for LogWords {
+impl fmt::Display for LogText {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             Event::BreakerChanged(BreakerTransition {
--- a/crates/coralstep-adapter/src/log_words/tests.rs
+++ b/crates/coralstep-adapter/src/log_text/tests.rs
@@ -1,10 +1,10 @@
 use coralstep::{BreakerState, BreakerTransition, Event, OrphanedRun, Span};
 
-use super::LogWords;
+use super::LogText;
 
-/// Guards against log lines on the wire that follow the words of the code.
+/// Guards against changing `LOG` lines when messages of the code are reworded.
 #[test]
-fn log_lines_keep_the_words_of_the_wire() {
+fn log_text_matches_wire_format() {
     let transition = BreakerTransition {
         from: BreakerState::Closed,
         to: BreakerState::Open,
@@ -24,7 +24,7 @@
         stalled: false,
         read_backlog: true,
     };
-    for (event, words) in [
+    for (event, text) in [
         (
             Event::BreakerChanged(transition),
             "breaker closed -> open, failed 0.50",
@@ -43,6 +43,6 @@
             "cores stand still: false, reading falls behind: true",
         ),
     ] {
-        assert_eq!(LogWords(event).to_string(), words);
+        assert_eq!(LogText(event).to_string(), text);
     }
 }
--- a/crates/coralstep-adapter/src/main.rs
+++ b/crates/coralstep-adapter/src/main.rs
@@ -1,14 +1,14 @@
-//! Speaks the simulator's line protocol on standard input and output.
+//! Connects the simulator's line protocol on standard input and output to the `coralstep` scheduler.
 //!
-//! Each event goes to the scheduler of its simulated server, each action of the scheduler becomes a line of the reply. The
-//! adapter maps words, units and ids; every decision is made by the crate `coralstep`.
+//! Each event is passed to the scheduler of its simulated server, and each action of the scheduler becomes
+//! a line of the reply. The adapter only converts names, units and ids.
 mod action_writer;
 mod error;
 mod fields;
 mod handles;
 mod host;
 mod instance;
-mod log_words;
+mod log_text;
 mod units;
 
 use std::io;
--- a/crates/coralstep-adapter/tests/texts.rs
+++ b/crates/coralstep-adapter/tests/texts.rs
@@ -1,4 +1,4 @@
-//! What the adapter replies to fixed input stays as it is. `GOLDEN_WRITE=1` writes the golden file anew.
+//! Compares the adapter's replies to fixed input with a golden file. `GOLDEN_WRITE=1` rewrites the file.
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
@@ -13,7 +13,7 @@
     domain.advert=weight domain.callers=3 domain.preemption=drop safety.fall_multiple=5 group_size=4 \
     realms.count=1 realms.0.name=north realms.0.quota_rps=8";
 
-/// Batches: the time in milliseconds, then the events, each of server 3 where no other is named.
+/// Batches for server 3: time in milliseconds and events.
 const BATCHES: &[(u64, &[&str])] = &[
     (1_000, &[]),
     (
@@ -105,8 +105,8 @@
     (3_100, &["REMINDER name=beat load=1,0.1", "HALT"]),
 ];
 
-/// Input at which the adapter ends.
-const FAULTS: [&str; 9] = [
+/// Invalid input that ends the adapter.
+const INVALID_INPUTS: [&str; 9] = [
     "EOF_BATCH\n",
     "MARK\n",
     "MARK ts=x\n",
@@ -118,7 +118,7 @@
     "MARK ts=5\nBOOT server=server/3 domain.cores=two\n",
 ];
 
-/// Exit code, replies and errors.
+/// Runs the adapter and returns its exit code, replies and errors.
 fn replies(input: &str) -> String {
     let mut child = Command::new(env!("CARGO_BIN_EXE_coralstep-adapter"))
         .stdin(Stdio::piped())
@@ -142,24 +142,24 @@
     )
 }
 
-fn day() -> String {
+fn batch_input() -> String {
     let mut input = format!("MARK ts=1000000000\n{BOOT}\nEOF_BATCH\n");
     for (ms, events) in BATCHES {
         input += &format!("MARK ts={}\n", ms * 1_000_000);
         for event in *events {
-            let (word, rest) = event.split_once(' ').unwrap_or((event, ""));
-            input += &format!("{word} server=server/3 {rest}\n");
+            let (message, rest) = event.split_once(' ').unwrap_or((event, ""));
+            input += &format!("{message} server=server/3 {rest}\n");
         }
         input += "EOF_BATCH\n";
     }
     input
 }
 
-/// Guards against replies, errors or exit codes that a simulator would read differently.
+/// Guards against changed replies, errors or exit codes that a simulator depends on.
 #[test]
-fn replies_to_fixed_input_stay() {
-    let mut text = format!("> a day of server 3\n{}", replies(&day()));
-    FAULTS
+fn replies_to_fixed_input_match_golden_file() {
+    let mut text = format!("> a day of server 3\n{}", replies(&batch_input()));
+    INVALID_INPUTS
         .iter()
         .for_each(|input| text += &format!("\n> {input:?}\n{}", replies(input)));
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/replies.txt");
