--- a/crates/coralstep-adapter/src/error.rs
+++ b/crates/coralstep-adapter/src/error.rs
@@ -2,7 +2,7 @@
 use coralstep_config::SettingError;
 use thiserror::Error;
 
-/// Reason for which a line of input is rejected.
+/// Error in a line of input.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub(crate) enum LineError {
     /// A required field is missing.
--- a/crates/coralstep-adapter/src/host.rs
+++ b/crates/coralstep-adapter/src/host.rs
@@ -18,7 +18,7 @@
 }
 
 impl Host {
-    /// HandleMap one line; returns true if it completed a batch, whose reply is then in `reply`.
+    /// Handles one line; returns true if it completed a batch, whose reply is then in `reply`.
     fn handle_line(&mut self, line: &str) -> Result<bool, LineError> {
         let (message, rest) = line.split_once(' ').unwrap_or((line, ""));
         if message.is_empty() {
--- a/crates/coralstep/src/bulkhead.rs
+++ b/crates/coralstep/src/bulkhead.rs
@@ -27,7 +27,7 @@
 const MIN_TIER_PERMITS: f64 = 4.0;
 /// Maximum permits toward a tier, as a multiple of the minimum.
 const MAX_TIER_PERMITS_FACTOR: f64 = 3.0;
-/// Typical call time, as a multiple of the best one, beyond which the dependency counts as overloaded.
+/// Typical call time, as a multiple of the lowest one, beyond which the dependency counts as overloaded.
 const MAX_SLOWNESS: f64 = 2.5;
 /// Factor applied to the permits at each adjustment while the dependency is overloaded.
 const SHRINK_FACTOR: f64 = 0.95;
@@ -224,8 +224,8 @@
     share.map_or(range.min, |share| share * INITIAL_SHARE_FRACTION)
 }
 
-/// Returns the number of started requests that must call and have not called yet. Answered ones count, because
-/// they still use the cores; orphaned ones do not.
+/// Returns the number of started requests that must call and have not called yet. Answered ones count,
+/// because they still use the cores; orphaned ones do not.
 fn requests_before_calls(shared: &SharedState) -> usize {
     let is_before_call = |request: &TrackedRequest| {
         request.call_attempts == 0 && matches!(request.phase, Phase::Running | Phase::AwaitingCall)
--- a/crates/coralstep/src/circuit_breaker.rs
+++ b/crates/coralstep/src/circuit_breaker.rs
@@ -208,8 +208,8 @@
         was_probe
     }
 
-    /// Records the outcome of a call that started at `started_at`. Calls from before the last state change are
-    /// ignored.
+    /// Records the outcome of a call that started at `started_at`. Calls that started before the last state
+    /// change are ignored.
     pub fn record_call(
         &mut self,
         now: Time,
@@ -259,8 +259,8 @@
     /// send their probe calls together.
     fn open(&mut self, now: Time, rng: &mut WyRand) -> BreakerTransition {
         let jitter = (1.0 - MIN_COOLDOWN_FRACTION) * f64::from(rng.generate::<u32>());
-        let part = MIN_COOLDOWN_FRACTION + jitter / f64::from(u32::MAX);
-        let until = now + self.cooldown.scaled(part);
+        let fraction = MIN_COOLDOWN_FRACTION + jitter / f64::from(u32::MAX);
+        let until = now + self.cooldown.scaled(fraction);
         self.change_state(now, State::Open { until })
     }
 
--- a/crates/coralstep/src/config.rs
+++ b/crates/coralstep/src/config.rs
@@ -9,7 +9,7 @@
     Idempotent,
     /// Requests carry an idempotency key; a repeat of one that may have run is answered with its result.
     Keyed,
-    /// A second run repeats the effect, and repeats cannot be told from new requests.
+    /// A second run repeats the effect, and repeats cannot be distinguished from new requests.
     NonIdempotent,
 }
 
--- a/crates/coralstep/src/learned_state.rs
+++ b/crates/coralstep/src/learned_state.rs
@@ -34,9 +34,9 @@
 /// Maximum number of samples restored into a histogram, so that new measurements outweigh outdated ones
 /// within seconds.
 const MAX_RESTORED_SAMPLES: u64 = 20;
-/// Values from this limit on are not plausible.
+/// Values from this limit on cannot have been written by a scheduler and are ignored.
 const MAX_PLAUSIBLE_VALUE: f64 = 1e9;
-/// Best call times from this limit on, in ticks, are not plausible.
+/// Best call times from this limit on, in ticks, cannot have been written by a scheduler and are ignored.
 const MAX_PLAUSIBLE_CALL_TIME: u64 = 1 << 32;
 /// A best call time is restored only above this confidence: one that is too low would make the dependency
 /// look overloaded permanently.
@@ -74,8 +74,8 @@
 
 fn restored_histogram(bins: &[u32; HISTOGRAM_BINS], confidence: f64) -> Histogram {
     let samples = Histogram::from_bins(*bins).samples();
-    let part = confidence * (MAX_RESTORED_SAMPLES as f64 / samples.max(1) as f64).min(1.0);
-    Histogram::from_bins(bins.map(|bin| (f64::from(bin.min(MAX_BIN_VALUE)) * part) as u32))
+    let scale = confidence * (MAX_RESTORED_SAMPLES as f64 / samples.max(1) as f64).min(1.0);
+    Histogram::from_bins(bins.map(|bin| (f64::from(bin.min(MAX_BIN_VALUE)) * scale) as u32))
 }
 
 fn is_plausible(value: f64) -> bool {
--- a/crates/coralstep/src/load_report.rs
+++ b/crates/coralstep/src/load_report.rs
@@ -17,7 +17,7 @@
 pub(crate) struct LoadReport {
     kind: LoadReportKind,
     callers: f64,
-    /// Fraction of the load that clients are asked to withhold, from 0 to 0.95.
+    /// Fraction of the load that clients should withhold, from 0 to 0.95.
     shed: f64,
 }
 
--- a/crates/coralstep/src/orphans.rs
+++ b/crates/coralstep/src/orphans.rs
@@ -15,7 +15,8 @@
 const QUERY_PERIOD: Span = Span::ms(2_000);
 /// Time after its answer at which a run counts as orphaned; longer than most pauses of a machine.
 const ORPHANED_AFTER: Span = Span::ms(10_000);
-/// Time after its answer at which a run whose call has ended counts as orphaned; two status queries fit.
+/// Time after its answer at which a run whose call has ended counts as orphaned; long enough for two
+/// status queries.
 const ORPHANED_AT_CALL_AFTER: Span = Span::ms(4_500);
 /// Maximum fraction of the started requests that may be orphaned; further runs still count against the
 /// concurrency limit.
--- a/crates/coralstep/src/priority.rs
+++ b/crates/coralstep/src/priority.rs
@@ -50,13 +50,13 @@
 fn underserved_boost(ratios: &[ServiceRatio], index: usize) -> f64 {
     let worst = ratios.iter().map(ServiceRatio::ratio).fold(1.0, f64::min);
     let requested: f64 = ratios.iter().map(|ratio| ratio.requested).sum();
-    let ahead = (ratios[index].ratio() - worst) / BOOST_BAND;
-    let nearness = (1.0 - ahead).max(0.0);
+    let distance = (ratios[index].ratio() - worst) / BOOST_BAND;
+    let boost_fraction = (1.0 - distance).max(0.0);
     let own_requested = ratios[index]
         .requested
         .max(requested * MIN_REQUESTED_FRACTION)
         .max(1.0);
-    nearness * requested.max(1.0) / own_requested
+    boost_fraction * requested.max(1.0) / own_requested
 }
 
 /// Returns the weight of a tenant's requests at its current rate. Its quota is assumed to be spread evenly
--- a/crates/coralstep/src/request_table.rs
+++ b/crates/coralstep/src/request_table.rs
@@ -8,12 +8,13 @@
     /// In the admission queue.
     Queued,
     Running,
-    /// Needs a call and waits for a permit.
+    /// Waiting for permission to call the dependency.
     AwaitingCall,
     Calling,
     /// Waiting for the result of its earlier attempt.
     Replaying,
-    /// Started and answered, but without an end for too long: no longer counts against the concurrency limit.
+    /// Started and answered, but without an end for too long: no longer counts against the concurrency
+    /// limit.
     Orphaned,
     /// Started and answered, but without an end after its call ended: it cannot return to the cores.
     OrphanedAtCall,
--- a/crates/coralstep/src/retry_after.rs
+++ b/crates/coralstep/src/retry_after.rs
@@ -4,7 +4,7 @@
 use crate::shared_state::SharedState;
 use crate::time::Span;
 
-/// Usual Retry-After; long enough for a few runs to end.
+/// Default Retry-After; long enough for a few runs to end.
 pub(crate) const DEFAULT_RETRY_AFTER: Span = Span::ms(250);
 /// Retry-After while the server drains or is stalled, and after a timed-out wait for a permit.
 pub(crate) const UNAVAILABLE_RETRY_AFTER: Span = Span::ms(5_000);
--- a/crates/coralstep/src/scheduler/observation.rs
+++ b/crates/coralstep/src/scheduler/observation.rs
@@ -114,8 +114,7 @@
     /// Restores the learned state of an earlier process with a `confidence` from 0 (ignored) to 1 (as if
     /// learned here). Must be called before the first request.
     ///
-    /// The circuit breaker always starts closed: the cooldown of an open one would have ended before the
-    /// restart.
+    /// The circuit breaker always starts closed: the cooldown of an earlier open state has ended by then.
     pub fn restore(&mut self, learned: &LearnedState, confidence: f64) {
         let confidence = if confidence.is_finite() {
             confidence.clamp(0.0, 1.0)
