--- a/crates/coralstep-fleet/src/audit/chain.rs
+++ b/crates/coralstep-fleet/src/audit/chain.rs
@@ -1,4 +1,4 @@
-//! A server's own audit record: entries that are chained by their hashes.
+//! A server's own audit record: a hash chain of the versions that it had active.
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
@@ -7,10 +7,11 @@
 use crate::status::{ChainHead, PastVersion};
 use crate::versions::{ContentHash, HASH_BYTES, VersionId, hash};
 
-/// Entries that are kept: the last ones.
+/// Maximum number of entries kept. The oldest are dropped first.
 pub const MAX_OWN_ENTRIES: usize = 256;
 
-/// A version that this server had active. The order of the fields is that of their bytes.
+/// Entry for a version that this server had active. The order of the fields is part of the stored
+/// format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditEntry {
     /// Position in the chain, counted from 0.
@@ -21,9 +22,9 @@
     pub from_ms: UnixMillis,
     /// When the next one was activated, in Unix milliseconds of the hybrid clock.
     pub to_ms: UnixMillis,
-    /// RPCs that were decided under it.
+    /// Number of RPCs submitted while it was active.
     pub rpcs: u64,
-    /// Hash of the entry before.
+    /// Hash of the previous entry.
     pub previous: ContentHash,
 }
 
@@ -33,13 +34,13 @@
     }
 }
 
-/// A chain whose entries don't follow each other.
+/// Inconsistency of an audit chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChainError {
-    /// An entry is missing before this one.
+    /// The entry before the one with this number is missing.
     #[error("an entry is missing before audit entry {0}")]
     MissingEntry(u32),
-    /// The entry before this one was modified.
+    /// The entry before the one with this number was modified.
     #[error("the entry before audit entry {0} was modified")]
     ModifiedEntry(u32),
 }
@@ -53,7 +54,7 @@
 }
 
 impl AuditChain {
-    /// Appends a version that is no longer active, as the next entry.
+    /// Appends an entry for a version that is no longer active.
     pub fn append(&mut self, past: PastVersion) {
         let entry = AuditEntry {
             number: self.length,
@@ -71,11 +72,11 @@
         self.entries.push_back(entry);
     }
 
-    /// Continues a chain from before a restart.
+    /// Returns the chain with the entries saved before a restart.
     ///
     /// # Errors
     ///
-    /// As [`verify`].
+    /// Returns the same errors as [`verify`].
     pub fn resume(entries: Vec<AuditEntry>) -> Result<AuditChain, ChainError> {
         verify(entries.iter())?;
         let last = entries.last();
@@ -91,7 +92,7 @@
         self.entries.iter()
     }
 
-    /// Returns the last entry, as it is reported to others.
+    /// Returns the last entry in the form in which it is reported to peers.
     pub fn last(&self) -> Option<PastVersion> {
         self.entries.back().map(|entry| PastVersion {
             version: entry.version,
@@ -101,7 +102,7 @@
         })
     }
 
-    /// Returns the end of the chain, for others to compare.
+    /// Returns the head of the chain, by which peers detect that the chain was altered.
     pub fn head(&self) -> ChainHead {
         ChainHead {
             hash: std::array::from_fn(|index| self.last_hash[index]),
@@ -110,11 +111,11 @@
     }
 }
 
-/// Checks that entries, oldest first, follow each other.
+/// Checks that the entries, oldest first, form a complete and unmodified chain.
 ///
 /// # Errors
 ///
-/// The first gap, or the first entry that does not match the hash in the next one.
+/// Returns the first gap, or the first entry whose hash differs from the one in the next entry.
 pub fn verify<'a>(entries: impl Iterator<Item = &'a AuditEntry>) -> Result<(), ChainError> {
     let mut previous: Option<&AuditEntry> = None;
     for entry in entries {
--- a/crates/coralstep-fleet/src/audit/mod.rs
+++ b/crates/coralstep-fleet/src/audit/mod.rs
@@ -1,8 +1,8 @@
-//! Which server had which version active, and when.
+//! Audit: which server had which version active, and when.
 //!
-//! A server's own record is a chain in which each entry holds the hash of the one before, so a
-//! modified or missing one shows. Of the others a server keeps what they reported of themselves;
-//! of a silent one the audit says since when nothing is known.
+//! A server's own record is a chain in which each entry contains the hash of the previous one, so
+//! that a modified or missing entry is detected. For other servers it keeps what they reported
+//! about themselves. The rows of a silent server show the age of its last report.
 mod chain;
 mod peers;
 
@@ -19,34 +19,35 @@
 pub struct AuditRow {
     /// Name of the server.
     pub server: String,
-    /// The version that it had active.
+    /// The version that was active.
     pub version: VersionId,
-    /// From when on, in Unix milliseconds of the hybrid clock.
+    /// When it was activated, in Unix milliseconds of the hybrid clock.
     pub from_ms: UnixMillis,
-    /// Until when, in Unix milliseconds of the hybrid clock; none while it is active.
+    /// When the next version was activated, in Unix milliseconds of the hybrid clock; `None` if it
+    /// is still active.
     pub to_ms: Option<UnixMillis>,
-    /// RPCs that were decided under it.
+    /// Number of RPCs submitted while it was active.
     pub rpcs: u64,
-    /// Age of this knowledge, in milliseconds.
+    /// Age of the server's last report, in milliseconds.
     pub age_ms: Millis,
-    /// False where the server has been silent for longer than [`MAX_KNOWN_AGE_MS`], and the row
-    /// may have ended since.
+    /// False if the version may no longer be active because the server has been silent for longer
+    /// than [`MAX_KNOWN_AGE_MS`].
     pub known: bool,
 }
 
-/// Selects rows of the audit; a field that is none selects all.
+/// Filter for rows of the audit. A field that is `None` matches all rows.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AuditFilter {
-    /// The version, or all versions of its number where its hash is zero.
+    /// The version. If its hash is zero, all versions with its number match.
     pub version: Option<VersionId>,
     /// Name of the server.
     pub server: Option<String>,
-    /// A moment, in Unix milliseconds.
+    /// A time at which the version was active, in Unix milliseconds.
     pub at_ms: Option<UnixMillis>,
 }
 
 impl AuditFilter {
-    /// Returns whether `row` is selected.
+    /// Returns whether `row` matches the filter.
     pub fn matches(&self, row: &AuditRow) -> bool {
         self.matches_version(row.version)
             && self.server.as_ref().is_none_or(|name| *name == row.server)
@@ -57,8 +58,8 @@
 
     fn matches_version(&self, version: VersionId) -> bool {
         self.version.is_none_or(|wanted| {
-            let is_number_alone = wanted.hash == [0; HASH_BYTES];
-            wanted == version || (is_number_alone && wanted.number == version.number)
+            let matches_any_hash = wanted.hash == [0; HASH_BYTES];
+            wanted == version || (matches_any_hash && wanted.number == version.number)
         })
     }
 }
--- a/crates/coralstep-fleet/src/audit/peers.rs
+++ b/crates/coralstep-fleet/src/audit/peers.rs
@@ -1,4 +1,4 @@
-//! What other servers reported of the versions that they had active.
+//! Audit rows of other servers, from the versions that they reported as active.
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::audit::AuditRow;
@@ -7,11 +7,13 @@
 use crate::versions::VersionId;
 use crate::{Millis, UnixMillis};
 
-/// Rows that are kept of each server: the last ones.
+/// Maximum number of rows kept for each server. The oldest are dropped first.
 pub const MAX_PEER_ENTRIES: usize = 16;
-/// Processes whose rows are kept; the one that has been silent the longest is dropped first.
+/// Maximum number of server processes whose rows are kept. The one that has been silent the longest
+/// is dropped first.
 pub const MAX_SERVERS: usize = 8_192;
-/// A server that has been silent for longer may have activated anything since.
+/// Time without a report after which the active version of a server counts as unknown, in
+/// milliseconds.
 pub const MAX_KNOWN_AGE_MS: Millis = 10_000;
 
 struct PeerRow {
@@ -32,7 +34,7 @@
     }
 }
 
-/// Rows of one process.
+/// Audit rows of one server process.
 #[derive(Default)]
 struct PeerAudit {
     rows: VecDeque<PeerRow>,
@@ -41,7 +43,7 @@
 }
 
 impl PeerAudit {
-    /// Returns false where the chain is shorter than it was, or another one of the same length.
+    /// Returns false if the chain is shorter than before, or differs at the same length.
     fn update_head(&mut self, head: ChainHead) -> bool {
         let is_consistent = head.length > self.head.length || head == self.head;
         self.head = head;
@@ -56,11 +58,11 @@
             row.rpcs = status.rpcs;
             return;
         }
-        // The statuses in between may have been lost.
+        // The status with the end of the previous row may have been lost.
         if let Some(past) = status.previous {
             self.close_row(past);
         }
-        // A row whose end was never reported ended before this one began.
+        // A row whose end was never reported ended when this one began at the latest.
         for row in self.rows.iter_mut().filter(|row| row.to_ms.is_none()) {
             row.to_ms = Some(status.active_since_ms);
         }
@@ -87,18 +89,18 @@
     }
 }
 
-/// What the other servers reported of themselves.
+/// Audit rows of all other servers.
 #[derive(Default)]
 pub struct PeerAudits {
     peers: BTreeMap<Member, PeerAudit>,
 }
 
 impl PeerAudits {
-    /// Takes in a status that was sent at `sent_at`, on this server's clock. Returns false where
-    /// the server's audit chain was altered.
+    /// Updates the rows from a status that was sent at `sent_at`, by this server's clock. Returns
+    /// false if the sender's audit chain was altered.
     pub fn observe(&mut self, sent_at: Millis, status: &NodeStatus) -> bool {
         if !self.peers.contains_key(&status.member) && self.peers.len() >= MAX_SERVERS {
-            self.drop_most_silent();
+            self.remove_longest_silent();
         }
         let peer = self.peers.entry(status.member.clone()).or_default();
         peer.last_seen = peer.last_seen.max(sent_at);
@@ -107,13 +109,13 @@
         is_consistent
     }
 
-    fn drop_most_silent(&mut self) {
-        let most_silent = self
+    fn remove_longest_silent(&mut self) {
+        let longest_silent = self
             .peers
             .iter()
             .min_by_key(|(_, peer)| peer.last_seen)
             .map(|(member, _)| member.clone());
-        if let Some(member) = most_silent {
+        if let Some(member) = longest_silent {
             self.peers.remove(&member);
         }
     }
--- a/crates/coralstep-fleet/src/audit/tests.rs
+++ b/crates/coralstep-fleet/src/audit/tests.rs
@@ -3,7 +3,7 @@
 use crate::status::{ChainHead, PastVersion};
 
 #[test]
-fn a_missing_and_a_modified_audit_entry_are_detected() {
+fn detects_missing_and_modified_audit_entries() {
     let mut chain = AuditChain::default();
     for number in 0..4 {
         chain.append(PastVersion {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn audit_rows_end_by_the_servers_own_status_and_a_silent_server_is_unknown() {
+fn audit_row_ends_with_the_next_reported_version_and_becomes_unknown_if_its_server_is_silent() {
     let mut peers = PeerAudits::default();
     let mut first = status("a", 1, 1);
     (
@@ -54,16 +54,18 @@
         (rows[1].to_ms, rows[1].age_ms, rows[1].known),
         (None, 100, true)
     );
-    let late: Vec<AuditRow> = peers.rows(500 + MAX_KNOWN_AGE_MS + 1).collect();
-    assert!(late[0].known && !late[1].known);
-    let at = |at_ms| AuditFilter {
+    let rows_of_silent_server: Vec<AuditRow> = peers.rows(500 + MAX_KNOWN_AGE_MS + 1).collect();
+    assert!(rows_of_silent_server[0].known && !rows_of_silent_server[1].known);
+    let active_at = |at_ms| AuditFilter {
         at_ms: Some(at_ms),
         ..AuditFilter::default()
     };
     assert!(
-        at(2_999).matches(&rows[0]) && !at(3_000).matches(&rows[0]) && at(3_000).matches(&rows[1])
+        active_at(2_999).matches(&rows[0])
+            && !active_at(3_000).matches(&rows[0])
+            && active_at(3_000).matches(&rows[1])
     );
-    // Its record is another one of the same length.
+    // The chain differs at the same length.
     let mut forged = next.clone();
     forged.audit.hash = [2; 8];
     assert!(!peers.observe(700, &forged));
--- a/crates/coralstep-fleet/src/clock.rs
+++ b/crates/coralstep-fleet/src/clock.rs
@@ -1,5 +1,5 @@
-//! The hybrid logical clock that orders events of several servers: it stays near wall time and
-//! never runs back, even where wall time does.
+//! Hybrid logical clock, which orders events across servers. It stays close to the wall clock and
+//! is monotonic even if the wall clock is set back.
 use std::cell::Cell;
 use std::fmt;
 use std::time::Duration;
@@ -8,14 +8,16 @@
 
 use crate::UnixMillis;
 
-/// A peer's timestamp further ahead of this server's wall time does not move its clock. Guards
-/// against one clock that is an hour off and drags all others along.
+/// Maximum lead of a peer's timestamp over this server's wall clock. Timestamps beyond it are
+/// rejected. Guards against one clock that is an hour ahead and advances those of all servers.
 pub const MAX_CLOCK_LEAD: Duration = Duration::from_secs(2);
-/// Makes up for the clock's fractions of a second, which round a little below the millisecond.
+/// Compensates for the library's binary fractions of a second, which fall slightly short of the
+/// millisecond.
 const ROUNDING: Duration = Duration::from_micros(500);
 
 thread_local! {
-    /// Wall time in Unix milliseconds as it was passed in: the library asks a function for it.
+    /// Wall time passed in by the caller, in Unix milliseconds. The library obtains the time by
+    /// calling a function without arguments.
     static WALL_MS: Cell<UnixMillis> = const { Cell::new(0) };
 }
 
@@ -23,7 +25,7 @@
 pub struct HybridClock(HLC);
 
 impl HybridClock {
-    /// Returns a clock under the identity `seed`, which no other server may have.
+    /// Returns a clock with the identity `seed`, which must be unique among the servers.
     #[expect(clippy::missing_panics_doc, reason = "an identity is never zero")]
     pub fn new(seed: u64) -> HybridClock {
         let id = ID::try_from(seed.max(1).to_le_bytes()).expect("an identity is never zero");
@@ -35,13 +37,14 @@
         HybridClock(builder.build())
     }
 
-    /// Returns the next timestamp, which is never below one returned or observed before.
+    /// Returns the next timestamp. It is never lower than any returned or accepted before.
     pub fn timestamp(&self, wall_ms: UnixMillis) -> UnixMillis {
         WALL_MS.set(wall_ms);
         unix_ms(self.0.new_timestamp().get_time())
     }
 
-    /// Takes in a peer's timestamp; false where it is further ahead than [`MAX_CLOCK_LEAD`].
+    /// Advances the clock to a peer's timestamp. Returns false, without any change, if the timestamp
+    /// is ahead of the wall clock by more than [`MAX_CLOCK_LEAD`].
     pub fn observe(&self, wall_ms: UnixMillis, timestamp_ms: UnixMillis) -> bool {
         WALL_MS.set(wall_ms);
         let time = NTP64::from(Duration::from_millis(timestamp_ms));
--- a/crates/coralstep-fleet/src/clock/tests.rs
+++ b/crates/coralstep-fleet/src/clock/tests.rs
@@ -1,7 +1,7 @@
 use super::HybridClock;
 
 #[test]
-fn the_clock_never_runs_back_and_ignores_timestamps_an_hour_ahead() {
+fn clock_is_monotonic_and_rejects_timestamps_an_hour_ahead() {
     let clock = HybridClock::new(7);
     let first = clock.timestamp(1_000_000);
     assert!(first.abs_diff(1_000_000) <= 1, "{first}");
@@ -9,7 +9,7 @@
     assert!(clock.observe(1_000_000, 1_001_500));
     assert!(
         clock.timestamp(1_000_000) >= 1_001_500 - 1,
-        "what was observed came before"
+        "timestamps follow the observed one"
     );
     assert!(!clock.observe(1_000_000, 4_600_000));
     assert!(clock.timestamp(1_000_100) < 1_003_000);
--- a/crates/coralstep-fleet/src/datagram.rs
+++ b/crates/coralstep-fleet/src/datagram.rs
@@ -1,24 +1,25 @@
-//! The datagrams between two servers, checked before anything in them is believed.
+//! Encoding and validation of the datagrams that servers exchange.
 use serde::{Deserialize, Serialize};
 
 use crate::UnixMillis;
 use crate::membership::Member;
 
-/// Number of the encoding; datagrams of another one are not read.
+/// Version of the encoding. Datagrams with any other version are rejected.
 const FORMAT: u8 = 2;
-/// Bytes of a datagram that is sent: it fits the usual Ethernet frame.
+/// Maximum size of a sent datagram, in bytes. It fits into a standard Ethernet frame.
 pub const MAX_SENT_BYTES: usize = 1_400;
-/// Bytes of a datagram that is read.
+/// Maximum size of a received datagram, in bytes.
 pub const MAX_RECEIVED_BYTES: usize = 2_048;
-/// Payloads in one datagram.
+/// Maximum number of payloads in one datagram.
 const MAX_PAYLOADS: usize = 8;
 
-/// What a payload is, and so who it is for. The order of the variants is that of their bytes.
+/// Type of a payload, which selects its receiver. The order of the variants is part of the wire
+/// format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PayloadKind {
     /// A message of the membership protocol.
     Membership,
-    /// Statuses of servers, by gossip.
+    /// Gossip of server statuses.
     Statuses,
     /// A message that transfers a settings version.
     Versions,
@@ -32,55 +33,55 @@
     HealthMessage,
 }
 
-/// A part of a datagram, in the encoding of its kind.
+/// One payload of a datagram, encoded according to its kind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Payload {
-    /// What it is.
+    /// Type of the payload.
     pub kind: PayloadKind,
     /// The encoded content.
     pub bytes: Vec<u8>,
 }
 
-/// A datagram from one server to another. The order of the fields is that of their bytes.
+/// A datagram from one server to another. The order of the fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Datagram {
     format: u8,
-    /// See [`fleet_id`].
+    /// Fleet of the sender, as returned by [`fleet_id`].
     fleet: u32,
     /// The sender.
     pub from: Member,
-    /// The sender's hybrid clock, in Unix milliseconds.
+    /// Time on the sender's hybrid clock, in Unix milliseconds.
     pub timestamp_ms: UnixMillis,
-    /// Rises with each datagram of the sender's.
+    /// Increases with each datagram from this sender.
     pub sequence: u64,
-    /// The addressee's last sequence number that the sender received, or 0: it tells after which
-    /// of the addressee's datagrams this one was sent.
+    /// Sequence number of the last datagram that the sender received from the addressee, or 0 if
+    /// there was none. It shows which of the addressee's datagrams this one answers.
     pub echo: u64,
-    /// The parts.
+    /// The payloads.
     pub payloads: Vec<Payload>,
 }
 
-/// Bytes that are no datagram of this fleet's.
+/// Reason why received bytes are not a valid datagram of this fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The bytes were cut short or altered, or never were a datagram.
+    /// The bytes are truncated, altered or not a datagram at all.
     #[error("the datagram is corrupt")]
     Corrupt,
-    /// The datagram is in another encoding.
+    /// The datagram uses another version of the encoding.
     #[error("the datagram's format is not supported")]
     UnsupportedFormat,
-    /// The datagram is another fleet's.
-    #[error("the datagram is another fleet's")]
+    /// The datagram was sent by a server of another fleet.
+    #[error("the datagram belongs to another fleet")]
     OtherFleet,
 }
 
-/// Returns the number by which datagrams name the fleet called `name`.
+/// Returns the number that identifies the fleet `name` in datagrams.
 pub fn fleet_id(name: &str) -> u32 {
     crc32fast::hash(name.as_bytes())
 }
 
 impl Datagram {
-    /// Returns a datagram without payloads, sequence number and echo.
+    /// Returns a datagram without payloads, whose sequence number and echo are 0.
     pub fn new(fleet: u32, from: Member, timestamp_ms: UnixMillis) -> Datagram {
         Datagram {
             format: FORMAT,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Returns the encoded datagram with its checksum behind it.
+    /// Returns the encoded datagram, followed by its checksum.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = postcard::to_allocvec(self).unwrap_or_default();
         let checksum = crc32fast::hash(&bytes);
@@ -101,11 +102,12 @@
         bytes
     }
 
-    /// Reads a datagram of the fleet numbered `fleet`.
+    /// Decodes and validates a datagram of the fleet with the id `fleet`.
     ///
     /// # Errors
     ///
-    /// Why the bytes are no such datagram.
+    /// Returns a [`DecodeError`] if the bytes are corrupt, use another format or belong to another
+    /// fleet.
     pub fn decode(bytes: &[u8], fleet: u32) -> Result<Datagram, DecodeError> {
         if bytes.len() > MAX_RECEIVED_BYTES {
             return Err(DecodeError::Corrupt);
@@ -114,7 +116,7 @@
         if crc32fast::hash(content) != u32::from_le_bytes(*checksum) {
             return Err(DecodeError::Corrupt);
         }
-        // Checked first: of another format nothing else can be read.
+        // Checked before decoding because the layout of other formats is unknown.
         if content.first() != Some(&FORMAT) {
             return Err(DecodeError::UnsupportedFormat);
         }
--- a/crates/coralstep-fleet/src/datagram/tests.rs
+++ b/crates/coralstep-fleet/src/datagram/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn corrupt_datagrams_and_those_of_another_fleet_or_format_are_rejected() {
+fn rejects_datagrams_that_are_corrupt_or_from_another_fleet_or_format() {
     let mut datagram = Datagram::new(
         fleet_id("alps"),
         Member::new("n1", "127.0.0.1:1".parse().unwrap(), 5),
@@ -17,28 +17,28 @@
         Datagram::decode(&bytes, fleet_id("andes")),
         Err(DecodeError::OtherFleet)
     );
-    for at in 0..bytes.len() {
+    for index in 0..bytes.len() {
         let mut changed = bytes.clone();
-        changed[at] ^= 0x10;
+        changed[index] ^= 0x10;
         assert_eq!(
             Datagram::decode(&changed, fleet_id("alps")),
             Err(DecodeError::Corrupt),
-            "byte {at}"
+            "byte {index} changed"
         );
         assert_eq!(
-            Datagram::decode(&bytes[..at], fleet_id("alps")),
+            Datagram::decode(&bytes[..index], fleet_id("alps")),
             Err(DecodeError::Corrupt),
-            "cut at {at}"
+            "truncated to {index} bytes"
         );
     }
-    let mut later = Datagram::new(
+    let mut next_format = Datagram::new(
         fleet_id("alps"),
         Member::new("n1", "127.0.0.1:1".parse().unwrap(), 5),
         9,
     );
-    later.format = FORMAT + 1;
+    next_format.format = FORMAT + 1;
     assert_eq!(
-        Datagram::decode(&later.encode(), fleet_id("alps")),
+        Datagram::decode(&next_format.encode(), fleet_id("alps")),
         Err(DecodeError::UnsupportedFormat)
     );
 }
--- a/crates/coralstep-fleet/src/exclusion.rs
+++ b/crates/coralstep-fleet/src/exclusion.rs
@@ -1,49 +1,52 @@
-//! When a server admits no requests: it lags behind the version to be active, rejected a
-//! mandatory one, was paused and has not caught up, hears no other member, or an operator
-//! ordered it.
+//! Exclusion: the decision whether this server admits requests.
 //!
-//! Each server decides for itself, since no other one can; what it knows of the fleet is passed
-//! in with each evaluation.
+//! A server is excluded if it lags behind the version that should be active, rejected a mandatory
+//! version, was paused and has not caught up, receives nothing from other members, or was excluded
+//! by an operator.
+//!
+//! Each server decides for itself, because no other server could enforce the decision. What it
+//! knows about the fleet is passed in with each evaluation.
 use serde::Serialize;
 
 use crate::Millis;
 use crate::versions::VersionId;
 
-/// Fraction of the fleet that may be excluded at once for a version; beyond it the version or the
-/// network is at fault.
+/// Maximum fraction of the fleet that is excluded at a time because of a version. If more servers
+/// qualify, the version or the network is faulty rather than the servers.
 pub const MAX_EXCLUDED_FRACTION: f64 = 0.3;
-/// A fleet of so many servers may always exclude one.
+/// Smallest fleet that may exclude one server even if [`MAX_EXCLUDED_FRACTION`] allows none.
 const MIN_FLEET_WITH_EXCLUSION: usize = 3;
-/// A gap of more than this between two ticks is a pause of the process, in milliseconds: what it
-/// knew before may be long outdated.
+/// A longer gap between two timeouts, in milliseconds, means that the process was paused and that
+/// its view of the fleet may be outdated.
 pub const MIN_PAUSE_MS: Millis = 2_000;
-/// After a pause a server admits nothing until a member has answered it, for so many milliseconds
-/// at the most; and for as long again while it fetches what is newer.
+/// Maximum time, in milliseconds, for which a server admits no requests after a pause while it
+/// waits for the answer of a member, and again while it fetches a newer version.
 pub const MAX_RESUME_MS: Millis = 3_000;
-/// A server that would exclude itself announces so, and waits for so many milliseconds to receive
-/// the announcements of others: then all pick the same few.
+/// Time, in milliseconds, between a server's announcement that it wants to be excluded and its
+/// exclusion. In this time it receives the announcements of other servers, so that all servers
+/// select the same few.
 pub const ANNOUNCE_DELAY_MS: Millis = 2_000;
-/// What callers are told to wait, in milliseconds, where the end of an exclusion is not known: a
-/// few rounds of gossip.
+/// Retry-After of rejected requests if the end of the exclusion is unknown, in milliseconds: a few
+/// gossip rounds.
 const RETRY_AFTER_MS: Millis = 5_000;
 
-/// Why a server admits no requests.
+/// Reason why a server is excluded.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExclusionReason {
-    /// An operator ordered it.
+    /// An operator excluded the server.
     #[serde(rename = "by_hand")]
     ByOperator,
-    /// It rejected this mandatory version.
+    /// The server rejected this mandatory version.
     #[serde(rename = "turned_down")]
     RejectedVersion(VersionId),
-    /// It has not activated this version for too long.
+    /// The server did not activate this version in time.
     #[serde(rename = "behind")]
     Lagging(VersionId),
-    /// It receives nothing from any member.
+    /// The server receives nothing from any member.
     #[serde(rename = "silent")]
     Isolated,
-    /// It was paused, and has not caught up since.
+    /// The process was paused and has not caught up yet.
     Paused,
 }
 
@@ -59,7 +62,7 @@
         }
     }
 
-    /// Returns the version that it is for, if it is for one.
+    /// Returns the version that caused the exclusion, if any.
     pub fn version(&self) -> Option<VersionId> {
         match self {
             ExclusionReason::RejectedVersion(version) | ExclusionReason::Lagging(version) => {
@@ -70,46 +73,47 @@
     }
 }
 
-/// The operators' settings.
+/// Limits from the fleet's settings.
 #[derive(Clone, Copy, Debug, Hash)]
 pub struct ExclusionLimits {
-    /// A server that lags for longer excludes itself, in milliseconds.
+    /// Maximum time that a server may lag before it excludes itself, in milliseconds.
     pub max_lag: Millis,
-    /// A server that receives nothing for longer is isolated, in milliseconds.
+    /// Maximum time without a received datagram before the server counts as isolated, in
+    /// milliseconds.
     pub max_silence: Millis,
     /// Whether an isolated server excludes itself.
     pub exclude_when_isolated: bool,
 }
 
-/// What a server knows of the fleet and of the version to be active.
+/// The server's current view of the fleet and of the version that should be active.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ExclusionInputs {
-    /// The version that is active here.
+    /// The version that is active on this server.
     pub active_version: VersionId,
-    /// The newest version that is known, held or not.
+    /// The newest known version, whether stored here or not.
     pub newest: VersionId,
-    /// The newest version that is held and was not rejected.
+    /// The newest version that is stored here and was not rejected.
     pub newest_accepted: VersionId,
     /// Whether the newest known version is mandatory.
     pub newest_mandatory: bool,
-    /// Whether the newest known version was rejected here.
+    /// Whether this server rejected the newest known version.
     pub newest_rejected: bool,
-    /// Whether the [target](ExclusionInputs::target) is held here.
+    /// Whether the [target](ExclusionInputs::target) is stored here.
     pub target_held: bool,
     /// Delay of this server's rollout stage of the target, in milliseconds.
     pub stage_delay: Millis,
-    /// Whether this server's rollout stage of the target has come.
+    /// Whether this server's rollout stage of the target is due.
     pub stage_due: bool,
-    /// Whether the rollout of the target was halted here.
+    /// Whether the rollout of the target was halted on this server.
     pub halted: bool,
-    /// Other members that are present.
+    /// Number of other members that are present.
     pub other_members: usize,
-    /// Those of them that want to be excluded, or are, and go before this server.
+    /// Number of those members that want to be excluded and rank before this server.
     pub candidates_before: usize,
 }
 
 impl ExclusionInputs {
-    /// Returns the version that should be active here.
+    /// Returns the version that should be active on this server.
     pub fn target(&self) -> VersionId {
         if self.newest_rejected {
             self.newest_accepted
@@ -119,18 +123,18 @@
     }
 }
 
-/// The result of an evaluation.
+/// Result of [`ExclusionState::evaluate`].
 #[derive(Debug, Default, PartialEq)]
 pub struct ExclusionDecision {
-    /// Whether what the status reports of the exclusion has changed.
+    /// Whether the exclusion fields of this server's status have changed.
     pub status_changed: bool,
-    /// The new reason of the exclusion, or none for admission, where that has changed.
-    pub changed: Option<Option<ExclusionReason>>,
-    /// Set where more servers would be excluded for this version than may be; once a version.
+    /// Set if the reason has changed: the new reason, or `None` if the server admits requests again.
+    pub new_reason: Option<Option<ExclusionReason>>,
+    /// Set, once per version, if more servers want to be excluded because of it than are allowed.
     pub limit_reached: Option<VersionId>,
 }
 
-/// A version that is not active here, and when that has lasted for too long.
+/// A newer version that this server has not activated, and the time by which it must.
 #[derive(Clone, Copy, Debug, Hash)]
 struct Lag {
     target: VersionId,
@@ -141,30 +145,30 @@
 #[derive(Clone, Copy, Debug, Hash)]
 struct Resumption {
     at: Millis,
-    /// Sequence number of the first datagram that is sent afterwards.
+    /// Sequence number of the first datagram sent after the pause.
     first_datagram: u64,
 }
 
-/// Decides whether this server is excluded.
+/// State from which the exclusion of this server is decided.
 #[derive(Clone, Debug, Hash)]
 pub struct ExclusionState {
     limits: ExclusionLimits,
     by_operator: bool,
     reason: Option<ExclusionReason>,
     lag: Option<Lag>,
-    /// Since when it would exclude itself for a version.
+    /// When the server began to want exclusion because of a version.
     wants_exclusion_since: Option<Millis>,
     last_received: Millis,
-    /// The last pause, until a member has answered.
+    /// The end of the last pause, until a member has answered.
     resumption: Option<Resumption>,
-    /// When a member answered after a pause.
+    /// When a member first answered after the last pause.
     answered_at: Option<Millis>,
-    /// The version for which `limit_reached` was reported last.
-    reported_limit: Option<VersionId>,
+    /// The version for which `limit_reached` was last reported.
+    limit_reported_for: Option<VersionId>,
 }
 
 impl ExclusionState {
-    /// Returns the state of a server that starts `now` and admits requests.
+    /// Returns the state of a server that starts at `now` and admits requests.
     pub fn new(limits: ExclusionLimits, now: Millis) -> ExclusionState {
         ExclusionState {
             limits,
@@ -175,44 +179,48 @@
             last_received: now,
             resumption: None,
             answered_at: None,
-            reported_limit: None,
+            limit_reported_for: None,
         }
     }
 
-    /// Returns why the server is excluded; none while it admits requests.
+    /// Returns why the server is excluded, or `None` if it admits requests.
     pub fn reason(&self) -> Option<&ExclusionReason> {
         self.reason.as_ref()
     }
 
-    /// Returns whether the server would exclude itself for a version, if not too many did.
+    /// Returns whether the server wants to be excluded because of a version. It is excluded only if
+    /// not too many other servers want the same.
     pub fn wants_exclusion(&self) -> bool {
         self.wants_exclusion_since.is_some()
     }
 
-    /// Follows an operator's order from the next evaluation on.
+    /// Applies an operator's order. It takes effect with the next evaluation.
     pub fn set_by_operator(&mut self, exclude: bool) {
         self.by_operator = exclude;
     }
 
-    /// Notes that a datagram arrived. Isolation goes by datagrams, not by the members that are
-    /// present: those of a large fleet are found to be unreachable one by one, over minutes.
+    /// Records the arrival of a datagram.
+    ///
+    /// Isolation is detected by missing datagrams rather than by the number of present members,
+    /// because SWIM takes minutes to mark all members of a large fleet as down.
     pub fn datagram_received(&mut self, now: Millis) {
         self.last_received = now;
     }
 
-    /// Returns whether the process was paused, `gap` milliseconds after its last tick.
+    /// Returns whether the process was paused, given the `gap` in milliseconds since the last
+    /// timeout.
     ///
-    /// Guards against a process that was stopped and continues as if no time had passed.
-    /// `next_datagram` is the sequence number of the next datagram that it sends.
+    /// Guards against a process that was stopped and resumes as if no time had passed.
+    /// `next_datagram` is the sequence number of the next datagram to be sent.
     pub fn detect_pause(
         &mut self,
         now: Millis,
         gap: Millis,
         next_datagram: u64,
-        others: usize,
+        other_members: usize,
     ) -> bool {
         let was_paused = gap > MIN_PAUSE_MS && self.resumption.is_none();
-        if was_paused && others > 0 {
+        if was_paused && other_members > 0 {
             self.resumption = Some(Resumption {
                 at: now,
                 first_datagram: next_datagram,
@@ -221,9 +229,9 @@
         was_paused
     }
 
-    /// Notes a member's own status that was sent in answer to datagram `echo`.
+    /// Records that a member sent its own status after it had received the datagram `echo`.
     ///
-    /// Guards against statuses from before a pause, which lay in the socket meanwhile.
+    /// Guards against statuses sent before the pause that were queued in the socket's buffer.
     pub fn answer_received(&mut self, now: Millis, echo: u64) {
         let is_answer = |resumption: &Resumption| echo >= resumption.first_datagram;
         if self.resumption.as_ref().is_some_and(is_answer) {
@@ -232,7 +240,7 @@
         }
     }
 
-    /// Decides whether the server is excluded or admits requests.
+    /// Decides whether the server is excluded.
     pub fn evaluate(&mut self, now: Millis, inputs: &ExclusionInputs) -> ExclusionDecision {
         let mut decision = ExclusionDecision::default();
         self.update_lag(now, inputs);
@@ -243,10 +251,10 @@
         }
         let version_reason =
             version_reason.filter(|_| self.may_exclude_itself(now, inputs, &mut decision));
-        let reason = self.first_reason(now, inputs, version_reason);
+        let reason = self.select_reason(now, inputs, version_reason);
         if reason != self.reason {
             self.reason.clone_from(&reason);
-            decision.changed = Some(reason);
+            decision.new_reason = Some(reason);
             decision.status_changed = true;
         }
         decision
@@ -264,7 +272,7 @@
         }
     }
 
-    /// Returns the reason to be excluded for a version, whatever the others do.
+    /// Returns the reason for an exclusion because of a version, regardless of other servers.
     fn version_reason(&self, now: Millis, inputs: &ExclusionInputs) -> Option<ExclusionReason> {
         if inputs.newest_mandatory && inputs.newest_rejected {
             return Some(ExclusionReason::RejectedVersion(inputs.newest));
@@ -274,9 +282,10 @@
             .map(|lag| ExclusionReason::Lagging(lag.target))
     }
 
-    /// Guards against a version or a network at fault that excludes the whole fleet: of the
-    /// servers that want it only so many go, the excluded ones first, then by name, which all
-    /// servers work out alike.
+    /// Guards against a faulty version or network that excludes the whole fleet.
+    ///
+    /// Only a limited number of the servers that want to be excluded are: those that are already
+    /// excluded first, then by name. All servers compute the same order.
     fn may_exclude_itself(
         &mut self,
         now: Millis,
@@ -290,22 +299,22 @@
             return false;
         }
         let servers = inputs.other_members + 1;
-        let share = (servers as f64 * MAX_EXCLUDED_FRACTION) as usize;
+        let allowed_by_fraction = (servers as f64 * MAX_EXCLUDED_FRACTION) as usize;
         let max_excluded = if servers >= MIN_FLEET_WITH_EXCLUSION {
-            share.max(1)
+            allowed_by_fraction.max(1)
         } else {
-            share
+            allowed_by_fraction
         };
-        let may = inputs.candidates_before < max_excluded;
-        if !may && self.reported_limit != Some(inputs.newest) {
-            self.reported_limit = Some(inputs.newest);
+        let is_allowed = inputs.candidates_before < max_excluded;
+        if !is_allowed && self.limit_reported_for != Some(inputs.newest) {
+            self.limit_reported_for = Some(inputs.newest);
             decision.limit_reached = Some(inputs.newest);
         }
-        may
+        is_allowed
     }
 
-    /// Returns the reason that comes first; none where the server admits requests.
-    fn first_reason(
+    /// Returns the reason with the highest precedence, or `None` if the server admits requests.
+    fn select_reason(
         &self,
         now: Millis,
         inputs: &ExclusionInputs,
@@ -314,7 +323,7 @@
         if self.by_operator {
             return Some(ExclusionReason::ByOperator);
         }
-        if self.awaits_answer(now) || self.catches_up(now, inputs) {
+        if self.is_awaiting_answer(now) || self.is_catching_up(now, inputs) {
             return Some(ExclusionReason::Paused);
         }
         if version_reason.is_some() {
@@ -323,15 +332,15 @@
         self.is_isolated(now).then_some(ExclusionReason::Isolated)
     }
 
-    /// Returns whether no member has answered since a pause.
-    fn awaits_answer(&self, now: Millis) -> bool {
+    /// Returns whether the server still waits for a member's answer after a pause.
+    fn is_awaiting_answer(&self, now: Millis) -> bool {
         self.resumption
             .is_some_and(|resumption| now < resumption.at + MAX_RESUME_MS)
     }
 
-    /// Returns whether a newer version is fetched after a pause. A rollout stage that is still to
-    /// come is not waited for.
-    fn catches_up(&self, now: Millis, inputs: &ExclusionInputs) -> bool {
+    /// Returns whether the server still fetches a newer version after a pause. It does not wait for a
+    /// rollout stage that is not due yet.
+    fn is_catching_up(&self, now: Millis, inputs: &ExclusionInputs) -> bool {
         let is_recent = self
             .answered_at
             .is_some_and(|answered_at| now < answered_at + MAX_RESUME_MS);
@@ -344,10 +353,10 @@
         self.limits.exclude_when_isolated && silence > self.limits.max_silence
     }
 
-    /// Returns the same state with all times counted from `now`, and all times that have run out
-    /// set equal: two states that lead to the same decisions become equal.
+    /// Returns the state with all times relative to `now` and capped once they have expired, so
+    /// that states which lead to the same decisions compare equal.
     pub fn relative(&self, now: Millis) -> ExclusionState {
-        let since = |at: Millis, bound: Millis| now.saturating_sub(at).min(bound + 1);
+        let capped_age = |at: Millis, max_age: Millis| now.saturating_sub(at).min(max_age + 1);
         ExclusionState {
             lag: self.lag.map(|lag| Lag {
                 deadline: lag.deadline.saturating_sub(now),
@@ -355,19 +364,19 @@
             }),
             wants_exclusion_since: self
                 .wants_exclusion_since
-                .map(|at| since(at, ANNOUNCE_DELAY_MS)),
-            last_received: since(self.last_received, self.limits.max_silence),
+                .map(|at| capped_age(at, ANNOUNCE_DELAY_MS)),
+            last_received: capped_age(self.last_received, self.limits.max_silence),
             resumption: self.resumption.map(|resumption| Resumption {
-                at: since(resumption.at, MAX_RESUME_MS),
+                at: capped_age(resumption.at, MAX_RESUME_MS),
                 ..resumption
             }),
-            answered_at: self.answered_at.map(|at| since(at, MAX_RESUME_MS)),
+            answered_at: self.answered_at.map(|at| capped_age(at, MAX_RESUME_MS)),
             ..self.clone()
         }
     }
 
-    /// Returns how long rejected callers should wait, in milliseconds; none while the server
-    /// admits requests.
+    /// Returns the Retry-After of rejected requests in milliseconds, or `None` if the server admits
+    /// requests.
     pub fn retry_after(&self, now: Millis) -> Option<Millis> {
         match self.reason.as_ref()? {
             ExclusionReason::Paused => {
--- a/crates/coralstep-fleet/src/extension.rs
+++ b/crates/coralstep-fleet/src/extension.rs
@@ -1,9 +1,9 @@
-//! Other protocols that share the fleet's channel.
+//! Extensions: further protocols that send their payloads in the fleet's datagrams.
 //!
-//! An extension knows who is in the fleet and what it wants to send; it knows neither sockets nor
-//! other extensions. What it spreads by gossip fills the room that datagrams have left, in turn
-//! with the others; its messages go to one server each, at once. A message that arrives twice,
-//! late or never must not harm it.
+//! An extension receives a view of the members and returns payloads to be sent. It has no access to
+//! sockets or other extensions. Gossip payloads take turns in filling the space left in datagrams;
+//! messages are sent immediately to one server each. Extensions must tolerate messages that are
+//! lost, late or duplicated.
 use std::cell::RefCell;
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,64 +13,64 @@
 use crate::datagram::PayloadKind;
 use crate::membership::Member;
 
-/// A message of an extension to one server.
+/// A message from an extension to one server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Address of the server that it is for.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// Bytes in the extension's own encoding.
+    /// Payload in the extension's encoding.
     pub payload: Vec<u8>,
 }
 
 impl Message {
-    /// A message of `payload` for the server at `to`.
+    /// Returns a message with `payload` for the server at `to`.
     pub fn new(to: SocketAddr, payload: Vec<u8>) -> Message {
         Message { to, payload }
     }
 }
 
-/// The members of the fleet as this server knows them now.
+/// This server's current view of the fleet's members.
 #[derive(Clone, Debug)]
 pub struct MembershipView<'a> {
     /// This server.
     pub own: &'a Member,
-    /// The other members that are not known to have left or failed.
+    /// The other members that are not down.
     pub present: Vec<&'a Member>,
-    /// Those of them whose reports count: up to date, not excluded and not leaving.
+    /// The present members whose reports are used: up to date, not excluded and not leaving.
     pub current: Vec<&'a Member>,
-    /// Those of them that are known to be excluded.
+    /// The present members that are known to be excluded.
     pub excluded: Vec<&'a Member>,
-    /// Whether this server is leaving or excluded, and has to give back what it holds.
+    /// Whether this server is leaving or excluded and must release the resources it was granted.
     pub leaving: bool,
 }
 
-/// A protocol that shares the fleet's channel.
+/// A protocol whose payloads are sent in the fleet's datagrams.
 pub trait GossipExtension {
-    /// Returns something to be spread, of at most `max_bytes` bytes.
+    /// Returns the next gossip payload, of at most `max_bytes` bytes.
     fn next_gossip(&mut self, _now: Millis, _max_bytes: usize) -> Option<Vec<u8>> {
         None
     }
 
-    /// Takes in what a member spread.
+    /// Handles a gossip payload from another member.
     fn handle_gossip(&mut self, _now: Millis, _own: &Member, _bytes: &[u8]) {}
 
-    /// Takes in a message to this server; returns the replies.
+    /// Handles a message to this server and returns the replies.
     fn handle_message(&mut self, _now: Millis, _from: &Member, _bytes: &[u8]) -> Vec<Message> {
         Vec::new()
     }
 
-    /// Lets time pass; returns the messages that are due.
+    /// Called periodically; returns the messages that are due.
     fn handle_timeout(&mut self, _now: Millis, _view: &MembershipView<'_>) -> Vec<Message> {
         Vec::new()
     }
 }
 
-/// Names an extension.
+/// Identifies an extension.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExtensionId {
-    /// Limits whose quotas are shared among the servers.
+    /// Fleet-wide limits, whose quotas are distributed among the servers.
     Quota,
-    /// Health of dependencies, shared among the servers.
+    /// Exchange of the health of shared dependencies.
     SharedHealth,
 }
 
@@ -90,17 +90,17 @@
     }
 }
 
-/// An extension under its id, as [`Fleet::register`](crate::Fleet::register) takes it.
+/// An extension with its id, to be passed to [`Fleet::register`](crate::Fleet::register).
 #[derive(Clone)]
 pub struct Registration {
-    /// Whose payloads it receives.
+    /// Identifies the payloads that the extension receives.
     pub id: ExtensionId,
-    /// The extension, which its owner keeps using as well.
+    /// The extension, shared with its owner.
     pub extension: Rc<RefCell<dyn GossipExtension>>,
 }
 
 impl Registration {
-    /// Registers `extension` under `id`.
+    /// Returns a registration of `extension` under `id`.
     pub fn new(id: ExtensionId, extension: Rc<RefCell<dyn GossipExtension>>) -> Registration {
         Registration { id, extension }
     }
--- a/crates/coralstep-fleet/src/fleet/dissemination.rs
+++ b/crates/coralstep-fleet/src/fleet/dissemination.rs
@@ -1,5 +1,5 @@
-//! What this server sends: membership messages with gossip in the room that they leave, messages
-//! of versions and extensions, and its own status.
+//! Sending: membership messages, whose datagrams are filled up with gossip, messages of versions and
+//! extensions, and this server's status.
 use std::net::SocketAddr;
 
 use super::extensions::OutgoingMessages;
@@ -11,14 +11,14 @@
 use crate::versions::{VersionId, VersionMessage};
 use crate::{Millis, UnixMillis};
 
-/// Bytes of a datagram beside its payloads, at the most.
+/// Maximum size of a datagram without its payloads, in bytes.
 const MAX_HEADER_BYTES: usize = 160;
 
 impl Fleet {
-    /// Renews this server's own status.
-    pub(super) fn announce(&mut self) {
+    /// Publishes the current status of this server.
+    pub(super) fn publish_status(&mut self) {
         self.status_sequence += 1;
-        let rpcs = self.activity.rpcs();
+        let rpcs = self.history.rpcs();
         let newest_held = self.versions.newest_held();
         let rejection = |reason: &str| Rejection {
             version: newest_held,
@@ -30,29 +30,33 @@
             leaving: self.leaving,
             excluded: self.exclusion.reason().is_some(),
             wants_exclusion: self.exclusion.wants_exclusion(),
-            active_version: self.activity.active_version(),
-            active_since_ms: self.activity.since_ms(),
-            rpcs: rpcs.decided,
+            active_version: self.history.active_version(),
+            active_since_ms: self.history.since_ms(),
+            rpcs: rpcs.submitted,
             succeeded: rpcs.succeeded,
-            previous: self.activity.chain().last(),
+            previous: self.history.chain().last(),
             newest_held,
             rejected: self.versions.rejection_reason(newest_held).map(rejection),
-            audit: self.activity.chain().head(),
-            orders: self.orders.given_here().to_vec(),
+            audit: self.history.chain().head(),
+            orders: self.orders.issued_here().to_vec(),
         });
     }
 
-    /// Sends the messages of the membership protocol, with gossip in the room that is left, and
-    /// reports the changes among the members.
+    /// Sends the messages of the membership protocol, fills up their datagrams with gossip, and
+    /// reports membership changes.
     pub(super) fn send_membership(&mut self, now: Millis, wall_ms: UnixMillis) {
         for message in self.membership.take_messages() {
             let used_bytes = MAX_HEADER_BYTES + message.bytes.len();
-            let room = MAX_SENT_BYTES.saturating_sub(used_bytes);
+            let remaining_bytes = MAX_SENT_BYTES.saturating_sub(used_bytes);
             let mut payloads = vec![Payload {
                 kind: PayloadKind::Membership,
                 bytes: message.bytes,
             }];
-            payloads.extend(self.extensions.fill(now, &mut self.statuses, room));
+            payloads.extend(self.extensions.fill_datagram(
+                now,
+                &mut self.statuses,
+                remaining_bytes,
+            ));
             self.send(wall_ms, message.to.address, payloads);
         }
         for change in self.membership.take_changes() {
@@ -63,7 +67,7 @@
     fn report_change(&mut self, change: MembershipChange) {
         match change {
             MembershipChange::Up(member) => {
-                if let Some(known) = self.namesake(&member) {
+                if let Some(known) = self.find_duplicate_name(&member) {
                     self.events.push(Event::DuplicateName {
                         known,
                         joined: member.clone(),
@@ -87,15 +91,19 @@
         }
     }
 
-    /// Returns another process of the name of `member`, at another address.
-    fn namesake(&self, member: &Member) -> Option<Member> {
-        let is_namesake =
+    /// Returns a process with the same name as `member` at another address.
+    fn find_duplicate_name(&self, member: &Member) -> Option<Member> {
+        let is_duplicate =
             |other: &&Member| other.name == member.name && other.address != member.address;
-        let own = Some(self.membership.own()).filter(is_namesake);
-        self.membership.present().find(is_namesake).or(own).cloned()
+        let own = Some(self.membership.own()).filter(is_duplicate);
+        self.membership
+            .present()
+            .find(is_duplicate)
+            .or(own)
+            .cloned()
     }
 
-    /// Lets time pass for the extensions and sends their messages.
+    /// Calls the extensions' `handle_timeout` and sends the messages that it returns.
     pub(super) fn handle_extension_timeouts(&mut self, now: Millis, wall_ms: UnixMillis) {
         if self.extensions.is_empty() {
             return;
@@ -113,7 +121,7 @@
         }
     }
 
-    /// Sends messages of an extension, each as a datagram of its own.
+    /// Sends each message of an extension in a separate datagram.
     pub(super) fn send_extension_messages(
         &mut self,
         wall_ms: UnixMillis,
@@ -128,8 +136,8 @@
         }
     }
 
-    /// Requests the chunks of the newest version that are missing here.
-    pub(super) fn request_versions(&mut self, now: Millis, wall_ms: UnixMillis, jitter: f64) {
+    /// Requests missing chunks of the newest version.
+    pub(super) fn request_chunks(&mut self, now: Millis, wall_ms: UnixMillis, jitter: f64) {
         let (statuses, membership) = (&self.statuses, &self.membership);
         let holders = |id: VersionId| {
             let holds = |member: &&Member| {
--- a/crates/coralstep-fleet/src/fleet/event.rs
+++ b/crates/coralstep-fleet/src/fleet/event.rs
@@ -1,67 +1,67 @@
-//! What happened to a server's part in the fleet, for its log.
+//! Events for the server's log.
 use crate::Millis;
 use crate::exclusion::ExclusionReason;
 use crate::membership::{Member, MemberState};
 use crate::rollout::HaltReason;
 use crate::versions::{Fork, VersionId};
 
-/// Events that wait to be fetched; further ones are dropped.
+/// Maximum number of pending events. Further events are dropped.
 const MAX_EVENTS: usize = 1_024;
 
-/// A change that operators may want to know of.
+/// A change that is reported in the server's log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A member joined, left or failed.
     MemberStateChanged {
         /// The member.
         member: Member,
-        /// Its state from now on.
+        /// Its new state.
         state: MemberState,
     },
-    /// The others took this server for failed; it is back.
+    /// Other members declared this server down, and it rejoined.
     Rejoined,
-    /// Two processes have one name.
+    /// Two processes have the same name.
     DuplicateName {
-        /// The process that was known.
+        /// The process that was already known.
         known: Member,
         /// The process that joined.
         joined: Member,
     },
-    /// A version was published here or has arrived complete.
+    /// A version was published at this server or has been received completely.
     VersionReceived(VersionId),
-    /// A version is active here.
+    /// This server activated a version.
     VersionActivated(VersionId),
     /// This server rejected a version.
     VersionRejected {
         /// The version.
         version: VersionId,
-        /// Why.
+        /// Reason of the rejection.
         reason: String,
     },
-    /// Two versions replace the same one.
+    /// Two versions replace the same predecessor.
     VersionFork(Fork),
-    /// The rollout of a version goes no further here.
+    /// The rollout of a version was halted on this server.
     RolloutHalted {
         /// The version.
         version: VersionId,
-        /// Why.
+        /// Reason of the halt.
         reason: HaltReason,
     },
     /// This server admits no requests from now on.
     Excluded(ExclusionReason),
     /// This server admits requests again.
     Readmitted,
-    /// More servers would be excluded for this version than may be.
+    /// More servers want to be excluded because of this version than are allowed.
     ExclusionLimitReached(VersionId),
-    /// The audit chain of the server of this name was altered.
+    /// The audit chain of the server with this name was altered.
     AuditRecordAltered(String),
-    /// The clock of the server of this name is too far ahead to be believed.
+    /// The clock of the server with this name is too far ahead and is ignored.
     ClockSkewed(String),
-    /// This process was paused for so many milliseconds.
+    /// This process was paused for this many milliseconds.
     ProcessPaused(Millis),
 }
 
-/// The events that wait to be fetched.
+/// Pending events, bounded to [`MAX_EVENTS`].
 #[derive(Debug, Default)]
 pub(super) struct EventQueue(Vec<Event>);
 
--- a/crates/coralstep-fleet/src/fleet/extensions.rs
+++ b/crates/coralstep-fleet/src/fleet/extensions.rs
@@ -1,14 +1,14 @@
-//! The registered extensions, and whose turn it is to fill a datagram.
+//! The registered extensions, which take turns in filling datagrams with gossip.
 use crate::Millis;
 use crate::datagram::{Payload, PayloadKind};
 use crate::extension::{MembershipView, Message, Registration};
 use crate::membership::Member;
 use crate::status::NodeStatuses;
 
-/// Bytes of a payload in a datagram beside its own.
+/// Overhead of each payload in a datagram, in bytes.
 const PAYLOAD_OVERHEAD_BYTES: usize = 4;
 
-/// Messages that extensions want sent, and the kind of payload that they are.
+/// Messages to be sent for an extension, and the kind of their payloads.
 #[derive(Debug)]
 pub(super) struct OutgoingMessages {
     pub(super) kind: PayloadKind,
@@ -19,8 +19,8 @@
 #[derive(Debug, Default)]
 pub(super) struct Extensions {
     registered: Vec<Registration>,
-    /// Who fills the next datagram first: the statuses, or an extension after them.
-    turn: usize,
+    /// The source that fills the next datagram first: 0 for the statuses, then the extensions.
+    first_source: usize,
 }
 
 impl Extensions {
@@ -32,7 +32,7 @@
         self.registered.is_empty()
     }
 
-    /// Hands a payload to the extension that it is for; returns the replies.
+    /// Passes a payload to its extension and returns the replies, or `None` if there are none.
     pub(super) fn handle(
         &self,
         now: Millis,
@@ -41,11 +41,12 @@
         payload: &Payload,
     ) -> Option<OutgoingMessages> {
         let Payload { kind, bytes } = payload;
-        let is_addressee =
-            |one: &&Registration| one.id.gossip_kind() == *kind || one.id.message_kind() == *kind;
-        let addressee = self.registered.iter().find(is_addressee)?;
-        let mut extension = addressee.extension.borrow_mut();
-        if addressee.id.gossip_kind() == *kind {
+        let accepts_kind = |extension: &&Registration| {
+            extension.id.gossip_kind() == *kind || extension.id.message_kind() == *kind
+        };
+        let registration = self.registered.iter().find(accepts_kind)?;
+        let mut extension = registration.extension.borrow_mut();
+        if registration.id.gossip_kind() == *kind {
             extension.handle_gossip(now, own, bytes);
             return None;
         }
@@ -55,7 +56,7 @@
         })
     }
 
-    /// Lets time pass for all extensions.
+    /// Calls `handle_timeout` of all extensions.
     pub(super) fn handle_timeout(
         &self,
         now: Millis,
@@ -63,38 +64,46 @@
     ) -> Vec<OutgoingMessages> {
         self.registered
             .iter()
-            .map(|one| OutgoingMessages {
-                kind: one.id.message_kind(),
-                messages: one.extension.borrow_mut().handle_timeout(now, view),
+            .map(|registration| OutgoingMessages {
+                kind: registration.id.message_kind(),
+                messages: registration
+                    .extension
+                    .borrow_mut()
+                    .handle_timeout(now, view),
             })
             .collect()
     }
 
-    /// Fills `room` bytes of a datagram with statuses and the extensions' gossip, in turn, so
-    /// that none starves.
-    pub(super) fn fill(
+    /// Returns payloads that fill the remaining bytes of a datagram with statuses and the extensions'
+    /// gossip. The first source rotates, so that none starves.
+    pub(super) fn fill_datagram(
         &mut self,
         now: Millis,
         statuses: &mut NodeStatuses,
-        mut room: usize,
+        mut remaining_bytes: usize,
     ) -> Vec<Payload> {
         let sources = self.registered.len() + 1;
-        self.turn = (self.turn + 1) % sources;
+        self.first_source = (self.first_source + 1) % sources;
         let mut payloads = Vec::new();
         for offset in 0..sources {
             let is_last = offset + 1 == sources;
-            let max_bytes = if is_last { room } else { shared_room(room) };
-            let source = (self.turn + offset) % sources;
+            let max_bytes = if is_last {
+                remaining_bytes
+            } else {
+                source_budget(remaining_bytes)
+            };
+            let source = (self.first_source + offset) % sources;
             let Some(payload) = self.next_payload(now, statuses, source, max_bytes) else {
                 continue;
             };
-            room = room.saturating_sub(payload.bytes.len() + PAYLOAD_OVERHEAD_BYTES);
+            remaining_bytes =
+                remaining_bytes.saturating_sub(payload.bytes.len() + PAYLOAD_OVERHEAD_BYTES);
             payloads.push(payload);
         }
         payloads
     }
 
-    /// Returns the payload of one source: 0 for the statuses, then the extensions.
+    /// Returns the next payload of a source: 0 for the statuses, then the extensions.
     fn next_payload(
         &self,
         now: Millis,
@@ -118,7 +127,8 @@
     }
 }
 
-/// Whoever is not the last leaves two fifths of the room to the others.
-fn shared_room(room: usize) -> usize {
-    room * 3 / 5
+/// Returns the maximum payload size of a source that is not the last: three fifths of the remaining
+/// bytes, so that space is left for the other sources.
+fn source_budget(remaining_bytes: usize) -> usize {
+    remaining_bytes * 3 / 5
 }
--- a/crates/coralstep-fleet/src/fleet/peer_clock.rs
+++ b/crates/coralstep-fleet/src/fleet/peer_clock.rs
@@ -1,14 +1,15 @@
-//! The hybrid clock, and the servers whose clocks are not believed.
+//! The hybrid clock, and the servers whose clocks are too far ahead.
 use crate::UnixMillis;
 use crate::clock::HybridClock;
 
-/// Names of servers with skewed clocks that are remembered.
+/// Maximum number of remembered servers with skewed clocks.
 const MAX_SKEWED: usize = 1_024;
 
-/// The hybrid clock, and the servers whose clocks are too far ahead of it.
+/// Hybrid clock that reports each server with a skewed clock once.
 #[derive(Debug)]
 pub(super) struct PeerClock {
     clock: HybridClock,
+    /// Names of servers whose clocks are too far ahead.
     skewed: Vec<String>,
 }
 
@@ -24,16 +25,16 @@
         self.clock.timestamp(wall_ms)
     }
 
-    /// Takes in the timestamp of server `name`. Returns true where its clock is newly found to be
-    /// too far ahead.
+    /// Advances the clock to a timestamp of server `name`. Returns true if that server's clock is too
+    /// far ahead and was not reported before.
     pub(super) fn observe(
         &mut self,
         wall_ms: UnixMillis,
         name: &str,
         timestamp_ms: UnixMillis,
     ) -> bool {
-        let is_believed = self.clock.observe(wall_ms, timestamp_ms);
-        if is_believed || self.skewed.iter().any(|known| known == name) {
+        let is_accepted = self.clock.observe(wall_ms, timestamp_ms);
+        if is_accepted || self.skewed.iter().any(|known| known == name) {
             return false;
         }
         if self.skewed.len() >= MAX_SKEWED {
--- a/crates/coralstep-fleet/src/fleet/receive.rs
+++ b/crates/coralstep-fleet/src/fleet/receive.rs
@@ -1,16 +1,16 @@
-//! What a datagram of another server leads to.
+//! Handling of received datagrams.
 use super::{Event, Fleet};
 use crate::datagram::{Datagram, DecodeError, Payload, PayloadKind};
 use crate::versions::VersionMessage;
 use crate::{Millis, UnixMillis};
 
 impl Fleet {
-    /// Takes in a datagram.
+    /// Handles a received datagram.
     ///
     /// # Errors
     ///
-    /// Why the bytes are no datagram of this fleet's. Payloads before a corrupt one have been
-    /// taken in.
+    /// Returns a [`DecodeError`] if the bytes are not a valid datagram of this fleet or a payload is
+    /// corrupt. Payloads before the corrupt one have been processed.
     pub fn handle_datagram(
         &mut self,
         now: Millis,
@@ -23,7 +23,7 @@
         if self.clock.observe(wall_ms, sender, datagram.timestamp_ms) {
             self.events.push(Event::ClockSkewed(sender.clone()));
         }
-        self.outbox.note_received(&datagram);
+        self.outbox.record_received(&datagram);
         self.exclusion.datagram_received(now);
         for payload in &datagram.payloads {
             self.handle_payload(now, wall_ms, &datagram, payload)?;
@@ -76,7 +76,7 @@
                 let name = status.member.name.clone();
                 self.events.push(Event::AuditRecordAltered(name));
             }
-            // Also from an excluded server: it may be the only one that holds the version.
+            // Excluded servers count as well: one of them may be the only holder of the version.
             self.versions.record_reported(status.newest_held);
         }
     }
--- a/crates/coralstep-fleet/src/fleet/snapshot.rs
+++ b/crates/coralstep-fleet/src/fleet/snapshot.rs
@@ -1,33 +1,33 @@
-//! What outlives a restart.
+//! State that is saved across restarts.
 use super::{Event, Fleet};
 use crate::audit::{AuditChain, AuditEntry};
 use crate::versions::VersionId;
 
-/// What is to be kept over a restart.
+/// State of a [`Fleet`] that is saved across restarts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The encoded active version; empty where none was published yet.
+    /// The encoded active version; empty if no version is active.
     pub active_version: Vec<u8>,
     /// The encoded entries of the audit chain, oldest first.
     pub audit_entries: Vec<Vec<u8>>,
 }
 
 impl Fleet {
-    /// Returns what is to be kept over a restart.
+    /// Returns the state to be saved across a restart.
     pub fn snapshot(&self) -> Snapshot {
-        let active_version = self.versions.encoded(self.activity.active_version());
+        let active_version = self.versions.encoded(self.history.active_version());
         let encode = |entry: &AuditEntry| postcard::to_allocvec(entry).unwrap_or_default();
         Snapshot {
             active_version: active_version.unwrap_or_default().to_vec(),
-            audit_entries: self.activity.chain().entries().map(encode).collect(),
+            audit_entries: self.history.chain().entries().map(encode).collect(),
         }
     }
 
-    /// Takes in what was kept and returns the id of the version, which is to be activated again.
-    /// The audit chain is believed only where its entries follow each other.
+    /// Restores the state saved before a restart and returns the id of the version to be activated
+    /// again, or `None` if there is none. An inconsistent audit chain is discarded and reported.
     pub fn restore(&mut self, snapshot: &Snapshot) -> Option<VersionId> {
         match decode_chain(&snapshot.audit_entries) {
-            Some(chain) => self.activity.resume(chain),
+            Some(chain) => self.history.restore_chain(chain),
             None => self
                 .events
                 .push(Event::AuditRecordAltered(self.name.clone())),
--- a/crates/coralstep-fleet/src/fleet/activity.rs
+++ b/crates/coralstep-fleet/src/fleet/version_history.rs
@@ -1,29 +1,30 @@
-//! The version that is active here, and the audit chain of those before it.
+//! The active version of this server, and the audit chain of its predecessors.
 use crate::UnixMillis;
 use crate::audit::{AuditChain, AuditRow};
 use crate::rollout::RpcCounts;
 use crate::status::PastVersion;
 use crate::versions::VersionId;
 
-/// The active version and its predecessors.
+/// The active version and the audit chain of its predecessors.
 #[derive(Debug)]
-pub(super) struct Activity {
+pub(super) struct VersionHistory {
     chain: AuditChain,
     active_version: VersionId,
     since_ms: UnixMillis,
-    /// RPCs of this process when the version was activated, and now.
+    /// RPCs of this process before the version was activated.
     rpcs_before: RpcCounts,
-    rpcs_now: RpcCounts,
+    /// All RPCs of this process so far.
+    total_rpcs: RpcCounts,
 }
 
-impl Activity {
-    pub(super) fn new(since_ms: UnixMillis) -> Activity {
-        Activity {
+impl VersionHistory {
+    pub(super) fn new(since_ms: UnixMillis) -> VersionHistory {
+        VersionHistory {
             chain: AuditChain::default(),
             active_version: VersionId::default(),
             since_ms,
             rpcs_before: RpcCounts::default(),
-            rpcs_now: RpcCounts::default(),
+            total_rpcs: RpcCounts::default(),
         }
     }
 
@@ -31,8 +32,8 @@
         &self.chain
     }
 
-    /// Continues the chain from before a restart.
-    pub(super) fn resume(&mut self, chain: AuditChain) {
+    /// Replaces the chain by the one saved before a restart.
+    pub(super) fn restore_chain(&mut self, chain: AuditChain) {
         self.chain = chain;
     }
 
@@ -44,30 +45,30 @@
         self.since_ms
     }
 
-    /// Notes the RPCs of this process so far.
-    pub(super) fn count_rpcs(&mut self, rpcs: RpcCounts) {
-        self.rpcs_now = rpcs;
+    /// Sets the RPCs of this process so far.
+    pub(super) fn set_total_rpcs(&mut self, rpcs: RpcCounts) {
+        self.total_rpcs = rpcs;
     }
 
-    /// Returns the RPCs under the active version.
+    /// Returns the RPCs since the active version was activated.
     pub(super) fn rpcs(&self) -> RpcCounts {
-        self.rpcs_now.since(self.rpcs_before)
+        self.total_rpcs.since(self.rpcs_before)
     }
 
-    /// Makes `id` the active version.
+    /// Makes `id` the active version and appends the previous one to the chain.
     pub(super) fn activate(&mut self, id: VersionId, now_ms: UnixMillis) {
         self.chain.append(PastVersion {
             version: self.active_version,
             from_ms: self.since_ms,
             to_ms: now_ms,
-            rpcs: self.rpcs().decided,
+            rpcs: self.rpcs().submitted,
         });
         self.active_version = id;
         self.since_ms = now_ms;
-        self.rpcs_before = self.rpcs_now;
+        self.rpcs_before = self.total_rpcs;
     }
 
-    /// Returns the audit of server `name`, which this one is, oldest first.
+    /// Returns the audit rows of this server, whose name is `name`, oldest first.
     pub(super) fn rows(&self, name: &str) -> Vec<AuditRow> {
         let row = |version, from_ms, to_ms, rpcs| AuditRow {
             server: name.to_owned(),
@@ -87,7 +88,7 @@
             self.active_version,
             self.since_ms,
             None,
-            self.rpcs().decided,
+            self.rpcs().submitted,
         ));
         rows
     }
--- a/crates/coralstep-fleet/src/fleet/versions.rs
+++ b/crates/coralstep-fleet/src/fleet/versions.rs
@@ -1,29 +1,29 @@
-//! Publishing, activating and rejecting versions of the settings.
+//! Publication, activation and rejection of settings versions.
 use super::{Event, Fleet};
 use crate::rollout;
 use crate::versions::{PublishError, PublishedVersion, Version, VersionId};
 use crate::{Millis, UnixMillis};
 
-/// What an operator publishes.
+/// Contents of a version that an operator publishes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Publication {
-    /// JSON of the sections of the site file that it sets.
+    /// JSON of the sections of the site file that the version sets.
     pub content: String,
-    /// Whether a server that rejects it excludes itself.
+    /// Whether a server that rejects the version excludes itself.
     pub mandatory: bool,
-    /// Cumulative fractions of the fleet, 0 to 1, that activate it stage by stage; none for all
-    /// servers at once.
+    /// Cumulative fractions of the fleet, from 0 to 1, that activate the version in each stage. If
+    /// empty, all servers activate it immediately.
     pub stages: Vec<f32>,
     /// Pause between two stages, in milliseconds.
     pub stage_pause_ms: u64,
 }
 
 impl Fleet {
-    /// Publishes a version as the newest one.
+    /// Publishes a version, which becomes the newest one.
     ///
     /// # Errors
     ///
-    /// [`PublishError::TooLong`] where it is too long to be sent.
+    /// Returns [`PublishError::TooLong`] if the version exceeds the maximum size.
     pub fn publish(
         &mut self,
         now: Millis,
@@ -43,15 +43,15 @@
         };
         let id = self.versions.publish(now, version)?;
         self.events.push(Event::VersionReceived(id));
-        self.announce();
+        self.publish_status();
         Ok(id)
     }
 
-    /// Returns the version to be activated or rejected now, where there is one: its stage has
-    /// come here and its rollout was not halted.
+    /// Returns the version that this server must activate or reject now, or `None` if there is none.
+    /// A version is returned once its stage is due, unless its rollout was halted.
     pub fn pending_version(&mut self, now: Millis) -> Option<PublishedVersion> {
         let newest = self.versions.newest_accepted()?;
-        if newest.id <= self.activity.active_version() || self.leaving {
+        if newest.id <= self.history.active_version() || self.leaving {
             return None;
         }
         let pending = PublishedVersion {
@@ -61,7 +61,7 @@
         if !self.is_stage_due(now, pending.id) {
             return None;
         }
-        // The first stage has none before it that could halt it.
+        // There is no earlier stage whose results could halt the first stage.
         let stage = pending.version.stage(&self.name).unwrap_or(0);
         if stage == 0 {
             return Some(pending);
@@ -83,15 +83,15 @@
         rollout::is_stage_due(&self.versions, &self.statuses, &self.name, id, now)
     }
 
-    /// Notes that this server has activated `id`.
+    /// Records that this server has activated `id`.
     pub fn activate(&mut self, now: Millis, wall_ms: UnixMillis, id: VersionId) {
-        self.activity.activate(id, self.clock.timestamp(wall_ms));
+        self.history.activate(id, self.clock.timestamp(wall_ms));
         self.events.push(Event::VersionActivated(id));
         self.evaluate_exclusion(now);
-        self.announce();
+        self.publish_status();
     }
 
-    /// Notes that this server can't activate `id`.
+    /// Records that this server rejects `id` because it cannot activate it.
     pub fn reject(&mut self, now: Millis, id: VersionId, reason: &str) {
         self.versions.reject(id, reason);
         self.events.push(Event::VersionRejected {
@@ -99,6 +99,6 @@
             reason: reason.to_owned(),
         });
         self.evaluate_exclusion(now);
-        self.announce();
+        self.publish_status();
     }
 }
--- a/crates/coralstep-fleet/src/fleet/views.rs
+++ b/crates/coralstep-fleet/src/fleet/views.rs
@@ -1,4 +1,4 @@
-//! What operators and other parts of the server see of the fleet.
+//! Queries of the fleet's state, for operators and other parts of the server.
 use super::Fleet;
 use crate::Millis;
 use crate::audit::{AuditFilter, AuditRow};
@@ -13,21 +13,21 @@
     pub member: Member,
     /// Its state.
     pub state: MemberState,
-    /// The version that it has active, where it has reported one.
+    /// Its active version, or `None` if it has not reported one.
     pub active_version: Option<VersionId>,
-    /// Age of its last report, in milliseconds; none where it has not reported.
+    /// Age of its last status in milliseconds, or `None` if none was received.
     pub age_ms: Option<Millis>,
 }
 
 impl Fleet {
-    /// Returns why this server is excluded; none while it admits requests.
+    /// Returns why this server is excluded, or `None` if it admits requests.
     pub fn exclusion(&self) -> Option<&ExclusionReason> {
         self.exclusion.reason()
     }
 
-    /// Returns the version that is active here.
+    /// Returns this server's active version.
     pub fn active_version(&self) -> VersionId {
-        self.activity.active_version()
+        self.history.active_version()
     }
 
     /// Returns this server's identity.
@@ -35,15 +35,15 @@
         self.membership.own()
     }
 
-    /// Returns the versions that this server has or knows.
+    /// Returns the settings versions that this server stores or knows of.
     pub fn versions(&self) -> &VersionStore {
         &self.versions
     }
 
-    /// Returns all members, this server among them, ordered by name.
+    /// Returns all members, including this server, ordered by name.
     pub fn members(&self, now: Millis) -> Vec<MemberView> {
         let own = self.membership.own();
-        // Guards against this server's process from before a restart, of which others still speak.
+        // Guards against listing this server's previous process, which peers still gossip about.
         let is_other = |member: &Member| (&member.name, member.address) != (&own.name, own.address);
         let mut members = vec![self.own_view()];
         members.extend(
@@ -67,7 +67,7 @@
         MemberView {
             member: self.membership.own().clone(),
             state,
-            active_version: Some(self.activity.active_version()),
+            active_version: Some(self.history.active_version()),
             age_ms: Some(0),
         }
     }
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Iterates over the other members whose reports count: present, up to date, not excluded
-    /// and not leaving.
+    /// Iterates over the other members whose reports are used: present, up to date, not excluded and
+    /// not leaving.
     pub fn current_members(&self) -> impl Iterator<Item = &Member> {
         let newest = self.versions.newest();
         self.membership.present().filter(move |member| {
@@ -104,9 +104,9 @@
         })
     }
 
-    /// Returns which server had which version active, ordered by server, then by time.
+    /// Returns the audit rows of all servers that match `filter`, ordered by server, then by time.
     pub fn audit(&self, now: Millis, filter: &AuditFilter) -> Vec<AuditRow> {
-        let mut rows = self.activity.rows(&self.name);
+        let mut rows = self.history.rows(&self.name);
         rows.extend(self.peer_audits.rows(now));
         rows.retain(|row| filter.matches(row));
         rows.sort_by(|a, b| (&a.server, a.from_ms).cmp(&(&b.server, b.from_ms)));
--- a/crates/coralstep-fleet/src/gossip.rs
+++ b/crates/coralstep-fleet/src/gossip.rs
@@ -1,8 +1,8 @@
-//! Dissemination of values that may be stale: each server's newest report of itself, relayed by
-//! all.
+//! Dissemination of values by gossip: each server publishes a value about itself, and all servers
+//! relay the newest values of the others. A received value may be stale.
 //!
-//! The newest value of an origin wins, by the incarnation of the process and the sequence number
-//! of the value. Each value travels with its age and is dropped past a stated one.
+//! Values of one origin are ordered by the incarnation of its process, then by sequence number, and
+//! the newest is kept. Each value is sent together with its age and dropped after a maximum age.
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
@@ -12,46 +12,46 @@
 use crate::Millis;
 use crate::membership::Member;
 
-/// Origins whose values are kept; further ones are ignored.
-pub const MAX_SOURCES: usize = 8_192;
-/// Values of other servers in one payload.
+/// Maximum number of origins whose values are kept. Values of further origins are ignored.
+pub const MAX_ORIGINS: usize = 8_192;
+/// Maximum number of values from other servers in one payload.
 const MAX_RELAYED: usize = 32;
-/// Bytes of a payload beside its values.
+/// Bytes of a payload in addition to its values.
 const PAYLOAD_OVERHEAD_BYTES: usize = 2;
 
-/// A value that a server publishes of itself.
+/// A value that a server publishes about itself.
 pub trait Gossip: Clone + Serialize + DeserializeOwned {
-    /// A value of this age, in milliseconds, is dropped.
+    /// Maximum age in milliseconds. Older values are dropped.
     const MAX_AGE_MS: Millis;
 
-    /// Returns the server that published it.
+    /// Returns the server that published the value.
     fn origin(&self) -> &Member;
 
-    /// Returns a number that rises with each value of one process.
+    /// Returns the sequence number, which increases with each value that a process publishes.
     fn sequence(&self) -> u64;
 
-    /// Returns whether a correct peer could have published it.
+    /// Returns whether the value is well-formed.
     fn is_valid(&self) -> bool;
 }
 
-/// A value of another server.
+/// A value received from another server.
 #[derive(Clone, Debug)]
 pub struct Received<T> {
     /// The value.
     pub value: T,
-    /// When its origin published it, on this server's clock.
+    /// When its origin published it, by this server's clock.
     pub sent_at: Millis,
     times_relayed: u32,
 }
 
-/// A value on its way.
+/// A value with its age, as it is sent.
 #[derive(Clone, Serialize, Deserialize)]
 struct AgedValue<T> {
     value: T,
     age_ms: u32,
 }
 
-/// An origin, whatever its incarnation.
+/// The server that published a value, regardless of its incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Origin {
     name: String,
@@ -59,7 +59,7 @@
 }
 
 impl Origin {
-    fn of(member: &Member) -> Origin {
+    fn from_member(member: &Member) -> Origin {
         Origin {
             name: member.name.clone(),
             address: member.address,
@@ -67,19 +67,19 @@
     }
 }
 
-/// Place of a value among those to be relayed: the least relayed first, then by origin.
+/// Position of a value in the relay order: the least relayed first, then by origin.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct RelayPosition {
     times_relayed: u32,
     origin: Origin,
 }
 
-/// This server's own value and the newest ones of the others.
+/// This server's own value and the newest values of other servers.
 ///
-/// The least relayed values are sent first, so that none starves.
+/// The least relayed values are sent first, so that no value starves.
 pub struct Disseminator<T> {
     received: HashMap<Origin, Received<T>>,
-    /// The same values in the order in which they are relayed.
+    /// The received values in the order in which they are relayed.
     relay_order: BTreeSet<RelayPosition>,
     own: Option<T>,
 }
@@ -107,13 +107,14 @@
 }
 
 impl<T: Gossip> Disseminator<T> {
-    /// Publishes this server's own value in place of the one before.
+    /// Publishes this server's own value, replacing the previous one.
     pub fn set_own(&mut self, value: T) {
         self.own = Some(value);
     }
 
-    /// Returns what fits `max_bytes`: this server's own value, then the least relayed of the
-    /// others'. None where there is nothing to send or no room for it.
+    /// Returns an encoded payload of at most `max_bytes` bytes: this server's own value, followed by
+    /// the least relayed values of other servers. Returns `None` if there is nothing to send or the
+    /// payload does not fit.
     pub fn next_payload(&mut self, now: Millis, max_bytes: usize) -> Option<Vec<u8>> {
         let mut payload: Vec<AgedValue<T>> = Vec::new();
         payload.extend(self.own.iter().map(|own| AgedValue {
@@ -131,11 +132,11 @@
                 value: received.value.clone(),
                 age_ms: age.min(u64::from(u32::MAX)) as u32,
             };
-            let more = encoded_bytes(&relayed);
-            if bytes.saturating_add(more) > max_bytes {
+            let relayed_bytes = encoded_bytes(&relayed);
+            if bytes.saturating_add(relayed_bytes) > max_bytes {
                 break;
             }
-            bytes += more;
+            bytes += relayed_bytes;
             received.times_relayed = received.times_relayed.saturating_add(1);
             let times_relayed = received.times_relayed;
             self.relay_order.remove(&position);
@@ -150,13 +151,13 @@
             .filter(|bytes| !payload.is_empty() && bytes.len() <= max_bytes)
     }
 
-    /// Takes in a payload of another server and returns the values that were new. What can't be
-    /// read, is invalid or claims to be of this server is ignored.
+    /// Handles a payload from another server and returns the values that were new. Values that
+    /// cannot be decoded, are invalid, are too old or name this server as their origin are ignored.
     pub fn receive(&mut self, now: Millis, own: &Member, payload: &[u8]) -> Vec<T> {
         let Ok(values) = postcard::from_bytes::<Vec<AgedValue<T>>>(payload) else {
             return Vec::new();
         };
-        let mut news = Vec::new();
+        let mut new_values = Vec::new();
         for AgedValue { value, age_ms } in values {
             let age = Millis::from(age_ms);
             let origin = value.origin();
@@ -165,21 +166,21 @@
                 continue;
             }
             if self.insert(now.saturating_sub(age), &value) {
-                news.push(value);
+                new_values.push(value);
             }
         }
-        news
+        new_values
     }
 
-    /// Returns false where the value is not newer than the known one, or where there is no room.
+    /// Stores a value. Returns false if it is not newer than the known one or the table is full.
     fn insert(&mut self, sent_at: Millis, value: &T) -> bool {
-        let origin = Origin::of(value.origin());
+        let origin = Origin::from_member(value.origin());
         let known = self.received.get(&origin);
-        let rank = |value: &T| (value.origin().incarnation, value.sequence());
-        if known.is_some_and(|known| rank(&known.value) >= rank(value)) {
+        let version = |value: &T| (value.origin().incarnation, value.sequence());
+        if known.is_some_and(|known| version(&known.value) >= version(value)) {
             return false;
         }
-        if known.is_none() && self.received.len() >= MAX_SOURCES {
+        if known.is_none() && self.received.len() >= MAX_ORIGINS {
             return false;
         }
         if let Some(known) = known {
@@ -203,7 +204,7 @@
         true
     }
 
-    /// Drops the values that are too old.
+    /// Drops values older than their maximum age.
     pub fn expire(&mut self, now: Millis) {
         let relay_order = &mut self.relay_order;
         self.received.retain(|origin, received| {
@@ -220,10 +221,10 @@
 
     /// Returns the newest value of the server with the name and address of `member`.
     pub fn get(&self, member: &Member) -> Option<&Received<T>> {
-        self.received.get(&Origin::of(member))
+        self.received.get(&Origin::from_member(member))
     }
 
-    /// Iterates over the newest values of the others, in no particular order.
+    /// Iterates over the newest values of other servers, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Received<T>> {
         self.received.values()
     }
--- a/crates/coralstep-fleet/src/lib.rs
+++ b/crates/coralstep-fleet/src/lib.rs
@@ -1,13 +1,14 @@
-//! How the servers of a fleet know of each other and agree on the version of their settings.
+//! Fleet membership and distribution of versioned settings among the servers of a fleet.
 //!
-//! There is no I/O and no clock here: datagrams and the time are passed in, datagrams and events
-//! come out, and the same calls in the same order lead to the same results.
+//! This crate does no I/O and reads no clock. The caller passes in received datagrams and the
+//! current time, and collects datagrams and events. The same sequence of calls always produces the
+//! same results.
 //!
-//! [`Fleet`] is the whole. [`membership`] (who is there) carries [`status`] (what each server
-//! reports of itself, which may be stale), [`versions`] (settings in numbered versions) and
-//! further protocols ([`extension`]) in one stream of [`datagram`]s. [`audit`] keeps which server
-//! had which version active, [`exclusion`] decides when this server admits no requests, and
-//! [`rollout`] when a version is activated stage by stage.
+//! [`Fleet`] is the entry point. It sends everything in one stream of [`datagram`]s: the
+//! [`membership`] protocol, the [`status`] that each server reports about itself (possibly stale),
+//! settings [`versions`], and other protocols ([`extension`]). [`audit`] records which server had
+//! which version active, [`exclusion`] decides whether this server admits requests, and
+//! [`rollout`] controls the staged activation of a version.
 pub mod audit;
 pub mod clock;
 pub mod datagram;
@@ -25,8 +26,8 @@
 pub use membership::{Member, MemberState};
 pub use versions::VersionId;
 
-/// Milliseconds of the process's own monotonic clock, or a span of them.
+/// A time on the process's monotonic clock, or a duration, in milliseconds.
 pub type Millis = u64;
 
-/// Milliseconds since the Unix epoch, by wall time or by the hybrid clock.
+/// Milliseconds since the Unix epoch, from the wall clock or the hybrid logical clock.
 pub type UnixMillis = u64;
--- a/crates/coralstep-fleet/src/membership/member.rs
+++ b/crates/coralstep-fleet/src/membership/member.rs
@@ -3,27 +3,27 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a server's name.
+/// Maximum length of a server's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// One process of a server.
+/// Identity of a server process.
 ///
-/// The same name and address with another incarnation is a restart; the same name at two
-/// addresses at once is two processes under one name. The order of the fields is that of their
-/// bytes.
+/// The same name and address with another incarnation is a restarted process. The same name at two
+/// addresses at the same time is a duplicate name. The order of the fields is part of the wire
+/// format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
     /// Name of the server.
     pub name: String,
-    /// Address at which others reach it.
+    /// Address at which other members reach the server.
     pub address: SocketAddr,
-    /// Rises with each start: the Unix time of it in milliseconds. Also rises by one where the
-    /// process was wrongly taken for failed.
+    /// Unix time of the process's start in milliseconds, incremented by one each time the process
+    /// was wrongly declared down.
     pub incarnation: u64,
 }
 
 impl Member {
-    /// Returns the process of server `name` at `address`.
+    /// Returns the identity of the server `name` at `address`.
     pub fn new(name: &str, address: SocketAddr, incarnation: u64) -> Member {
         Member {
             name: name.to_owned(),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Returns whether a correct peer could have this identity.
+    /// Returns whether the identity is well-formed.
     pub fn is_valid(&self) -> bool {
         !self.name.is_empty() && self.name.len() <= MAX_NAME_BYTES && self.address.port() != 0
     }
@@ -41,7 +41,7 @@
 impl foca::Identity for Member {
     type Addr = SocketAddr;
 
-    /// A process that was wrongly taken for failed comes back as a new incarnation.
+    /// Returns the identity under which a process rejoins after it was wrongly declared down.
     fn renew(&self) -> Option<Member> {
         Some(Member {
             incarnation: self.incarnation + 1,
@@ -62,16 +62,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// This server itself, before it knows any other.
+    /// This server, while it does not know any other member.
     Joining,
-    /// It answers.
+    /// The member answers pings.
     Alive,
-    /// It did not answer, and may still speak up.
+    /// The member did not answer a ping and may still refute that it is down.
     Suspect,
-    /// It failed, or left without announcing it.
+    /// The member failed, or left without an announcement.
     #[serde(rename = "gone")]
     Down,
-    /// It announced that it leaves.
+    /// The member announced that it leaves.
     Leaving,
 }
 
--- a/crates/coralstep-fleet/src/membership/mod.rs
+++ b/crates/coralstep-fleet/src/membership/mod.rs
@@ -1,5 +1,5 @@
-//! Membership of the fleet: SWIM by the `foca` library, with its timers and its members in this
-//! crate's terms.
+//! Fleet membership by the SWIM protocol. This module wraps the `foca` library and provides its
+//! timers.
 mod member;
 mod runtime;
 
@@ -16,61 +16,67 @@
 
 use crate::Millis;
 
-/// One member is probed in each period.
-const PROBE_PERIOD: Duration = Duration::from_millis(1_000);
-/// A member that has not answered for so long is probed through others.
-const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Members through which a silent one is probed.
-const INDIRECT_PROBES: usize = 3;
-/// A suspect has so long to speak up: a busy server is late, not down.
+/// Interval between pings. Each interval, one member is pinged.
+const PING_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Time without an answer after which a member is pinged through other members.
+const PING_TIMEOUT: Duration = Duration::from_millis(400);
+/// Number of members through which an unresponsive member is pinged.
+const INDIRECT_PINGS: usize = 3;
+/// Time for which a member stays suspect before it is declared down. It is long enough for a busy
+/// server to refute the suspicion.
 const SUSPICION_TIMEOUT: Duration = Duration::from_millis(5_000);
-/// A member that is down is remembered for so long.
+/// Time for which a member that is down is remembered.
 const DOWN_MEMBER_RETENTION: Duration = Duration::from_secs(60);
-/// Times that one update is passed on.
+/// Maximum number of times that one update is relayed.
 const MAX_TRANSMISSIONS: u8 = 10;
-/// Bytes of a message; the rest of a datagram is for other payloads.
+/// Maximum size of a message, in bytes. The rest of a datagram is left for other payloads.
 const MAX_MESSAGE_BYTES: usize = 600;
-/// How often this server announces itself to other members, and to how many.
-const ANNOUNCE_PERIOD: Duration = Duration::from_millis(10_000);
-const ANNOUNCED_MEMBERS: usize = 1;
-/// The same towards members that are down: they may only have been cut off.
-const ANNOUNCE_TO_DOWN_PERIOD: Duration = Duration::from_millis(3_000);
-const ANNOUNCED_DOWN_MEMBERS: usize = 2;
-/// How often updates are passed on beside the probes, and to how many members.
-const GOSSIP_PERIOD: Duration = Duration::from_millis(250);
-const GOSSIPED_MEMBERS: usize = 2;
-/// Between two announcements to the listed peers at first, and while no member is known.
+/// Interval between this server's announcements to other members.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(10_000);
+/// Number of members that each announcement is sent to.
+const ANNOUNCE_FANOUT: usize = 1;
+/// Interval between announcements to members that are down, which may only have been partitioned.
+const ANNOUNCE_TO_DOWN_INTERVAL: Duration = Duration::from_millis(3_000);
+/// Number of members that are down to which each of these announcements is sent.
+const ANNOUNCE_TO_DOWN_FANOUT: usize = 2;
+/// Interval between gossip messages, which relay updates in addition to the pings.
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(250);
+/// Number of members that each gossip message is sent to.
+const GOSSIP_FANOUT: usize = 2;
+/// Interval between announcements to the configured peers after the start, and while no member is
+/// known.
 const MIN_SEED_INTERVAL_MS: Millis = 1_000;
-/// The same later on. Guards against two halves of a fleet that have forgotten each other.
+/// Interval between announcements to the configured peers later on. Guards against two halves of a
+/// partitioned fleet that have forgotten each other.
 const MAX_SEED_INTERVAL_MS: Millis = 10_000;
-/// Announcements at the shorter interval: servers that start together meet in pairs first, and
-/// the pairs have to meet as well.
+/// Number of announcements at the shorter interval. Servers that start at the same time first join
+/// in pairs, and these pairs must find each other as well.
 const FREQUENT_SEED_ANNOUNCEMENTS: usize = 15;
-/// Members that are known, those that are down among them; beyond that no message is read. Guards
-/// against a peer that invents members without end.
+/// Maximum number of known members, including those that are down. Beyond it, messages are ignored.
+/// Guards against a peer that invents an unlimited number of members.
 pub const MAX_MEMBERS: usize = 8_192;
 
-/// A change among the members.
+/// A change of the membership.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipChange {
-    /// A member joined or came back.
+    /// A member joined or rejoined.
     Up(Member),
     /// A member failed or left.
     Down(Member),
-    /// The others took this server for failed; it is back under this identity.
+    /// Other members declared this server down, and it rejoined under this identity.
     Rejoined(Member),
 }
 
 /// A message of the membership protocol to a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipMessage {
-    /// The member that it is for.
+    /// Receiver of the message.
     pub to: Member,
     /// The encoded message.
     pub bytes: Vec<u8>,
 }
 
-/// The members of the fleet as this server knows them.
+/// This server's view of the fleet's members.
 pub struct Membership {
     swim: Foca<Member, PostcardCodec, SmallRng, foca::NoCustomBroadcast>,
     runtime: SwimRuntime,
@@ -79,39 +85,39 @@
     last_seed_announcement: Option<Millis>,
 }
 
-fn non_zero(count: usize) -> NonZeroUsize {
+fn at_least_one(count: usize) -> NonZeroUsize {
     NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN)
 }
 
 fn periodic(frequency: Duration, members: usize) -> Option<PeriodicParams> {
     Some(PeriodicParams {
         frequency,
-        num_members: non_zero(members),
+        num_members: at_least_one(members),
     })
 }
 
 fn swim_config() -> Config {
     Config {
-        probe_period: PROBE_PERIOD,
-        probe_rtt: PROBE_TIMEOUT,
-        num_indirect_probes: non_zero(INDIRECT_PROBES),
+        probe_period: PING_INTERVAL,
+        probe_rtt: PING_TIMEOUT,
+        num_indirect_probes: at_least_one(INDIRECT_PINGS),
         max_transmissions: NonZeroU8::new(MAX_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN),
         suspect_to_down_after: SUSPICION_TIMEOUT,
         remove_down_after: Some(DOWN_MEMBER_RETENTION),
-        max_packet_size: non_zero(MAX_MESSAGE_BYTES),
+        max_packet_size: at_least_one(MAX_MESSAGE_BYTES),
         notify_down_members: true,
-        periodic_announce: periodic(ANNOUNCE_PERIOD, ANNOUNCED_MEMBERS),
+        periodic_announce: periodic(ANNOUNCE_INTERVAL, ANNOUNCE_FANOUT),
         periodic_announce_to_down_members: periodic(
-            ANNOUNCE_TO_DOWN_PERIOD,
-            ANNOUNCED_DOWN_MEMBERS,
+            ANNOUNCE_TO_DOWN_INTERVAL,
+            ANNOUNCE_TO_DOWN_FANOUT,
         ),
-        periodic_gossip: periodic(GOSSIP_PERIOD, GOSSIPED_MEMBERS),
+        periodic_gossip: periodic(GOSSIP_INTERVAL, GOSSIP_FANOUT),
     }
 }
 
 impl Membership {
-    /// Returns the membership of `own`, which announces itself to `seeds`. The same `seed` leads
-    /// to the same choices.
+    /// Returns the membership of the server `own`, which announces itself to the addresses `seeds`.
+    /// `seed` initializes the random number generator.
     pub fn new(own: Member, seeds: &[SocketAddr], seed: u64) -> Membership {
         let is_other = |address: &SocketAddr| *address != own.address;
         let seeds = seeds.iter().copied().filter(is_other).collect();
@@ -130,21 +136,21 @@
         self.swim.identity()
     }
 
-    /// Takes in a message of another member; what can't be read is ignored.
+    /// Handles a message from another member. Messages that cannot be decoded are ignored.
     pub fn receive(&mut self, now: Millis, message: &[u8]) {
         self.runtime.now = now;
         if self.swim.iter_membership_state().len() >= MAX_MEMBERS {
             return;
         }
-        // A message that the library rejects says nothing about the members.
+        // Messages that the library rejects are dropped; they contain no usable update.
         let _ = self.swim.handle_data(message, &mut self.runtime);
     }
 
-    /// Lets time pass.
+    /// Fires all timers that are due and announces this server to a seed if that is due.
     pub fn handle_timeout(&mut self, now: Millis) {
         self.runtime.now = now;
         while let Some(timer) = self.runtime.pop_due_timer() {
-            // A timer that is no longer of use is no fault.
+            // The library returns an error for an outdated timer, which is harmless.
             let _ = self.swim.handle_timer(timer, &mut self.runtime);
         }
         self.announce_to_next_seed(now);
@@ -167,30 +173,30 @@
         self.last_seed_announcement = Some(now);
         let address = self.seeds[self.seed_announcements % self.seeds.len()];
         self.seed_announcements += 1;
-        // The seed's name and incarnation are not known yet; only its address counts.
-        let unnamed = Member::new("?", address, 0);
-        // The library has nothing to report of an announcement that it could not make.
-        let _ = self.swim.announce(unnamed, &mut self.runtime);
+        // The seed's name and incarnation are not known yet. The library only uses its address.
+        let unknown_member = Member::new("?", address, 0);
+        // A failed announcement needs no handling because it is repeated.
+        let _ = self.swim.announce(unknown_member, &mut self.runtime);
     }
 
     /// Announces that this server leaves.
     pub fn leave(&mut self, now: Millis) {
         self.runtime.now = now;
-        // Fails only where this server has left already.
+        // Fails only if this server has already left.
         let _ = self.swim.leave_cluster(&mut self.runtime);
     }
 
-    /// Returns the messages to be sent, and forgets them.
+    /// Removes and returns the messages to be sent.
     pub fn take_messages(&mut self) -> Vec<MembershipMessage> {
         std::mem::take(&mut self.runtime.messages)
     }
 
-    /// Returns the changes since the last call.
+    /// Removes and returns the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<MembershipChange> {
         std::mem::take(&mut self.runtime.changes)
     }
 
-    /// Iterates over all members but this server, those that are down among them.
+    /// Iterates over all members except this server, including those that are down.
     pub fn iter(&self) -> impl Iterator<Item = (&Member, MemberState)> {
         self.swim.iter_membership_state().map(|member| {
             let state = match member.state() {
--- a/crates/coralstep-fleet/src/membership/runtime.rs
+++ b/crates/coralstep-fleet/src/membership/runtime.rs
@@ -1,4 +1,4 @@
-//! What the SWIM library asks for: timers, messages and notifications, kept until they are fetched.
+//! The SWIM library's runtime, which collects its timers, messages and notifications.
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
@@ -8,10 +8,10 @@
 use crate::Millis;
 use crate::membership::{Member, MembershipChange, MembershipMessage};
 
-/// Timers that may be pending; the library has a few for itself and two for each suspect.
+/// Maximum number of pending timers. The library uses a few of its own and two for each suspect.
 const MAX_TIMERS: usize = 16_384;
 
-/// A timer of the library's, ordered by its time, then by the order of the requests.
+/// A timer set by the library, ordered by due time, then by the order in which timers were set.
 struct PendingTimer {
     due: Millis,
     sequence: u64,
@@ -38,7 +38,7 @@
     }
 }
 
-/// The library's requests.
+/// Timers, messages and changes requested by the library and not yet processed.
 #[derive(Default)]
 pub(super) struct SwimRuntime {
     pub(super) now: Millis,
@@ -49,7 +49,7 @@
 }
 
 impl SwimRuntime {
-    /// Removes and returns a timer that is due.
+    /// Removes and returns the next timer if it is due.
     pub(super) fn pop_due_timer(&mut self) -> Option<Timer<Member>> {
         let Reverse(first) = self.timers.peek()?;
         if first.due > self.now {
--- a/crates/coralstep-fleet/src/rollout.rs
+++ b/crates/coralstep-fleet/src/rollout.rs
@@ -1,5 +1,7 @@
-//! When a version is activated: stage by stage, and no further where an earlier stage rejected it
-//! or does worse with it.
+//! Staged rollout of a version.
+//!
+//! Servers activate a version stage by stage. The rollout halts if a server rejects the version or
+//! if significantly fewer RPCs succeed under it.
 use std::fmt;
 
 use statrs::distribution::{ContinuousCDF, Normal};
@@ -8,43 +10,43 @@
 use crate::status::{NodeStatus, NodeStatuses};
 use crate::versions::{VersionId, VersionStore};
 
-/// RPCs on either side before a stage is compared with the rest.
+/// Minimum number of RPCs on each side of the comparison between a stage and the other servers.
 const MIN_COMPARED_RPCS: u64 = 100;
-/// Probability at which a stage's being worse is no longer put down to chance.
-const MAX_CHANCE_PROBABILITY: f64 = 0.001;
+/// Significance level: below this p-value a stage counts as worse than the other servers.
+const SIGNIFICANCE_LEVEL: f64 = 0.001;
 
-/// RPCs that were decided, and those of them that got their result.
+/// Numbers of submitted and of successful RPCs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RpcCounts {
-    /// RPCs that were decided.
-    pub decided: u64,
-    /// Those of them that got their result.
+    /// Number of RPCs submitted for admission.
+    pub submitted: u64,
+    /// Number of those RPCs that returned their result.
     pub succeeded: u64,
 }
 
 impl RpcCounts {
-    /// Returns the counts since `earlier` ones of the same server.
+    /// Returns the difference from `earlier` counts of the same server.
     pub fn since(self, earlier: RpcCounts) -> RpcCounts {
-        let decided = self.decided.saturating_sub(earlier.decided);
+        let submitted = self.submitted.saturating_sub(earlier.submitted);
         let succeeded = self.succeeded.saturating_sub(earlier.succeeded);
         RpcCounts {
-            decided,
-            succeeded: succeeded.min(decided),
+            submitted,
+            succeeded: succeeded.min(submitted),
         }
     }
 
     fn add(&mut self, status: &NodeStatus) {
-        self.decided += status.rpcs;
+        self.submitted += status.rpcs;
         self.succeeded += status.succeeded;
     }
 }
 
-/// Why a rollout goes no further here.
+/// Reason why a rollout was halted on this server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HaltReason {
-    /// So many servers rejected the version.
+    /// Servers rejected the version.
     Rejected {
-        /// Servers that rejected it.
+        /// Number of servers that rejected it.
         servers: u32,
     },
     /// Significantly fewer RPCs succeed under the version than elsewhere.
@@ -59,21 +61,22 @@
 impl fmt::Display for HaltReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            HaltReason::Rejected { servers } => write!(f, "{servers} turned it down"),
+            HaltReason::Rejected { servers } => write!(f, "rejected by {servers} servers"),
             HaltReason::WorseResults { here, elsewhere } => write!(
                 f,
-                "{} of {} ok, elsewhere {} of {}",
-                here.succeeded, here.decided, elsewhere.succeeded, elsewhere.decided
+                "{} of {} RPCs succeeded under this version, {} of {} under other versions",
+                here.succeeded, here.submitted, elsewhere.succeeded, elsewhere.submitted
             ),
         }
     }
 }
 
-/// Returns whether the stage of server `own` of a held version has come.
+/// Returns whether server `own` may activate the version `id` according to its rollout stage.
 ///
-/// It has come by the time since the version arrived here (wall clocks may be an hour apart), or
-/// because a server of the same or a later stage has the version active. The latter guards
-/// against a server that was away, and would begin to count where all others are done.
+/// The stage is due once its delay has passed since the version arrived here (measured locally,
+/// because wall clocks may differ by an hour), or once a server of the same or a later stage has
+/// activated the version. The latter guards against a server that was paused or unreachable and
+/// waits out the full delay after all others have activated the version.
 pub fn is_stage_due(
     versions: &VersionStore,
     statuses: &NodeStatuses,
@@ -100,7 +103,8 @@
             .any(|received| has_reached_stage(&received.value))
 }
 
-/// Returns why the stages after the first must not activate the version `id`, if they must not.
+/// Returns the reason why the stages after the first must not activate the version `id`, or
+/// `None` if they may.
 pub fn halt_reason(statuses: &NodeStatuses, id: VersionId) -> Option<HaltReason> {
     let (mut here, mut elsewhere) = (RpcCounts::default(), RpcCounts::default());
     let mut rejecting_servers = 0;
@@ -124,21 +128,21 @@
     is_significantly_worse(here, elsewhere).then_some(HaltReason::WorseResults { here, elsewhere })
 }
 
-/// Returns whether fewer RPCs succeed `here` than `elsewhere`, by more than chance explains: a
-/// one-sided test of two proportions.
+/// Returns whether the success rate `here` is significantly lower than `elsewhere`, by a one-sided
+/// two-proportion z-test.
 pub fn is_significantly_worse(here: RpcCounts, elsewhere: RpcCounts) -> bool {
-    if here.decided < MIN_COMPARED_RPCS || elsewhere.decided < MIN_COMPARED_RPCS {
+    if here.submitted < MIN_COMPARED_RPCS || elsewhere.submitted < MIN_COMPARED_RPCS {
         return false;
     }
-    let (decided_here, decided_elsewhere) = (here.decided as f64, elsewhere.decided as f64);
-    let rate_here = here.succeeded as f64 / decided_here;
-    let rate_elsewhere = elsewhere.succeeded as f64 / decided_elsewhere;
+    let (submitted_here, submitted_elsewhere) = (here.submitted as f64, elsewhere.submitted as f64);
+    let rate_here = here.succeeded as f64 / submitted_here;
+    let rate_elsewhere = elsewhere.succeeded as f64 / submitted_elsewhere;
     let succeeded = (here.succeeded + elsewhere.succeeded) as f64;
-    let rate = succeeded / (here.decided + elsewhere.decided) as f64;
-    let variance = rate * (1.0 - rate) * (1.0 / decided_here + 1.0 / decided_elsewhere);
+    let rate = succeeded / (here.submitted + elsewhere.submitted) as f64;
+    let variance = rate * (1.0 - rate) * (1.0 / submitted_here + 1.0 / submitted_elsewhere);
     let standard_error = variance.sqrt();
     let score = (rate_here - rate_elsewhere) / standard_error;
-    standard_error > 0.0 && Normal::standard().cdf(score) < MAX_CHANCE_PROBABILITY
+    standard_error > 0.0 && Normal::standard().cdf(score) < SIGNIFICANCE_LEVEL
 }
 
 #[cfg(test)]
--- a/crates/coralstep-fleet/src/rollout/tests.rs
+++ b/crates/coralstep-fleet/src/rollout/tests.rs
@@ -1,7 +1,10 @@
 use super::*;
 
-fn counts(succeeded: u64, decided: u64) -> RpcCounts {
-    RpcCounts { decided, succeeded }
+fn counts(succeeded: u64, submitted: u64) -> RpcCounts {
+    RpcCounts {
+        submitted,
+        succeeded,
+    }
 }
 
 fn is_worse(here: (u64, u64), elsewhere: (u64, u64)) -> bool {
@@ -9,10 +12,16 @@
 }
 
 #[test]
-fn a_stage_is_worse_only_where_chance_does_not_explain_it() {
-    assert!(!is_worse((90, 100), (950, 1_000)), "a few more by chance");
+fn stage_is_worse_only_if_the_difference_is_significant() {
+    assert!(
+        !is_worse((90, 100), (950, 1_000)),
+        "the difference is not significant"
+    );
     assert!(is_worse((500, 1_000), (950, 1_000)));
-    assert!(!is_worse((0, 50), (1_000, 1_000)), "too few to say");
+    assert!(
+        !is_worse((0, 50), (1_000, 1_000)),
+        "fewer RPCs than the minimum"
+    );
     assert!(!is_worse((1_000, 1_000), (1_000, 1_000)));
     assert!(!is_worse((1_000, 1_000), (900, 1_000)));
 }
--- a/crates/coralstep-fleet/src/status.rs
+++ b/crates/coralstep-fleet/src/status.rs
@@ -1,4 +1,4 @@
-//! What each server reports of itself to the fleet by gossip.
+//! Status that each server reports about itself to the fleet by gossip.
 use serde::{Deserialize, Serialize};
 
 use crate::gossip::{Disseminator, Gossip};
@@ -6,25 +6,27 @@
 use crate::versions::{MAX_REASON_BYTES, VersionId};
 use crate::{Millis, UnixMillis};
 
-/// A server renews its status this often, so that its silence shows.
-pub const ANNOUNCE_INTERVAL_MS: Millis = 1_000;
-/// A status that was not renewed for so long is dropped; the audit keeps its rows.
+/// Interval at which a server renews its status, in milliseconds. Peers detect a silent server by
+/// the missing renewals.
+pub const STATUS_INTERVAL_MS: Millis = 1_000;
+/// Time after which a status that was not renewed is dropped, in milliseconds. The audit keeps its
+/// rows.
 pub const MAX_AGE_MS: Millis = 120_000;
-/// Membership orders that a server passes on for others: its last ones.
+/// Maximum number of membership orders in a server's status: the last ones issued there.
 pub const MAX_ORDERS: usize = 4;
-/// Greatest sequence number of an order that is accepted. Guards against one forged order that
-/// no later one could exceed.
+/// Maximum sequence number of an accepted order. Guards against a forged order that no later order
+/// could supersede.
 const MAX_ORDER_SEQUENCE: u64 = u64::MAX / 2 - 1;
 
 /// An operator's order to exclude a server from the fleet, or to readmit it.
 ///
-/// Of two orders for one server the one with the greater number holds. Each new order is numbered
-/// above all that are known, so no clock decides.
+/// Of several orders for one server, the one with the highest sequence number applies. A new order
+/// gets a higher number than all known ones, so no clock is involved.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipOrder {
-    /// Name of the server that it is for.
+    /// Name of the server that the order applies to.
     pub member: String,
-    /// Number among the orders for that server.
+    /// Sequence number among the orders for that server.
     pub sequence: u64,
     /// True to exclude, false to readmit.
     pub exclude: bool,
@@ -38,7 +40,7 @@
     }
 }
 
-/// A version that a server had active for some time.
+/// A version that a server had active in the past.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PastVersion {
     /// The version.
@@ -47,58 +49,59 @@
     pub from_ms: UnixMillis,
     /// When the next one was activated, in Unix milliseconds of the hybrid clock.
     pub to_ms: UnixMillis,
-    /// RPCs that were decided under it.
+    /// Number of RPCs submitted while it was active.
     pub rpcs: u64,
 }
 
-/// The end of a server's audit chain, for others to compare.
+/// Head of a server's audit chain, by which peers detect that the chain was altered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChainHead {
-    /// First bytes of the hash of the last entry.
+    /// Prefix of the hash of the last entry.
     pub hash: [u8; 8],
-    /// Entries that the chain has had so far.
+    /// Number of entries appended so far.
     pub length: u32,
 }
 
-/// A version that a server refused to activate.
+/// Rejection of a version by a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejection {
     /// The version.
     pub version: VersionId,
-    /// Why, in at most [`MAX_REASON_BYTES`] bytes.
+    /// Reason of the rejection, of at most [`MAX_REASON_BYTES`] bytes.
     pub reason: String,
 }
 
-/// What a server reports of itself. The order of the fields is that of their bytes.
+/// Status that a server reports about itself. The order of the fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// The server.
+    /// The server that reports.
     pub member: Member,
-    /// Rises with each status of one process.
+    /// Sequence number, which increases with each status of one process.
     pub sequence: u64,
     /// Whether the server is shutting down.
     pub leaving: bool,
-    /// Whether it is excluded, by itself or by an operator.
+    /// Whether the server is excluded, by itself or by an operator.
     pub excluded: bool,
-    /// Whether it would exclude itself for a version, if not too many did.
+    /// Whether the server wants to be excluded because of a version. It is excluded only if not too
+    /// many other servers want the same.
     pub wants_exclusion: bool,
-    /// The version that it has active.
+    /// The active version.
     pub active_version: VersionId,
-    /// Since when, in Unix milliseconds of the hybrid clock.
+    /// When the active version was activated, in Unix milliseconds of the hybrid clock.
     pub active_since_ms: UnixMillis,
-    /// RPCs decided under that version.
+    /// Number of RPCs submitted since then.
     pub rpcs: u64,
-    /// Those of them that got their result.
+    /// Number of those RPCs that returned their result.
     pub succeeded: u64,
-    /// The version before that, as it stands in the server's audit chain.
+    /// The previous version, as recorded in the server's audit chain.
     pub previous: Option<PastVersion>,
-    /// The newest version that it holds.
+    /// The newest version that the server stores.
     pub newest_held: VersionId,
-    /// Its rejection of that version, if it rejected it.
+    /// The rejection of the newest stored version, if the server rejected it.
     pub rejected: Option<Rejection>,
-    /// The end of its audit chain.
+    /// The head of the server's audit chain.
     pub audit: ChainHead,
-    /// Orders that its operators gave for other servers.
+    /// Orders that operators issued at this server.
     pub orders: Vec<MembershipOrder>,
 }
 
@@ -127,7 +130,7 @@
     }
 }
 
-/// The newest status of each server, as far as it arrived here.
+/// The newest received status of each server.
 pub type NodeStatuses = Disseminator<NodeStatus>;
 
 #[cfg(test)]
--- a/crates/coralstep-fleet/src/status/tests.rs
+++ b/crates/coralstep-fleet/src/status/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_newest_status_of_an_origin_wins_by_whatever_path_it_arrives() {
+fn keeps_the_newest_status_of_an_origin_regardless_of_arrival_order() {
     let (mut statuses, own) = (
         NodeStatuses::default(),
         Member::new("me", "127.0.0.1:9".parse().unwrap(), 1),
@@ -39,7 +39,7 @@
         statuses.get(&status("a", 5, 2).member).unwrap().sent_at,
         700
     );
-    // Older, the same again, of the process before, and of this server itself.
+    // An older status, a duplicate, and one of an earlier process are ignored.
     for (old, age) in [
         (status("a", 5, 1), 0),
         (status("a", 5, 2), 0),
@@ -51,6 +51,7 @@
                 .is_empty()
         );
     }
+    // A status that names this server as its origin is ignored.
     let mut mine = status("me", 7, 7);
     mine.member.address = own.address;
     assert!(
@@ -58,7 +59,7 @@
             .receive(1_000, &own, &payload(&[(mine, 0)]))
             .is_empty()
     );
-    // A restart.
+    // After a restart, the sequence starts again under a higher incarnation.
     assert_eq!(
         statuses
             .receive(1_000, &own, &payload(&[(status("a", 6, 1), 0)]))
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn invalid_unreadable_and_expired_statuses_are_dropped() {
+fn drops_invalid_undecodable_and_expired_statuses() {
     let own = Member::new("me", "127.0.0.1:9".parse().unwrap(), 1);
     let mut statuses = NodeStatuses::default();
     assert_eq!(
@@ -77,12 +78,12 @@
             .len(),
         1
     );
-    // More succeeded than were decided.
-    let mut wild = status("b", 1, 1);
-    wild.succeeded = 5;
+    // More successful than submitted RPCs.
+    let mut invalid = status("b", 1, 1);
+    invalid.succeeded = 5;
     assert!(
         statuses
-            .receive(1_000, &own, &payload(&[(wild, 0)]))
+            .receive(1_000, &own, &payload(&[(invalid, 0)]))
             .is_empty()
     );
     assert!(
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn the_least_relayed_statuses_are_sent_first_within_the_room() {
+fn sends_the_least_relayed_statuses_first_within_the_size_limit() {
     let (mut statuses, own) = (
         NodeStatuses::default(),
         Member::new("me", "127.0.0.1:9".parse().unwrap(), 1),
@@ -116,5 +117,5 @@
         assert_eq!(sent[0].0.member.name, "me");
         seen.extend(sent.into_iter().map(|(status, _)| status.member.name));
     }
-    assert_eq!(seen.len(), 41, "none starves");
+    assert_eq!(seen.len(), 41, "every status is relayed");
 }
--- a/crates/coralstep-fleet/src/versions/id.rs
+++ b/crates/coralstep-fleet/src/versions/id.rs
@@ -5,31 +5,31 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes of a truncated SHA-256 digest.
+/// Size of a truncated SHA-256 digest, in bytes.
 pub const HASH_BYTES: usize = 12;
 
 /// A truncated SHA-256 digest.
 pub type ContentHash = [u8; HASH_BYTES];
 
-/// A version's identity: its number, and the hash of its encoded form.
+/// Identity of a version: its number and the hash of its encoded form.
 ///
 /// Ids are ordered by number, then by hash, so servers that know the same versions agree on the
-/// newest. The default id stands for the settings of the site file alone.
+/// newest. The default id denotes the settings of the site file without any published version.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct VersionId {
-    /// Position in the history: one more than the version that it replaces.
+    /// Version number: one more than that of the version it replaces.
     pub number: u64,
-    /// Hash of the encoded version, which binds the id to its content.
+    /// Hash of the encoded version, which ties the id to the content.
     pub hash: ContentHash,
 }
 
-/// A text that is not a [`VersionId`].
+/// Error for a text that is not a valid [`VersionId`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{text:?} is no version")]
 pub struct ParseVersionIdError {
-    /// The text as it was given.
+    /// The invalid text.
     pub text: String,
 }
 
@@ -49,7 +49,7 @@
 impl FromStr for VersionId {
     type Err = ParseVersionIdError;
 
-    /// Reads a number alone, or a number and a full hash.
+    /// Parses a number, optionally followed by `-` and the full hash in hexadecimal.
     fn from_str(text: &str) -> Result<VersionId, ParseVersionIdError> {
         parse(text).ok_or_else(|| ParseVersionIdError {
             text: text.to_owned(),
--- a/crates/coralstep-fleet/src/versions/store.rs
+++ b/crates/coralstep-fleet/src/versions/store.rs
@@ -1,69 +1,69 @@
-//! The versions that a server holds, has rejected, or only knows of.
+//! Versions that a server holds, has rejected, or knows only from the reports of peers.
 use std::collections::BTreeMap;
 
 use crate::Millis;
 use crate::membership::Member;
-use crate::versions::fetch::{ChunkRequest, Fetch, Poll, VersionMessage, cut_chunks};
+use crate::versions::fetch::{ChunkRequest, Fetch, Poll, VersionMessage, chunk_messages};
 use crate::versions::id::{VersionId, hash};
 use crate::versions::version::Version;
 
-/// Bytes of an encoded version.
+/// Maximum size of an encoded version, in bytes.
 pub const MAX_VERSION_BYTES: usize = 256 * 1024;
-/// Versions that are held; the oldest are dropped first.
+/// Maximum number of held versions. The oldest are dropped first.
 pub const MAX_VERSIONS: usize = 16;
-/// Bytes of the reason of a rejection.
+/// Maximum length of the reason of a rejection, in bytes.
 pub const MAX_REASON_BYTES: usize = 96;
-/// How far the number of a version that a peer knows of may exceed the newest known one. Guards
-/// against one forged status that no later version could exceed.
+/// Maximum difference between the number of a version that a peer reports and the newest known
+/// number. Guards against a forged status that no later version could supersede.
 pub const MAX_NUMBER_LEAD: u64 = 1_000_000;
 
-/// A version that can't be published.
+/// Error for a version that cannot be published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PublishError {
-    /// Its encoded form is longer than [`MAX_VERSION_BYTES`].
-    #[error("{bytes} bytes, {MAX_VERSION_BYTES} at most")]
+    /// The encoded version exceeds [`MAX_VERSION_BYTES`].
+    #[error("version of {bytes} bytes exceeds the maximum of {MAX_VERSION_BYTES} bytes")]
     TooLong {
-        /// Bytes of the encoded form.
+        /// Size of the encoded version, in bytes.
         bytes: usize,
     },
 }
 
-/// A version that is held here.
+/// A version held by this server.
 #[derive(Debug)]
 pub struct StoredVersion {
     /// The version's id.
     pub id: VersionId,
     /// The version itself.
     pub version: Version,
-    /// When it arrived, by this server's clock; 0 where it was restored after a restart.
+    /// When it arrived, by this server's clock; 0 if it was restored after a restart.
     pub received_at: Millis,
     encoded: Vec<u8>,
 }
 
-/// Two versions that replace the same one.
+/// Two versions that replace the same predecessor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fork {
-    /// The one with the smaller id, which loses.
+    /// The version with the smaller id, which is discarded.
     pub superseded: VersionId,
-    /// The one that all servers settle on.
+    /// The version with the greater id, which all servers activate.
     pub winner: VersionId,
 }
 
-/// The result of a [`VersionMessage`].
+/// Result of handling a [`VersionMessage`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MessageOutcome {
-    /// What is to be sent back to the sender.
+    /// Replies to the sender.
     pub replies: Vec<VersionMessage>,
-    /// The version that is complete now, if the message completed one.
+    /// The version that the message completed, if any.
     pub completed: Option<VersionId>,
 }
 
-/// The versions of the fleet's settings as far as this server has or knows them.
+/// The versions of the fleet's settings that this server holds or knows of.
 #[derive(Debug, Default)]
 pub struct VersionStore {
     held: BTreeMap<VersionId, StoredVersion>,
     rejected: BTreeMap<VersionId, String>,
-    /// The newest that a peer has reported.
+    /// The newest version that a peer has reported.
     reported: VersionId,
     fetch: Option<Fetch>,
     forks: Vec<Fork>,
@@ -75,7 +75,7 @@
         self.held.get(&id).map(|stored| &stored.version)
     }
 
-    /// Returns when `id` arrived here, if it is held.
+    /// Returns when `id` arrived, if it is held.
     pub fn received_at(&self, id: VersionId) -> Option<Millis> {
         self.held.get(&id).map(|stored| stored.received_at)
     }
@@ -90,17 +90,17 @@
         self.held.values()
     }
 
-    /// Returns the forks that were found, in the order of their discovery.
+    /// Returns the detected forks, in the order of detection.
     pub fn forks(&self) -> &[Fork] {
         &self.forks
     }
 
-    /// Returns why `id` was rejected here, if it was.
+    /// Returns the reason why this server rejected `id`, if it did.
     pub fn rejection_reason(&self, id: VersionId) -> Option<&str> {
         self.rejected.get(&id).map(String::as_str)
     }
 
-    /// Returns the newest version that is known, held or not.
+    /// Returns the newest known version, whether held or not.
     pub fn newest(&self) -> VersionId {
         self.reported.max(self.newest_held())
     }
@@ -118,7 +118,7 @@
             .find(|stored| !self.rejected.contains_key(&stored.id))
     }
 
-    /// Marks `id` as rejected. The reason is cut to [`MAX_REASON_BYTES`].
+    /// Marks `id` as rejected. The reason is truncated to [`MAX_REASON_BYTES`].
     pub fn reject(&mut self, id: VersionId, reason: &str) {
         let end = reason.floor_char_boundary(MAX_REASON_BYTES);
         self.rejected.insert(id, reason[..end].to_owned());
@@ -127,11 +127,11 @@
         }
     }
 
-    /// Adds a version that was published here and returns its id.
+    /// Adds a version that is published at this server and returns its id.
     ///
     /// # Errors
     ///
-    /// [`PublishError::TooLong`] where its encoded form exceeds [`MAX_VERSION_BYTES`].
+    /// Returns [`PublishError::TooLong`] if the encoded version exceeds [`MAX_VERSION_BYTES`].
     pub fn publish(&mut self, now: Millis, version: Version) -> Result<VersionId, PublishError> {
         let encoded = version.encode();
         if encoded.len() > MAX_VERSION_BYTES {
@@ -152,8 +152,8 @@
         Ok(id)
     }
 
-    /// Adds a version from before a restart and returns its id; none where it is corrupt. Its
-    /// rollout stage counts as reached.
+    /// Adds a version saved before a restart and returns its id, or `None` if it is corrupt. Its
+    /// rollout stage counts as due.
     pub fn restore(&mut self, encoded: &[u8]) -> Option<VersionId> {
         let published = Version::decode(encoded)?;
         self.insert(StoredVersion {
@@ -166,14 +166,14 @@
     }
 
     fn insert(&mut self, stored: StoredVersion) {
-        self.note_fork(&stored);
+        self.record_fork(&stored);
         self.held.insert(stored.id, stored);
         while self.held.len() > MAX_VERSIONS {
             self.held.pop_first();
         }
     }
 
-    fn note_fork(&mut self, stored: &StoredVersion) {
+    fn record_fork(&mut self, stored: &StoredVersion) {
         let sibling = self.held.values().find(|other| {
             other.id != stored.id && other.version.replaces == stored.version.replaces
         });
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Notes that a peer knows of `id`.
+    /// Records that a peer reported the version `id`.
     pub fn record_reported(&mut self, id: VersionId) {
         let max_number = self.newest().number.saturating_add(MAX_NUMBER_LEAD);
         if id > self.reported && id.number <= max_number {
@@ -195,10 +195,10 @@
         }
     }
 
-    /// Returns the requests that are due to fetch the newest known version, where it is missing.
+    /// Returns the requests that are due to fetch the newest known version if it is not held.
     ///
-    /// `holders` names the members that hold a version; `jitter`, from 0 to below 1, spreads the
-    /// requests of a fleet.
+    /// `holders` returns the members that hold a version. `jitter`, from 0 to below 1, spreads the
+    /// requests of the fleet's servers over time.
     pub fn poll_fetch(
         &mut self,
         now: Millis,
@@ -224,14 +224,14 @@
         }
     }
 
-    /// Answers a request, or takes a chunk in.
+    /// Answers a request for chunks, or stores a received chunk.
     pub fn handle_message(&mut self, now: Millis, message: VersionMessage) -> MessageOutcome {
         match message {
             VersionMessage::Request { id, chunks } => {
                 let encoded = self.encoded(id);
                 MessageOutcome {
                     replies: encoded
-                        .map_or_else(Vec::new, |encoded| cut_chunks(id, encoded, chunks)),
+                        .map_or_else(Vec::new, |encoded| chunk_messages(id, encoded, chunks)),
                     completed: None,
                 }
             }
@@ -258,7 +258,7 @@
         let fetch = self.fetch.as_mut().filter(|fetch| fetch.id == id)?;
         let encoded = fetch.add_chunk(now, version_bytes, index, data)?;
         let Some(version) = Version::decode_as(id, &encoded) else {
-            // Corrupted on the way or by a holder.
+            // A chunk was corrupted in transit or by its holder.
             fetch.discard_chunks();
             return None;
         };
--- a/crates/coralstep-fleet/src/versions/tests.rs
+++ b/crates/coralstep-fleet/src/versions/tests.rs
@@ -18,7 +18,7 @@
     Member::new(name, "127.0.0.1:7".parse().unwrap(), 1)
 }
 
-/// Fetches what `from` holds; `fault` may change or take messages on the way.
+/// Transfers the newest version from `from` to `to`. `fault` may alter or drop chunk messages.
 fn fetch(
     from: &mut VersionStore,
     to: &mut VersionStore,
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_version_arrives_complete_or_not_at_all() {
+fn fetched_version_is_stored_only_if_complete_and_uncorrupted() {
     let content: String = (0..9_000)
         .map(|at| char::from(b'a' + (at % 23) as u8))
         .collect();
@@ -49,10 +49,11 @@
     let id = publisher
         .publish(0, version(1, VersionId::default(), &content))
         .unwrap();
-    // Every third message is lost; at first one in seven is corrupt, as from a holder at fault.
+    // Every third message is lost, and of the first 40 every seventh is corrupt, as from a faulty
+    // holder.
     let mut other = VersionStore::default();
     other.record_reported(id);
-    let corrupted = |count: usize, message| match message {
+    let lose_and_corrupt_some = |count: usize, message| match message {
         _ if count.is_multiple_of(3) => None,
         VersionMessage::Chunk {
             id,
@@ -70,12 +71,15 @@
         }
         message => Some(message),
     };
-    assert_eq!(fetch(&mut publisher, &mut other, corrupted), Some(id));
+    assert_eq!(
+        fetch(&mut publisher, &mut other, lose_and_corrupt_some),
+        Some(id)
+    );
     assert_eq!(other.get(id), publisher.get(id));
-    // One that is always changed is never taken.
+    // A version whose chunks are always altered is never stored.
     let mut third = VersionStore::default();
     third.record_reported(id);
-    let always = |_, message| match message {
+    let corrupt_all = |_, message| match message {
         VersionMessage::Chunk {
             id,
             version_bytes,
@@ -92,12 +96,12 @@
         }
         message => Some(message),
     };
-    assert_eq!(fetch(&mut publisher, &mut third, always), None);
+    assert_eq!(fetch(&mut publisher, &mut third, corrupt_all), None);
     assert!(third.get(id).is_none());
 }
 
 #[test]
-fn a_fork_is_resolved_alike_and_reported() {
+fn servers_resolve_a_fork_to_the_same_version_and_report_it() {
     let (mut left, mut right) = (VersionStore::default(), VersionStore::default());
     let root = left
         .publish(0, version(1, VersionId::default(), "{}"))
@@ -115,7 +119,7 @@
     right2.publish(0, version(2, root, "{\"b\":1}")).unwrap();
     fetch(&mut right2, &mut left, |_, message| Some(message));
     fetch(&mut left2, &mut right, |_, message| Some(message));
-    // Only the smaller side has to fetch; then both want the same version.
+    // Only the server with the smaller id has to fetch. Then both have the same newest version.
     assert_eq!(left.newest(), right.newest());
     assert_eq!(left.newest(), a.max(b));
     let fork = Fork {
@@ -128,7 +132,7 @@
 }
 
 #[test]
-fn a_rejected_version_is_not_accepted_again_and_the_one_before_stays() {
+fn newest_accepted_version_skips_a_rejected_one() {
     let mut versions = VersionStore::default();
     let first = versions
         .publish(0, version(1, VersionId::default(), "{}"))
@@ -140,7 +144,7 @@
 }
 
 #[test]
-fn stages_take_their_fractions_one_after_another() {
+fn stages_contain_their_fractions_of_the_servers() {
     let mut staged = version(1, VersionId::default(), "{}");
     (staged.stages, staged.stage_pause_ms) = (vec![0.05, 0.3, 1.0], 10_000);
     let mut counts = [0; 3];
@@ -153,7 +157,7 @@
 }
 
 #[test]
-fn version_ids_are_written_and_parsed() {
+fn version_id_is_displayed_and_parsed() {
     let id = VersionId {
         number: 7,
         hash: hash(b"x"),
--- a/crates/coralstep-fleet/tests/golden.rs
+++ b/crates/coralstep-fleet/tests/golden.rs
@@ -485,7 +485,7 @@
             }
         }
         let rpcs = RpcCounts {
-            decided: now * 3,
+            submitted: now * 3,
             succeeded: now * 2,
         };
         for from in 0..2 {
--- a/crates/coralstep-fleet/tests/virtual_time.rs
+++ b/crates/coralstep-fleet/tests/virtual_time.rs
@@ -67,8 +67,11 @@
     terms: (u64, u64, bool),
 }
 
-fn counts(decided: u64, succeeded: u64) -> RpcCounts {
-    RpcCounts { decided, succeeded }
+fn counts(submitted: u64, succeeded: u64) -> RpcCounts {
+    RpcCounts {
+        submitted,
+        succeeded,
+    }
 }
 
 fn at(server: usize) -> SocketAddr {
@@ -472,7 +475,7 @@
         for at in on {
             let server = world.servers.get_mut(&at).unwrap();
             // Half of its RPCs fail.
-            server.counts.decided += 20;
+            server.counts.submitted += 20;
             server.counts.succeeded += 10;
         }
         for server in world
@@ -480,7 +483,7 @@
             .values_mut()
             .filter(|server| server.fleet.active_version() != staged)
         {
-            server.counts.decided += 20;
+            server.counts.submitted += 20;
             server.counts.succeeded += 20;
         }
     }
--- a/crates/coralstep-server/src/fleet/service.rs
+++ b/crates/coralstep-server/src/fleet/service.rs
@@ -220,7 +220,7 @@
         let now = self.now();
         let counts = scheduler.request_counts();
         let rpcs = RpcCounts {
-            decided: counts.submitted,
+            submitted: counts.submitted,
             succeeded: counts.succeeded,
         };
         self.fleet
--- a/crates/coralstep-state/tests/golden.rs
+++ b/crates/coralstep-state/tests/golden.rs
@@ -138,7 +138,7 @@
             now,
             wall_ms,
             RpcCounts {
-                decided: second << 33,
+                submitted: second << 33,
                 succeeded: second * 200,
             },
         );
