--- a/crates/coralstep-shared-health/src/aggregate/tests.rs
+++ b/crates/coralstep-shared-health/src/aggregate/tests.rs
@@ -11,14 +11,14 @@
     }
 }
 
-fn all(count: u64, state: ReportedBreakerState, failures: u32, calls: u32) -> Vec<PeerReport> {
+fn peers(count: u64, state: ReportedBreakerState, failures: u32, calls: u32) -> Vec<PeerReport> {
     (0..count)
         .map(|peer| report(peer, state, failures, calls))
         .collect()
 }
 
 #[test]
-fn fewer_outcomes_are_needed_while_most_peers_report_failure_and_one_liar_changes_nothing() {
+fn needs_fewer_outcomes_only_if_at_least_half_of_informed_peers_report_failure() {
     let mut aggregator = Aggregator::new(1);
     let mut needed = |reports: &[PeerReport]| {
         aggregator
@@ -32,30 +32,39 @@
     };
     assert_eq!(needed(&[]), WINDOW_OUTCOMES);
     assert_eq!(
-        needed(&all(1, ReportedBreakerState::Open, 1, 1)),
+        needed(&peers(1, ReportedBreakerState::Open, 1, 1)),
         WINDOW_OUTCOMES,
-        "one alone says nothing"
+        "a single peer has no effect"
     );
     assert_eq!(
-        needed(&all(10, ReportedBreakerState::Closed, 0, 5)),
+        needed(&peers(10, ReportedBreakerState::Closed, 0, 5)),
         WINDOW_OUTCOMES
     );
     assert_eq!(
-        needed(&all(10, ReportedBreakerState::Closed, 2, 2)),
+        needed(&peers(10, ReportedBreakerState::Closed, 2, 2)),
         MIN_OUTCOMES
     );
-    let mut mixed = all(10, ReportedBreakerState::Closed, 0, 5);
-    mixed[0] = report(0, ReportedBreakerState::Open, 20, 20);
-    assert_eq!(needed(&mixed), WINDOW_OUTCOMES, "a liar among ten");
-    mixed[1..6]
+    let mut reports = peers(10, ReportedBreakerState::Closed, 0, 5);
+    reports[0] = report(0, ReportedBreakerState::Open, 20, 20);
+    assert_eq!(
+        needed(&reports),
+        WINDOW_OUTCOMES,
+        "one false report among ten peers"
+    );
+    reports[1..6]
         .iter_mut()
         .for_each(|report| report.failures = 5);
-    assert_eq!(needed(&mixed), 8, "six of ten");
-    let mut old = all(10, ReportedBreakerState::Closed, 2, 2);
-    old.iter_mut()
+    assert_eq!(needed(&reports), 8, "six of ten peers report failure");
+    let mut old_reports = peers(10, ReportedBreakerState::Closed, 2, 2);
+    old_reports
+        .iter_mut()
         .for_each(|report| report.since_call_ms = crate::report::MAX_REPORT_AGE_MS + 1);
-    assert_eq!(needed(&old), WINDOW_OUTCOMES, "what they saw is too old");
-    let off = SharingConfig {
+    assert_eq!(
+        needed(&old_reports),
+        WINDOW_OUTCOMES,
+        "the reports are too old"
+    );
+    let without_failure = SharingConfig {
         follow_failure: false,
         ..SharingConfig::default()
     };
@@ -63,9 +72,9 @@
         Aggregator::new(1)
             .advise(
                 0,
-                off,
+                without_failure,
                 ReportedBreakerState::Closed,
-                &all(9, ReportedBreakerState::Open, 2, 2)
+                &peers(9, ReportedBreakerState::Open, 2, 2)
             )
             .min_outcomes,
         WINDOW_OUTCOMES
@@ -73,12 +82,12 @@
 }
 
 #[test]
-fn the_fleet_probes_at_one_rate_and_no_caller_is_told_to_wait_for_long() {
-    for (open, lasts) in [(2u64, 100_000u64), (10, 100_000), (300, 20_000)] {
-        let reports = all(open - 1, ReportedBreakerState::Open, 1, 1);
+fn probe_rate_of_the_fleet_and_extended_cooldown_are_bounded() {
+    for (open, duration_ms) in [(2u64, 100_000u64), (10, 100_000), (300, 20_000)] {
+        let reports = peers(open - 1, ReportedBreakerState::Open, 1, 1);
         let mut fleet: Vec<Aggregator> = (0..open).map(Aggregator::new).collect();
         let mut probes = 0;
-        for now in (0..lasts).step_by(50) {
+        for now in (0..duration_ms).step_by(50) {
             for aggregator in &mut fleet {
                 let left = aggregator
                     .advise(
@@ -91,12 +100,12 @@
                     .unwrap();
                 if left > 0 {
                     assert!(
-                        (HELD_COOLDOWN_MS..HELD_COOLDOWN_MS * 2).contains(&left),
+                        (EXTENDED_COOLDOWN_MS..EXTENDED_COOLDOWN_MS * 2).contains(&left),
                         "{left}"
                     );
                     continue;
                 }
-                // Its probe call fails at once.
+                // The probe call fails immediately.
                 probes += 1;
                 aggregator.advise(
                     now,
@@ -106,25 +115,25 @@
                 );
             }
         }
-        let rate = f64::from(probes) * 1000.0 / lasts as f64;
+        let rate = f64::from(probes) * 1000.0 / duration_ms as f64;
         assert!(
             rate < FLEET_PROBES_PER_SECOND * 1.4 && rate > FLEET_PROBES_PER_SECOND * 0.6,
-            "{open}: {rate} a second"
+            "{open} open breakers: {rate} probe calls per second"
         );
     }
-    // Where peers are closed, or silent, its own cooldown holds.
-    let mut alone = Aggregator::new(1);
+    // If the breakers of all peers are closed, or there are no peers, the cooldown is unchanged.
+    let mut aggregator = Aggregator::new(1);
     assert_eq!(
-        alone.advise(
+        aggregator.advise(
             0,
             SharingConfig::default(),
             ReportedBreakerState::Open,
-            &all(5, ReportedBreakerState::Closed, 0, 5)
+            &peers(5, ReportedBreakerState::Closed, 0, 5)
         ),
         BreakerAdvice::default()
     );
     assert_eq!(
-        alone.advise(
+        aggregator.advise(
             50,
             SharingConfig::default(),
             ReportedBreakerState::Open,
@@ -135,21 +144,21 @@
 }
 
 #[test]
-fn recovery_ends_a_few_cooldowns_at_a_time_and_a_liar_is_distrusted() {
+fn recovery_ends_cooldowns_in_steps_and_a_false_report_is_distrusted() {
     let config = SharingConfig {
         limit_probe_rate: false,
         ..SharingConfig::default()
     };
     let recovered = |count: u64, open: u64| {
-        let mut reports = all(open, ReportedBreakerState::Open, 1, 1);
+        let mut reports = peers(open, ReportedBreakerState::Open, 1, 1);
         reports.extend((open..open + count).map(|peer| PeerReport {
             since_recovery_ms: Some(500),
             ..report(peer, ReportedBreakerState::Closed, 0, 1)
         }));
         reports
     };
-    // Of sixty servers, how many probe in one step.
-    let tries = |reports: &[PeerReport]| {
+    // Number of servers, out of 60, whose cooldown ends in one step.
+    let ended_cooldowns = |reports: &[PeerReport]| {
         let step = |seed: u64| {
             Aggregator::new(seed)
                 .advise(1_000, config, ReportedBreakerState::Open, reports)
@@ -161,18 +170,24 @@
             .count()
     };
     let (one, ten, most) = (
-        tries(&recovered(1, 58)),
-        tries(&recovered(10, 49)),
-        tries(&recovered(40, 19)),
+        ended_cooldowns(&recovered(1, 58)),
+        ended_cooldowns(&recovered(10, 49)),
+        ended_cooldowns(&recovered(40, 19)),
     );
     assert!(
         one <= 6 && ten > one && ten <= 40 && most == 60,
         "{one}, {ten}, {most}"
     );
-    assert_eq!(tries(&all(58, ReportedBreakerState::Open, 1, 1)), 0);
-    // A peer that never failed says nothing of this server's path.
-    assert_eq!(tries(&all(58, ReportedBreakerState::Closed, 0, 20)), 0);
-    // The own probe call fails: for a while this peer is not believed.
+    assert_eq!(
+        ended_cooldowns(&peers(58, ReportedBreakerState::Open, 1, 1)),
+        0
+    );
+    // Peers that never failed do not end the cooldown: they say nothing about this server's path.
+    assert_eq!(
+        ended_cooldowns(&peers(58, ReportedBreakerState::Closed, 0, 20)),
+        0
+    );
+    // The probe call fails, so the peer's recovery reports are ignored for some time.
     let (mut aggregator, reports) = (Aggregator::new(3), recovered(1, 0));
     let mut now = 1_000;
     let mut probes = 0;
--- a/crates/coralstep-shared-health/src/dependency.rs
+++ b/crates/coralstep-shared-health/src/dependency.rs
@@ -1,5 +1,5 @@
-//! One dependency as this server sees it: its own health, the aggregator of peer reports, the
-//! source of a fault.
+//! State that this server keeps for each dependency: its local health, the aggregator of peer
+//! reports and the source of a fault.
 use coralstep_fleet::{Member, Millis};
 
 use crate::aggregate::Aggregator;
@@ -10,7 +10,7 @@
 pub(crate) struct Dependency {
     local: LocalHealth,
     last_call_at: Millis,
-    /// When a probe call closed the breaker, unless it has opened since.
+    /// When a probe call closed the breaker; `None` if it never did or the breaker opened again.
     recovered_at: Option<Millis>,
     pub(crate) aggregator: Aggregator,
     pub(crate) fault_source: FaultSource,
@@ -27,12 +27,12 @@
         }
     }
 
-    /// Takes this server's current health and returns whether peers should be told at once.
+    /// Updates the local health. Returns whether peers must be informed immediately.
     pub(crate) fn update(&mut self, now: Millis, local: LocalHealth) -> bool {
         if local == self.local {
             return false;
         }
-        // An ordinary call that succeeded can wait for the next regular report.
+        // Successful calls without a change of state are reported at the next regular interval.
         let is_urgent = local.state != self.local.state || (local.failures > 0 && local.calls > 0);
         if local.calls > 0 {
             self.last_call_at = now;
--- a/crates/coralstep-shared-health/src/fault_source.rs
+++ b/crates/coralstep-shared-health/src/fault_source.rs
@@ -1,34 +1,35 @@
-//! Where the fault lies when calls to a dependency fail: there, or on this server's way to it.
+//! Fault localization: whether calls fail because of the dependency itself or because of this
+//! server's path to it.
 use crate::peer_report::PeerCounts;
 
-/// The source of a fault, as far as peer reports tell.
+/// Source of a fault, as inferred from peer reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultSource {
     /// There is no fault.
     NoFault,
-    /// Half or more of the informed peers report failure: the dependency itself.
+    /// The dependency itself: at least half of the informed peers report failure.
     Dependency,
-    /// Most informed peers are served: this server's link, address or machine.
+    /// This server's network link, address or machine: calls of most informed peers succeed.
     OwnPath,
-    /// This server's calls fail, and no peer knows the dependency.
+    /// This server's calls fail, and no peer has called the dependency recently.
     Unknown,
 }
 
 impl FaultSource {
-    /// Finds the source by this server's own breaker and the peers' reports.
-    pub fn find(fails_here: bool, peers: PeerCounts) -> FaultSource {
-        if peers.informed == 0 && fails_here {
+    /// Infers the source from this server's breaker and the reports of peers.
+    pub fn infer(fails_locally: bool, peers: PeerCounts) -> FaultSource {
+        if peers.informed == 0 && fails_locally {
             FaultSource::Unknown
         } else if peers.failing > 0 && peers.failing * 2 >= peers.informed {
             FaultSource::Dependency
-        } else if fails_here {
+        } else if fails_locally {
             FaultSource::OwnPath
         } else {
             FaultSource::NoFault
         }
     }
 
-    /// Returns the word for it in JSON output, which operators' tools read.
+    /// Returns the value in JSON output, which operators' tools read.
     pub fn json_name(self) -> &'static str {
         match self {
             FaultSource::NoFault => "Nobodys",
--- a/crates/coralstep-shared-health/src/fault_source/tests.rs
+++ b/crates/coralstep-shared-health/src/fault_source/tests.rs
@@ -11,32 +11,32 @@
         since_call_ms: 100,
         since_recovery_ms: None,
     };
-    PeerCounts::of(&(0..count).map(report).collect::<Vec<_>>())
+    PeerCounts::from_reports(&(0..count).map(report).collect::<Vec<_>>())
 }
 
 #[test]
-fn a_faulty_dependency_and_a_faulty_path_to_it_are_told_apart() {
+fn distinguishes_a_faulty_dependency_from_a_faulty_path() {
     assert_eq!(
-        FaultSource::find(true, peers(9, ReportedBreakerState::Closed, 0, 5)),
+        FaultSource::infer(true, peers(9, ReportedBreakerState::Closed, 0, 5)),
         FaultSource::OwnPath
     );
     assert_eq!(
-        FaultSource::find(true, peers(9, ReportedBreakerState::Open, 1, 1)),
+        FaultSource::infer(true, peers(9, ReportedBreakerState::Open, 1, 1)),
         FaultSource::Dependency
     );
     assert_eq!(
-        FaultSource::find(true, PeerCounts::of(&[])),
+        FaultSource::infer(true, PeerCounts::from_reports(&[])),
         FaultSource::Unknown
     );
     assert_eq!(
-        FaultSource::find(false, peers(9, ReportedBreakerState::Closed, 0, 5)),
+        FaultSource::infer(false, peers(9, ReportedBreakerState::Closed, 0, 5)),
         FaultSource::NoFault
     );
 }
 
-/// Guards against JSON values that are renamed with the variants: operators' tools read these.
+/// Guards against a renamed variant that changes the JSON value, which operators' tools read.
 #[test]
-fn json_names_stay() {
+fn json_names_are_stable() {
     let all = [
         FaultSource::NoFault,
         FaultSource::Dependency,
--- a/crates/coralstep-shared-health/src/lib.rs
+++ b/crates/coralstep-shared-health/src/lib.rs
@@ -1,18 +1,18 @@
-//! What the servers of a fleet tell each other about the dependencies that they share, and what a
-//! circuit breaker may conclude from it. No I/O and no clock.
+//! Exchange of health reports on shared dependencies among the servers of a fleet, and the advice
+//! that circuit breakers get from these reports. This crate does no I/O and reads no clock.
 //!
-//! Peer reports never open a breaker. Three conclusions are drawn from them, each of which
-//! [`SharingConfig`] can switch off:
+//! Peer reports alone never open or close a breaker. They affect it in three ways, each of which
+//! can be disabled in [`SharingConfig`]:
 //!
-//! - **Probe rate**: half-open probe calls to a dependency that is open on many servers come at one
-//!   rate from the whole fleet, in place of one for each server and cooldown.
-//! - **Recovery**: once the dependency serves other servers again, the remaining cooldowns end in
-//!   growing steps, and a probe call of the server's own decides.
-//! - **Failure**: while most peers report failures, a breaker needs fewer outcomes of its own, but
-//!   never none.
+//! - **Probe rate**: while breakers for a dependency are open on several servers, their probe calls
+//!   are limited to one rate for the whole fleet, instead of one call per server and cooldown.
+//! - **Recovery**: once calls of other servers succeed again, the remaining cooldowns end in steps of
+//!   growing size. Each breaker still closes only after a successful probe call of its own.
+//! - **Failure**: while most peers report failures, a breaker needs fewer of its own outcomes before
+//!   it may open, but never none.
 //!
-//! [`SharedHealth`] exchanges the [`report`]s as an extension of the fleet's gossip, and an
-//! [`Aggregator`](aggregate::Aggregator) for each dependency draws the conclusions.
+//! [`SharedHealth`] exchanges the [`report`]s as an extension of the fleet's gossip. An
+//! [`Aggregator`](aggregate::Aggregator) for each dependency derives the advice.
 pub mod aggregate;
 pub mod config;
 mod dependency;
--- a/crates/coralstep-shared-health/src/operator_view.rs
+++ b/crates/coralstep-shared-health/src/operator_view.rs
@@ -1,5 +1,5 @@
-//! What operators see of shared health: a row for each server and dependency, and an event when the
-//! source of a fault changes.
+//! Information on shared health for operators: a row for each server and dependency, and an event
+//! when the source of a fault changes.
 use std::fmt;
 
 use coralstep_fleet::Millis;
@@ -9,31 +9,31 @@
 use crate::peer_report::PeerCounts;
 use crate::report::ReportedBreakerState;
 
-/// What one server reports of one dependency; the keys are those of the JSON output.
+/// Report of one server on one dependency. The field names are the keys of the JSON output.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct DependencyRow {
     /// Name of the dependency.
     pub dependency: String,
-    /// Name of the server that reports.
+    /// Name of the reporting server.
     pub server: String,
     /// State of that server's breaker.
     pub state: ReportedBreakerState,
-    /// How many of its recent calls failed.
+    /// Number of its recent calls that failed.
     pub failures: u32,
-    /// How many of its calls ended recently.
+    /// Number of its calls that ended recently.
     pub calls: u32,
     /// Time since its last call ended, in ms.
     pub age_ms: Millis,
 }
 
-/// The source of a dependency's fault changed. Its text is the line in the log.
+/// Event for a change of a dependency's fault source. Its `Display` text is the log message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FaultSourceChanged {
     /// Name of the dependency.
     pub dependency: String,
-    /// The source from now on.
+    /// The new source.
     pub source: FaultSource,
-    /// What peers report.
+    /// Summary of the peer reports.
     pub peers: PeerCounts,
 }
 
@@ -49,19 +49,19 @@
         match source {
             FaultSource::NoFault => write!(
                 f,
-                "{dependency} serves: {failing} of {informed} others say that it fails"
+                "{dependency}: no fault, {failing} of {informed} informed peers report failure"
             ),
             FaultSource::Dependency => write!(
                 f,
-                "{dependency} fails: {failing} of {informed} others say so"
+                "{dependency}: fault of the dependency, {failing} of {informed} informed peers report failure"
             ),
             FaultSource::OwnPath => write!(
                 f,
-                "this server's way to {dependency} fails: {failing} of {informed} others say that it does"
+                "{dependency}: fault on this server's path, {failing} of {informed} informed peers report failure"
             ),
             FaultSource::Unknown => write!(
                 f,
-                "{dependency} fails here; no other server has called it of late"
+                "{dependency}: fault of unknown source, no peer has called it recently"
             ),
         }
     }
--- a/crates/coralstep-shared-health/src/peer_report.rs
+++ b/crates/coralstep-shared-health/src/peer_report.rs
@@ -1,60 +1,60 @@
-//! What a peer reports of one dependency, as it stands now, and the counts over all peers.
+//! A peer's report on one dependency with current ages, and the summary of all peer reports.
 use coralstep_fleet::Millis;
 
 use crate::report::{MAX_REPORT_AGE_MS, ReportedBreakerState};
 
-/// Identifies a peer process: the same for all its reports.
+/// Identifies a peer process. All reports of a process have the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PeerId(pub u64);
 
-/// A peer's report of one dependency, with the ages of now.
+/// A peer's report on one dependency. Ages are relative to the current time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PeerReport {
-    /// Who reports.
+    /// The reporting peer.
     pub peer: PeerId,
     /// State of the peer's breaker.
     pub state: ReportedBreakerState,
-    /// How many of its recent calls failed.
+    /// Number of its recent calls that failed.
     pub failures: u32,
-    /// How many of its calls ended recently.
+    /// Number of its calls that ended recently.
     pub calls: u32,
     /// Time since its last call ended, in ms.
     pub since_call_ms: Millis,
-    /// Time since a probe call closed its breaker, in ms.
+    /// Time since a probe call closed its breaker, in ms; `None` if there was none.
     pub since_recovery_ms: Option<Millis>,
 }
 
 impl PeerReport {
-    /// Whether half of its recent calls failed, or its breaker is not closed.
+    /// Returns whether at least half of its recent calls failed or its breaker is not closed.
     pub fn reports_failure(&self) -> bool {
         self.is_open() || (self.calls > 0 && self.failures * 2 >= self.calls)
     }
 
-    /// Whether the peer knows the dependency by recent calls of its own.
+    /// Returns whether the report is based on recent calls of the peer or on its open breaker.
     pub fn is_informed(&self) -> bool {
         self.is_open() || (self.calls > 0 && self.since_call_ms <= MAX_REPORT_AGE_MS)
     }
 
-    /// Whether its breaker is open or half-open.
+    /// Returns whether its breaker is open or half-open.
     pub fn is_open(&self) -> bool {
         self.state != ReportedBreakerState::Closed
     }
 }
 
-/// How many peers report what of one dependency.
+/// Summary of the peer reports on one dependency.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerCounts {
-    /// Peers that know it by recent calls of their own.
+    /// Number of peers whose report is [informed](PeerReport::is_informed).
     pub informed: usize,
-    /// Those of the informed that report failure.
+    /// Number of informed peers that report failure.
     pub failing: usize,
-    /// Peers whose breaker is open or half-open.
+    /// Number of peers whose breaker is open or half-open.
     pub open: usize,
 }
 
 impl PeerCounts {
-    /// Counts reports, of which each peer has one.
-    pub fn of(reports: &[PeerReport]) -> PeerCounts {
+    /// Counts the reports, which must contain one report for each peer.
+    pub fn from_reports(reports: &[PeerReport]) -> PeerCounts {
         let informed = reports.iter().filter(|report| report.is_informed());
         PeerCounts {
             informed: informed.clone().count(),
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Part of the informed peers that report failure, 0 to 1.
-    pub fn failing_part(self) -> f64 {
+    /// Returns the fraction of informed peers that report failure, from 0 to 1.
+    pub fn failing_fraction(self) -> f64 {
         self.failing as f64 / self.informed.max(1) as f64
     }
 }
--- a/crates/coralstep-shared-health/src/shared_health.rs
+++ b/crates/coralstep-shared-health/src/shared_health.rs
@@ -1,6 +1,7 @@
-//! The exchange of health reports as an extension of the fleet's gossip. What this server's
-//! breakers see is reported to all, at once while something changes; what peers report is
-//! aggregated for each dependency by its name.
+//! Exchange of health reports as an extension of the fleet's gossip.
+//!
+//! This server's reports are sent to all members by gossip, and additionally in urgent messages after
+//! a change. Reports of peers are aggregated for each dependency, identified by its name.
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -21,32 +22,33 @@
     ReportedBreakerState,
 };
 
-/// This server's report is renewed this often if nothing changes, in ms.
+/// Interval at which this server's report is renewed if nothing changes, in ms.
 const REPORT_INTERVAL_MS: Millis = 1_000;
-/// After a change of this server's own, urgent messages are sent for this long, in ms.
+/// Time for which urgent messages are sent after a change on this server, in ms.
 const URGENT_MS: Millis = 2_500;
-/// After a change that a peer reports, urgent messages are sent for this long, in ms.
+/// Time for which urgent messages are sent after a change reported by a peer, in ms.
 const URGENT_RELAY_MS: Millis = URGENT_MS / 2;
-/// Time between urgent messages, in ms.
+/// Interval between urgent messages, in ms.
 const URGENT_INTERVAL_MS: Millis = 150;
-/// Peers that are sent an urgent message each time.
+/// Number of urgent messages sent in each interval, each to a random peer.
 const URGENT_PEERS: usize = 2;
-/// Longest urgent message, in bytes.
+/// Maximum size of an urgent message, in bytes.
 const MAX_URGENT_BYTES: usize = 1_000;
-/// Events that are kept until they are taken; later ones are dropped.
+/// Maximum number of pending events. Further events are dropped.
 const MAX_PENDING_EVENTS: usize = 64;
-/// Keeps these random numbers apart from those of other users of the same seed.
+/// Constant mixed into the seed, so that other generators with the same seed produce different
+/// random numbers.
 const RNG_STREAM: u64 = 3;
 
 /// Exchanges health reports with the fleet and advises this server's breakers.
 ///
-/// All times are in ms of one clock, passed by the caller.
+/// All times are in ms by a clock that the caller reads.
 pub struct SharedHealth {
     own: Member,
     config: SharingConfig,
     dependencies: BTreeMap<String, Dependency>,
     disseminator: Disseminator<NodeHealth>,
-    /// The peers whose reports count.
+    /// The peers whose reports are used.
     current_peers: HashSet<Member>,
     sequence: u64,
     next_report_at: Millis,
@@ -58,7 +60,7 @@
 }
 
 impl SharedHealth {
-    /// Returns the extension of the server `own`, which knows no dependency and no peer yet.
+    /// Returns the extension of the server `own`, without any dependency or peer.
     pub fn new(own: &Member, config: SharingConfig, seed: u64) -> SharedHealth {
         SharedHealth {
             own: own.clone(),
@@ -76,24 +78,24 @@
         }
     }
 
-    /// Takes what this server's breaker of a dependency sees now, and advises the breaker.
+    /// Updates the local health of a dependency and returns the advice for its breaker.
     ///
-    /// Beyond [`MAX_DEPENDENCIES`] names the advice is that without any peer report.
+    /// For dependencies beyond the first [`MAX_DEPENDENCIES`] the default advice is returned.
     pub fn observe(&mut self, now: Millis, dependency: &str, local: LocalHealth) -> BreakerAdvice {
-        if !self.add_dependency(dependency) {
+        if !self.ensure_dependency(dependency) {
             return BreakerAdvice::default();
         }
         let reports = self.peer_reports(now, dependency);
-        let Some(known) = self.dependencies.get_mut(dependency) else {
+        let Some(entry) = self.dependencies.get_mut(dependency) else {
             return BreakerAdvice::default();
         };
-        if known.update(now, local) {
+        if entry.update(now, local) {
             self.urgent_until = now + URGENT_MS;
             self.next_report_at = now;
         }
-        let peers = PeerCounts::of(&reports);
-        let source = FaultSource::find(local.state != ReportedBreakerState::Closed, peers);
-        if std::mem::replace(&mut known.fault_source, source) != source
+        let peers = PeerCounts::from_reports(&reports);
+        let source = FaultSource::infer(local.state != ReportedBreakerState::Closed, peers);
+        if std::mem::replace(&mut entry.fault_source, source) != source
             && self.events.len() < MAX_PENDING_EVENTS
         {
             self.events.push(FaultSourceChanged {
@@ -102,17 +104,17 @@
                 peers,
             });
         }
-        known
+        entry
             .aggregator
             .advise(now, self.config, local.state, &reports)
     }
 
-    /// Returns the events since the last call.
+    /// Removes and returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<FaultSourceChanged> {
         std::mem::take(&mut self.events)
     }
 
-    /// Returns what each server reports of each dependency, ordered by dependency and server.
+    /// Returns the reports of all servers on all dependencies, ordered by dependency, then by server.
     pub fn rows(&self, now: Millis) -> Vec<DependencyRow> {
         let own_rows = self
             .dependencies
@@ -127,15 +129,15 @@
         rows
     }
 
-    /// Returns the source of each dependency's fault, by the dependency's name.
+    /// Iterates over the names of the dependencies and the sources of their faults.
     pub fn fault_sources(&self) -> impl Iterator<Item = (&str, FaultSource)> {
         self.dependencies
             .iter()
             .map(|(name, dependency)| (name.as_str(), dependency.fault_source))
     }
 
-    /// Adds a dependency unless it is known; returns whether it is known then.
-    fn add_dependency(&mut self, name: &str) -> bool {
+    /// Adds a dependency if it is not known yet. Returns false if there are too many.
+    fn ensure_dependency(&mut self, name: &str) -> bool {
         if self.dependencies.contains_key(name) {
             return true;
         }
@@ -150,7 +152,7 @@
         true
     }
 
-    /// The reports of current peers on a dependency that are not too old.
+    /// Returns the reports of current peers on a dependency that are not too old.
     fn peer_reports(&self, now: Millis, dependency: &str) -> Vec<PeerReport> {
         self.disseminator
             .iter()
@@ -177,9 +179,9 @@
     }
 
     fn receive(&mut self, now: Millis, own: &Member, bytes: &[u8]) {
-        let news = self.disseminator.receive(now, own, bytes);
-        let mut reports = news.iter().flat_map(|node| &node.reports);
-        if reports.any(is_worth_relaying) {
+        let new_values = self.disseminator.receive(now, own, bytes);
+        let mut reports = new_values.iter().flat_map(|node| &node.reports);
+        if reports.any(is_urgent_report) {
             self.urgent_until = now + URGENT_RELAY_MS;
         }
     }
@@ -195,8 +197,8 @@
     }
 }
 
-/// Whether a peer's report tells of an open breaker or a recent recovery.
-fn is_worth_relaying(report: &HealthReport) -> bool {
+/// Returns whether a report shows an open breaker or a recent recovery.
+fn is_urgent_report(report: &HealthReport) -> bool {
     report.state != ReportedBreakerState::Closed
         || report
             .since_recovery_ms
@@ -209,7 +211,7 @@
     PeerId(hasher.finish())
 }
 
-/// A peer's report on a dependency with the ages of now, if it has one.
+/// Returns a peer's report on a dependency with current ages, or `None` if it sent none.
 fn peer_report(
     now: Millis,
     received: &Received<NodeHealth>,
--- a/crates/coralstep-shared-health/tests/golden.rs
+++ b/crates/coralstep-shared-health/tests/golden.rs
@@ -1,27 +1,27 @@
-//! The bytes between servers about their dependencies, held still by the files under
-//! `tests/golden`. `GOLDEN_WRITE=1` writes these anew.
+//! Compares the encoding of health reports with the golden files in `tests/golden`.
+//! `GOLDEN_WRITE=1` rewrites these files.
 use coralstep_fleet::Member;
 use coralstep_fleet::extension::GossipExtension;
 use coralstep_fleet::gossip::Disseminator;
 use coralstep_shared_health::report::{HealthReport, NodeHealth, ReportedBreakerState};
 use coralstep_shared_health::{SharedHealth, SharingConfig};
 
-/// The text of a committed file, which has to be what is written now.
-fn golden(name: &str, written: &str) -> String {
+/// Asserts that `actual` equals a golden file and returns the file's text.
+fn golden(name: &str, actual: &str) -> String {
     let path = format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR"));
     if std::env::var_os("GOLDEN_WRITE").is_some() {
-        std::fs::write(&path, format!("{written}\n")).unwrap();
+        std::fs::write(&path, format!("{actual}\n")).unwrap();
     }
     let text = std::fs::read_to_string(&path).unwrap();
-    assert_eq!(text.trim_end(), written, "{name}");
+    assert_eq!(text.trim_end(), actual, "{name}");
     text.trim_end().to_owned()
 }
 
-/// The same of bytes, as hexadecimal digits.
-fn golden_bytes(name: &str, written: &[u8]) -> Vec<u8> {
+/// Asserts that `actual` equals a golden file of hexadecimal digits and returns the file's bytes.
+fn golden_bytes(name: &str, actual: &[u8]) -> Vec<u8> {
     let text = golden(
         name,
-        &written
+        &actual
             .iter()
             .map(|byte| format!("{byte:02x}"))
             .collect::<String>(),
@@ -47,17 +47,17 @@
 }
 
 fn node_reports() -> [NodeHealth; 2] {
-    let far = Member::new(
+    let ipv6 = Member::new(
         "süd-2",
         "[2001:db8::ff]:65535".parse().unwrap(),
         (1 << 40) + 5,
     );
-    let near = Member::new(
+    let ipv4 = Member::new(
         "server-17.alps",
         "10.1.2.200:7300".parse().unwrap(),
         1_790_000_000_123,
     );
-    let all = vec![
+    let reports = vec![
         report("stock", ReportedBreakerState::Closed, Some(u32::MAX)),
         report("préis", ReportedBreakerState::Open, None),
         HealthReport {
@@ -69,45 +69,47 @@
     ];
     [
         NodeHealth {
-            origin: near,
+            origin: ipv4,
             sequence: (1 << 33) + 3,
-            reports: all,
+            reports,
         },
         NodeHealth {
-            origin: far,
+            origin: ipv6,
             sequence: 1,
             reports: Vec::new(),
         },
     ]
 }
 
-/// Guards against a breaker's state or a field whose place changes: servers of two releases would
-/// misread it.
+/// Guards against a reordered field or state, which servers of another release would misread.
 #[test]
-fn health_reports_keep_their_bytes() {
-    let [own, passed] = node_reports();
-    let mut spread = Disseminator::<NodeHealth>::default();
-    spread.receive(
+fn encoding_of_health_reports_is_stable() {
+    let [own, relayed] = node_reports();
+    let mut disseminator = Disseminator::<NodeHealth>::default();
+    disseminator.receive(
         100_000,
         &own.origin,
-        &postcard::to_allocvec(&vec![(passed.clone(), 200u32)]).unwrap(),
+        &postcard::to_allocvec(&vec![(relayed.clone(), 200u32)]).unwrap(),
+    );
+    disseminator.set_own(own.clone());
+    let bytes = golden_bytes(
+        "words.hex",
+        &disseminator.next_payload(100_100, 1_000).unwrap(),
     );
-    spread.set_own(own.clone());
-    let bytes = golden_bytes("words.hex", &spread.next_payload(100_100, 1_000).unwrap());
     assert_eq!(
         postcard::from_bytes(&bytes),
-        Ok(vec![(own.clone(), 0u32), (passed.clone(), 300)])
+        Ok(vec![(own.clone(), 0u32), (relayed.clone(), 300)])
     );
-    let nobody = Member::new("x", own.origin.address, 1);
+    let receiver = Member::new("x", own.origin.address, 1);
     assert_eq!(
-        Disseminator::<NodeHealth>::default().receive(200_000, &nobody, &bytes),
-        [own, passed]
+        Disseminator::<NodeHealth>::default().receive(200_000, &receiver, &bytes),
+        [own, relayed]
     );
 }
 
-/// Guards against JSON keys or states that are renamed with the code: operators' tools read these.
+/// Guards against a renamed field or state that changes the JSON, which operators' tools read.
 #[test]
-fn rows_keep_their_json_keys() {
+fn json_of_rows_is_stable() {
     let own = Member::new("x", node_reports()[0].origin.address, 1);
     let mut shared_health = SharedHealth::new(&own, SharingConfig::default(), 7);
     shared_health.handle_gossip(
