--- a/crates/coralstep-shared-health/src/operator_view.rs
+++ b/crates/coralstep-shared-health/src/operator_view.rs
@@ -49,19 +49,19 @@
         match source {
             FaultSource::NoFault => write!(
                 f,
-                "{dependency}: no fault, {failing} of {informed} informed peers report failure"
+                "{dependency} recovered: {failing} of {informed} informed peers report failure"
             ),
             FaultSource::Dependency => write!(
                 f,
-                "{dependency}: fault of the dependency, {failing} of {informed} informed peers report failure"
+                "{dependency} fails: {failing} of {informed} informed peers report failure"
             ),
             FaultSource::OwnPath => write!(
                 f,
-                "{dependency}: fault on this server's path, {failing} of {informed} informed peers report failure"
+                "this server's path to {dependency} fails: {failing} of {informed} informed peers report failure"
             ),
             FaultSource::Unknown => write!(
                 f,
-                "{dependency}: fault of unknown source, no peer has called it recently"
+                "{dependency} fails on this server; no peer has called it recently"
             ),
         }
     }
