--- a/crates/coralstep-quota/benches/limits.rs
+++ b/crates/coralstep-quota/benches/limits.rs
@@ -1,4 +1,4 @@
-//! What a look at the fleet's limits costs an RPC, by how many limits there are, against a local token bucket in the same run.
+//! Cost of admitting an RPC under fleet-wide limits, by number of limits, compared with a local token bucket.
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
@@ -26,23 +26,23 @@
     }
 }
 
-/// The plain thing: one bucket, here.
-struct Bucket {
+/// Baseline: a local token bucket.
+struct TokenBucket {
     tokens: f64,
-    at: u64,
+    refilled: u64,
 }
 
-impl Bucket {
+impl TokenBucket {
     fn take(&mut self, now: u64) -> bool {
-        self.tokens = (self.tokens + (now - self.at) as f64 * 1_000.0).min(1e6);
-        self.at = now;
-        let may = self.tokens >= 1.0;
-        self.tokens -= f64::from(u8::from(may));
-        may
+        self.tokens = (self.tokens + (now - self.refilled) as f64 * 1_000.0).min(1e6);
+        self.refilled = now;
+        let has_token = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(has_token));
+        has_token
     }
 }
 
-/// A grant of half a million units for each request that is due.
+/// Answers each due request with a grant of half a million units.
 fn grant_all(client: &mut QuotaClient, now: u64) {
     let grant = |request: &QuotaRequest| Grant {
         key: request.key,
@@ -61,32 +61,35 @@
     }
 }
 
-/// Time of `count` decisions with a share; the grants are outside the measured span.
+/// Returns the time of `count` decisions with a share, without the time for grants.
 fn admit_with_share(
     client: &mut QuotaClient,
     now: &mut u64,
     request: RequestKey,
     count: u64,
 ) -> Duration {
-    let mut spent = Duration::ZERO;
-    let mut left = count;
-    while left > 0 {
+    let mut elapsed = Duration::ZERO;
+    let mut remaining = count;
+    while remaining > 0 {
         let _ = client.admit(*now, request, 100);
         *now += 300;
         grant_all(client, *now);
-        let batch = left.min(400_000);
+        let batch = remaining.min(400_000);
         let start = Instant::now();
         for _ in 0..batch {
             black_box(client.admit(*now, black_box(request), 100).is_ok());
         }
-        spent += start.elapsed();
-        left -= batch;
+        elapsed += start.elapsed();
+        remaining -= batch;
     }
-    spent
+    elapsed
 }
 
 fn bench_local_bucket(group: &mut BenchmarkGroup<'_, WallTime>) {
-    let mut bucket = Bucket { tokens: 1e6, at: 0 };
+    let mut bucket = TokenBucket {
+        tokens: 1e6,
+        refilled: 0,
+    };
     let mut now = 0;
     group.bench_function("local bucket", |bench| {
         bench.iter(|| {
--- a/crates/coralstep-quota/src/client.rs
+++ b/crates/coralstep-quota/src/client.rs
@@ -1,7 +1,7 @@
-//! Decides each RPC by the units that this server holds: one look in tables, no message and no wait.
+//! Admits or rejects each RPC by the units that this server holds, without sending a message or waiting.
 //!
-//! An RPC takes a unit of every limit that applies to it, or is rejected with the time after which to retry. Each round
-//! the server requests what it will need from the leader, by the demand of late.
+//! An RPC takes a unit of every limit that applies to it, or is rejected with the time after which to retry. In each
+//! round the server requests the units that it will need from the leader, estimated from recent demand.
 mod demand;
 mod permit;
 mod retries;
@@ -16,46 +16,46 @@
 pub use share::ShareStatus;
 use share::{Round, Share};
 
-/// Limits in the requests of one round; further ones have their turn in the next.
+/// Maximum number of limits requested in one round; the others follow in the next round.
 const MAX_REQUESTS: usize = 4 * MAX_ENTRIES;
-/// From one round of requests to the next, in milliseconds, until a leader says otherwise; and the bounds of what it
-/// may say.
+/// Interval between rounds of requests until a leader sets another one, in milliseconds.
 const DEFAULT_ROUND_MS: Millis = 250;
+/// Bounds of the interval that a leader may set, in milliseconds.
 const MIN_ROUND_MS: Millis = 50;
 const MAX_ROUND_MS: Millis = 10_000;
 
-/// The requests of one message.
+/// The requests in one message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestBatch {
-    /// Rises with each message; the leader answers with it.
+    /// Increases with each message; the leader's answer repeats it.
     pub sequence: u32,
-    /// One a limit, [`MAX_ENTRIES`] at most.
+    /// One request per limit, at most [`MAX_ENTRIES`].
     pub requests: Vec<QuotaRequest>,
 }
 
-/// The units that one server holds of every limit. Times are milliseconds of its monotonic clock.
+/// Holds this server's units of every limit. Times are milliseconds of its monotonic clock.
 pub struct QuotaClient {
     shares: Vec<Share>,
-    /// Positions in `shares`.
+    /// Indices into `shares`.
     by_scope: HashMap<LimitScope, Vec<usize>>,
     by_key: HashMap<LimitKey, usize>,
-    /// The term of the leader that granted last.
+    /// Term of the leader that last granted units.
     term: TermId,
-    /// Of the last message of requests.
+    /// Sequence number of the last message of requests.
     sequence: u32,
     next_round: Millis,
     last_round: Millis,
-    round: Millis,
-    /// Position of the share whose turn is first in the next round.
+    round_interval: Millis,
+    /// Index of the first share of the next round.
     first_share: usize,
-    /// The most members ever known here, this server among them.
+    /// Largest number of members that this server has known, including itself.
     members: usize,
-    /// RPCs in flight of limits that were removed. They count all the same should the limit be added again.
+    /// RPCs in flight of removed limits. They count again if the limit is added again.
     in_flight_of_removed: HashMap<LimitKey, u32>,
 }
 
 impl QuotaClient {
-    /// A server that holds no units yet.
+    /// Creates a client that holds no units.
     pub fn new(limits: &[Limit], now: Millis) -> QuotaClient {
         let mut client = QuotaClient {
             shares: Vec::new(),
@@ -65,7 +65,7 @@
             sequence: 0,
             next_round: now,
             last_round: now,
-            round: DEFAULT_ROUND_MS,
+            round_interval: DEFAULT_ROUND_MS,
             first_share: 0,
             members: 1,
             in_flight_of_removed: HashMap::new(),
@@ -74,7 +74,7 @@
         client
     }
 
-    /// Applies these limits from now on. Units of those that stay are kept.
+    /// Replaces the limits. Units of limits that remain are kept.
     pub fn set_limits(&mut self, limits: &[Limit], now: Millis) {
         let mut earlier: HashMap<LimitKey, Share> = std::mem::take(&mut self.shares)
             .into_iter()
@@ -99,21 +99,21 @@
             .extend(removed.map(|(key, share)| (key, share.in_flight())));
     }
 
-    /// Notes how many members the fleet has, this server among them; the most ever known counts.
-    pub fn note_members(&mut self, count: usize) {
+    /// Records the number of members of the fleet, including this server; the largest number is kept.
+    pub fn record_member_count(&mut self, count: usize) {
         self.members = self.members.max(count);
     }
 
-    /// Takes a unit of each limit that applies to an RPC which is answered within `due_within` milliseconds.
+    /// Takes a unit of each limit that applies to an RPC that is answered within `max_duration` milliseconds.
     ///
     /// # Errors
     ///
-    /// Where a limit has no unit left; nothing is taken then.
+    /// Returns [`QuotaExhausted`] and takes no unit if any of the limits has no unit left.
     pub fn admit(
         &mut self,
         now: Millis,
         request: RequestKey,
-        due_within: Millis,
+        max_duration: Millis,
     ) -> Result<QuotaPermit, QuotaExhausted> {
         if self.shares.is_empty() {
             return Ok(QuotaPermit::default());
@@ -123,9 +123,9 @@
         let mut retry_at = None;
         for position in &applicable {
             let share = &mut self.shares[*position];
-            match share.check(now, due_within, self.members) {
+            match share.check(now, max_duration, self.members) {
                 Some(admission) => admissions.push(admission),
-                None => retry_at = retry_at.max(Some(share.reject(now, self.round))),
+                None => retry_at = retry_at.max(Some(share.reject(now, self.round_interval))),
             }
         }
         if let Some(retry_at) = retry_at {
@@ -153,13 +153,13 @@
         positions
     }
 
-    /// What an RPC was rejected for is requested at once, but not with each RPC.
+    /// Requests units early after a rejection, but at most once every [`MIN_ROUND_MS`].
     fn request_soon(&mut self, now: Millis) {
         let soonest = (self.last_round + MIN_ROUND_MS).max(now);
         self.next_round = self.next_round.min(soonest);
     }
 
-    /// Gives back the units of an RPC that is answered.
+    /// Returns the units of an RPC that was answered.
     pub fn release(&mut self, permit: QuotaPermit) {
         for key in permit.into_keys() {
             if let Some(position) = self.by_key.get(&key) {
@@ -173,7 +173,8 @@
         }
     }
 
-    /// The requests of a round, where one is due. A server that is `draining` gives back all that is not in use.
+    /// Returns the requests of a round if one is due. A server that is `draining` returns all units that are not in
+    /// use.
     pub fn poll_requests(&mut self, now: Millis, draining: bool) -> Vec<RequestBatch> {
         let is_due = now >= self.next_round || draining;
         if !is_due || self.shares.is_empty() {
@@ -182,11 +183,11 @@
         let round = Round {
             now,
             seconds: (now - self.last_round).max(1) as f64 / 1000.0,
-            interval: self.round,
+            interval: self.round_interval,
             draining,
         };
         self.last_round = now;
-        self.next_round = now + self.round;
+        self.next_round = now + self.round_interval;
         let requests = self.collect_requests(&round);
         let mut batches = Vec::new();
         for chunk in requests.chunks(MAX_ENTRIES) {
@@ -214,22 +215,23 @@
                 break;
             }
             let sequence = first_sequence + (requests.len() / MAX_ENTRIES) as u32;
-            share.note_request(round.now, sequence, &request);
+            share.record_request(round.now, sequence, &request);
             requests.push(request);
         }
         requests
     }
 
-    /// The term in which the tokens that are held were granted.
+    /// Returns the term in which the held tokens were granted.
     pub fn term(&self) -> TermId {
         self.term
     }
 
-    /// Takes a leader's grants. Only an answer to the last request about a limit counts: others came late, or twice.
+    /// Handles a leader's grants. Only the answer to the last request for a limit counts; others are delayed or
+    /// duplicated.
     pub fn handle_grants(&mut self, now: Millis, batch: &GrantBatch) {
         let is_awaited = batch.grants.iter().any(|grant| {
             let position = self.by_key.get(&grant.key);
-            position.is_some_and(|position| self.shares[*position].awaits(batch.sequence))
+            position.is_some_and(|position| self.shares[*position].is_awaiting(batch.sequence))
         });
         if !is_awaited {
             return;
@@ -238,8 +240,8 @@
             self.term = batch.term;
             self.shares.iter_mut().for_each(Share::begin_term);
         }
-        self.round = Millis::from(batch.next_round_ms).clamp(MIN_ROUND_MS, MAX_ROUND_MS);
-        self.next_round = self.next_round.min(now + self.round);
+        self.round_interval = Millis::from(batch.next_round_ms).clamp(MIN_ROUND_MS, MAX_ROUND_MS);
+        self.next_round = self.next_round.min(now + self.round_interval);
         let lease = Millis::from(batch.lease_ms);
         for grant in &batch.grants {
             if let Some(position) = self.by_key.get(&grant.key) {
@@ -248,10 +250,10 @@
         }
     }
 
-    /// What this server holds: limits with units, RPCs in flight, or RPCs that were rejected.
+    /// Returns the status of each limit that has units, RPCs in flight or rejected RPCs.
     pub fn statuses(&self, now: Millis) -> Vec<ShareStatus> {
         let statuses = self.shares.iter().map(|share| share.status(now));
-        statuses.filter(ShareStatus::is_of_note).collect()
+        statuses.filter(ShareStatus::has_activity).collect()
     }
 }
 
--- a/crates/coralstep-quota/src/client/permit.rs
+++ b/crates/coralstep-quota/src/client/permit.rs
@@ -1,8 +1,8 @@
-//! What an RPC gets of the limits: a permit, or the time after which to retry.
+//! Result of an admission: a permit, or the time after which to retry.
 use crate::Millis;
 use crate::limit::LimitKey;
 
-/// The units that an RPC took of limits on RPCs in flight; to be given back with
+/// Units that an RPC took of limits on RPCs in flight. Return them with
 /// [`QuotaClient::release`](super::QuotaClient::release).
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct QuotaPermit(Vec<LimitKey>);
@@ -17,10 +17,10 @@
     }
 }
 
-/// An RPC is over a limit of the fleet.
+/// An RPC exceeds a fleet-wide limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("over a limit of the fleet, retry after {retry_after_ms} ms")]
+#[error("fleet-wide limit exceeded, retry after {retry_after_ms} ms")]
 pub struct QuotaExhausted {
-    /// Milliseconds after which a unit is expected for it.
+    /// Milliseconds until a unit is expected to be available for the RPC.
     pub retry_after_ms: Millis,
 }
--- a/crates/coralstep-quota/src/client/retries.rs
+++ b/crates/coralstep-quota/src/client/retries.rs
@@ -1,31 +1,31 @@
-//! When rejected RPCs are told to retry, and the units that are reserved for them.
+//! Retry times of rejected RPCs, and the units that are reserved for the retries.
 use std::collections::VecDeque;
 
 use crate::Millis;
 
-/// Retry-After at the least, in milliseconds: a request to the leader and its answer fit in.
+/// Minimum Retry-After in milliseconds, enough for a request to the leader and its answer.
 const MIN_RETRY_AFTER_MS: Millis = 150;
-/// Retry-After at the most, in milliseconds.
+/// Maximum Retry-After, in milliseconds.
 const MAX_RETRY_AFTER_MS: Millis = 30_000;
-/// From one retry to the next at the most, in milliseconds.
+/// Maximum interval between two scheduled retries, in milliseconds.
 const MAX_UNIT_INTERVAL_MS: Millis = 5_000;
-/// A unit stays reserved for this long after its caller was to retry, in milliseconds.
-const MAX_RETRY_DELAY_MS: Millis = 1_000;
-/// Units that are reserved at once.
+/// A unit stays reserved for this long after the scheduled retry, in milliseconds.
+const RESERVATION_GRACE_MS: Millis = 1_000;
+/// Maximum number of reserved units.
 const MAX_RESERVATIONS: usize = 1_024;
-/// RPCs a second from which on the rate of admission tells how fast units come.
-const MIN_KNOWN_RPS: f64 = 0.2;
+/// Minimum admission rate from which the interval between units is estimated, in RPCs per second.
+const MIN_RELIABLE_RPS: f64 = 0.2;
 
-/// The retries of one limit that were announced to callers.
+/// Scheduled retries of one limit.
 #[derive(Clone, Debug)]
 pub(super) struct RetrySchedule {
-    /// When the next caller that is rejected should retry.
+    /// When the next rejected caller should retry.
     next: Millis,
-    /// When the leader will have units.
+    /// When the leader expects to have units.
     units_expected: Millis,
-    /// How long the leader said that the next unit takes.
+    /// Time until the next unit, as the leader reported it.
     unit_wait: Millis,
-    /// When those were told to retry that have not come yet.
+    /// Times of the scheduled retries that have not arrived.
     reserved: VecDeque<Millis>,
 }
 
@@ -39,51 +39,55 @@
         }
     }
 
-    /// Plans the retry of one more rejected RPC, and returns its time.
+    /// Schedules the retry of a rejected RPC and returns its time.
     ///
-    /// Guards against all that are rejected in one moment coming back in one: each is told a later time, as fast as
-    /// units come.
-    pub(super) fn plan(&mut self, now: Millis, admitted_rps: f64, round: Millis) -> Millis {
+    /// Guards against synchronized retries by spacing them at the interval at which units become available.
+    pub(super) fn schedule_retry(
+        &mut self,
+        now: Millis,
+        admitted_rps: f64,
+        round_interval: Millis,
+    ) -> Millis {
         let retry_at = self
             .next
             .max(self.units_expected)
             .max(now + MIN_RETRY_AFTER_MS)
             .min(now + MAX_RETRY_AFTER_MS);
-        self.next = retry_at + self.unit_interval(admitted_rps, round);
+        self.next = retry_at + self.unit_interval(admitted_rps, round_interval);
         if self.reserved.len() < MAX_RESERVATIONS {
             self.reserved.push_back(retry_at);
         }
         retry_at
     }
 
-    /// From one unit for this server to the next, as far as it can tell.
-    fn unit_interval(&self, admitted_rps: f64, round: Millis) -> Millis {
-        let interval = if admitted_rps >= MIN_KNOWN_RPS {
+    /// Returns the estimated interval between two units for this server.
+    fn unit_interval(&self, admitted_rps: f64, round_interval: Millis) -> Millis {
+        let interval = if admitted_rps >= MIN_RELIABLE_RPS {
             (1000.0 / admitted_rps) as Millis
         } else {
-            self.unit_wait.max(round)
+            self.unit_wait.max(round_interval)
         };
         interval.min(MAX_UNIT_INTERVAL_MS)
     }
 
-    /// An RPC was admitted: as far as anybody can tell the one that was to retry first.
-    pub(super) fn note_admitted(&mut self) {
+    /// Records an admitted RPC. It is assumed to be the earliest scheduled retry.
+    pub(super) fn record_admitted(&mut self) {
         self.reserved.pop_front();
     }
 
-    /// Gives up the units of callers that are late.
-    pub(super) fn release_late(&mut self, now: Millis) {
-        let is_late = |retry_at: &mut Millis| *retry_at + MAX_RETRY_DELAY_MS < now;
+    /// Releases the units of callers that did not retry in time.
+    pub(super) fn release_overdue(&mut self, now: Millis) {
+        let is_late = |retry_at: &mut Millis| *retry_at + RESERVATION_GRACE_MS < now;
         while self.reserved.pop_front_if(is_late).is_some() {}
     }
 
-    /// Units that are reserved.
+    /// Returns the number of reserved units.
     pub(super) fn reserved(&self) -> u32 {
         self.reserved.len() as u32
     }
 
-    /// The leader answered, and said how long the next unit takes.
-    pub(super) fn note_grant(&mut self, now: Millis, unit_wait: Millis) {
+    /// Records the leader's answer with the time until the next unit.
+    pub(super) fn record_grant(&mut self, now: Millis, unit_wait: Millis) {
         self.unit_wait = unit_wait;
         self.units_expected = now + unit_wait;
     }
--- a/crates/coralstep-quota/src/client/share.rs
+++ b/crates/coralstep-quota/src/client/share.rs
@@ -1,4 +1,4 @@
-//! One limit at one server: the units that it holds, and the rule by which an RPC is admitted.
+//! One server's share of a limit: the units that it holds, and the rule by which it admits RPCs.
 use super::demand::Demand;
 use super::retries::RetrySchedule;
 use crate::Millis;
@@ -7,25 +7,25 @@
 use crate::limit::{Limit, LimitKey, LimitKind};
 use crate::message::{Grant, QuotaRequest};
 
-/// What a server holds of a limit, for operators.
+/// Status of a server's share of a limit, shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShareStatus {
     /// The limit.
     pub key: LimitKey,
-    /// Units that it holds.
+    /// Units that the server holds.
     pub units: u32,
-    /// Its RPCs in flight that the limit counts.
+    /// Number of the server's RPCs in flight that the limit counts.
     pub in_flight: u32,
-    /// Milliseconds until its lease ends.
+    /// Milliseconds until the units' lease ends.
     pub lease_ms: Millis,
-    /// RPCs that were rejected in all.
+    /// Total number of rejected RPCs.
     pub rejected: u64,
-    /// RPCs that were admitted in all while cut off, beyond the units held.
+    /// Total number of RPCs that were admitted beyond the held units while the server was cut off.
     pub over_quota: u64,
 }
 
 impl ShareStatus {
-    pub(super) fn is_of_note(&self) -> bool {
+    pub(super) fn has_activity(&self) -> bool {
         self.units > 0 || self.in_flight > 0 || self.rejected > 0
     }
 }
@@ -37,20 +37,20 @@
     pub(super) seconds: f64,
     /// Milliseconds until the next one.
     pub(super) interval: Millis,
-    /// The server gives back what it does not use.
+    /// Whether the server returns the units that it does not use.
     pub(super) draining: bool,
 }
 
-/// By what an RPC may be admitted.
+/// What entitles an RPC to be admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
-    /// A unit that is held.
+    /// A unit that the server holds.
     HeldUnit,
     /// The allowance of a server that is cut off.
     CutOffAllowance,
 }
 
-/// Units, and when they are worth nothing any more.
+/// Units and the end of their lease.
 #[derive(Clone, Copy, Debug, Default)]
 struct LeasedUnits {
     units: u32,
@@ -69,7 +69,7 @@
     }
 }
 
-/// The last request that was not answered.
+/// The last request, while it is unanswered.
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
     sequence: u32,
@@ -79,9 +79,9 @@
 #[derive(Clone, Debug)]
 pub(super) struct Share {
     limit: Limit,
-    /// Tokens, or RPCs that may be in flight.
+    /// Tokens, or units for RPCs in flight.
     held: LeasedUnits,
-    /// Tokens of the term before, which nobody renews.
+    /// Tokens of the previous term, which are not renewed.
     previous_term: LeasedUnits,
     in_flight: u32,
     demand: Demand,
@@ -89,8 +89,9 @@
     pending: Option<PendingRequest>,
     last_grant: Option<Millis>,
     cut_off_bucket: CutOffBucket,
-    /// RPCs rejected in all, and admitted in all while cut off.
+    /// Total number of rejected RPCs.
     rejected: u64,
+    /// Total number of RPCs admitted beyond the held units while cut off.
     over_quota: u64,
 }
 
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Takes the limit's new figures, and RPCs in flight of the time before it was removed.
+    /// Replaces the limit and adds the RPCs that are still in flight since an earlier removal of the limit.
     pub(super) fn set_limit(&mut self, limit: Limit, still_in_flight: u32) {
         self.limit = limit;
         self.in_flight += still_in_flight;
@@ -129,12 +130,12 @@
         self.in_flight
     }
 
-    /// Decides whether one more RPC may be admitted that is answered within `due_within` milliseconds: by a unit that
-    /// is held, else by the allowance of a server that is cut off, else not at all.
+    /// Checks whether an RPC that is answered within `max_duration` milliseconds may be admitted: with a held unit, or
+    /// else with the allowance of a server that is cut off.
     pub(super) fn check(
         &mut self,
         now: Millis,
-        due_within: Millis,
+        max_duration: Millis,
         members: usize,
     ) -> Option<Admission> {
         let allowance = cut_off_allowance(self.limit.cut_off, self.last_grant, now, members);
@@ -150,10 +151,10 @@
                 )
             }
             LimitKind::InFlight(_) => {
-                // Guards against RPCs that are still in flight when their unit is another server's.
-                let ends_within_lease = now + due_within <= self.held.expires;
-                let has_slot = self.in_flight < self.held.units && ends_within_lease;
-                (has_slot, f64::from(self.in_flight) + 1.0 <= allowance)
+                // Guards against RPCs that are still in flight when their unit is granted to another server.
+                let ends_within_lease = now + max_duration <= self.held.expires;
+                let has_free_unit = self.in_flight < self.held.units && ends_within_lease;
+                (has_free_unit, f64::from(self.in_flight) + 1.0 <= allowance)
             }
         };
         if has_unit {
@@ -163,42 +164,43 @@
         }
     }
 
-    /// Takes the unit of an RPC that is admitted.
+    /// Takes the unit of an admitted RPC.
     pub(super) fn take(&mut self, now: Millis, admission: Admission) {
-        self.demand.note_admitted(now);
-        self.retries.note_admitted();
+        self.demand.record_admitted(now);
+        self.retries.record_admitted();
         let is_over_quota = admission == Admission::CutOffAllowance;
         self.over_quota += u64::from(is_over_quota);
         match self.limit.kind {
             LimitKind::Rate { .. } if is_over_quota => self.cut_off_bucket.take(),
-            // First those that nobody renews.
+            // Tokens of the previous term are used first, as they are not renewed.
             LimitKind::Rate { .. } if self.previous_term.units > 0 => {
                 self.previous_term.units -= 1;
             }
             LimitKind::Rate { .. } => self.held.units -= 1,
             LimitKind::InFlight(_) => {
                 self.in_flight += 1;
-                self.demand.note_in_flight(self.in_flight);
+                self.demand.record_in_flight(self.in_flight);
             }
         }
     }
 
-    /// Rejects an RPC; when it should retry.
-    pub(super) fn reject(&mut self, now: Millis, round: Millis) -> Millis {
-        self.demand.note_rejected(now);
+    /// Rejects an RPC and returns the time at which it should retry.
+    pub(super) fn reject(&mut self, now: Millis, round_interval: Millis) -> Millis {
+        self.demand.record_rejected(now);
         self.rejected += 1;
-        self.retries.plan(now, self.demand.admitted_rps(), round)
+        self.retries
+            .schedule_retry(now, self.demand.admitted_rps(), round_interval)
     }
 
-    /// An RPC is answered.
+    /// Releases the unit of an RPC that was answered.
     pub(super) fn release(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Ends a round: what to request, where the server holds or wants anything.
+    /// Ends a round and returns the request to send, or `None` if the server neither holds nor wants units.
     pub(super) fn end_round(&mut self, round: &Round) -> Option<QuotaRequest> {
         self.demand.smooth_rates(round.seconds);
-        self.retries.release_late(round.now);
+        self.retries.release_overdue(round.now);
         let wanted = if round.draining {
             self.in_flight
         } else {
@@ -221,20 +223,23 @@
         })
     }
 
-    /// Units wanted for the rounds to come.
-    fn wanted(&self, now: Millis, round: Millis) -> u32 {
+    /// Returns the units wanted for the next rounds.
+    fn wanted(&self, now: Millis, round_interval: Millis) -> u32 {
         let reserved = self.retries.reserved();
         if reserved == 0 && self.demand.is_idle(now) {
             return self.in_flight;
         }
         match self.limit.kind {
-            LimitKind::Rate { .. } => self.demand.tokens_ahead(round) + reserved,
-            LimitKind::InFlight(_) => self.demand.in_flight_ahead(self.in_flight) + reserved.max(1),
+            LimitKind::Rate { .. } => self.demand.wanted_tokens(round_interval) + reserved,
+            LimitKind::InFlight(_) => {
+                self.demand.wanted_in_flight(self.in_flight) + reserved.max(1)
+            }
         }
     }
 
-    /// Notes that a request is sent. Units that it doesn't mention are not held any more, from before it says so.
-    pub(super) fn note_request(&mut self, now: Millis, sequence: u32, request: &QuotaRequest) {
+    /// Records a request before it is sent. Units that it does not report as held are given up first, so that the
+    /// leader never grants units that are still in use.
+    pub(super) fn record_request(&mut self, now: Millis, sequence: u32, request: &QuotaRequest) {
         self.held.units = request.held;
         self.pending = Some(PendingRequest {
             sequence,
@@ -242,13 +247,13 @@
         });
     }
 
-    /// Whether the answer to the requests of this number is awaited.
-    pub(super) fn awaits(&self, sequence: u32) -> bool {
+    /// Returns whether the request with this sequence number is unanswered.
+    pub(super) fn is_awaiting(&self, sequence: u32) -> bool {
         self.pending
             .is_some_and(|pending| pending.sequence == sequence)
     }
 
-    /// Another leader grants: tokens of the one before run out by themselves.
+    /// Begins another leader's term: tokens of the previous term stay usable until they expire.
     pub(super) fn begin_term(&mut self) {
         if !self.limit.kind.is_rate() || self.held.units == 0 {
             return;
@@ -260,7 +265,7 @@
         self.held.units = 0;
     }
 
-    /// Takes a grant, where it answers the last request.
+    /// Handles a grant if it answers the last request.
     pub(super) fn handle_grant(
         &mut self,
         now: Millis,
@@ -272,24 +277,24 @@
         let Some(request) = self.pending.take_if(is_answered) else {
             return;
         };
-        // Counted from when it requested: the answer may have been under way for long.
+        // Measured from the request, as the answer may have been delayed.
         let lease = lease_of(self.limit.kind, in_flight_lease);
         let expires = request.sent + shorten_by_drift(lease);
         if now >= expires {
             return;
         }
         self.last_grant = Some(now);
-        // Guards against a forged figure: there are no more units than the limit has.
+        // Guards against a forged grant of more units than the limit has.
         let granted = grant.units.min(self.limit.kind.units());
-        let used_since = match self.limit.kind {
+        let admitted_since_request = match self.limit.kind {
             LimitKind::Rate { .. } => self.demand.admitted(),
             LimitKind::InFlight(_) => 0,
         };
         self.held = LeasedUnits {
-            units: granted.saturating_sub(used_since),
+            units: granted.saturating_sub(admitted_since_request),
             expires,
         };
-        self.retries.note_grant(now, Millis::from(grant.wait_ms));
+        self.retries.record_grant(now, Millis::from(grant.wait_ms));
     }
 
     pub(super) fn status(&self, now: Millis) -> ShareStatus {
--- a/crates/coralstep-quota/src/client/tests.rs
+++ b/crates/coralstep-quota/src/client/tests.rs
@@ -6,7 +6,7 @@
 const KEY: LimitKey = LimitKey(1);
 
 #[test]
-fn rpcs_in_flight_count_also_where_their_limit_is_removed_and_added_again() {
+fn rpcs_in_flight_still_count_after_limit_is_removed_and_added_again() {
     let limit = Limit {
         key: KEY,
         name: "x".to_owned(),
@@ -48,7 +48,7 @@
     client.release(first);
     client.set_limits(&[limit], 600);
     grant(&mut client, 600);
-    // One of two is still in flight.
+    // One of the two RPCs is still in flight.
     assert!(client.admit(1_000, RequestKey::default(), 1_000).is_ok());
     assert!(client.admit(1_000, RequestKey::default(), 1_000).is_err());
     client.release(second);
--- a/crates/coralstep-quota/src/config/error.rs
+++ b/crates/coralstep-quota/src/config/error.rs
@@ -1,119 +1,119 @@
-//! Why the settings of limits are refused.
+//! Errors in the settings of limits.
 use super::resolve::{MAX_LIMITS, MAX_NAME_BYTES};
 
-/// A fault in the settings of limits; the message begins with the path of the setting.
+/// An error in the settings of limits; the message begins with the path of the setting.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum LimitConfigError {
-    /// More limits than are supported.
+    /// There are more limits than are supported.
     #[error("limits: {count} are more than {MAX_LIMITS}")]
     TooManyLimits {
-        /// Limits that were stated.
+        /// Number of limits in the settings.
         count: usize,
     },
-    /// A name that is empty or too long.
+    /// A limit's name is empty or too long.
     #[error("limits[{index}].name: {name:?} is not of 1 to {MAX_NAME_BYTES} letters")]
     NameLength {
-        /// Position of the limit in the settings.
+        /// Index of the limit in the settings.
         index: usize,
-        /// The name as stated.
+        /// Name in the settings.
         name: String,
     },
-    /// Two limits of one name.
+    /// Two limits have the same name.
     #[error("limits[{index}].name: {name:?} is limits[{first}], too")]
     DuplicateName {
-        /// Position of the limit in the settings.
+        /// Index of the limit in the settings.
         index: usize,
-        /// Position of the one that has the name before it.
+        /// Index of the first limit with this name.
         first: usize,
-        /// The name of both.
+        /// Name of both limits.
         name: String,
     },
-    /// A tenant, method or dependency that does not exist.
+    /// The tenant, method or dependency does not exist.
     #[error("limits[{index}].{setting}: {name:?} is unknown")]
     UnknownName {
-        /// Position of the limit in the settings.
+        /// Index of the limit in the settings.
         index: usize,
-        /// The setting that names it.
+        /// Setting that has the name.
         setting: &'static str,
-        /// The name as stated.
+        /// Name in the settings.
         name: String,
     },
-    /// A limit that applies to nothing in particular.
+    /// The limit has no tenant, method or dependency.
     #[error("limits[{index}].name: names no tenant, method or dependency")]
     NoScope {
-        /// Position of the limit in the settings.
+        /// Index of the limit in the settings.
         index: usize,
     },
-    /// A method and a dependency, where the method never calls.
+    /// The limit has a dependency and a method that never calls it.
     #[error("limits[{index}].dependency: unreachable, {method:?} never calls")]
     NeverCalls {
-        /// Position of the limit in the settings.
+        /// Index of the limit in the settings.
         index: usize,
         /// Name of the method.
         method: String,
     },
-    /// Both or neither of `rps` and `in_hand`.
+    /// Both or neither of `rps` and `in_hand` are set.
     #[error("limits[{index}].rps: one of rps and in_hand, not both")]
     NotOneKind {
-        /// Position of the limit in the settings.
+        /// Index of the limit in the settings.
         index: usize,
     },
-    /// A burst of a limit that has no rate.
+    /// `burst` is set without `rps`.
     #[error("limits[{index}].burst: goes with rps")]
     BurstWithoutRate {
-        /// Position of the limit in the settings.
+        /// Index of the limit in the settings.
         index: usize,
     },
-    /// A burst that keeps the rate from being reached.
+    /// The burst is too small for the rate to be reached.
     #[error(
         "limits[{index}].burst: {burst} lets no more than {reachable_rps} a second through, so {rps} are unreachable"
     )]
     BurstTooSmall {
-        /// Position of the limit in the settings.
+        /// Index of the limit in the settings.
         index: usize,
         /// Burst in RPCs.
         burst: u32,
-        /// RPCs a second that the burst lets through.
+        /// Rate that the burst allows, in RPCs per second.
         reachable_rps: f64,
-        /// RPCs a second as stated.
+        /// Configured RPCs per second.
         rps: f64,
     },
-    /// A figure out of its range.
+    /// A value is out of range.
     #[error("limits[{index}].{setting}: {value} is not from {min} to {max}")]
     OutOfRange {
-        /// Position of the limit in the settings.
+        /// Index of the limit in the settings.
         index: usize,
-        /// The setting, by its path within the limit.
+        /// Path of the setting within the limit.
         setting: &'static str,
-        /// The figure as stated, in the setting's unit.
+        /// Configured value, in the setting's unit.
         value: f64,
-        /// Least figure that is accepted.
+        /// Minimum value.
         min: f64,
-        /// Greatest figure that is accepted.
+        /// Maximum value.
         max: f64,
     },
-    /// A limit that is greater than one that covers all of its RPCs.
+    /// The limit is greater than one that covers all of its RPCs.
     #[error(
-        "limits[{index}]: {figure} is unreachable under limits[{covering}], which lets {covering_figure} through"
+        "limits[{index}]: {value} is unreachable under limits[{covering}], which lets {covering_value} through"
     )]
     Unreachable {
-        /// Position of the limit in the settings.
+        /// Index of the limit in the settings.
         index: usize,
-        /// Its figure: RPCs a second, or in flight.
-        figure: f64,
-        /// Position of the one that covers it.
+        /// Its value in RPCs per second or in flight.
+        value: f64,
+        /// Index of the limit that covers it.
         covering: usize,
-        /// The figure of that one.
-        covering_figure: f64,
+        /// Value of the covering limit.
+        covering_value: f64,
     },
-    /// A limit that is less than the limits that it covers together.
-    #[error("limits[{index}]: {figure} is under the sum of its parts, {sum}")]
+    /// The limit is less than the sum of the limits that it covers.
+    #[error("limits[{index}]: {value} is under the sum of its parts, {sum}")]
     UnderSumOfParts {
-        /// Position of the limit in the settings.
+        /// Index of the limit in the settings.
         index: usize,
-        /// Its figure: RPCs a second, or in flight.
-        figure: f64,
-        /// Sum of the figures of its parts.
+        /// Its value in RPCs per second or in flight.
+        value: f64,
+        /// Sum of the values of its parts.
         sum: f64,
     },
 }
--- a/crates/coralstep-quota/src/config/resolve.rs
+++ b/crates/coralstep-quota/src/config/resolve.rs
@@ -1,4 +1,4 @@
-//! Settings of limits to [`Limit`]s: ranges are checked, names become indexes.
+//! Converts settings to [`Limit`]s: checks ranges and resolves names to indices.
 use std::collections::HashMap;
 
 use sha2::{Digest, Sha256};
@@ -7,21 +7,23 @@
 use super::{CutOff, LimitConfig, LimitConfigError};
 use crate::limit::{Limit, LimitKey, LimitKind, LimitScope};
 
-/// Limits that settings may have.
+/// Maximum number of limits.
 pub(super) const MAX_LIMITS: usize = 10_000;
-/// Length of a limit's name, in bytes.
+/// Maximum length of a limit's name, in bytes.
 pub(super) const MAX_NAME_BYTES: usize = 64;
-/// Range of `rps`, in RPCs a second.
+/// Minimum of `rps`, in RPCs per second.
 const MIN_RPS: f64 = 0.01;
+/// Maximum of `rps`, in RPCs per second.
 const MAX_RPS: f64 = 1e6;
-/// Least burst in RPCs, also where it is left out.
+/// Minimum burst in RPCs, also of the default.
 const MIN_BURST: u32 = 2;
-/// Greatest burst, and most RPCs in flight.
+/// Maximum of both `burst` and `in_hand`, in RPCs.
 const MAX_UNITS: u32 = 1_000_000;
-/// Time from a token's grant until it is free again, in seconds: two rounds. A burst has to last for it.
+/// Time from the grant of a token until it can be granted again, in seconds: two rounds. The burst has to cover the
+/// RPCs of this time.
 const TOKEN_TURNAROUND_S: f64 = 0.5;
 
-/// The names that settings of limits may refer to.
+/// Names that the settings of limits may refer to.
 #[derive(Clone, Copy, Debug)]
 pub struct KnownNames<'a> {
     /// Names of the methods, by index.
@@ -38,7 +40,7 @@
 ///
 /// # Errors
 ///
-/// The first fault found, by the path of the setting.
+/// Returns the first error found.
 pub fn resolve_limits(
     configs: &[LimitConfig],
     names: &KnownNames<'_>,
@@ -72,7 +74,7 @@
     Ok(())
 }
 
-/// One limit's settings, and where they stand.
+/// One limit's settings and their index in the list.
 struct Resolver<'a> {
     index: usize,
     config: &'a LimitConfig,
@@ -139,7 +141,7 @@
         known: &[String],
     ) -> Result<Option<usize>, LimitConfigError> {
         let Some(name) = name else { return Ok(None) };
-        match known.iter().position(|one| one == name) {
+        match known.iter().position(|candidate| candidate == name) {
             Some(found) => Ok(Some(found)),
             None => Err(LimitConfigError::UnknownName {
                 index: self.index,
@@ -218,7 +220,7 @@
         })
     }
 
-    /// A digest of what the limit applies to and counts. Servers of every release have to derive the same.
+    /// Returns a digest of what the limit applies to and counts. It has to be the same in every release.
     fn key(&self, kind: LimitKind) -> LimitKey {
         let kind_name = if kind.is_rate() { "rps" } else { "in_hand" };
         let text = format!(
--- a/crates/coralstep-quota/src/config/tests.rs
+++ b/crates/coralstep-quota/src/config/tests.rs
@@ -2,7 +2,7 @@
 use crate::limit::{Limit, LimitKind, stricter_limits};
 use serde_json::{Value, json};
 
-fn resolved(limits: Value) -> Result<Vec<Limit>, String> {
+fn resolve(limits: Value) -> Result<Vec<Limit>, String> {
     let owned = |names: &[&str]| {
         names
             .iter()
@@ -25,32 +25,35 @@
     resolve_limits(&configs, &names).map_err(|error| error.to_string())
 }
 
-fn assert_refused(cases: &[(Value, &str)]) {
+fn assert_rejected(cases: &[(Value, &str)]) {
     for (limits, message) in cases {
-        let error = resolved(limits.clone()).unwrap_err();
-        assert!(error.starts_with(message), "{error} instead of {message}");
+        let error = resolve(limits.clone()).unwrap_err();
+        assert!(
+            error.starts_with(message),
+            "{error:?} does not start with {message:?}"
+        );
     }
 }
 
 #[test]
 fn consistent_limits_are_resolved() {
-    let good = resolved(json!([
+    let limits = resolve(json!([
         {"name": "a", "tenant": "a", "rps": 100},
         {"name": "a reads", "tenant": "a", "method": "read", "rps": 60},
         {"name": "a saves", "tenant": "a", "method": "save", "rps": 40},
         {"name": "store", "dependency": "store", "in_hand": 40, "cut_off": {"open": {"each": 1, "most": 20}}},
     ]));
-    let good = good.unwrap();
+    let limits = limits.unwrap();
     assert_eq!(
-        good[0].kind,
+        limits[0].kind,
         LimitKind::Rate {
             rps: 100.0,
             burst: 100
         }
     );
     assert!(
-        good[3].scope.calls_dependency
-            && good[3].cut_off
+        limits[3].scope.calls_dependency
+            && limits[3].cut_off
                 == CutOff::Open {
                     per_server: 1.0,
                     fleet_total: 20.0
@@ -59,8 +62,8 @@
 }
 
 #[test]
-fn a_faulty_limit_is_refused_by_its_setting() {
-    assert_refused(&[
+fn invalid_limit_is_rejected_with_path_of_its_setting() {
+    assert_rejected(&[
         (json!([{"name": "x", "rps": 1}]), "limits[0].name: names no"),
         (
             json!([{"name": "x", "tenant": "c", "rps": 1}]),
@@ -86,8 +89,8 @@
 }
 
 #[test]
-fn unreachable_limits_and_those_under_their_parts_are_refused() {
-    assert_refused(&[
+fn rejects_unreachable_limit_and_limit_below_sum_of_its_parts() {
+    assert_rejected(&[
         (
             json!([{"name": "x", "tenant": "a", "rps": 1}, {"name": "x", "tenant": "b", "rps": 1}]),
             "limits[1].name",
@@ -105,22 +108,22 @@
 }
 
 #[test]
-fn of_two_versions_the_lower_figures_apply() {
-    let one = resolved(
+fn lower_values_of_two_versions_apply() {
+    let one = resolve(
         json!([{"name": "a", "tenant": "a", "rps": 100}, {"name": "s", "method": "save", "in_hand": 4}]),
     )
     .unwrap();
-    let two = resolved(
+    let two = resolve(
         json!([{"name": "a", "tenant": "a", "rps": 10}, {"name": "s", "method": "save", "in_hand": 40}]),
     )
     .unwrap();
-    let mut held: Vec<LimitKind> = stricter_limits(&one, &two)
+    let mut kinds: Vec<LimitKind> = stricter_limits(&one, &two)
         .into_iter()
         .map(|limit| limit.kind)
         .collect();
-    held.sort_by_key(|kind| matches!(kind, LimitKind::InFlight(_)));
+    kinds.sort_by_key(|kind| matches!(kind, LimitKind::InFlight(_)));
     assert_eq!(
-        held,
+        kinds,
         [
             LimitKind::Rate {
                 rps: 10.0,
--- a/crates/coralstep-quota/src/cut_off.rs
+++ b/crates/coralstep-quota/src/cut_off.rs
@@ -1,26 +1,25 @@
-//! What a server admits of a limit that no leader grants it anything of.
+//! What a server admits while it is cut off: no leader grants it units of a limit.
 use crate::Millis;
 use crate::config::CutOff;
 use crate::lease::TOKEN_LIFETIME_MS;
 
-/// A server that was granted nothing for longer than this counts as cut off, in milliseconds.
+/// A server is cut off if the leader has not answered for longer than this, in milliseconds.
 pub const CUT_OFF_AFTER_MS: Millis = TOKEN_LIFETIME_MS + 1_000;
-/// RPCs of a rate that a server that is cut off admits at once. Guards against the allowance of all servers coming in
-/// one moment.
+/// Maximum burst of a server that is cut off. Guards against all such servers admitting a burst at the same time.
 const MAX_TOKENS: f64 = 1.0;
 
-/// RPCs of a limit that one server may admit while it is cut off, beyond the units that it holds: RPCs a second of a
-/// rate, in all its RPCs in flight otherwise.
+/// Returns what a server that is cut off may admit beyond the units that it holds: RPCs per second for a rate limit,
+/// the total number of RPCs in flight otherwise.
 ///
-/// Any server, cut off or not, admits by the units that it holds until their lease ends. After that it admits:
+/// Every server may use the units that it holds until their lease ends. After that it admits:
 ///
-/// - under [`CutOff::Strict`] nothing, so the limit holds always;
-/// - under [`CutOff::Open`], once no leader has granted it anything for [`CUT_OFF_AFTER_MS`] or ever,
-///   `per_server`, or `fleet_total` divided by `members` if that is less. `members` are the most members that this
-///   server ever knew, itself among them.
+/// - under [`CutOff::Strict`]: nothing, so the limit always holds;
+/// - under [`CutOff::Open`], if no leader has answered for [`CUT_OFF_AFTER_MS`] or ever: the lower of `per_server`
+///   and `fleet_total` divided by `members`. `members` is the largest number of members that this server has known,
+///   including itself.
 ///
-/// Of a rate the allowance comes in evenly and at most one RPC is admitted at once (`CutOffBucket`). What all servers
-/// together may admit is [`crate::guarantees::max_excess_while_cut_off`].
+/// The allowance of a rate limit is refilled evenly and admits at most one RPC at a time (`CutOffBucket`).
+/// [`crate::guarantees::max_excess_while_cut_off`] bounds what all servers together admit.
 pub fn cut_off_allowance(
     policy: CutOff,
     last_grant: Option<Millis>,
@@ -42,7 +41,7 @@
     per_server.min(fleet_total / members.max(1) as f64)
 }
 
-/// Tokens of a rate that a server which is cut off has of its allowance.
+/// Token bucket for the allowance of a server that is cut off.
 #[derive(Clone, Debug)]
 pub(crate) struct CutOffBucket {
     tokens: f64,
@@ -50,7 +49,7 @@
 }
 
 impl CutOffBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(crate) fn new(now: Millis) -> CutOffBucket {
         CutOffBucket {
             tokens: MAX_TOKENS,
@@ -58,19 +57,19 @@
         }
     }
 
-    /// Refills by `allowance` RPCs a second.
+    /// Refills the bucket at `allowance` RPCs per second.
     pub(crate) fn refill(&mut self, now: Millis, allowance: f64) {
         let elapsed = now.saturating_sub(self.refilled) as f64;
         self.tokens = (self.tokens + allowance * elapsed / 1000.0).min(MAX_TOKENS);
         self.refilled = now;
     }
 
-    /// Whether an RPC may be admitted.
+    /// Returns whether an RPC may be admitted.
     pub(crate) fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Takes the token of an RPC that is admitted.
+    /// Takes the token of an admitted RPC.
     pub(crate) fn take(&mut self) {
         self.tokens -= 1.0;
     }
--- a/crates/coralstep-quota/src/election.rs
+++ b/crates/coralstep-quota/src/election.rs
@@ -1,8 +1,9 @@
-//! Elects the leader: one server at a time, among candidates that operators name.
+//! Elects one leader at a time among the candidates that operators configure.
 //!
-//! Each voter promises itself to one candidate for a while. Who has the promises of most of the candidates leads until
-//! they lapse, counted from when it asked for them. No clock is compared with another. A voter that has just started
-//! promises nothing for as long as a promise of its former incarnation could last.
+//! Each voter grants its vote to one candidate for a limited time. The candidate with votes from a majority of the
+//! candidates leads until they expire, measured from the time at which it requested them. Clocks of different servers
+//! are never compared. A voter that has just started abstains for as long as a vote that it granted before the restart
+//! could last.
 use std::collections::{BTreeMap, BTreeSet};
 
 use coralstep_fleet::Member;
@@ -11,63 +12,64 @@
 
 use crate::Millis;
 use crate::lease::{lengthen_by_drift, shorten_by_drift};
-use crate::message::{Message, TermId, wire_millis};
+use crate::message::{Message, TermId, to_wire_millis};
 
-/// A leader's term lapses this long after its votes were requested, in milliseconds.
+/// A leader's term ends this long after it requested the votes, in milliseconds.
 pub const TERM_MS: Millis = 2_000;
-/// From one ballot of a candidate to the next, at most, in milliseconds.
+/// Maximum interval between two ballots of a candidate, in milliseconds.
 pub const BALLOT_INTERVAL_MS: Millis = 600;
-/// A leader requests votes for its next term this often, in milliseconds.
+/// Interval at which a leader requests votes to extend its term, in milliseconds.
 const RENEWAL_INTERVAL_MS: Millis = TERM_MS / 4;
 
 /// A message to one member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AddressedMessage {
-    /// The receiver.
+    /// Receiver of the message.
     pub to: Member,
-    /// What it is sent.
+    /// Contents of the message.
     pub message: Message,
 }
 
-/// What a tick of the election leads to.
+/// Actions that result from a timeout of the election.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ElectionTick {
+pub struct ElectionActions {
     /// Messages to voters.
     pub messages: Vec<AddressedMessage>,
-    /// Whether this server's term as leader begins now.
+    /// Whether this server's term as leader began.
     pub term_began: bool,
 }
 
-/// A voter's promise to one candidate.
+/// A vote that this server granted to a candidate.
 #[derive(Clone, Debug)]
-struct Promise {
+struct GrantedVote {
     candidate: Member,
-    until: Millis,
+    expires: Millis,
     ballot: u32,
 }
 
-/// One server's part in the election, as voter and candidate. Times are milliseconds of its monotonic clock.
+/// State of one server as voter and candidate. Times are milliseconds of its monotonic clock.
 pub struct LeaderElection {
     own: Member,
-    /// Names of the candidates, in the order in which they first stand.
+    /// Names of the candidates, in the order of their first ballots.
     candidates: Vec<String>,
-    /// Lease of RPCs in flight, which all candidates have to share.
+    /// Lease of units for RPCs in flight, which has to be the same on all candidates.
     lease: Millis,
     rng: SmallRng,
-    promise: Option<Promise>,
-    /// No promise is given before.
+    granted_vote: Option<GrantedVote>,
+    /// This server grants no vote before this time.
     abstains_until: Millis,
     ballot: u32,
-    /// When the ballot began; 0 where none is under way.
+    /// When the current ballot began; 0 if there is none.
     ballot_started: Millis,
     votes: BTreeSet<String>,
     next_ballot: Millis,
     term: TermId,
-    leads_until: Millis,
+    term_expires: Millis,
 }
 
 impl LeaderElection {
-    /// A server that started at `now`. `candidates` and `lease` are the same on all servers.
+    /// Creates the election of a server that started at `now`. `candidates` and `lease` have to be the same on all
+    /// servers.
     pub fn new(
         own: &Member,
         candidates: &[String],
@@ -85,51 +87,51 @@
             candidates,
             lease,
             rng: SmallRng::seed_from_u64(seed ^ own.incarnation),
-            promise: None,
+            granted_vote: None,
             abstains_until,
             ballot: 0,
             ballot_started: 0,
             votes: BTreeSet::new(),
             next_ballot: abstains_until + rank * BALLOT_INTERVAL_MS / 4,
             term: TermId::default(),
-            leads_until: 0,
+            term_expires: 0,
         }
     }
 
-    /// Whether a server of this name may lead.
+    /// Returns whether the server of this name is a candidate.
     pub fn is_candidate(&self, name: &str) -> bool {
         self.candidates.iter().any(|candidate| candidate == name)
     }
 
-    /// Whether any server may lead.
+    /// Returns whether there are any candidates.
     pub fn has_candidates(&self) -> bool {
         !self.candidates.is_empty()
     }
 
-    /// Whether this server leads now.
+    /// Returns whether this server leads at `now`.
     pub fn is_leader(&self, now: Millis) -> bool {
-        now < self.leads_until
+        now < self.term_expires
     }
 
-    /// Its latest term as leader.
+    /// Returns this server's latest term as leader.
     pub fn term(&self) -> TermId {
         self.term
     }
 
-    /// The leader, as far as this server knows: itself, or whom it promised itself to.
+    /// Returns the leader as far as this server knows: itself, or the candidate that has its vote.
     pub fn leader(&self, now: Millis) -> Option<&Member> {
         if self.is_leader(now) {
             return Some(&self.own);
         }
-        self.promise_to_other(now).map(|promise| &promise.candidate)
+        self.vote_for_other(now).map(|vote| &vote.candidate)
     }
 
-    fn promise_to_other(&self, now: Millis) -> Option<&Promise> {
-        let promise = self.promise.as_ref()?;
-        (now < promise.until && promise.candidate != self.own).then_some(promise)
+    fn vote_for_other(&self, now: Millis) -> Option<&GrantedVote> {
+        let vote = self.granted_vote.as_ref()?;
+        (now < vote.expires && vote.candidate != self.own).then_some(vote)
     }
 
-    /// Decides on a candidate's request. True where this server promises itself to it, for a term.
+    /// Handles a candidate's request. Returns whether this server votes for it for one term.
     pub fn handle_vote_request(
         &mut self,
         now: Millis,
@@ -138,97 +140,103 @@
         lease_ms: u32,
     ) -> bool {
         let is_free = self
-            .promise
+            .granted_vote
             .as_ref()
-            .is_none_or(|promise| now >= promise.until || promise.candidate == *candidate);
+            .is_none_or(|vote| now >= vote.expires || vote.candidate == *candidate);
         let is_eligible = self.is_candidate(&self.own.name)
             && self.is_candidate(&candidate.name)
-            && lease_ms == wire_millis(self.lease);
+            && lease_ms == to_wire_millis(self.lease);
         if !is_free || !is_eligible || now < self.abstains_until {
             return false;
         }
         let earlier = self
-            .promise
+            .granted_vote
             .as_ref()
-            .filter(|promise| promise.candidate == *candidate);
-        let earlier_ballot = earlier.map_or(0, |promise| promise.ballot);
-        self.promise = Some(Promise {
+            .filter(|vote| vote.candidate == *candidate);
+        let earlier_ballot = earlier.map_or(0, |vote| vote.ballot);
+        self.granted_vote = Some(GrantedVote {
             candidate: candidate.clone(),
-            until: now + lengthen_by_drift(TERM_MS),
+            expires: now + lengthen_by_drift(TERM_MS),
             ballot: ballot.max(earlier_ballot),
         });
         true
     }
 
-    /// A candidate gives a vote back. Guards against a late message that takes back the vote of a later ballot.
+    /// Handles the release of a vote. Guards against a delayed release that revokes the vote of a later ballot.
     pub fn handle_vote_release(&mut self, candidate: &Member, ballot: u32) {
-        self.promise
-            .take_if(|promise| promise.candidate == *candidate && promise.ballot <= ballot);
+        self.granted_vote
+            .take_if(|vote| vote.candidate == *candidate && vote.ballot <= ballot);
     }
 
-    /// Counts a voter's answer. True where this server's term as leader begins with it.
+    /// Counts a voter's answer. Returns whether this server's term as leader begins with it.
     pub fn handle_vote(&mut self, now: Millis, voter: &str, ballot: u32, granted: bool) -> bool {
-        // Guards against votes of an earlier ballot, which may have lapsed since.
+        // Guards against votes of an earlier ballot, which may have expired.
         if ballot != self.ballot || !granted || !self.is_candidate(voter) {
             return false;
         }
         self.votes.insert(voter.to_owned());
-        let until = self.ballot_started + shorten_by_drift(TERM_MS);
+        let expires = self.ballot_started + shorten_by_drift(TERM_MS);
         let is_majority = self.votes.len() * 2 > self.candidates.len();
-        if !is_majority || now >= until {
+        if !is_majority || now >= expires {
             return false;
         }
         let term_began = !self.is_leader(now);
         if term_began {
-            // Drawn anew, so that what was granted in another term is not taken for this one's.
+            // A new random term, so that units granted in another term are not taken for this term's.
             self.term = TermId(self.rng.random_range(1..u64::MAX));
         }
-        self.leads_until = until;
+        self.term_expires = expires;
         term_began
     }
 
-    /// Lets time pass. `present` are the candidates that are there, by name; a server that is `draining` doesn't stand.
-    pub fn tick(
+    /// Begins or ends a ballot if it is due. `present` has the candidates that are alive, by name. A server that is
+    /// `draining` does not become a candidate.
+    pub fn handle_timeout(
         &mut self,
         now: Millis,
         present: &BTreeMap<String, Member>,
         draining: bool,
-    ) -> ElectionTick {
-        let may_stand = self.is_candidate(&self.own.name) && !draining;
-        if !may_stand || now < self.next_ballot || now < self.abstains_until {
-            return ElectionTick::default();
+    ) -> ElectionActions {
+        let may_run = self.is_candidate(&self.own.name) && !draining;
+        if !may_run || now < self.next_ballot || now < self.abstains_until {
+            return ElectionActions::default();
         }
-        if let Some(promise) = self.promise_to_other(now) {
-            let until = promise.until;
-            self.next_ballot = until + self.rng.random_range(0..BALLOT_INTERVAL_MS / 2);
-            return ElectionTick::default();
+        if let Some(vote) = self.vote_for_other(now) {
+            let expires = vote.expires;
+            self.next_ballot = expires + self.rng.random_range(0..BALLOT_INTERVAL_MS / 2);
+            return ElectionActions::default();
         }
-        let has_lost = !self.is_leader(now) && self.ballot_started > 0 && !self.votes.is_empty();
-        if has_lost {
+        let has_lost_ballot =
+            !self.is_leader(now) && self.ballot_started > 0 && !self.votes.is_empty();
+        if has_lost_ballot {
             return self.release_votes(now, present);
         }
         self.begin_ballot(now, present)
     }
 
-    /// Guards against voters that stay promised to candidates none of which has enough of them.
-    fn release_votes(&mut self, now: Millis, present: &BTreeMap<String, Member>) -> ElectionTick {
+    /// Guards against a split vote: voters stay bound to candidates none of which has a majority.
+    fn release_votes(
+        &mut self,
+        now: Millis,
+        present: &BTreeMap<String, Member>,
+    ) -> ElectionActions {
         let release = Message::VoteRelease {
             ballot: self.ballot,
         };
         self.votes.clear();
         self.ballot_started = 0;
-        self.promise = None;
-        // Votes that come late belong to no ballot.
+        self.granted_vote = None;
+        // Delayed votes then belong to no ballot.
         self.ballot += 1;
         let pause = BALLOT_INTERVAL_MS / 8..BALLOT_INTERVAL_MS / 2;
         self.next_ballot = now + self.rng.random_range(pause);
-        ElectionTick {
-            messages: to_all(present, &release),
+        ElectionActions {
+            messages: address_to_all(present, &release),
             term_began: false,
         }
     }
 
-    fn begin_ballot(&mut self, now: Millis, present: &BTreeMap<String, Member>) -> ElectionTick {
+    fn begin_ballot(&mut self, now: Millis, present: &BTreeMap<String, Member>) -> ElectionActions {
         self.ballot += 1;
         self.ballot_started = now;
         self.votes.clear();
@@ -238,19 +246,19 @@
             BALLOT_INTERVAL_MS / 2
         };
         self.next_ballot = now + interval - self.rng.random_range(0..interval / 4);
-        let lease_ms = wire_millis(self.lease);
+        let lease_ms = to_wire_millis(self.lease);
         let ballot = self.ballot;
         let request = Message::VoteRequest { ballot, lease_ms };
         let own = self.own.clone();
         let own_vote = self.handle_vote_request(now, &own, ballot, lease_ms);
-        ElectionTick {
-            messages: to_all(present, &request),
+        ElectionActions {
+            messages: address_to_all(present, &request),
             term_began: self.handle_vote(now, &own.name, ballot, own_vote),
         }
     }
 }
 
-fn to_all(voters: &BTreeMap<String, Member>, message: &Message) -> Vec<AddressedMessage> {
+fn address_to_all(voters: &BTreeMap<String, Member>, message: &Message) -> Vec<AddressedMessage> {
     let addressed = |voter: &Member| AddressedMessage {
         to: voter.clone(),
         message: message.clone(),
--- a/crates/coralstep-quota/src/extension.rs
+++ b/crates/coralstep-quota/src/extension.rs
@@ -1,7 +1,7 @@
-//! Joins the leader, the client and the election to one extension of the fleet's gossip.
+//! Combines leader, client and election into an extension of the fleet's gossip.
 //!
-//! It sends this server's requests to the leader, answers those of others where it leads, votes, and spreads what it
-//! holds, so that any server can show all shares.
+//! It sends this server's requests to the leader, answers the requests of other servers while it leads, votes, and
+//! gossips the units that it holds, so that every server can show all shares.
 mod event;
 mod leader_contact;
 mod share_report;
@@ -17,41 +17,41 @@
 use crate::election::{AddressedMessage, LeaderElection};
 use crate::leader::QuotaLeader;
 use crate::limit::{Limit, RequestKey};
-use crate::message::{GrantBatch, Message, QuotaRequest, TermId, wire_millis};
+use crate::message::{GrantBatch, Message, QuotaRequest, TermId, to_wire_millis};
 pub use event::QuotaEvent;
 use leader_contact::LeaderContact;
 use share_report::ShareReport;
 pub use share_report::ShareRow;
 
-/// A server reports its own shares anew this often, in milliseconds.
+/// Interval at which a server reports its shares, in milliseconds.
 const REPORT_INTERVAL_MS: Millis = 1_000;
-/// Events that are kept until they are taken.
+/// Maximum number of events kept until they are taken; further ones are dropped.
 const MAX_EVENTS: usize = 256;
 
-/// The limits of the whole fleet at one server. Times are milliseconds of its monotonic clock.
+/// Enforces the fleet-wide limits at one server. Times are milliseconds of its monotonic clock.
 pub struct QuotaExtension {
     own: Member,
     election: LeaderElection,
-    /// Where this server leads.
+    /// `Some` while this server leads.
     leader: Option<QuotaLeader>,
     client: QuotaClient,
     limits: Vec<Limit>,
     contact: LeaderContact,
-    /// Members that are excluded; they are granted nothing.
+    /// Excluded members, which are granted no further units.
     excluded: HashSet<Member>,
     reports: Disseminator<ShareReport>,
     report_sequence: u64,
     next_report: Millis,
-    /// Lease of RPCs in flight.
+    /// Lease of units for RPCs in flight.
     lease: Millis,
     events: Vec<QuotaEvent>,
 }
 
 impl QuotaExtension {
-    /// A server without limits, started at `now`.
+    /// Creates the extension of a server that started at `now`, without limits.
     ///
-    /// `candidates` are the names of servers that may lead, and `lease` that of RPCs in flight in milliseconds; both
-    /// are the same on all servers.
+    /// `candidates` are the names of servers that may lead, and `lease` is the lease of units for RPCs in flight in
+    /// milliseconds. Both have to be the same on all servers.
     pub fn new(
         own: &Member,
         candidates: &[String],
@@ -81,12 +81,12 @@
         }
     }
 
-    /// Takes the events since the last call, for the log.
+    /// Returns the events since the last call, for the log.
     pub fn take_events(&mut self) -> Vec<QuotaEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Applies these limits from now on.
+    /// Replaces the limits.
     pub fn set_limits(&mut self, now: Millis, limits: &[Limit]) {
         if limits == self.limits {
             return;
@@ -99,36 +99,36 @@
         self.record(QuotaEvent::LimitsChanged(limits.len()));
     }
 
-    /// Takes a unit of each limit that applies to an RPC which is answered within `due_within` milliseconds.
+    /// Takes a unit of each limit that applies to an RPC that is answered within `max_duration` milliseconds.
     ///
     /// # Errors
     ///
-    /// Where a limit has no unit left; nothing is taken then.
+    /// Returns [`QuotaExhausted`] and takes no unit if any of the limits has no unit left.
     pub fn admit(
         &mut self,
         now: Millis,
         request: RequestKey,
-        due_within: Millis,
+        max_duration: Millis,
     ) -> Result<QuotaPermit, QuotaExhausted> {
-        self.client.admit(now, request, due_within)
+        self.client.admit(now, request, max_duration)
     }
 
-    /// Gives back the units of an RPC that is answered.
+    /// Returns the units of an RPC that was answered.
     pub fn release(&mut self, permit: QuotaPermit) {
         self.client.release(permit);
     }
 
-    /// The units that this server holds.
+    /// Returns the client, which holds this server's units.
     pub fn client(&self) -> &QuotaClient {
         &self.client
     }
 
-    /// Whether this server grants quota now.
+    /// Returns whether this server is the quota leader at `now`.
     pub fn is_leader(&self, now: Millis) -> bool {
         self.leader.is_some() && self.election.is_leader(now)
     }
 
-    /// All shares by limit and server: this server's own, and the others' as they reported.
+    /// Returns all shares by limit and server: this server's own, and those that other servers reported.
     pub fn share_rows(&self, now: Millis) -> Vec<ShareRow> {
         let allocations = self.leader.as_ref().map(|leader| leader.allocations(now));
         let mut rows = share_report::own_rows(&self.limits, &self.own, &self.client.statuses(now));
@@ -155,7 +155,7 @@
         }
     }
 
-    /// The leader's answer to requests; none where this server doesn't lead.
+    /// Returns the leader's answer to requests, or `None` if this server does not lead.
     fn grant(
         &mut self,
         now: Millis,
@@ -169,15 +169,15 @@
         let leader = self.leader.as_mut()?;
         let mut requests = batch.requests.clone();
         if is_excluded {
-            requests.iter_mut().for_each(want_no_more_than_held);
+            requests.iter_mut().for_each(cap_wanted_at_held);
         }
         let same_term = term == own_term;
         let grants = leader.handle_requests(now, from, batch.sequence, same_term, &requests);
-        let next_round_ms = leader.next_round(now);
+        let next_round_ms = leader.round_interval(now);
         Some(GrantBatch {
             term: own_term,
             sequence: batch.sequence,
-            lease_ms: wire_millis(leader.lease()),
+            lease_ms: to_wire_millis(leader.lease()),
             next_round_ms: u16::try_from(next_round_ms).unwrap_or(u16::MAX),
             grants,
         })
@@ -199,17 +199,17 @@
     }
 
     fn handle_grants(&mut self, now: Millis, batch: &GrantBatch) {
-        // Guards against a lease that is not the one that all servers reckon by.
-        if batch.lease_ms != wire_millis(self.lease) {
+        // Guards against a leader that is configured with another lease.
+        if batch.lease_ms != to_wire_millis(self.lease) {
             return;
         }
         self.client.handle_grants(now, batch);
-        if self.contact.note_answer() {
+        if self.contact.record_answer() {
             self.record(QuotaEvent::Reconnected);
         }
     }
 
-    /// Handles one message; the answer, if there is one.
+    /// Handles one message and returns the answer, if there is one.
     fn respond(&mut self, now: Millis, from: &Member, message: Message) -> Option<Message> {
         match message {
             Message::Requests {
@@ -249,9 +249,9 @@
         }
     }
 
-    fn note_members(&mut self, view: &MembershipView<'_>) {
+    fn update_members(&mut self, view: &MembershipView<'_>) {
         self.own = view.own.clone();
-        self.client.note_members(view.present.len() + 1);
+        self.client.record_member_count(view.present.len() + 1);
         self.excluded = view
             .excluded
             .iter()
@@ -266,27 +266,29 @@
         self.contact.set_candidates(candidates);
     }
 
-    fn tick_election(&mut self, now: Millis, draining: bool) -> Vec<OutgoingMessage> {
-        let tick = self.election.tick(now, self.contact.candidates(), draining);
-        if tick.term_began {
+    fn run_election(&mut self, now: Millis, draining: bool) -> Vec<OutgoingMessage> {
+        let actions = self
+            .election
+            .handle_timeout(now, self.contact.candidates(), draining);
+        if actions.term_began {
             self.begin_term(now);
         }
         self.end_lapsed_term(now);
-        let to_send = tick.messages.iter();
-        to_send
+        let addressed = actions.messages.iter();
+        addressed
             .map(|AddressedMessage { to, message }| {
                 OutgoingMessage::new(to.address, message.encode())
             })
             .collect()
     }
 
-    /// Sends this round's requests to the leader, which may be this server.
+    /// Returns the messages with this round's requests to the leader; handles them locally if this server leads.
     fn send_requests(&mut self, now: Millis, draining: bool) -> Vec<OutgoingMessage> {
         let mut outgoing = Vec::new();
         for batch in self.client.poll_requests(now, draining) {
             let term = self.client.term();
             let elected = self.election.leader(now).cloned();
-            let Some(leader) = elected.or_else(|| self.contact.choose(now)) else {
+            let Some(leader) = elected.or_else(|| self.contact.choose_target(now)) else {
                 continue;
             };
             if leader == self.own {
@@ -296,7 +298,7 @@
                 }
                 continue;
             }
-            self.contact.note_request(now);
+            self.contact.record_request(now);
             let requests = Message::Requests {
                 term,
                 sequence: batch.sequence,
@@ -320,8 +322,8 @@
     }
 }
 
-/// An excluded server may give back what it holds, and gets nothing more.
-fn want_no_more_than_held(request: &mut QuotaRequest) {
+/// Limits a request to the held units: an excluded server may return units, but is granted no further ones.
+fn cap_wanted_at_held(request: &mut QuotaRequest) {
     request.wanted = request.wanted.min(request.held);
 }
 
@@ -352,8 +354,8 @@
         if !self.election.has_candidates() {
             return Vec::new();
         }
-        self.note_members(view);
-        let mut outgoing = self.tick_election(now, view.leaving);
+        self.update_members(view);
+        let mut outgoing = self.run_election(now, view.leaving);
         outgoing.extend(self.send_requests(now, view.leaving));
         if self.contact.detect_cut_off(now) {
             self.record(QuotaEvent::CutOff);
--- a/crates/coralstep-quota/src/extension/event.rs
+++ b/crates/coralstep-quota/src/extension/event.rs
@@ -1,18 +1,18 @@
-//! What changes in the fleet's limits at one server, for the log.
+//! Log events about quota at one server.
 use std::fmt;
 
-/// A change that operators are told of; its text is that of the log line.
+/// A change that is logged; its `Display` output is the log message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QuotaEvent {
-    /// This server leads from now on.
+    /// This server became the quota leader.
     TermBegan,
-    /// This server leads no longer.
+    /// This server is no longer the quota leader.
     TermEnded,
-    /// No leader has answered for a while.
+    /// No leader has answered for [`CUT_OFF_AFTER_MS`](crate::cut_off::CUT_OFF_AFTER_MS).
     CutOff,
     /// A leader answers again.
     Reconnected,
-    /// So many limits apply from now on.
+    /// The limits were replaced; the value is their number.
     LimitsChanged(usize),
 }
 
@@ -24,10 +24,10 @@
                 "this server gives no shares any more: too few of the keepers answer, or it leaves",
             ),
             QuotaEvent::CutOff => {
-                f.write_str("cut off from whoever gives shares: what is in hand runs out")
+                f.write_str("cut off from the quota leader: the units held expire with their lease")
             }
-            QuotaEvent::Reconnected => f.write_str("shares come again"),
-            QuotaEvent::LimitsChanged(count) => write!(f, "{count} limits hold"),
+            QuotaEvent::Reconnected => f.write_str("the quota leader answers again"),
+            QuotaEvent::LimitsChanged(count) => write!(f, "limits changed: {count} in effect"),
         }
     }
 }
--- a/crates/coralstep-quota/src/extension/leader_contact.rs
+++ b/crates/coralstep-quota/src/extension/leader_contact.rs
@@ -1,4 +1,4 @@
-//! Whom this server sends its requests, and whether anybody answers.
+//! Chooses the server that receives quota requests, and detects that none answers.
 use std::collections::BTreeMap;
 
 use coralstep_fleet::Member;
@@ -9,17 +9,18 @@
 use crate::cut_off::CUT_OFF_AFTER_MS;
 use crate::election::TERM_MS;
 
-/// A leader that hasn't answered for longer than this is not relied on, in milliseconds.
-const MAX_LEADER_SILENCE_MS: Millis = TERM_MS / 4;
-/// Keeps these draws apart from those of the election, which begin from the same seed.
+/// Requests go to another candidate if the leader has not answered for longer than this, in milliseconds.
+const LEADER_RESPONSE_TIMEOUT_MS: Millis = TERM_MS / 4;
+/// Makes this random sequence differ from the election's, which starts from the same seed.
 const SEED_OFFSET: u64 = 2;
 
+/// Tracks the known leader and its answers.
 pub(super) struct LeaderContact {
-    /// The leader, as another server said or by its own grants.
+    /// The leader as named by another server or known from its grants.
     known_leader: Option<Member>,
-    /// Servers that may lead and are present, by name.
+    /// Candidates that are alive, by name.
     candidates: BTreeMap<String, Member>,
-    /// When the first request was sent that nobody has answered.
+    /// When the first unanswered request was sent.
     unanswered_since: Option<Millis>,
     is_cut_off: bool,
     rng: SmallRng,
@@ -53,34 +54,37 @@
             .is_some_and(|since| now.saturating_sub(since) > span)
     }
 
-    /// The leader as far as is known, else any candidate: it says who leads.
-    pub(super) fn choose(&mut self, now: Millis) -> Option<Member> {
-        let is_silent = self.is_unanswered_for(now, MAX_LEADER_SILENCE_MS);
+    /// Returns the known leader if it answers, otherwise a random candidate, which knows or names the leader.
+    pub(super) fn choose_target(&mut self, now: Millis) -> Option<Member> {
+        let is_silent = self.is_unanswered_for(now, LEADER_RESPONSE_TIMEOUT_MS);
         if let Some(leader) = &self.known_leader
             && !is_silent
-            && self.candidates.values().any(|one| one == leader)
+            && self
+                .candidates
+                .values()
+                .any(|candidate| candidate == leader)
         {
             return Some(leader.clone());
         }
         if self.candidates.is_empty() {
             return None;
         }
-        let drawn = self.rng.random_range(0..self.candidates.len());
-        self.candidates.values().nth(drawn).cloned()
+        let index = self.rng.random_range(0..self.candidates.len());
+        self.candidates.values().nth(index).cloned()
     }
 
-    /// Notes a request to another server.
-    pub(super) fn note_request(&mut self, now: Millis) {
+    /// Records a request to another server.
+    pub(super) fn record_request(&mut self, now: Millis) {
         self.unanswered_since.get_or_insert(now);
     }
 
-    /// Notes an answer. True where this server was cut off until now.
-    pub(super) fn note_answer(&mut self) -> bool {
+    /// Records an answer. Returns whether this server was cut off before.
+    pub(super) fn record_answer(&mut self) -> bool {
         self.unanswered_since = None;
         std::mem::take(&mut self.is_cut_off)
     }
 
-    /// True where this server counts as cut off from now on.
+    /// Returns whether this server has just become cut off.
     pub(super) fn detect_cut_off(&mut self, now: Millis) -> bool {
         if self.is_cut_off || !self.is_unanswered_for(now, CUT_OFF_AFTER_MS) {
             return false;
--- a/crates/coralstep-quota/src/extension/share_report.rs
+++ b/crates/coralstep-quota/src/extension/share_report.rs
@@ -1,4 +1,4 @@
-//! What servers report of their shares by gossip, and the rows that operators see.
+//! Reports of shares that servers gossip, and the rows shown to operators.
 use coralstep_fleet::Member;
 use coralstep_fleet::gossip::Gossip;
 use serde::{Deserialize, Serialize};
@@ -8,32 +8,32 @@
 use crate::leader::AllocationRow;
 use crate::limit::{Limit, LimitKey};
 
-/// Limits in one report: those with the most units.
+/// Maximum number of limits in one report; those with the most units are reported.
 const MAX_REPORTED_SHARES: usize = 6;
 
-/// A server's share of a limit, as operators see it.
+/// A server's share of a limit, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ShareRow {
     /// Name of the limit.
     pub limit: String,
     /// Name of the server.
     pub server: String,
-    /// Units that it holds.
+    /// Units that the server holds.
     #[serde(rename = "share")]
     pub units: u32,
-    /// Its RPCs in flight that the limit counts.
+    /// Number of the server's RPCs in flight that the limit counts.
     #[serde(rename = "used")]
     pub in_flight: u32,
-    /// Milliseconds until its lease ends; none where another server holds the units and this one doesn't lead.
+    /// Milliseconds until the lease ends; `None` for another server's units unless this server leads.
     pub lease_ms: Option<Millis>,
-    /// Milliseconds since it was reported.
+    /// Milliseconds since the server reported it.
     pub age_ms: Millis,
-    /// RPCs admitted beyond the units held, while cut off.
+    /// Number of RPCs admitted beyond the held units while cut off.
     #[serde(rename = "over")]
     pub over_quota: u64,
 }
 
-/// A server's share of one limit, as it reports it. Its bytes go by position.
+/// A server's share of one limit in a report. Encoded by position.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct ReportedShare {
     key: LimitKey,
@@ -42,7 +42,7 @@
     over_quota: u32,
 }
 
-/// What a server holds, as it reports itself. Its bytes go by position.
+/// A server's report of its shares. Encoded by position.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct ShareReport {
     origin: Member,
@@ -51,7 +51,7 @@
 }
 
 impl ShareReport {
-    /// This server's report of this number; it rises with each.
+    /// Creates this server's report; `sequence` increases with each report.
     pub(super) fn new(own: &Member, sequence: u64, mut statuses: Vec<ShareStatus>) -> ShareReport {
         statuses.sort_by_key(|status| std::cmp::Reverse((status.units, status.in_flight)));
         let reported = statuses.iter().take(MAX_REPORTED_SHARES);
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The report's rows; leases where this server leads and knows them.
+    /// Returns the report's rows. `allocations` has the leases if this server leads.
     pub(super) fn rows(
         &self,
         limits: &[Limit],
@@ -81,7 +81,7 @@
         };
         let row = |share: &ReportedShare| {
             Some(ShareRow {
-                limit: name_of(limits, share.key)?,
+                limit: limit_name(limits, share.key)?,
                 server: self.origin.name.clone(),
                 units: share.units,
                 in_flight: share.in_flight,
@@ -94,11 +94,11 @@
     }
 }
 
-/// The rows of this server's own shares.
+/// Returns the rows of this server's own shares.
 pub(super) fn own_rows(limits: &[Limit], own: &Member, statuses: &[ShareStatus]) -> Vec<ShareRow> {
     let row = |status: &ShareStatus| {
         Some(ShareRow {
-            limit: name_of(limits, status.key)?,
+            limit: limit_name(limits, status.key)?,
             server: own.name.clone(),
             units: status.units,
             in_flight: status.in_flight,
@@ -110,7 +110,7 @@
     statuses.iter().filter_map(row).collect()
 }
 
-fn name_of(limits: &[Limit], key: LimitKey) -> Option<String> {
+fn limit_name(limits: &[Limit], key: LimitKey) -> Option<String> {
     let limit = limits.iter().find(|limit| limit.key == key)?;
     Some(limit.name.clone())
 }
--- a/crates/coralstep-quota/src/guarantees.rs
+++ b/crates/coralstep-quota/src/guarantees.rs
@@ -1,17 +1,17 @@
-//! What limits promise, as formulas; `docs/limits.md` has them in words.
+//! Guarantees of the limits as formulas; `docs/limits.md` describes them.
 //!
-//! Tests and checkers go by these alone. They are stated apart from the rules that keep them, so that a fault in a
-//! rule is found.
+//! Tests and model checkers compare results with these formulas. They share no code with the implementation, so that
+//! a bug in it does not go unnoticed.
 use crate::Millis;
 use crate::election::{BALLOT_INTERVAL_MS, TERM_MS};
 use crate::lease::{MAX_CLOCK_DRIFT, lengthen_by_drift};
 use crate::limit::LimitKind;
 
-/// RPCs that all servers together admit in a window of `window` milliseconds, at most, where no server is cut off
-/// under an open policy.
+/// Returns the maximum number of RPCs that all servers together admit in `window` milliseconds while no server is cut
+/// off under an open policy.
 ///
-/// Of a rate: `burst + rps * window`, the leader's clock running fast by [`MAX_CLOCK_DRIFT`]. Of RPCs in flight: at
-/// any moment.
+/// For a rate limit this is `burst + rps * window`, as if the leader's clock ran fast by [`MAX_CLOCK_DRIFT`]. For a
+/// limit on RPCs in flight it is the maximum at any moment.
 pub fn max_admitted(kind: LimitKind, window: Millis) -> f64 {
     match kind {
         LimitKind::Rate { rps, burst } => {
@@ -21,11 +21,11 @@
     }
 }
 
-/// RPCs beyond [`max_admitted`] that `servers` that are cut off under an open policy admit in `window` milliseconds,
-/// at most.
+/// Returns the maximum number of RPCs beyond [`max_admitted`] that `servers` admit in `window` milliseconds while they
+/// are cut off under an open policy.
 ///
-/// `per_server` and `fleet_total` are the policy's figures for a limit of a rate, in RPCs a second; `members` the most
-/// members that each server ever knew. One more may come at once at each server.
+/// `per_server` and `fleet_total` are the policy's values for a rate limit, in RPCs per second; `members` is the
+/// largest number of members that each server has known. Each server may admit one more RPC at once, its burst.
 pub fn max_excess_while_cut_off(
     servers: usize,
     per_server: f64,
@@ -37,17 +37,17 @@
     servers as f64 * (allowance * window as f64 / 1000.0 + 1.0)
 }
 
-/// Milliseconds until units of a server that died, or was cut off, are held by others again, at most: its lease on
-/// the leader's clock, and one round of requests.
+/// Returns the maximum time until other servers hold the units of a server that crashed or was cut off, in
+/// milliseconds: its lease on the leader's clock, plus one round of requests.
 pub fn max_reclaim_time(lease: Millis, round: Millis) -> Millis {
     lengthen_by_drift(lease) + round
 }
 
-/// Milliseconds until another server leads after the leader died or was cut off, at most: its term as the voters
-/// count it, and three ballots.
+/// Returns the maximum time until another server leads after the leader crashed or was cut off, in milliseconds: its
+/// term on the voters' clocks, plus three ballots.
 ///
-/// Reported RPCs in flight are confirmed from then on, and more are granted after a lease; tokens of a rate come in
-/// after [`crate::lease::TOKEN_LIFETIME_MS`].
+/// The new leader confirms the reported units for RPCs in flight at once and grants further ones after a lease. It
+/// grants tokens after [`crate::lease::TOKEN_LIFETIME_MS`].
 pub fn max_failover_time() -> Millis {
     lengthen_by_drift(TERM_MS) + 3 * BALLOT_INTERVAL_MS
 }
--- a/crates/coralstep-quota/src/leader/fair_share.rs
+++ b/crates/coralstep-quota/src/leader/fair_share.rs
@@ -1,16 +1,17 @@
-//! Max-min fairness: small wants are met in full, the others get the same each.
+//! Max-min fairness: demands up to the fair share are met in full, the others get the fair share.
 
-/// The greatest level such that all wants, each up to it, are within `total` units; `u32::MAX` where all are met.
-pub(super) fn fair_share(wants: impl Iterator<Item = u32>, total: u32) -> u32 {
-    let mut wants: Vec<u32> = wants.collect();
-    wants.sort_unstable();
-    let mut left = total;
-    let mut unmet = wants.len() as u32;
-    for want in wants {
-        if u64::from(want) * u64::from(unmet) > u64::from(left) {
-            return left / unmet.max(1);
+/// Returns the largest share such that all demands, each capped at it, fit in `total` units; `u32::MAX` if all
+/// demands fit.
+pub(super) fn fair_share(demands: impl Iterator<Item = u32>, total: u32) -> u32 {
+    let mut demands: Vec<u32> = demands.collect();
+    demands.sort_unstable();
+    let mut remaining = total;
+    let mut unmet = demands.len() as u32;
+    for demand in demands {
+        if u64::from(demand) * u64::from(unmet) > u64::from(remaining) {
+            return remaining / unmet.max(1);
         }
-        left -= want;
+        remaining -= demand;
         unmet -= 1;
     }
     u32::MAX
--- a/crates/coralstep-quota/src/leader/tests.rs
+++ b/crates/coralstep-quota/src/leader/tests.rs
@@ -32,7 +32,7 @@
 fn request(
     leader: &mut QuotaLeader,
     now: Millis,
-    of: &str,
+    server: &str,
     sequence: u32,
     held: u32,
     wanted: u32,
@@ -40,7 +40,7 @@
     leader
         .handle_requests(
             now,
-            &member(of),
+            &member(server),
             sequence,
             true,
             &[QuotaRequest {
@@ -53,66 +53,68 @@
 }
 
 fn allocated(leader: &mut QuotaLeader, now: Millis) -> u32 {
-    let ledger = leader.ledgers.get_mut(&KEY).unwrap();
-    ledger.settle(now);
-    ledger.allocated()
+    let allocator = leader.allocators.get_mut(&KEY).unwrap();
+    allocator.expire_and_refill(now);
+    allocator.allocated()
 }
 
 #[test]
-fn tokens_are_granted_at_the_rate_and_no_more_than_the_burst_is_ever_held() {
+fn tokens_are_granted_at_rate_and_never_exceed_burst() {
     let mut leader = leader(LimitKind::Rate {
         rps: 10.0,
         burst: 5,
     });
-    // Tokens of the leader before may be out.
+    // Tokens of the previous leader may still be in use.
     let from = lengthen_by_drift(TOKEN_LIFETIME_MS);
     assert_eq!(request(&mut leader, from, "a", 1, 0, 3).unwrap().units, 0);
-    let mut ask = |now: Millis, of: &str, sequence: u32, held: u32, wanted: u32| {
-        request(&mut leader, from + now, of, sequence, held, wanted)
+    let mut send_request = |now: Millis, server: &str, sequence: u32, held: u32, wanted: u32| {
+        request(&mut leader, from + now, server, sequence, held, wanted)
     };
-    assert_eq!(ask(1_000, "a", 2, 0, 3).unwrap().units, 3);
-    assert_eq!(ask(1_001, "b", 1, 0, 9).unwrap().units, 2);
-    // Unused, no tokens come in beyond the burst; the wait is longer than what is due.
-    let waits = ask(1_500, "c", 1, 0, 1).unwrap();
+    assert_eq!(send_request(1_000, "a", 2, 0, 3).unwrap().units, 3);
+    assert_eq!(send_request(1_001, "b", 1, 0, 9).unwrap().units, 2);
+    // Servers hold the whole burst, so no tokens are added and c has to wait.
+    let waits = send_request(1_500, "c", 1, 0, 1).unwrap();
     assert!(waits.units == 0 && waits.wait_ms > 100, "{waits:?}");
-    // The same message again, and one from before, are granted nothing.
-    assert!(ask(1_500, "a", 2, 0, 3).is_none() && ask(1_500, "a", 1, 0, 3).is_none());
-    // One that requests again at once gets no more, whatever it wants: the fair share is one of rounds.
-    assert_eq!(ask(1_100, "b", 2, 2, 9).unwrap().units, 2);
-    // Used ones come in again; the one that waits is first.
+    // A duplicated message and an older one are ignored.
+    assert!(
+        send_request(1_500, "a", 2, 0, 3).is_none() && send_request(1_500, "a", 1, 0, 3).is_none()
+    );
+    // A server that requests again within its round is granted no more: the fair share is per round.
+    assert_eq!(send_request(1_100, "b", 2, 2, 9).unwrap().units, 2);
+    // Used tokens are refilled; the waiting server comes first.
     assert_eq!(
-        ask(1_700, "a", 3, 1, 5).unwrap().units,
+        send_request(1_700, "a", 3, 1, 5).unwrap().units,
         1,
-        "one of the two is owed to c"
+        "one of the two is reserved for c"
     );
-    assert_eq!(ask(1_900, "c", 2, 0, 1).unwrap().units, 1);
-    // Units of a server that died are free when its lease is over.
+    assert_eq!(send_request(1_900, "c", 2, 0, 1).unwrap().units, 1);
+    // Units of a server that crashed are free after its lease.
     let after = from + 1_100 + lengthen_by_drift(TOKEN_LIFETIME_MS);
     assert_eq!(allocated(&mut leader, after - 1), 4);
     assert!(allocated(&mut leader, after) <= 2);
 }
 
 #[test]
-fn in_flight_units_are_granted_after_recovery_and_come_down_to_the_fair_share() {
+fn in_flight_units_are_granted_after_recovery_and_reduced_to_fair_share() {
     let mut leader = leader(LimitKind::InFlight(8));
     assert_eq!(
         request(&mut leader, 10, "a", 1, 6, 8).unwrap().units,
         6,
-        "what the leader before granted is confirmed, no more"
+        "only units of the previous leader are confirmed"
     );
     assert_eq!(
         request(&mut leader, 20, "b", 1, 4, 4).unwrap().units,
         2,
-        "nobody's claims exceed the limit"
+        "confirmed units do not exceed the limit"
     );
     assert_eq!(request(&mut leader, 30, "c", 1, 0, 2).unwrap().units, 0);
     let recovered = lengthen_by_drift(LEASE);
     assert_eq!(
         request(&mut leader, recovered, "a", 2, 6, 6).unwrap().units,
         3,
-        "b's and c's wants count"
+        "b and c want units, too"
     );
-    // It still has six until it says that it has less.
+    // It holds six until it reports fewer.
     assert_eq!(
         request(&mut leader, recovered + 10, "c", 2, 0, 2)
             .unwrap()
@@ -132,7 +134,7 @@
         2
     );
     assert!(allocated(&mut leader, recovered + 30) <= 8);
-    // A claim of units that nobody granted counts for nothing.
+    // Reported units that were never granted do not count.
     assert_eq!(
         request(&mut leader, recovered + 40, "forger", 1, 8, 8)
             .unwrap()
@@ -144,7 +146,7 @@
 }
 
 #[test]
-fn a_lowered_limit_reclaims_as_leases_end_and_a_raised_one_grants_at_once() {
+fn lowered_limit_grants_nothing_while_held_and_raised_limit_grants_at_once() {
     let mut leader = leader(LimitKind::InFlight(10));
     let recovered = lengthen_by_drift(LEASE);
     assert_eq!(
@@ -165,7 +167,7 @@
             .unwrap()
             .units,
         0,
-        "there are none to grant"
+        "there are no free units"
     );
     leader.set_limits(recovered + 30, &[limit(LimitKind::InFlight(100))]);
     assert_eq!(
@@ -177,7 +179,7 @@
 }
 
 #[test]
-fn a_limit_removed_and_added_within_a_lease_keeps_its_allocations() {
+fn limit_removed_and_added_within_lease_keeps_its_allocations() {
     let mut leader = leader(LimitKind::InFlight(4));
     let recovered = lengthen_by_drift(LEASE);
     assert_eq!(
@@ -192,14 +194,14 @@
             .units,
         0
     );
-    // Its lease over, nothing is kept of a removed limit.
+    // After the lease, a removed limit is dropped.
     leader.set_limits(recovered + 40, &[]);
     leader.set_limits(recovered + 2 * lengthen_by_drift(LEASE), &[]);
-    assert!(leader.ledgers.is_empty());
+    assert!(leader.allocators.is_empty());
 }
 
 #[test]
-fn the_fair_share_meets_small_wants_in_full() {
+fn fair_share_meets_small_demands_in_full() {
     assert_eq!(fair_share([1, 2, 30].into_iter(), 10), 7);
     assert_eq!(fair_share([1, 2, 3].into_iter(), 10), u32::MAX);
     assert_eq!(fair_share([5, 5, 5].into_iter(), 9), 3);
--- a/crates/coralstep-quota/src/lib.rs
+++ b/crates/coralstep-quota/src/lib.rs
@@ -1,11 +1,11 @@
-//! Quotas of limits that hold for a whole fleet: RPCs a second, or in flight, of a tenant, a method, a dependency, or
-//! several of these. No I/O and no clock here: messages and the time are passed in.
+//! Fleet-wide limits on RPCs per second or RPCs in flight, by tenant, method, dependency or a combination of these.
+//! This crate does no I/O and reads no clock: the caller passes in messages and the time.
 //!
-//! A unit of a limit is held by one server at a time. The [`leader`] grants units, each for a [`lease`]; the
-//! [`election`] sees to it that there is one leader at a time, by votes that lapse; a [`client`], on every server,
-//! decides each RPC by the units that it holds, without a message. The [`extension`] joins them to the fleet's gossip,
-//! and [`config`] is what operators state. What a server admits while it is cut off from the leader is the one rule in
-//! [`cut_off`]. What all of it promises is in `docs/limits.md`, the formulas in [`guarantees`].
+//! A unit of a limit is held by one server at a time. The [`leader`] grants units, each for a [`lease`]. The
+//! [`election`] ensures that there is one leader at a time, by votes that expire. A [`client`] on every server admits
+//! RPCs by the units that it holds, without sending a message per RPC. The [`extension`] connects them to the fleet's
+//! gossip, and [`config`] has the operator's settings. [`cut_off`] defines what a server admits while it cannot reach
+//! the leader. `docs/limits.md` describes the guarantees, [`guarantees`] has them as formulas.
 pub mod client;
 pub mod config;
 pub mod cut_off;
--- a/crates/coralstep-quota/src/limit.rs
+++ b/crates/coralstep-quota/src/limit.rs
@@ -1,30 +1,30 @@
-//! A limit as the leader and the clients apply it, with the names of its settings resolved.
+//! Limits as leader and clients apply them, after the names in their settings have been resolved.
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
 use crate::config::CutOff;
 
-/// Identifies a limit across the fleet: the same wherever what it applies to is the same, whatever its figures.
+/// Identifies a limit across the fleet. It depends on what the limit applies to, not on the limit's values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LimitKey(pub u64);
 
-/// What a limit counts, and how much of it the whole fleet may have.
+/// What a limit counts, and its value for the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitKind {
-    /// RPCs a second, of which `burst` may come at once.
+    /// RPCs per second, with bursts of up to `burst` RPCs.
     Rate {
-        /// RPCs a second, refilled evenly.
+        /// Refill rate, in RPCs per second.
         rps: f64,
         /// Size of the token bucket, in RPCs.
         burst: u32,
     },
-    /// RPCs that are read and not yet answered, at any moment.
+    /// Maximum number of RPCs that have been read and not yet answered.
     InFlight(u32),
 }
 
 impl LimitKind {
-    /// Units that the fleet has in all: tokens of a rate, RPCs of a limit on those in flight.
+    /// Returns the fleet's total units: the burst of a rate limit, or the maximum number of RPCs in flight.
     pub fn units(self) -> u32 {
         match self {
             LimitKind::Rate { burst, .. } => burst,
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Whether RPCs a second are limited.
+    /// Returns whether this is a rate limit.
     pub fn is_rate(self) -> bool {
         matches!(self, LimitKind::Rate { .. })
     }
 
-    /// The lower figures of two versions of one limit.
+    /// Returns the lower values of two versions of one limit.
     pub fn stricter(self, other: LimitKind) -> LimitKind {
         match (self, other) {
             (
@@ -58,21 +58,21 @@
     }
 }
 
-/// Which RPCs a limit applies to; every part that is set has to match.
+/// Which RPCs a limit applies to; an RPC has to match every field that is set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LimitScope {
     /// Index of the tenant.
     pub tenant: Option<usize>,
     /// Index of the method.
     pub method: Option<usize>,
-    /// Only RPCs whose method calls the dependency.
+    /// Whether the limit applies only to RPCs whose method calls the dependency.
     pub calls_dependency: bool,
 }
 
-/// What limits see of an RPC.
+/// The properties of an RPC that decide which limits apply to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RequestKey {
-    /// Index of the tenant, where the RPC has one.
+    /// Index of the tenant, if the RPC has one.
     pub tenant: Option<usize>,
     /// Index of the method.
     pub method: usize,
@@ -81,7 +81,7 @@
 }
 
 impl RequestKey {
-    /// Every scope that the RPC is within, the widest first.
+    /// Returns every scope that includes the RPC, the widest first.
     pub(crate) fn scopes(self) -> impl Iterator<Item = LimitScope> {
         let tenants = [None, self.tenant];
         let tenant_count = 1 + usize::from(self.tenant.is_some());
@@ -105,24 +105,24 @@
     }
 }
 
-/// A limit of the whole fleet.
+/// A fleet-wide limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limit {
-    /// Identifies it between servers.
+    /// Identifies the limit in messages between servers.
     pub key: LimitKey,
-    /// Its name, by which operators see it.
+    /// Name shown to operators.
     pub name: String,
     /// The RPCs that it applies to.
     pub scope: LimitScope,
-    /// What it counts, and its figures.
+    /// What it counts, and its values.
     pub kind: LimitKind,
-    /// What a server admits that no leader grants anything.
+    /// What a server admits while no leader grants it units.
     pub cut_off: CutOff,
 }
 
-/// Joins two versions of the limits: of each limit the lower figures, and all limits of either. Sorted by key.
+/// Merges two versions of the limits: all limits of either, each with its lower values, sorted by key.
 ///
-/// While a version is rolled out both are in use, so the stricter has to hold on every server.
+/// During a rollout both versions are in use, so every server has to enforce the stricter one.
 pub fn stricter_limits(limits: &[Limit], other: &[Limit]) -> Vec<Limit> {
     let mut joined: BTreeMap<LimitKey, Limit> = limits
         .iter()
--- a/crates/coralstep-quota/src/message.rs
+++ b/crates/coralstep-quota/src/message.rs
@@ -1,17 +1,17 @@
-//! The messages between two servers about quota and votes, and their bytes. Any of them may arrive twice, late or
-//! never.
+//! Messages between two servers about quota and votes, and their encoding. A message may be duplicated, delayed or
+//! lost.
 //!
-//! The codec goes by position: fields and variants keep their order, new ones go last.
+//! The codec encodes by position: fields and variants keep their order, and new ones are added at the end.
 use coralstep_fleet::Member;
 use serde::{Deserialize, Serialize};
 
 use crate::Millis;
 use crate::limit::LimitKey;
 
-/// Limits in one message, so that it fits a datagram.
+/// Maximum number of limits in one message, so that it fits in a datagram.
 pub const MAX_ENTRIES: usize = 48;
 
-/// Identifies one leader's term; 0 is none.
+/// Identifies a leader's term; 0 means no term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TermId(pub u64);
 
@@ -20,9 +20,9 @@
 pub struct QuotaRequest {
     /// The limit.
     pub key: LimitKey,
-    /// Units that the server holds: tokens granted in the message's term, or RPCs in flight granted in any.
+    /// Units that the server holds: tokens granted in the message's term, or units for RPCs in flight of any term.
     pub held: u32,
-    /// Units that it wants to hold in all.
+    /// Total units that it wants to hold.
     pub wanted: u32,
 }
 
@@ -31,95 +31,96 @@
 pub struct Grant {
     /// The limit.
     pub key: LimitKey,
-    /// Units that the server holds in all from now on.
+    /// Total units that the server holds from now on.
     pub units: u32,
-    /// Milliseconds until there will be a unit, where it wanted one and has none; else 0.
+    /// Milliseconds until a unit is expected if the server wants one and has none; otherwise 0.
     pub wait_ms: u32,
 }
 
 /// The grants that answer one message of requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GrantBatch {
-    /// The term of the leader that grants.
+    /// Term of the leader that grants the units.
     pub term: TermId,
     /// Sequence number of the requests that are answered.
     pub sequence: u32,
-    /// Lease of units of RPCs in flight, in milliseconds.
+    /// Lease of units for RPCs in flight, in milliseconds.
     pub lease_ms: u32,
     /// Milliseconds until the server should send its next requests.
     pub next_round_ms: u16,
-    /// One a limit.
+    /// One grant per limit.
     pub grants: Vec<Grant>,
 }
 
-/// What one server sends another.
+/// A message from one server to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// From a client to the leader.
+    /// A client's requests to the leader.
     Requests {
-        /// The term in which the held tokens were granted; 0 for none.
+        /// Term in which the held tokens were granted; 0 if there are none.
         term: TermId,
-        /// Rises with each message of one server.
+        /// Increases with each message of a server.
         sequence: u32,
-        /// One a limit.
+        /// One request per limit.
         requests: Vec<QuotaRequest>,
     },
     /// The leader's answer.
     Grants(GrantBatch),
     /// The answer of a server that isn't the leader.
     NotLeader {
-        /// The leader, as far as it knows.
+        /// The leader, if the sender knows it.
         leader: Option<Member>,
     },
-    /// A candidate wants to lead for a term.
+    /// A candidate's request for a vote for one term.
     VoteRequest {
-        /// Rises with each ballot of one candidate.
+        /// Increases with each ballot of a candidate.
         ballot: u32,
-        /// The candidate's lease. It has to be the voter's: both reckon by it what the leader before granted.
+        /// The candidate's lease. It has to equal the voter's, as both use it to tell how long units that the previous
+        /// leader granted stay valid.
         lease_ms: u32,
     },
     /// A voter's answer.
     Vote {
-        /// The ballot that is answered.
+        /// Ballot that is answered.
         ballot: u32,
-        /// Whether the voter promises itself to the candidate.
+        /// Whether the voter votes for the candidate.
         granted: bool,
     },
-    /// The candidate got too few votes, and gives this one back.
+    /// The candidate got too few votes and releases this one.
     VoteRelease {
-        /// The ballot that is given up.
+        /// Ballot that failed.
         ballot: u32,
     },
 }
 
-/// Why bytes of a peer are not a message.
+/// The reason why a peer's bytes were rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
-    /// The bytes are no message of this format.
+    /// The bytes do not decode to a message.
     #[error("malformed quota message")]
     Malformed(#[from] postcard::Error),
     /// More limits than [`MAX_ENTRIES`].
-    #[error("a quota message with {count} limits, {MAX_ENTRIES} at most")]
+    #[error("quota message has {count} limits, more than the maximum of {MAX_ENTRIES}")]
     TooManyEntries {
-        /// Limits in the message.
+        /// Number of limits in the message.
         count: usize,
     },
-    /// The leader that is named can't be a member.
-    #[error("a quota message names an invalid leader")]
+    /// The named leader is not a valid member.
+    #[error("quota message names an invalid leader")]
     InvalidLeader,
 }
 
 impl Message {
-    /// The bytes that go into a datagram.
+    /// Encodes the message for a datagram.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// Reads a peer's bytes.
+    /// Decodes a peer's bytes.
     ///
     /// # Errors
     ///
-    /// Where the bytes are malformed, or say what no server would.
+    /// Returns an error if the bytes are malformed or the message is invalid.
     pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
         let message: Message = postcard::from_bytes(bytes)?;
         let count = match &message {
@@ -137,7 +138,7 @@
     }
 }
 
-/// A span as a message has it, in milliseconds.
-pub(crate) fn wire_millis(span: Millis) -> u32 {
+/// Converts a time span to a message's milliseconds; a longer one becomes `u32::MAX`.
+pub(crate) fn to_wire_millis(span: Millis) -> u32 {
     u32::try_from(span).unwrap_or(u32::MAX)
 }
--- a/crates/coralstep-quota/tests/golden.rs
+++ b/crates/coralstep-quota/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes between servers about quota and votes, held still by the tables under `tests/golden`.
-//! `GOLDEN_WRITE=1` writes these anew.
+//! Compares the encoding of quota and vote messages with the golden files in `tests/golden`.
+//! `GOLDEN_WRITE=1` rewrites these files.
 use coralstep_fleet::Member;
 use coralstep_fleet::extension::{GossipExtension, MembershipView};
 use coralstep_quota::QuotaExtension;
@@ -8,8 +8,7 @@
 use coralstep_quota::limit::{Limit, LimitKey, RequestKey};
 use coralstep_quota::message::{Grant, GrantBatch, Message, QuotaRequest, TermId};
 
-/// The bytes of a committed table (lines of a name and hexadecimal digits), which has to be what is written
-/// now.
+/// Asserts that a golden table (lines of a name and hexadecimal digits) equals `written`, and returns its bytes.
 fn golden(table: &str, written: &[(String, Vec<u8>)]) -> Vec<Vec<u8>> {
     let path = format!("{}/tests/golden/{table}.hex", env!("CARGO_MANIFEST_DIR"));
     let hex = |bytes: &[u8]| {
@@ -45,8 +44,8 @@
         .collect()
 }
 
-/// `text` has to be what the golden file holds.
-fn same_text(name: &str, text: &str) {
+/// Asserts that the golden file contains `text`.
+fn assert_golden_text(name: &str, text: &str) {
     let path = format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR"));
     if std::env::var_os("GOLDEN_WRITE").is_some() {
         std::fs::write(&path, text).unwrap();
@@ -54,7 +53,7 @@
     assert_eq!(std::fs::read_to_string(&path).unwrap(), text, "{name}");
 }
 
-fn near() -> Member {
+fn sender() -> Member {
     Member::new(
         "server-17.alps",
         "10.1.2.200:7300".parse().unwrap(),
@@ -62,7 +61,7 @@
     )
 }
 
-fn far() -> Member {
+fn receiver() -> Member {
     Member::new(
         "süd-2",
         "[2001:db8::ff]:65535".parse().unwrap(),
@@ -131,7 +130,7 @@
         (
             "elsewhere",
             Message::NotLeader {
-                leader: Some(far()),
+                leader: Some(receiver()),
             },
         ),
         ("nobody", Message::NotLeader { leader: None }),
@@ -169,9 +168,9 @@
     [quota_messages(), vote_messages()].concat()
 }
 
-/// Guards against a message or field whose place changes: leaders and clients of two releases would misread it.
+/// Guards against reordered messages or fields, which another release would decode wrongly.
 #[test]
-fn messages_keep_their_bytes() {
+fn encoding_of_messages_is_unchanged() {
     let written: Vec<_> = messages()
         .iter()
         .map(|(name, message)| ((*name).to_owned(), message.encode()))
@@ -228,9 +227,9 @@
     resolve_limits(&configs, &known).unwrap()
 }
 
-/// Guards against servers of two releases that know one limit by two keys, and so give its units twice.
+/// Guards against servers of two releases using different keys for one limit, so that its units are granted twice.
 #[test]
-fn keys_of_limits_stay() {
+fn keys_of_limits_are_unchanged() {
     let written: Vec<_> = limits()
         .iter()
         .map(|limit| (limit.name.clone(), limit.key.0.to_le_bytes().to_vec()))
@@ -238,11 +237,11 @@
     golden("keys", &written);
 }
 
-/// Limits at a server that may lead, at the time when it does.
-fn leading() -> (QuotaExtension, u64) {
-    let mut extension = QuotaExtension::new(&near(), &[near().name], 10_000, 7, 0);
+/// Returns the extension of the only candidate, and the time at which it has become leader.
+fn elected_leader() -> (QuotaExtension, u64) {
+    let mut extension = QuotaExtension::new(&sender(), &[sender().name], 10_000, 7, 0);
     extension.set_limits(0, &limits());
-    let (own, mut now) = (near(), 0);
+    let (own, mut now) = (sender(), 0);
     while !extension.is_leader(now) {
         assert!(now < 60_000);
         now += 100;
@@ -262,14 +261,14 @@
     extension.tick(now, &view);
 }
 
-/// RPCs come for so long, in milliseconds: past the time in which no RPCs in flight are granted.
+/// Duration of the load in milliseconds; longer than the time in which a new leader grants no units for RPCs in flight.
 const RUN_MS: u64 = 20_000;
 
-/// Guards against shares that other servers show wrongly (limit, units, RPCs in flight, admitted beyond), and
-/// against JSON keys that are renamed with the fields.
+/// Guards against other servers showing wrong shares (limit, units, RPCs in flight, admitted beyond the quota), and
+/// against JSON keys that change with the names of fields.
 #[test]
-fn shares_on_their_way_keep_their_bytes() {
-    let (mut extension, start) = leading();
+fn encoding_of_share_reports_is_unchanged() {
+    let (mut extension, start) = elected_leader();
     let all = [(0, 1, true), (1, 0, false)].map(|(tenant, method, calls_dependency)| RequestKey {
         tenant: Some(tenant),
         method,
@@ -279,7 +278,7 @@
         all.iter()
             .for_each(|request| drop(extension.admit(now, *request, 0)));
         if now % 100 == 0 {
-            tick(&mut extension, &near(), now);
+            tick(&mut extension, &sender(), now);
         }
     }
     let now = start + RUN_MS;
@@ -291,30 +290,32 @@
         )],
     )
     .remove(0);
-    let mut other = QuotaExtension::new(&far(), &[], 10_000, 8, 0);
+    let mut other = QuotaExtension::new(&receiver(), &[], 10_000, 8, 0);
     other.set_limits(0, &limits());
-    other.handle_gossip(now + 70_000, &far(), &bytes);
-    same_text(
+    other.handle_gossip(now + 70_000, &receiver(), &bytes);
+    assert_golden_text(
         "rows.json",
         &serde_json::to_string_pretty(&other.share_rows(now + 70_000)).unwrap(),
     );
-    let figures = |row: &ShareRow| (row.limit.clone(), row.units, row.in_flight, row.over_quota);
+    let values = |row: &ShareRow| (row.limit.clone(), row.units, row.in_flight, row.over_quota);
     let theirs = other.share_rows(now + 70_000);
     let theirs: Vec<_> = theirs
         .iter()
-        .filter(|row| row.server == near().name)
-        .map(figures)
+        .filter(|row| row.server == sender().name)
+        .map(values)
         .collect();
-    let named = |(name, share, used, over): (&str, _, _, _)| (name.to_owned(), share, used, over);
+    let expected = |(limit, units, in_flight, over_quota): (&str, _, _, _)| {
+        (limit.to_owned(), units, in_flight, over_quota)
+    };
     assert_eq!(
         theirs,
-        [("a", 40, 0, 6), ("b", 10, 0, 6), ("c", 300, 300, 6)].map(named)
+        [("a", 40, 0, 6), ("b", 10, 0, 6), ("c", 300, 300, 6)].map(expected)
     );
 }
 
-/// Guards against messages of faulty settings changing with the names of types.
+/// Guards against error messages of invalid settings changing with the names of types.
 #[test]
-fn settings_of_a_wrong_type_keep_their_message() {
+fn error_for_setting_of_wrong_type_is_unchanged() {
     let error = serde_json::from_str::<LimitConfig>("3").unwrap_err();
     assert_eq!(
         error.to_string(),
