--- a/crates/coralstep-state/src/background.rs
+++ b/crates/coralstep-state/src/background.rs
@@ -1,10 +1,10 @@
-//! Budgeted background work beside serving: snapshots, compaction, expiry, reports.
+//! Schedules background work within a budget: snapshots, compaction, expiry, reports.
 //!
-//! Each task has a weight, and all share a budget of time, CPU and bytes a second. While serving is
-//! busy the budget shrinks to a stated minimum, so that nothing starves. No I/O and no clock: the
-//! caller passes the time and does the steps.
+//! Each task has a weight, and all share a budget of time, CPU and bytes per second. While the
+//! server is busy, the budget shrinks to a minimum that keeps tasks from starving. This module does
+//! no I/O and reads no clock: the caller passes the time and runs the steps.
 
-/// What a step of a task costs.
+/// Cost of one step of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StepCost {
     /// Elapsed time in ms.
@@ -15,19 +15,19 @@
     pub bytes: f64,
 }
 
-/// What all background work together may cost, for each second.
+/// Maximum cost of all background work per second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Elapsed time in ms a second.
+    /// Elapsed time in ms per second.
     pub time_ms: f64,
-    /// CPU time in ms a second.
+    /// CPU time in ms per second.
     pub cpu_ms: f64,
-    /// Bytes a second.
+    /// Bytes read and written per second.
     pub bytes: f64,
 }
 
 impl Default for Budget {
-    /// A twentieth of one core and 4 MB a second.
+    /// Returns a budget of a twentieth of one core and 4 MB per second.
     fn default() -> Budget {
         Budget {
             time_ms: 100.0,
@@ -37,45 +37,45 @@
     }
 }
 
-/// A task that is to be scheduled.
+/// A task to schedule.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TaskConfig {
     /// Identifies the task.
     pub name: &'static str,
-    /// Its part of the budget in relation to the other tasks; at least [`MIN_WEIGHT`] is used.
+    /// Weight of the task in the budget relative to other tasks; at least [`MIN_WEIGHT`] is used.
     pub weight: f64,
 }
 
-/// Smallest weight of a task.
+/// Minimum weight of a task.
 pub const MIN_WEIGHT: f64 = 0.01;
-/// A task that has waited for this long is next whatever its weight, in ms.
+/// A task that has waited for this long runs next regardless of its weight, in ms.
 pub const MAX_WAIT_MS: f64 = 10_000.0;
 
-/// Part of the budget that is left however busy serving is.
-const MIN_BUDGET_PART: f64 = 0.1;
-/// The budget shrinks from this utilization of serving on.
+/// Fraction of the budget that remains while the server is busy.
+const MIN_BUDGET_FRACTION: f64 = 0.1;
+/// Utilization of the server from which the budget shrinks.
 const BUSY_UTILIZATION: f64 = 0.5;
-/// The budget would be gone at this utilization of serving, but for [`MIN_BUDGET_PART`].
+/// Utilization of the server at which the budget would be 0 without [`MIN_BUDGET_FRACTION`].
 const FULL_UTILIZATION: f64 = 0.95;
 /// Unused budget is kept for this long, in seconds.
 const MAX_SAVED_BUDGET_S: f64 = 2.0;
-/// A task without a step for this long gives up its claim on unused budget, in ms.
+/// A task without a step for this long loses its claim to unused budget, in ms.
 const IDLE_MS: f64 = 1_000.0;
-/// Guards against a division by a budget of nothing.
+/// Guards against a division by zero if the budget is 0.
 const MIN_BUDGET: f64 = 1e-9;
 
 #[derive(Clone, Debug)]
 struct Task {
     config: TaskConfig,
-    /// Part of a second's budget that was used, divided by the weight: the lowest is next.
+    /// Used fraction of a second's budget divided by the weight; the task with the lowest is next.
     weighted_usage: f64,
-    /// Since when it has a step to do, in ms.
+    /// Since when the task has a step to run, in ms.
     waiting_since_ms: Option<f64>,
-    /// When its last step was done, in ms.
+    /// When the task's last step was completed, in ms.
     last_done_ms: f64,
 }
 
-/// Decides which background task may do its next step.
+/// Decides which background task may run its next step.
 #[derive(Debug)]
 pub struct BackgroundScheduler {
     budget: Budget,
@@ -85,7 +85,7 @@
 }
 
 impl BackgroundScheduler {
-    /// Returns a scheduler of these tasks, at time 0 and without saved budget.
+    /// Creates a scheduler of these tasks at time 0, without saved budget.
     pub fn new(budget: Budget, tasks: &[TaskConfig]) -> BackgroundScheduler {
         let tasks = tasks.iter().map(|config| Task {
             config: TaskConfig {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// A task has a step to do. Nothing happens if the name is unknown.
+    /// Requests a step for a task. Has no effect if the name is unknown.
     pub fn request_step(&mut self, name: &str, now_ms: f64) {
         let min_usage = self
             .tasks
@@ -116,18 +116,19 @@
             return;
         };
         let was_idle = task.waiting_since_ms.is_none() && now_ms - task.last_done_ms >= IDLE_MS;
-        // Guards against a task that was idle for long and would then have the whole budget.
+        // Guards against a task that uses the whole budget after a long idle time.
         if was_idle && min_usage < f64::MAX {
             task.weighted_usage = task.weighted_usage.max(min_usage);
         }
         task.waiting_since_ms.get_or_insert(now_ms);
     }
 
-    /// Returns the task that may do its step now. `utilization`: part of the cores that serving
-    /// uses, 0 to 1.
+    /// Returns the task that may run its step now. `utilization` is the fraction of the cores that
+    /// the server uses, 0 to 1.
     pub fn next_step(&mut self, now_ms: f64, utilization: f64) -> Option<&'static str> {
         self.refill(now_ms, utilization);
-        // A step larger than all that is ever saved goes into debt, or it would never come.
+        // A step may overdraw the budget, as one that costs more than the saved maximum would
+        // otherwise never run.
         let available = self.available;
         if available.time_ms <= 0.0 || available.cpu_ms <= 0.0 || available.bytes <= 0.0 {
             return None;
@@ -137,15 +138,15 @@
             .map(|task| task.config.name)
     }
 
-    /// A step is done and cost this much.
+    /// Records a completed step and its cost.
     pub fn complete_step(&mut self, name: &str, cost: StepCost) {
         self.available.time_ms -= cost.time_ms;
         self.available.cpu_ms -= cost.cpu_ms;
         self.available.bytes -= cost.bytes;
-        let budget_part = self.largest_budget_part(cost);
+        let budget_fraction = self.largest_budget_fraction(cost);
         let now_ms = self.now_ms;
         if let Some(task) = self.task_mut(name) {
-            task.weighted_usage += budget_part / task.config.weight;
+            task.weighted_usage += budget_fraction / task.config.weight;
             task.waiting_since_ms = None;
             task.last_done_ms = now_ms;
         }
@@ -158,11 +159,12 @@
     fn refill(&mut self, now_ms: f64, utilization: f64) {
         let seconds = ((now_ms - self.now_ms) / 1_000.0).clamp(0.0, MAX_SAVED_BUDGET_S);
         self.now_ms = self.now_ms.max(now_ms);
-        let budget_part = ((FULL_UTILIZATION - utilization)
+        let budget_fraction = ((FULL_UTILIZATION - utilization)
             / (FULL_UTILIZATION - BUSY_UTILIZATION))
-            .clamp(MIN_BUDGET_PART, 1.0);
+            .clamp(MIN_BUDGET_FRACTION, 1.0);
         let refilled = |available: f64, per_second: f64| {
-            (available + per_second * seconds * budget_part).min(per_second * MAX_SAVED_BUDGET_S)
+            (available + per_second * seconds * budget_fraction)
+                .min(per_second * MAX_SAVED_BUDGET_S)
         };
         self.available = StepCost {
             time_ms: refilled(self.available.time_ms, self.budget.time_ms),
@@ -171,13 +173,13 @@
         };
     }
 
-    /// The task that has waited longest, if that is over [`MAX_WAIT_MS`].
+    /// Returns the task that has waited longest, if it has waited for [`MAX_WAIT_MS`].
     fn starving_task(&self, now_ms: f64) -> Option<&Task> {
         self.tasks
             .iter()
             .filter_map(|task| Some((task, task.waiting_since_ms?)))
             .filter(|(_, since_ms)| now_ms - since_ms >= MAX_WAIT_MS)
-            .min_by(|(_, one), (_, other)| one.total_cmp(other))
+            .min_by(|(_, a), (_, b)| a.total_cmp(b))
             .map(|(task, _)| task)
     }
 
@@ -185,15 +187,15 @@
         self.tasks
             .iter()
             .filter(|task| task.waiting_since_ms.is_some())
-            .min_by(|one, other| one.weighted_usage.total_cmp(&other.weighted_usage))
+            .min_by(|a, b| a.weighted_usage.total_cmp(&b.weighted_usage))
     }
 
-    /// The largest part of a second's budget that this cost takes, of time, CPU and bytes.
-    fn largest_budget_part(&self, cost: StepCost) -> f64 {
-        let part = |cost: f64, per_second: f64| cost / per_second.max(MIN_BUDGET);
-        part(cost.time_ms, self.budget.time_ms)
-            .max(part(cost.cpu_ms, self.budget.cpu_ms))
-            .max(part(cost.bytes, self.budget.bytes))
+    /// Returns the largest fraction of a second's budget that this cost uses, of time, CPU and bytes.
+    fn largest_budget_fraction(&self, cost: StepCost) -> f64 {
+        let fraction = |cost: f64, per_second: f64| cost / per_second.max(MIN_BUDGET);
+        fraction(cost.time_ms, self.budget.time_ms)
+            .max(fraction(cost.cpu_ms, self.budget.cpu_ms))
+            .max(fraction(cost.bytes, self.budget.bytes))
     }
 }
 
--- a/crates/coralstep-state/src/background/tests.rs
+++ b/crates/coralstep-state/src/background/tests.rs
@@ -4,22 +4,22 @@
     TaskConfig { name, weight }
 }
 
-/// An hour of tasks that always want more; the ms of CPU that each got.
-fn hour(tasks: &[TaskConfig], busy: impl Fn(u64) -> f64, cost: StepCost) -> Vec<f64> {
+/// Simulates an hour with tasks that always request steps, and returns the CPU ms that each used.
+fn run_for_an_hour(tasks: &[TaskConfig], busy: impl Fn(u64) -> f64, cost: StepCost) -> Vec<f64> {
     let mut scheduler = BackgroundScheduler::new(Budget::default(), tasks);
-    let mut got = vec![0.0; tasks.len()];
-    for tick in 0..36_000u64 {
-        let now = tick as f64 * 100.0;
+    let mut cpu_ms = vec![0.0; tasks.len()];
+    for step in 0..36_000u64 {
+        let now = step as f64 * 100.0;
         tasks
             .iter()
             .for_each(|task| scheduler.request_step(task.name, now));
-        while let Some(name) = scheduler.next_step(now, busy(tick)) {
+        while let Some(name) = scheduler.next_step(now, busy(step)) {
             scheduler.complete_step(name, cost);
             scheduler.request_step(name, now);
-            got[tasks.iter().position(|task| task.name == name).unwrap()] += cost.cpu_ms;
+            cpu_ms[tasks.iter().position(|task| task.name == name).unwrap()] += cost.cpu_ms;
         }
     }
-    got
+    cpu_ms
 }
 
 const STEP: StepCost = StepCost {
@@ -29,46 +29,49 @@
 };
 
 #[test]
-fn idle_serving_leaves_the_budget_by_weight_and_no_more() {
-    let got = hour(
+fn idle_server_leaves_budget_to_tasks_by_weight() {
+    let cpu_ms = run_for_an_hour(
         &[task("snapshot", 3.0), task("compaction", 1.0)],
         |_| 0.1,
         STEP,
     );
-    let all: f64 = got.iter().sum();
-    assert!((all / (50.0 * 3_600.0) - 1.0).abs() < 0.02, "{got:?}");
-    assert!((got[0] / got[1] - 3.0).abs() < 0.05, "{got:?}");
+    let total: f64 = cpu_ms.iter().sum();
+    assert!((total / (50.0 * 3_600.0) - 1.0).abs() < 0.02, "{cpu_ms:?}");
+    assert!((cpu_ms[0] / cpu_ms[1] - 3.0).abs() < 0.05, "{cpu_ms:?}");
 }
 
 #[test]
-fn busy_serving_shrinks_the_budget_and_nothing_starves() {
-    let got = hour(
+fn busy_server_shrinks_budget_without_starving_tasks() {
+    let cpu_ms = run_for_an_hour(
         &[task("snapshot", 3.0), task("report", 0.01)],
         |_| 1.0,
         STEP,
     );
-    let all: f64 = got.iter().sum();
+    let total: f64 = cpu_ms.iter().sum();
     assert!(
-        (all / (50.0 * 3_600.0 * MIN_BUDGET_PART) - 1.0).abs() < 0.05,
-        "{got:?}"
+        (total / (50.0 * 3_600.0 * MIN_BUDGET_FRACTION) - 1.0).abs() < 0.05,
+        "{cpu_ms:?}"
     );
-    // One in ten seconds at least for the least of them.
-    assert!(got[1] >= 300.0, "{got:?}");
+    // The task with the lowest weight runs at least once in ten seconds.
+    assert!(cpu_ms[1] >= 300.0, "{cpu_ms:?}");
 }
 
 #[test]
-fn a_step_over_the_budget_runs_and_is_paid_off() {
+fn step_over_budget_runs_and_is_compensated_later() {
     let large = StepCost {
         time_ms: 1_000.0,
         cpu_ms: 500.0,
         bytes: 10_000.0,
     };
-    let got = hour(&[task("compaction", 1.0)], |_| 0.0, large);
-    assert!((got[0] / (50.0 * 3_600.0) - 1.0).abs() < 0.05, "{got:?}");
+    let cpu_ms = run_for_an_hour(&[task("compaction", 1.0)], |_| 0.0, large);
+    assert!(
+        (cpu_ms[0] / (50.0 * 3_600.0) - 1.0).abs() < 0.05,
+        "{cpu_ms:?}"
+    );
 }
 
 #[test]
-fn an_idle_task_saves_no_budget() {
+fn idle_task_saves_no_budget() {
     let mut scheduler =
         BackgroundScheduler::new(Budget::default(), &[task("a", 1.0), task("b", 1.0)]);
     let mut now = 0.0;
@@ -81,15 +84,15 @@
         }
     }
     scheduler.request_step("b", now);
-    let mut row = Vec::new();
+    let mut order = Vec::new();
     for _ in 0..20 {
         now += 100.0;
         if let Some(name) = scheduler.next_step(now, 0.0) {
-            row.push(name);
+            order.push(name);
             scheduler.complete_step(name, STEP);
             scheduler.request_step(name, now);
         }
     }
-    let shared = row.iter().filter(|name| **name == "b").count();
-    assert!((8..=12).contains(&shared), "{row:?}");
+    let shared = order.iter().filter(|name| **name == "b").count();
+    assert!((8..=12).contains(&shared), "{order:?}");
 }
--- a/crates/coralstep-state/src/confidence.rs
+++ b/crates/coralstep-state/src/confidence.rs
@@ -1,18 +1,18 @@
-//! How far a snapshot is believed, by its age.
+//! Confidence in a snapshot, depending on its age.
 
-/// Up to this age a snapshot is believed completely, in seconds: the time that a deploy takes.
+/// Maximum age of a snapshot with full confidence, in seconds: the duration of a deploy.
 pub const MAX_FULL_CONFIDENCE_AGE_S: f64 = 60.0;
-/// From this age on a snapshot is not believed at all, in seconds: traffic differs from week to
+/// Age from which there is no confidence in a snapshot, in seconds: traffic changes from week to
 /// week.
 pub const MAX_AGE_S: f64 = 7.0 * 86_400.0;
-/// A snapshot may be dated this far in the future, in seconds, since clocks differ.
+/// Maximum time that a snapshot may be dated in the future, in seconds, as clocks differ.
 pub const MAX_CLOCK_SKEW_S: f64 = 60.0;
 
-/// Returns the confidence in a snapshot of this age in seconds: 1 as if it had been measured just
-/// now, 0 for none.
+/// Returns the confidence in a snapshot of this age in seconds, from 0 (none) to 1 (as good as a
+/// new measurement).
 ///
-/// It falls with the logarithm of the age, so that a day is worth about a fifth. A snapshot from
-/// the future has none.
+/// It decreases with the logarithm of the age and is about a fifth after a day. It is 0 for a
+/// snapshot from the future.
 pub fn from_age(age_s: f64) -> f64 {
     if age_s.is_nan() || age_s < -MAX_CLOCK_SKEW_S {
         0.0
--- a/crates/coralstep-state/src/confidence/tests.rs
+++ b/crates/coralstep-state/src/confidence/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn confidence_falls_with_age_and_there_is_none_for_the_future() {
+fn confidence_decreases_with_age_and_is_zero_for_the_future() {
     assert_eq!(
         (from_age(0.0), from_age(60.0), from_age(-30.0)),
         (1.0, 1.0, 1.0)
@@ -18,6 +18,6 @@
     assert!(
         (1..200)
             .map(|step| from_age(f64::from(step) * 3_000.0))
-            .is_sorted_by(|one, other| one >= other)
+            .is_sorted_by(|a, b| a >= b)
     );
 }
--- a/crates/coralstep-state/src/faulty_storage.rs
+++ b/crates/coralstep-state/src/faulty_storage.rs
@@ -1,9 +1,8 @@
-//! A directory in memory that fails as real ones do, for tests.
+//! A directory in memory that simulates the faults of real storage, for tests.
 //!
-//! Nothing that was written is durable until it is synced: at a power cut each write since then is
-//! kept, torn or lost at random, also a later one without an earlier one. A new or changed name is
-//! durable only once the directory was synced. Syncs may lie, space may run out, and any operation
-//! may fail.
+//! Writes are durable only after a sync: a power cut keeps, tears or loses each unsynced write at
+//! random, and may keep a later write while it loses an earlier one. Names are durable only after a
+//! sync of the directory. Syncs may have no effect, the disk may be full, and any operation may fail.
 use std::collections::BTreeMap;
 use std::io;
 
@@ -12,7 +11,7 @@
 
 use crate::storage::{Storage, StorageError, StorageOperation};
 
-/// A write at its place in a file.
+/// A write at an offset in a file.
 #[derive(Clone, Debug)]
 struct Write {
     offset: usize,
@@ -44,7 +43,7 @@
         contents
     }
 
-    /// Contents after a power cut: each unsynced write is kept, torn or lost.
+    /// Returns the contents after a power cut: each unsynced write is kept, torn or lost.
     fn contents_after_cut(&self, rng: &mut SmallRng) -> Vec<u8> {
         let mut contents = self.durable.clone();
         for Write { offset, bytes } in &self.unsynced {
@@ -69,40 +68,40 @@
     contents[offset..end].copy_from_slice(bytes);
 }
 
-/// What goes wrong.
+/// Faults to simulate.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// The power is cut at this operation, counted from 0; it and all after it fail.
+    /// Index of the operation at which the power is cut; it and all later ones fail.
     pub power_cut_at: Option<u64>,
-    /// This operation alone fails, counted from 0.
+    /// Index of a single operation that fails.
     pub error_at: Option<u64>,
-    /// Syncs report success and do nothing.
-    pub syncs_lie: bool,
-    /// Total length of all files that fits, in bytes.
+    /// Syncs report success without effect.
+    pub ignore_syncs: bool,
+    /// Maximum total length of all files, in bytes.
     pub capacity_bytes: Option<usize>,
-    /// Every operation that changes something fails.
+    /// Every modifying operation fails.
     pub read_only: bool,
 }
 
-/// Index of each file's inode by name.
+/// Index of each file's inode, by name.
 type Names = BTreeMap<String, usize>;
 
 /// A directory in memory with [`Faults`].
 #[derive(Clone, Debug, Default)]
 pub struct FaultyStorage {
-    /// What goes wrong from now on.
+    /// Faults of the next operations.
     pub faults: Faults,
-    /// How many operations that change something were attempted.
+    /// Number of attempted modifying operations.
     pub operations: u64,
     inodes: Vec<Inode>,
     names: Names,
     durable_names: Names,
-    /// Names after each change since the directory was synced, in order.
+    /// Names after each change since the last sync of the directory, in order.
     unsynced_names: Vec<Names>,
 }
 
 impl FaultyStorage {
-    /// Returns an empty directory with these faults.
+    /// Creates an empty directory with these faults.
     pub fn with_faults(faults: Faults) -> FaultyStorage {
         FaultyStorage {
             faults,
@@ -110,11 +109,11 @@
         }
     }
 
-    /// Returns what is left after a power cut now, drawn by `seed`, with the faults that hold from
-    /// then on.
+    /// Returns the directory after a power cut at this point, with the given faults. `seed`
+    /// determines which unsynced writes are kept.
     pub fn after_power_cut(&self, seed: u64, faults: Faults) -> FaultyStorage {
         let mut rng = SmallRng::seed_from_u64(seed);
-        // Changes of names become durable in their order, but the last of them may be missing.
+        // Changes of names become durable in order; any number of the last ones may be lost.
         let kept_changes = rng.random_range(0..=self.unsynced_names.len());
         let names = kept_changes
             .checked_sub(1)
@@ -135,8 +134,8 @@
         }
     }
 
-    /// Changes the contents of a file as a faulty disk would; nothing happens if there is no such
-    /// file.
+    /// Changes the contents of a file as a faulty disk would. Has no effect if the file does not
+    /// exist.
     pub fn corrupt(&mut self, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
         if let Ok(inode) = self.inode_mut(name) {
             let mut contents = inode.contents();
@@ -145,12 +144,12 @@
         }
     }
 
-    /// Counts an operation that changes something, and fails it if a fault says so.
+    /// Counts a modifying operation and returns an error if a fault applies to it.
     fn begin_operation(&mut self) -> io::Result<()> {
         let number = self.operations;
         self.operations += 1;
         if self.faults.power_cut_at.is_some_and(|cut| number >= cut) {
-            return Err(io::Error::other("the power is cut"));
+            return Err(io::Error::other("simulated power cut"));
         }
         if self.faults.error_at == Some(number) {
             return Err(io::Error::other("input/output error"));
@@ -170,7 +169,7 @@
         Ok(&mut self.inodes[index])
     }
 
-    fn names_changed(&mut self) {
+    fn record_names(&mut self) {
         self.unsynced_names.push(self.names.clone());
     }
 
@@ -178,7 +177,7 @@
         self.begin_operation()?;
         self.inodes.push(Inode::default());
         self.names.insert(name.to_owned(), self.inodes.len() - 1);
-        self.names_changed();
+        self.record_names();
         Ok(())
     }
 
@@ -194,7 +193,7 @@
             .map_or(bytes.len(), |capacity| capacity.saturating_sub(used_bytes));
         let fitting = &bytes[..bytes.len().min(free_bytes)];
         let started = self.begin_operation();
-        // A power cut in the middle of a write leaves a part of it, and so does a full disk.
+        // A power cut during a write leaves a part of it, and so does a full disk.
         let written = match started {
             Ok(()) => fitting,
             Err(_) => &fitting[..fitting.len() / 2],
@@ -214,9 +213,9 @@
 
     fn try_sync(&mut self, name: &str) -> io::Result<()> {
         self.begin_operation()?;
-        let syncs_lie = self.faults.syncs_lie;
+        let ignore_syncs = self.faults.ignore_syncs;
         let inode = self.inode_mut(name)?;
-        if !syncs_lie {
+        if !ignore_syncs {
             inode.durable = inode.contents();
             inode.unsynced.clear();
         }
@@ -227,14 +226,14 @@
         self.begin_operation()?;
         let index = self.names.remove(from).ok_or(io::ErrorKind::NotFound)?;
         self.names.insert(to.to_owned(), index);
-        self.names_changed();
+        self.record_names();
         Ok(())
     }
 
     fn try_remove(&mut self, name: &str) -> io::Result<()> {
         self.begin_operation()?;
         self.names.remove(name).ok_or(io::ErrorKind::NotFound)?;
-        self.names_changed();
+        self.record_names();
         Ok(())
     }
 }
@@ -286,7 +285,7 @@
     fn sync_directory(&mut self) -> Result<(), StorageError> {
         self.begin_operation()
             .map_err(|source| StorageError::io(StorageOperation::SyncDirectory, ".", source))?;
-        if !self.faults.syncs_lie {
+        if !self.faults.ignore_syncs {
             self.durable_names = self.names.clone();
             self.unsynced_names.clear();
         }
--- a/crates/coralstep-state/src/faulty_storage/tests.rs
+++ b/crates/coralstep-state/src/faulty_storage/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn only_synced_writes_and_names_survive_a_power_cut() {
+fn unsynced_writes_and_names_may_be_lost_at_power_cut() {
     let mut storage = FaultyStorage::default();
     storage.create("a").unwrap();
     storage.append("a", b"safe").unwrap();
@@ -26,7 +26,7 @@
             && after.contains(&b"safenot"[..])
             && after.contains(&b"safen"[..])
     );
-    // A rename that was not followed by a sync of the folder may be undone.
+    // A rename may be undone unless a sync of the directory follows.
     storage.rename("a", "b").unwrap();
     let names: std::collections::BTreeSet<String> = (0..50)
         .flat_map(|seed| {
@@ -37,7 +37,7 @@
         })
         .collect();
     assert_eq!(names.len(), 2);
-    storage.faults.syncs_lie = true;
+    storage.faults.ignore_syncs = true;
     storage.sync("b").unwrap();
     assert!((0..50).any(|seed| {
         storage
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_full_disk_takes_a_part_and_reports_an_error() {
+fn full_disk_writes_a_part_and_reports_an_error() {
     let mut storage = FaultyStorage {
         faults: Faults {
             capacity_bytes: Some(5),
--- a/crates/coralstep-state/src/fingerprint/tests.rs
+++ b/crates/coralstep-state/src/fingerprint/tests.rs
@@ -25,35 +25,38 @@
 }
 
 #[test]
-fn only_what_applies_under_the_current_configuration_is_kept() {
+fn keeps_only_the_part_that_applies_under_the_current_configuration() {
     let applicable =
         |current: &ConfigFingerprint| applicable_part(&learned(), &fingerprint(), current);
     assert_eq!(applicable(&fingerprint()), Some(learned()));
-    let renamed = ConfigFingerprint {
+    let other_methods = ConfigFingerprint {
         methods: vec!["pay".to_owned(), "new".to_owned()],
         ..fingerprint()
     };
-    assert_eq!(applicable(&renamed).unwrap().run_times, [[2; 12], [0; 12]]);
+    assert_eq!(
+        applicable(&other_methods).unwrap().run_times,
+        [[2; 12], [0; 12]]
+    );
     let fewer_cores = ConfigFingerprint {
         cores: 2,
         ..fingerprint()
     };
-    let half = applicable(&fewer_cores).unwrap();
+    let applied = applicable(&fewer_cores).unwrap();
     assert_eq!(
-        (half.concurrency_limit, half.call_permits),
+        (applied.concurrency_limit, applied.call_permits),
         (None, Some(4.0))
     );
     let other_share = ConfigFingerprint {
         dependency_share: Some(9.0),
         ..fingerprint()
     };
-    let other = applicable(&other_share).unwrap();
+    let applied = applicable(&other_share).unwrap();
     assert_eq!(
         (
-            other.concurrency_limit,
-            other.call_permits,
-            other.best_call_time,
-            other.call_times
+            applied.concurrency_limit,
+            applied.call_permits,
+            applied.best_call_time,
+            applied.call_times
         ),
         (Some(5), None, None, [0; 12])
     );
--- a/crates/coralstep-state/src/fleet_record.rs
+++ b/crates/coralstep-state/src/fleet_record.rs
@@ -1,6 +1,5 @@
-//! The configuration version that a server acts on and its audit of the earlier ones, in one file
-//! that is replaced at each change. The payloads are opaque here; a corrupt file is not believed at
-//! all.
+//! The active configuration version of a server and its audit of earlier ones, in one file that is
+//! replaced at each change. The payloads are opaque here. A corrupt file is rejected as a whole.
 use std::io;
 
 use crate::framing::{self, FileKind, HEADER_BYTES};
@@ -9,34 +8,34 @@
 const FILE: &str = "fleet";
 const TEMPORARY_FILE: &str = "fleet.new";
 const FORMAT_VERSION: u16 = 1;
-/// Longest file that is read, in bytes.
+/// Maximum length of a file that is read, in bytes.
 const MAX_FILE_BYTES: usize = 2 << 20;
 
-/// The active version and the audit of a fleet's configuration, each entry encoded by its owner.
+/// The active version and the audit of a fleet's configuration, encoded by the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetRecord {
-    /// The version that the server acts on.
+    /// Active version of the server.
     pub active_version: Vec<u8>,
-    /// Which versions the server acted on before, in the order in which they are written.
+    /// Audit entries of earlier active versions, in the order in which they are written.
     pub audit_entries: Vec<Vec<u8>>,
 }
 
-/// A record as it was read.
+/// A record that was read from a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadedFleetRecord {
     /// The record; empty if the file is corrupt.
     pub record: FleetRecord,
-    /// How many bytes are corrupt; 0 if the record is complete.
+    /// Number of corrupt bytes; 0 if the record is complete.
     pub corrupt_bytes: usize,
 }
 
-/// Writes the record beside the old one and renames it into place: at any moment one of them is
-/// complete.
+/// Writes the record to a temporary file and renames it into place, so that a complete record exists
+/// at any time.
 ///
 /// # Errors
 ///
-/// The [`StorageError`] of the step that failed; the old record is still in place then, unless the
-/// last step failed.
+/// Returns the [`StorageError`] of the operation that failed. The old record is then still in place,
+/// unless it was the last operation.
 pub fn save(storage: &mut impl Storage, record: &FleetRecord) -> Result<(), StorageError> {
     let mut bytes = framing::file_header(FileKind::Fleet, FORMAT_VERSION);
     framing::append_record(&mut bytes, &record.active_version);
@@ -50,11 +49,11 @@
     storage.sync_directory()
 }
 
-/// Reads the record; `None` if there is no file or it is of another kind or format version.
+/// Reads the record. Returns `None` if there is no file or it has another kind or format version.
 ///
 /// # Errors
 ///
-/// A [`StorageError`] if the file exists and cannot be read.
+/// Returns a [`StorageError`] if the file exists and cannot be read.
 pub fn load(storage: &impl Storage) -> Result<Option<LoadedFleetRecord>, StorageError> {
     let bytes = match storage.read(FILE, MAX_FILE_BYTES) {
         Ok(bytes) => bytes,
@@ -70,8 +69,8 @@
         .split_first()
         .filter(|_| scanned.corrupt_bytes == 0)
     else {
-        // The active version comes first; once bytes are missing nobody can tell which of the rest
-        // it was.
+        // The active version is the first record. If bytes are corrupt, it cannot be told apart
+        // from the other records.
         return Ok(Some(LoadedFleetRecord {
             record: FleetRecord::default(),
             corrupt_bytes: scanned.corrupt_bytes.max(1),
--- a/crates/coralstep-state/src/fleet_record/tests.rs
+++ b/crates/coralstep-state/src/fleet_record/tests.rs
@@ -2,7 +2,7 @@
 use crate::DirStorage;
 
 #[test]
-fn a_saved_record_is_loaded_and_a_corrupt_one_is_not_believed() {
+fn saved_record_is_loaded_and_corrupt_record_is_rejected() {
     let path = std::env::temp_dir().join(format!("coralstep-record-{}", std::process::id()));
     let mut storage = DirStorage::open(&path).unwrap();
     assert_eq!(load(&storage).unwrap(), None);
@@ -29,7 +29,7 @@
             "byte {at}"
         );
     }
-    // A power cut while the next one was written: the old one counts.
+    // After a power cut while the next record is written, the old one is loaded.
     save(&mut storage, &record).unwrap();
     storage.create(TEMPORARY_FILE).unwrap();
     storage.append(TEMPORARY_FILE, &bytes[..20]).unwrap();
--- a/crates/coralstep-state/src/framing.rs
+++ b/crates/coralstep-state/src/framing.rs
@@ -1,24 +1,24 @@
-//! Framing of files and records: each file begins with a magic number, its kind and its format
-//! version, and each record is wrapped in a marker, its length and a checksum. Bytes that do not
-//! add up belong to no record.
+//! Framing of files and records. Each file begins with a magic number, its kind and its format
+//! version. Each record begins with a marker, its length and a checksum; bytes with a wrong checksum
+//! are not part of any record.
 
-/// The first bytes of every file.
+/// First bytes of every file.
 pub const MAGIC: &[u8; 8] = b"CORALST\n";
 /// Length of a file's header: magic, kind and version, in bytes.
 pub const HEADER_BYTES: usize = 11;
-/// Longest payload of a record, in bytes.
+/// Maximum length of a record's payload, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 1 << 20;
 
-/// Stands before each record, so that reading can resume behind one whose length is corrupt.
+/// Precedes each record, so that reading can resume after a record with a corrupt length.
 const RECORD_MARKER: [u8; 2] = [0xc5, 0x7e];
 const LENGTH_BYTES: usize = 4;
 const CHECKSUM_BYTES: usize = 4;
 const RECORD_OVERHEAD_BYTES: usize = RECORD_MARKER.len() + LENGTH_BYTES + CHECKSUM_BYTES;
 
-/// What a file holds; the discriminant is its byte in the header.
+/// Kind of a file; the discriminant is its byte in the header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileKind {
-    /// A snapshot of what the scheduler learned.
+    /// A snapshot of the scheduler's learned state.
     Learned = 1,
     /// A segment of the write-ahead log of idempotency keys.
     IdempotencyKeys = 2,
@@ -29,18 +29,18 @@
 /// A record at the start of some bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FramedRecord<'a> {
-    /// What was framed.
+    /// Contents of the record.
     pub payload: &'a [u8],
-    /// Length of payload and frame together, in bytes.
+    /// Length of the record including its frame, in bytes.
     pub framed_bytes: usize,
 }
 
 /// All intact records of some bytes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ScannedRecords<'a> {
-    /// Payloads in the order in which they stand.
+    /// Payloads in their order in the file.
     pub payloads: Vec<&'a [u8]>,
-    /// How many bytes belong to no intact record.
+    /// Number of bytes that belong to no intact record.
     pub corrupt_bytes: usize,
 }
 
@@ -52,12 +52,12 @@
     bytes
 }
 
-/// Returns the format version of a file of this kind, or `None` if its header is not one of this
+/// Returns the format version of a file of this kind, or `None` if the file has no header of this
 /// kind.
 pub fn read_version(file: &[u8], kind: FileKind) -> Option<u16> {
     let rest = file.strip_prefix(MAGIC)?;
-    let (stated_kind, rest) = rest.split_first()?;
-    if *stated_kind != kind as u8 {
+    let (actual_kind, rest) = rest.split_first()?;
+    if *actual_kind != kind as u8 {
         return None;
     }
     Some(u16::from_le_bytes(*rest.first_chunk()?))
@@ -76,13 +76,13 @@
 pub fn first_record(bytes: &[u8]) -> Option<FramedRecord<'_>> {
     let rest = bytes.strip_prefix(&RECORD_MARKER)?;
     let (length, rest) = rest.split_first_chunk::<LENGTH_BYTES>()?;
-    let (stated_checksum, rest) = rest.split_first_chunk::<CHECKSUM_BYTES>()?;
+    let (expected_checksum, rest) = rest.split_first_chunk::<CHECKSUM_BYTES>()?;
     let payload_bytes = u32::from_le_bytes(*length) as usize;
     if payload_bytes > MAX_PAYLOAD_BYTES {
         return None;
     }
     let payload = rest.get(..payload_bytes)?;
-    if checksum(*length, payload) != u32::from_le_bytes(*stated_checksum) {
+    if checksum(*length, payload) != u32::from_le_bytes(*expected_checksum) {
         return None;
     }
     Some(FramedRecord {
@@ -91,7 +91,7 @@
     })
 }
 
-/// Finds all intact records. A corrupt one in the middle does not cost those behind it.
+/// Finds all intact records, also those after a corrupt record.
 pub fn scan_records(mut bytes: &[u8]) -> ScannedRecords<'_> {
     let mut scanned = ScannedRecords::default();
     while !bytes.is_empty() {
@@ -111,7 +111,7 @@
     scanned
 }
 
-/// Position of the next marker behind the first byte.
+/// Returns the position of the next marker after the first byte.
 fn next_marker(bytes: &[u8]) -> Option<usize> {
     let position = bytes
         .get(1..)?
--- a/crates/coralstep-state/src/framing/tests.rs
+++ b/crates/coralstep-state/src/framing/tests.rs
@@ -4,7 +4,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn a_corrupt_record_costs_only_itself(
+    fn corrupt_record_does_not_affect_other_records(
         payloads in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 1..8),
         flip in any::<prop::sample::Index>(),
         bit in 0u8..8,
@@ -30,7 +30,7 @@
     }
 
     #[test]
-    fn records_before_a_cut_are_complete(
+    fn records_before_truncation_are_complete(
         payloads in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..20), 1..5),
     ) {
         let (mut bytes, mut ends) = (Vec::new(), Vec::new());
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_header_states_kind_and_version() {
+fn header_contains_kind_and_version() {
     let bytes = file_header(FileKind::IdempotencyKeys, 7);
     assert_eq!(
         (
@@ -62,10 +62,9 @@
     );
 }
 
-/// Guards against a marker, length, checksum or header of another order or width, which every file
-/// begins with.
+/// Guards against a change of the order or width of header, marker, length or checksum.
 #[test]
-fn headers_and_records_keep_their_bytes() {
+fn encoding_of_headers_and_records_is_unchanged() {
     let all = [
         (FileKind::Learned, 1),
         (FileKind::IdempotencyKeys, 2),
--- a/crates/coralstep-state/src/lib.rs
+++ b/crates/coralstep-state/src/lib.rs
@@ -1,9 +1,9 @@
-//! What a server keeps over a restart: what its scheduler learned ([`snapshot`]), which idempotency
-//! keys ran ([`wal`]) and which configuration version it acts on ([`fleet_record`]).
+//! State that a server keeps across restarts: the scheduler's learned state ([`snapshot`]), the
+//! idempotency keys of runs ([`wal`]) and the active configuration version ([`fleet_record`]).
 //!
-//! Nothing that is read is believed unchecked: version, checksum and age come first. All I/O goes
-//! through [`Storage`], which is a directory on disk ([`DirStorage`]) or, in tests, one that fails
-//! as power cuts, full disks and lying syncs do ([`faulty_storage`]).
+//! Everything that is read is validated first: version, checksum and age. All I/O goes through
+//! [`Storage`], which is a directory on disk ([`DirStorage`]) or, in tests, a directory in memory
+//! that simulates power cuts, full disks and syncs without effect ([`faulty_storage`]).
 pub mod background;
 pub mod confidence;
 pub mod faulty_storage;
--- a/crates/coralstep-state/src/snapshot.rs
+++ b/crates/coralstep-state/src/snapshot.rs
@@ -1,7 +1,7 @@
-//! Snapshots of what the scheduler learned, in two generations.
+//! Snapshots of the scheduler's learned state, in two generations.
 //!
 //! A new snapshot is written to a temporary file, synced and renamed over the older generation, and
-//! the directory is synced: at any moment one complete snapshot is there. Files of a later format
+//! the directory is synced, so that a complete snapshot exists at any time. Files of a later format
 //! version or of another server are never overwritten.
 use std::{fmt, io};
 
@@ -19,20 +19,21 @@
 
 use format::Stored;
 
-/// The format version that is written. Version 1 had no tenants.
+/// Format version of written snapshots. Version 1 had no tenants.
 pub const FORMAT_VERSION: u16 = 2;
-/// Longest file that is read or written, in bytes: a thousand methods and tenants fit many times.
+/// Maximum length of a file that is read or written, in bytes; many times the length of a snapshot
+/// with a thousand methods and tenants.
 pub const MAX_FILE_BYTES: usize = 1 << 20;
 
 const GENERATIONS: [&str; 2] = ["learned.0", "learned.1"];
 const TEMPORARY_FILE: &str = "learned.part";
 
-/// Counts the snapshots of a server: the one with the highest number is the newest.
+/// Sequence number of a server's snapshots; the newest has the highest number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SequenceNumber(pub u64);
 
 impl SequenceNumber {
-    /// Returns the number of the snapshot after this one.
+    /// Returns the sequence number of the next snapshot.
     #[must_use]
     pub fn next(self) -> SequenceNumber {
         SequenceNumber(self.0 + 1)
@@ -45,7 +46,7 @@
     }
 }
 
-/// Why a snapshot file is not believed.
+/// The reason why a snapshot file is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
     /// The file cannot be read.
@@ -54,13 +55,13 @@
     /// There is no such file.
     #[error("no such file")]
     NotFound,
-    /// The file is of a later format version and left alone.
+    /// The file has a later format version; it is kept.
     #[error("unsupported format version {version}")]
     UnsupportedVersion {
-        /// The version that it states.
+        /// Format version in its header.
         version: u16,
     },
-    /// The file is not what was written.
+    /// The file is corrupt.
     #[error("corrupt: {0}")]
     Corrupt(#[from] Corruption),
     /// Another server wrote the file.
@@ -70,83 +71,81 @@
         server: String,
     },
     /// The file is too old, or too far in the future.
-    #[error("{age_s} s old")]
+    #[error("untrusted age of {age_s} s")]
     UntrustedAge {
         /// Seconds since it was written; negative if it is from the future.
         age_s: i64,
     },
 }
 
-/// What of a snapshot file is corrupt.
+/// How a snapshot file is corrupt.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Corruption {
     /// It does not begin with the header of a snapshot.
-    #[error("no header of a snapshot")]
+    #[error("missing snapshot header")]
     Header,
     /// The header is not followed by an intact record.
-    #[error("no intact record behind the header")]
+    #[error("no intact record after the header")]
     Record,
-    /// This many bytes follow the record.
-    #[error("{0} bytes behind the record")]
+    /// The record is followed by this number of bytes.
+    #[error("{0} trailing bytes after the record")]
     TrailingBytes(usize),
-    /// The record does not hold a snapshot.
-    #[error("the record cannot be decoded: {0}")]
+    /// The record cannot be decoded to a snapshot.
+    #[error("cannot decode the record: {0}")]
     Payload(#[source] postcard::Error),
 }
 
-/// Why a snapshot was not written.
+/// The reason why a snapshot was not written.
 #[derive(Debug, thiserror::Error)]
 pub enum SaveError {
     /// No generation may be overwritten.
-    #[error("both snapshots are another version's or server's")]
+    #[error("both snapshot files belong to a later format version or another server")]
     NoFreeGeneration,
     /// The snapshot cannot be encoded.
     #[error("cannot encode the snapshot: {0}")]
     Encode(#[from] postcard::Error),
     /// The snapshot is longer than [`MAX_FILE_BYTES`].
-    #[error("the snapshot has {bytes} bytes, over {MAX_FILE_BYTES}")]
+    #[error("snapshot of {bytes} bytes exceeds the maximum of {MAX_FILE_BYTES} bytes")]
     TooLarge {
         /// Its length in bytes.
         bytes: usize,
     },
-    /// A step of writing failed.
+    /// A storage operation failed.
     #[error(transparent)]
     Storage(#[from] StorageError),
 }
 
-/// What was learned before, and how far it is believed.
+/// Learned state that was restored, and the confidence in it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RestoredState {
     /// The part that applies under the current configuration.
     pub learned: LearnedState,
-    /// From 0 for none to 1 for complete confidence.
+    /// Confidence from 0 (none) to 1 (full).
     pub confidence: f64,
 }
 
-/// A snapshot file that is not believed.
+/// A snapshot file that was rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RejectedSnapshot {
     /// Name of the file.
     pub file: &'static str,
-    /// Why it is not believed.
+    /// Reason for the rejection.
     pub error: SnapshotError,
 }
 
-/// The outcome of reading all generations.
+/// Result of reading all generations.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadedSnapshots {
-    /// The newest snapshot that is believed, if any.
+    /// The newest trusted snapshot, if there is one.
     pub restored: Option<RestoredState>,
-    /// The highest sequence number of all intact files, believed or not; 0 if there is none.
+    /// Highest sequence number of all intact files, trusted or not; 0 if there is none.
     pub last_sequence_number: SequenceNumber,
-    /// The files that are not believed.
+    /// Rejected files.
     pub rejected: Vec<RejectedSnapshot>,
 }
 
-/// Reads all generations and restores the newest one that is believed under the `current`
-/// configuration.
-///
-/// `now_s`: seconds since the Unix epoch.
+/// Reads all generations and restores the newest one that is trusted under the `current`
+/// configuration. `now_s` is in seconds since the Unix epoch.
 pub fn load(storage: &impl Storage, current: &ConfigFingerprint, now_s: u64) -> LoadedSnapshots {
     let mut loaded = LoadedSnapshots::default();
     let mut newest: Option<Stored> = None;
@@ -154,7 +153,7 @@
         let checked = read_generation(storage, file).and_then(|stored| {
             let number = stored.base.sequence_number;
             loaded.last_sequence_number = loaded.last_sequence_number.max(number);
-            check_origin(&stored, current, now_s).map(|()| stored)
+            validate_origin_and_age(&stored, current, now_s).map(|()| stored)
         });
         match checked {
             Ok(stored) if is_newer(&stored, newest.as_ref()) => newest = Some(stored),
@@ -172,25 +171,26 @@
     loaded
 }
 
-/// Writes a snapshot in place of the older or a corrupt generation, never of one of a later format
+/// Writes a snapshot and replaces a corrupt or the older generation, but never one of a later format
 /// version or of another server.
 ///
-/// `sequence_number` has to be higher than all before; `now_s`: seconds since the Unix epoch.
+/// `sequence_number` has to be higher than all previous ones; `now_s` is in seconds since the Unix
+/// epoch.
 ///
 /// # Errors
 ///
-/// A [`SaveError`]; the generation to be replaced is still in place then, unless the very last step
+/// Returns a [`SaveError`]. The old generation is then still in place, unless the last operation
 /// failed.
 pub fn save(
     storage: &mut impl Storage,
     learned: &LearnedState,
-    learned_under: &ConfigFingerprint,
+    fingerprint: &ConfigFingerprint,
     sequence_number: SequenceNumber,
     now_s: u64,
 ) -> Result<(), SaveError> {
     let replaced =
-        generation_to_replace(storage, &learned_under.server).ok_or(SaveError::NoFreeGeneration)?;
-    let file = Stored::new(learned, learned_under, sequence_number, now_s).encode()?;
+        generation_to_replace(storage, &fingerprint.server).ok_or(SaveError::NoFreeGeneration)?;
+    let file = Stored::new(learned, fingerprint, sequence_number, now_s).encode()?;
     if file.len() > MAX_FILE_BYTES {
         return Err(SaveError::TooLarge { bytes: file.len() });
     }
@@ -210,8 +210,8 @@
     }
 }
 
-/// Rejects a snapshot of another server, or of an age without any confidence.
-fn check_origin(
+/// Rejects a snapshot of another server, or of an age that has no confidence.
+fn validate_origin_and_age(
     stored: &Stored,
     current: &ConfigFingerprint,
     now_s: u64,
@@ -232,17 +232,17 @@
     newest.is_none_or(|newest| stored.base.sequence_number > newest.base.sequence_number)
 }
 
-/// The oldest generation that may be overwritten; a missing or corrupt one counts as older than
-/// all.
+/// Returns the oldest generation that may be overwritten; a missing or corrupt one counts as the
+/// oldest.
 fn generation_to_replace(storage: &impl Storage, server: &str) -> Option<&'static str> {
-    let age_order = |file: &&'static str| match read_generation(storage, file) {
+    let replacement_order = |file: &&'static str| match read_generation(storage, file) {
         Ok(stored) if stored.base.server == server => Some(stored.base.sequence_number),
         Err(SnapshotError::NotFound | SnapshotError::Corrupt(_)) => Some(SequenceNumber::default()),
         _ => None,
     };
     GENERATIONS
         .into_iter()
-        .filter_map(|file| Some((age_order(&file)?, file)))
+        .filter_map(|file| Some((replacement_order(&file)?, file)))
         .min()
         .map(|(_, file)| file)
 }
--- a/crates/coralstep-state/src/snapshot/format.rs
+++ b/crates/coralstep-state/src/snapshot/format.rs
@@ -1,5 +1,5 @@
-//! The bytes of a snapshot. The order of fields is the format, as postcard encodes by position; the
-//! JSON keys are what operators' tools read of an export.
+//! Encoding of snapshots. The order of fields is part of the format, as postcard encodes by
+//! position. Operators' tools read the JSON keys of an export.
 use coralstep::{LearnedState, TenantService};
 use serde::{Deserialize, Serialize};
 
@@ -7,13 +7,13 @@
 use crate::fingerprint::ConfigFingerprint;
 use crate::framing::{self, FileKind, HEADER_BYTES};
 
-/// Counts of run or call times by the scheduler's bins.
+/// Histogram of run or call times with the scheduler's bins.
 type HistogramBins = [u32; 12];
 
-/// Format version 1, which later versions extend at its end.
+/// Format version 1. Later versions add fields at the end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct StoredV1 {
-    /// Rises with each snapshot.
+    /// Increases with each snapshot.
     #[serde(rename = "number")]
     pub(super) sequence_number: SequenceNumber,
     /// Seconds since the Unix epoch.
@@ -37,18 +37,18 @@
     pub(super) best_call_time: Option<u64>,
 }
 
-/// A tenant's name and its requested and served counts: a pair in the file as in JSON.
+/// A tenant's name and its requested and served counts, encoded as a pair in the file and in JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct StoredTenant(String, [f64; 2]);
 
-/// A snapshot of the current format version. postcard writes nested structs as if they were flat.
+/// A snapshot of the current format version. postcard encodes nested structs like flat ones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct Stored {
     pub(super) base: StoredV1,
     tenants: Vec<StoredTenant>,
 }
 
-/// A snapshot as JSON, where flat keys have to be asked for.
+/// A snapshot as JSON, with the keys of the nested struct flattened.
 #[derive(Serialize)]
 struct Export<'a> {
     #[serde(flatten)]
@@ -68,11 +68,11 @@
 impl Stored {
     pub(super) fn new(
         learned: &LearnedState,
-        learned_under: &ConfigFingerprint,
+        fingerprint: &ConfigFingerprint,
         sequence_number: SequenceNumber,
         written_at_s: u64,
     ) -> Stored {
-        let tenants = learned_under
+        let tenants = fingerprint
             .tenants
             .iter()
             .zip(&learned.tenants)
@@ -81,10 +81,10 @@
         let base = StoredV1 {
             sequence_number,
             written_at_s,
-            server: learned_under.server.clone(),
-            cores: learned_under.cores,
-            methods: learned_under.methods.clone(),
-            dependency_share: learned_under.dependency_share,
+            server: fingerprint.server.clone(),
+            cores: fingerprint.cores,
+            methods: fingerprint.methods.clone(),
+            dependency_share: fingerprint.dependency_share,
             run_times: learned.run_times.clone(),
             call_times: learned.call_times,
             concurrency_limit: learned.concurrency_limit,
@@ -94,7 +94,7 @@
         Stored { base, tenants }
     }
 
-    /// Seconds from its writing to `now_s`; negative if it is from the future.
+    /// Returns the seconds since it was written; negative if it is from the future.
     pub(super) fn age_s(&self, now_s: u64) -> i64 {
         now_s as i64 - self.base.written_at_s as i64
     }
--- a/crates/coralstep-state/src/snapshot/inspection.rs
+++ b/crates/coralstep-state/src/snapshot/inspection.rs
@@ -1,4 +1,4 @@
-//! Snapshots as operators see them, in a directory that is only read.
+//! Summaries and exports of snapshots for operators.
 use std::io;
 
 use serde::Serialize;
@@ -8,20 +8,20 @@
 use crate::confidence;
 use crate::storage::{ReadOnlyDir, StorageError};
 
-/// One snapshot file, whether it is believed or not.
+/// Summary of one snapshot file, trusted or not.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct SnapshotSummary {
     /// Name of the file.
     #[serde(rename = "name")]
     pub file: String,
-    /// Rises with each snapshot; `None` if nothing of the file is believed.
+    /// Sequence number; `None` if the file is unusable.
     #[serde(rename = "number")]
     pub sequence_number: Option<SequenceNumber>,
-    /// The server that wrote it; empty if nothing of the file is believed.
+    /// Name of the server that wrote it; empty if the file is unusable.
     pub server: String,
-    /// Seconds since it was written; 0 if nothing of the file is believed.
+    /// Seconds since it was written; 0 if the file is unusable.
     pub age_s: i64,
-    /// The confidence in it, or why there is none.
+    /// Confidence in the snapshot, or the reason why the file is unusable.
     #[serde(rename = "told")]
     pub status: String,
 }
@@ -49,7 +49,7 @@
     }
 }
 
-/// The words that operators' tools know.
+/// Returns the status of an unusable file. Operators' tools match these texts.
 fn status_of_unusable(error: &SnapshotError) -> String {
     match error {
         SnapshotError::UnsupportedVersion { version } => {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Summarizes all snapshot files of a directory; one that does not exist is left out.
+/// Summarizes all snapshot files that exist in a directory.
 pub fn list_snapshots(directory: &ReadOnlyDir, now_s: u64) -> Vec<SnapshotSummary> {
     GENERATIONS
         .into_iter()
@@ -81,7 +81,7 @@
     })
 }
 
-/// Returns everything that a snapshot file holds as JSON, or `None` if it cannot be read.
+/// Returns the contents of a snapshot file as JSON, or `None` if it cannot be read.
 pub fn export_json(directory: &ReadOnlyDir, file: &str) -> Option<String> {
     let bytes = directory.read(file, MAX_FILE_BYTES).ok()?;
     Stored::decode(&bytes).ok()?.to_json().ok()
--- a/crates/coralstep-state/src/snapshot/tests.rs
+++ b/crates/coralstep-state/src/snapshot/tests.rs
@@ -37,8 +37,8 @@
     save(storage, &learned(limit), &fingerprint(), number, now_s)
 }
 
-/// Snapshots with these limits, one after the other, at these seconds.
-fn saved(all: &[(u32, u64)]) -> FaultyStorage {
+/// Returns a storage with one snapshot per concurrency limit, saved at the given second.
+fn storage_with_snapshots(all: &[(u32, u64)]) -> FaultyStorage {
     let mut storage = FaultyStorage::default();
     for (number, (limit, at)) in all.iter().enumerate() {
         save_limit(&mut storage, *limit, SequenceNumber(number as u64 + 1), *at).unwrap();
@@ -54,8 +54,8 @@
 }
 
 #[test]
-fn the_newest_is_believed_as_far_as_its_age_allows() {
-    let storage = saved(&[(5, 100), (6, 160), (7, 220)]);
+fn newest_snapshot_is_restored_with_confidence_of_its_age() {
+    let storage = storage_with_snapshots(&[(5, 100), (6, 160), (7, 220)]);
     let loaded = load(&storage, &fingerprint(), 230);
     assert_eq!(
         (loaded.restored.clone(), loaded.last_sequence_number),
@@ -73,7 +73,7 @@
         .unwrap()
         .confidence;
     assert!((0.5..0.6).contains(&confidence), "{confidence}");
-    // A week old, and from the future: the clock was set back.
+    // A snapshot over a week old, then one from the future, as after a clock that was set back.
     let old = load(&storage, &fingerprint(), 220 + 8 * 86_400);
     assert!(
         old.restored.is_none()
@@ -84,7 +84,7 @@
     );
     assert_eq!(limit(&load(&storage, &fingerprint(), 95)), None);
     assert_eq!(limit(&load(&storage, &fingerprint(), 165)), Some(7));
-    // Of another server.
+    // Snapshots of another server.
     let other = load(
         &storage,
         &ConfigFingerprint {
@@ -97,30 +97,31 @@
 }
 
 #[test]
-fn a_power_cut_at_any_operation_leaves_one_complete_snapshot() {
-    let whole = saved(&[(5, 100), (6, 110), (7, 120)]);
-    assert_eq!(whole.operations, 15);
-    for cut in 0..whole.operations {
+fn power_cut_at_any_operation_leaves_a_complete_snapshot() {
+    let intact = storage_with_snapshots(&[(5, 100), (6, 110), (7, 120)]);
+    assert_eq!(intact.operations, 15);
+    for cut in 0..intact.operations {
         for seed in 0..40 {
             let mut storage = FaultyStorage::with_faults(Faults {
                 power_cut_at: Some(cut),
                 ..Faults::default()
             });
-            let (mut number, mut done) = (SequenceNumber::default(), 0);
+            let (mut number, mut last_saved) = (SequenceNumber::default(), 0);
             for (limit, at) in [(5, 100), (6, 110), (7, 120)] {
                 number = number.next();
                 if save_limit(&mut storage, limit, number, at).is_ok() {
-                    done = limit;
+                    last_saved = limit;
                 }
             }
             let after = storage.after_power_cut(seed, Faults::default());
             let loaded = load(&after, &fingerprint(), 130);
-            // At the most one window is lost: the one that was on its way; it may have come
-            // through, too.
-            let last = limit(&loaded).unwrap_or(0);
+            // At most the snapshot that was being written is lost.
+            let restored = limit(&loaded).unwrap_or(0);
             assert!(
-                last == done || last == done + 1 || (done == 0 && last == 5),
-                "{cut} {seed}: {last} {done}"
+                restored == last_saved
+                    || restored == last_saved + 1
+                    || (last_saved == 0 && restored == 5),
+                "{cut} {seed}: {restored} {last_saved}"
             );
             assert!(
                 loaded
@@ -130,7 +131,7 @@
                 "{:?}",
                 loaded.rejected
             );
-            // And a later snapshot goes on from there.
+            // A later snapshot can be saved.
             let mut after = after;
             save_limit(&mut after, 8, loaded.last_sequence_number.next(), 140).unwrap();
             assert_eq!(limit(&load(&after, &fingerprint(), 150)), Some(8));
@@ -139,10 +140,10 @@
 }
 
 #[test]
-fn lying_syncs_may_lose_snapshots_but_no_corrupt_one_is_believed() {
+fn ignored_syncs_may_lose_snapshots_but_no_corrupt_one_is_restored() {
     for seed in 0..300 {
         let mut storage = FaultyStorage::with_faults(Faults {
-            syncs_lie: true,
+            ignore_syncs: true,
             ..Faults::default()
         });
         for (number, last) in [(1, 5), (2, 6), (3, 7)] {
@@ -162,11 +163,11 @@
 }
 
 #[test]
-fn a_snapshot_cut_at_any_byte_or_with_any_bit_flipped_is_rejected() {
-    let whole = saved(&[(5, 100)]);
-    let length = whole.read("learned.0", MAX_FILE_BYTES).unwrap().len();
+fn rejects_snapshot_truncated_at_any_byte_or_with_any_flipped_bit() {
+    let intact = storage_with_snapshots(&[(5, 100)]);
+    let length = intact.read("learned.0", MAX_FILE_BYTES).unwrap().len();
     for cut in 0..length {
-        let mut storage = whole.clone();
+        let mut storage = intact.clone();
         storage.corrupt("learned.0", |bytes| bytes.truncate(cut));
         let rejected = load(&storage, &fingerprint(), 110).rejected;
         assert!(
@@ -181,19 +182,23 @@
         );
     }
     for bit in 0..length * 8 {
-        let mut storage = whole.clone();
+        let mut storage = intact.clone();
         storage.corrupt("learned.0", |bytes| bytes[bit / 8] ^= 1 << (bit % 8));
         let loaded = load(&storage, &fingerprint(), 110);
-        // A flipped version may look like a later one; nothing is believed of it either way.
+        // A flipped bit in the version may result in a later version, which is rejected, too.
         assert!(loaded.restored.is_none(), "{bit}");
     }
-    let mut longer = whole;
-    longer.corrupt("learned.0", |bytes| bytes.push(0));
-    assert!(load(&longer, &fingerprint(), 110).restored.is_none());
+    let mut with_trailing_byte = intact;
+    with_trailing_byte.corrupt("learned.0", |bytes| bytes.push(0));
+    assert!(
+        load(&with_trailing_byte, &fingerprint(), 110)
+            .restored
+            .is_none()
+    );
 }
 
 #[test]
-fn an_older_version_is_read_and_a_later_one_is_left_alone() {
+fn older_version_is_read_and_later_version_is_kept() {
     let version_1 = Stored::new(&learned(5), &fingerprint(), SequenceNumber(9), 100).base;
     let mut storage = FaultyStorage::default();
     let mut bytes = framing::file_header(FileKind::Learned, 1);
@@ -211,7 +216,7 @@
         )
     );
     let mut later = framing::file_header(FileKind::Learned, FORMAT_VERSION + 1);
-    later.extend_from_slice(b"whatever it is");
+    later.extend_from_slice(b"unknown contents");
     storage.create("learned.1").unwrap();
     storage.append("learned.1", &later).unwrap();
     assert_eq!(
@@ -228,7 +233,7 @@
     }
     assert_eq!(storage.read("learned.1", MAX_FILE_BYTES).unwrap(), later);
     assert_eq!(limit(&load(&storage, &fingerprint(), 130)), Some(6));
-    // With both of a later version nothing is written, and that is told.
+    // If both files have a later version, saving fails.
     storage.corrupt("learned.0", |bytes| bytes.clone_from(&later));
     assert!(matches!(
         save_limit(&mut storage, 6, SequenceNumber(20), 140),
@@ -237,9 +242,9 @@
 }
 
 #[test]
-fn a_full_or_failing_disk_is_reported_and_keeps_the_older_snapshot() {
+fn full_or_failing_disk_is_reported_and_keeps_older_snapshot() {
     for step in 0..5 {
-        let mut storage = saved(&[(5, 100)]);
+        let mut storage = storage_with_snapshots(&[(5, 100)]);
         storage.faults.error_at = Some(storage.operations + step);
         assert!(save_limit(&mut storage, 6, SequenceNumber(2), 110).is_err());
         assert!(
@@ -247,7 +252,7 @@
                 .is_some_and(|limit| limit == 5 || step == 4)
         );
     }
-    let mut full = saved(&[(5, 100)]);
+    let mut full = storage_with_snapshots(&[(5, 100)]);
     full.faults.capacity_bytes = Some(full.read("learned.0", MAX_FILE_BYTES).unwrap().len() + 20);
     assert!(matches!(
         save_limit(&mut full, 6, SequenceNumber(2), 110),
@@ -256,10 +261,9 @@
     assert_eq!(limit(&load(&full, &fingerprint(), 120)), Some(5));
 }
 
-/// Guards against a version 1 that changes along with the current one: it is only read, never
-/// written any more.
+/// Guards against version 1, which is no longer written, changing along with the current version.
 #[test]
-fn version_1_keeps_its_bytes() {
+fn encoding_of_version_1_is_unchanged() {
     let path = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/tests/golden/version_1/learned.0"
--- a/crates/coralstep-state/src/storage.rs
+++ b/crates/coralstep-state/src/storage.rs
@@ -1,5 +1,4 @@
-//! The file system, as far as this crate needs it: whole files in one directory, written at their
-//! end only.
+//! The file system operations that this crate needs: append-only files in one directory.
 use std::fmt;
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Read, Write};
@@ -8,41 +7,41 @@
 
 /// A flat directory of append-only files.
 ///
-/// What was appended is durable after [`Storage::sync`]; what was created, renamed or removed is
-/// durable after [`Storage::sync_directory`]. Every operation fails with a [`StorageError`] that
-/// names the operation and the file.
+/// Appended bytes are durable after [`Storage::sync`]; creations, renames and removals are durable
+/// after [`Storage::sync_directory`]. Every operation fails with a [`StorageError`] that names the
+/// operation and the file.
 #[allow(
     clippy::missing_errors_doc,
-    reason = "the trait's documentation says it for all operations"
+    reason = "the trait's documentation describes the errors of all operations"
 )]
 pub trait Storage {
     /// Returns the names of all files in ascending order.
     fn list(&self) -> Result<Vec<String>, StorageError>;
 
-    /// Reads a whole file of at most `max_bytes` bytes; a longer one is a
-    /// [`StorageError::TooLarge`].
+    /// Reads a whole file of at most `max_bytes` bytes; fails with [`StorageError::TooLarge`] if it
+    /// is longer.
     fn read(&self, name: &str, max_bytes: usize) -> Result<Vec<u8>, StorageError>;
 
-    /// Creates an empty file, in place of any file of this name.
+    /// Creates an empty file and replaces any file of this name.
     fn create(&mut self, name: &str) -> Result<(), StorageError>;
 
-    /// Appends to an existing file. After an error a part of `bytes` may have been written.
+    /// Appends to an existing file. After an error, a part of `bytes` may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), StorageError>;
 
     /// Makes the contents of a file durable.
     fn sync(&mut self, name: &str) -> Result<(), StorageError>;
 
-    /// Renames a file, in place of any file of the new name.
+    /// Renames a file and replaces any file of the new name.
     fn rename(&mut self, from: &str, to: &str) -> Result<(), StorageError>;
 
     /// Removes a file.
     fn remove(&mut self, name: &str) -> Result<(), StorageError>;
 
-    /// Makes all creations, renames and removals so far durable.
+    /// Makes all previous creations, renames and removals durable.
     fn sync_directory(&mut self) -> Result<(), StorageError>;
 }
 
-/// What was attempted when a storage operation failed.
+/// A storage operation that can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StorageOperation {
     /// Creating the directory itself.
@@ -84,34 +83,34 @@
     }
 }
 
-/// Why a storage operation failed.
+/// An error of a storage operation.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum StorageError {
-    /// The lock of the directory is not to be had.
+    /// The directory cannot be locked.
     #[error("another process has this folder")]
     Locked {
-        /// The error of the lock itself.
+        /// Error of the lock.
         source: Arc<TryLockError>,
     },
     /// The directory to inspect does not exist.
     #[error("no such folder")]
     NoSuchDirectory,
-    /// A file is longer than its reader accepts.
+    /// A file is longer than the caller accepts.
     #[error("{file}: over {max_bytes} bytes")]
     TooLarge {
         /// Name of the file.
         file: String,
-        /// Longest length that is accepted, in bytes.
+        /// Maximum accepted length, in bytes.
         max_bytes: usize,
     },
     /// The operating system reported an error.
     #[error("cannot {operation} {file}: {source}")]
     Io {
-        /// What was attempted.
+        /// Operation that failed.
         operation: StorageOperation,
         /// Name of the file, or path of the directory.
         file: String,
-        /// The error of the operating system.
+        /// Error of the operating system.
         source: Arc<io::Error>,
     },
 }
@@ -126,8 +125,8 @@
         }
     }
 
-    /// Returns the kind of the underlying I/O error, for callers that tell a missing file or a full
-    /// disk from the rest.
+    /// Returns the kind of the underlying I/O error, for callers that handle a missing file or a
+    /// full disk differently.
     pub fn kind(&self) -> io::ErrorKind {
         match self {
             StorageError::Locked { .. } => io::ErrorKind::WouldBlock,
@@ -138,7 +137,7 @@
     }
 }
 
-/// Errors are equal if they say the same; the operating system's own errors cannot be compared.
+/// Errors are equal if their kinds and messages are equal, as [`io::Error`] cannot be compared.
 impl PartialEq for StorageError {
     fn eq(&self, other: &StorageError) -> bool {
         self.kind() == other.kind() && self.to_string() == other.to_string()
@@ -147,10 +146,10 @@
 
 impl Eq for StorageError {}
 
-/// Name of the file that is locked; it is empty.
+/// Name of the empty file that is locked.
 const LOCK_FILE: &str = "lock";
 
-/// A directory on disk, locked against other processes until this value is dropped.
+/// A directory on disk that is locked against other processes until this value is dropped.
 #[derive(Debug)]
 pub struct DirStorage {
     path: PathBuf,
@@ -158,12 +157,12 @@
 }
 
 impl DirStorage {
-    /// Opens and locks a directory, which is created where it does not exist.
+    /// Opens and locks a directory; creates it if it does not exist.
     ///
     /// # Errors
     ///
-    /// [`StorageError::Locked`] if another process has the directory, [`StorageError::Io`] if it
-    /// cannot be created or written to.
+    /// Returns [`StorageError::Locked`] if another process has locked the directory, and
+    /// [`StorageError::Io`] if it cannot be created or written to.
     pub fn open(path: impl Into<PathBuf>) -> Result<DirStorage, StorageError> {
         let path = path.into();
         std::fs::create_dir_all(&path).map_err(|source| {
@@ -249,7 +248,7 @@
     }
 }
 
-/// A directory that is only read, without taking its lock: a server may use it meanwhile.
+/// A directory that is read without taking its lock, so that a server may use it at the same time.
 #[derive(Debug)]
 pub struct ReadOnlyDir {
     path: PathBuf,
@@ -260,7 +259,7 @@
     ///
     /// # Errors
     ///
-    /// [`StorageError::NoSuchDirectory`] if there is no directory at `path`.
+    /// Returns [`StorageError::NoSuchDirectory`] if there is no directory at `path`.
     pub fn open(path: &Path) -> Result<ReadOnlyDir, StorageError> {
         if !path.is_dir() {
             return Err(StorageError::NoSuchDirectory);
@@ -274,7 +273,8 @@
     ///
     /// # Errors
     ///
-    /// [`StorageError::TooLarge`] if it is longer, [`StorageError::Io`] if it cannot be read.
+    /// Returns [`StorageError::TooLarge`] if it is longer, and [`StorageError::Io`] if it cannot be
+    /// read.
     pub fn read(&self, name: &str, max_bytes: usize) -> Result<Vec<u8>, StorageError> {
         read_file(&self.path, name, max_bytes)
     }
--- a/crates/coralstep-state/src/storage/tests.rs
+++ b/crates/coralstep-state/src/storage/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_directory_is_locked_by_one_process_and_files_are_complete() {
+fn directory_is_locked_exclusively_and_stores_complete_files() {
     let path = std::env::temp_dir().join(format!("coralstep-storage-{}", std::process::id()));
     let mut storage = DirStorage::open(&path).unwrap();
     assert_eq!(
--- a/crates/coralstep-state/src/wal.rs
+++ b/crates/coralstep-state/src/wal.rs
@@ -1,13 +1,14 @@
 //! A write-ahead log of idempotency keys.
 //!
-//! A run under a key starts only once that is durable, and its outcome is recorded with a result of
-//! bounded length. After a restart a key never ran, ended with a known outcome, or nobody knows; in
-//! the last case it never runs again.
+//! A run starts only after its key is durable, and its outcome is recorded with a result of bounded
+//! length. After a restart, a key has either never run, ended with a known outcome, or has an
+//! unknown outcome; in the last case it is never run again.
 //!
-//! Entries are committed in batches: [`WriteAheadLog::commit_due_ms`] says when, so that no run
-//! waits for longer than [`MAX_COMMIT_DELAY_MS`]. They go to segments, each of which is removed
-//! once all its keys have expired. A storage that fails or is full leaves the keys unprotected,
-//! which is reported as a [`WalEvent`]; it never blocks.
+//! Entries are committed in batches. [`WriteAheadLog::commit_due_ms`] returns when the next commit is
+//! due, so that no run waits for longer than [`MAX_COMMIT_DELAY_MS`]. Entries are written to
+//! segments, each of which is removed when all its keys have expired. If the storage fails or is
+//! full, keys are no longer protected against a second run. This is reported as a [`WalEvent`] and
+//! never blocks.
 use std::collections::VecDeque;
 
 use crate::framing;
@@ -23,56 +24,56 @@
 use index::KeyIndex;
 use segment::{Segment, SegmentContents, SegmentFile, SegmentStore};
 
-/// The format version of segments.
+/// Format version of segments.
 pub const FORMAT_VERSION: u16 = 1;
-/// A run waits this long for its commit, in ms.
+/// Maximum time that a run waits for its commit, in ms.
 pub const MAX_COMMIT_DELAY_MS: u64 = 5;
-/// A commit is due at once when this many records wait for it.
+/// Number of records in a batch from which its commit is due at once.
 pub const MAX_BATCH_RECORDS: usize = 64;
-/// A new segment begins when the last one would be longer, in bytes.
+/// Maximum length of a segment, in bytes; a longer one is continued in a new segment.
 pub const MAX_SEGMENT_BYTES: usize = 4 << 20;
-/// Longest result that is kept, in bytes; a run with a longer one counts as ended without a known
+/// Maximum length of a recorded result, in bytes; a run with a longer one is recorded without its
 /// result.
 pub const MAX_RESULT_BYTES: usize = 4 << 10;
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 pub const MAX_KEY_BYTES: usize = 256;
 
-/// Longest segment file that is read, in bytes.
+/// Maximum length of a segment file that is read, in bytes.
 const MAX_READ_BYTES: usize = MAX_SEGMENT_BYTES * 2;
-/// After a failed write the storage is left alone for this long, in ms.
+/// Time from a failed write until the next attempt, in ms.
 const RETRY_DELAY_MS: u64 = 5_000;
 
-/// How a run ended.
+/// Outcome of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordedOutcome {
     /// It succeeded with this result.
     Succeeded(Vec<u8>),
-    /// It failed, and may have had an effect.
+    /// It failed and may have had an effect.
     Failed,
-    /// It provably never started.
+    /// It certainly never started.
     NeverStarted,
 }
 
-/// What is to be done with a request whose idempotency key may have been seen before.
+/// How to handle a request whose idempotency key may have been seen before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplayDecision {
-    /// The key was not seen: the request may run.
+    /// The key has not been seen: the request may run.
     NotSeen,
-    /// It ran: answer with this result.
+    /// The run succeeded: answer with this result.
     Replay(Vec<u8>),
-    /// It ran without a known result, or nobody knows whether it did: answer with an error.
+    /// The run failed, or its outcome or result is unknown: answer with an error.
     Aborted,
-    /// Recovery is still reading: ask again later.
+    /// Recovery is in progress: try again later.
     Wait,
 }
 
-/// Why the log was not written or read.
+/// An error of writing or reading the log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WalError {
-    /// All segments together have reached their bound.
-    #[error("the write-ahead log has reached its bound of {max_bytes} bytes")]
+    /// All segments together have reached their maximum length.
+    #[error("the write-ahead log has reached its maximum length of {max_bytes} bytes")]
     Full {
-        /// The bound that was given to [`WriteAheadLog::open`], in bytes.
+        /// Maximum length that was passed to [`WriteAheadLog::open`], in bytes.
         max_bytes: usize,
     },
     /// The storage failed.
@@ -80,64 +81,64 @@
     Storage(#[from] StorageError),
 }
 
-/// What an operator should know of the log.
+/// An event of the log that is reported to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WalEvent {
-    /// Keys are no longer protected.
+    /// Keys are no longer protected against a second run.
     Unprotected {
-        /// The failure that led to it.
+        /// Cause of the event.
         error: WalError,
     },
     /// Keys are protected again.
     Protected,
-    /// A segment has corrupt bytes, and what they held is lost.
+    /// A segment has corrupt bytes, whose entries are lost.
     Corrupt {
         /// Name of the segment's file.
         file: String,
-        /// How many bytes are corrupt.
+        /// Number of corrupt bytes.
         corrupt_bytes: usize,
     },
-    /// A segment of another format version is left alone.
+    /// A segment of another format version is ignored and kept.
     UnsupportedVersion {
         /// Name of the segment's file.
         file: String,
-        /// The version that it states.
+        /// Format version in its header.
         version: u16,
     },
 }
 
-/// How much a log holds.
+/// Size of a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WalSize {
-    /// Keys that are known.
+    /// Number of known keys.
     pub keys: usize,
-    /// Length of all segments together, in bytes.
+    /// Total length of all segments, in bytes.
     pub bytes: usize,
 }
 
-/// The log over a storage. All times are in ms of one clock, passed by the caller.
+/// A write-ahead log on a storage. All times are in ms of one clock and passed by the caller.
 #[derive(Debug)]
 pub struct WriteAheadLog<S> {
     segments: SegmentStore<S>,
-    /// Segments that recovery has yet to read.
+    /// Segments that recovery has not read yet.
     unread: VecDeque<SegmentFile>,
     index: KeyIndex,
     batch: Batch,
-    /// When the last key expires that was started since the last successful write, in ms.
+    /// Latest expiry of the keys that were started since the last successful write, in ms.
     unwritten_expires_at_ms: u64,
-    /// While keys are unprotected: when the storage is tried again, in ms.
+    /// Time of the next attempt to write while keys are unprotected, in ms; otherwise `None`.
     retry_at_ms: Option<u64>,
     events: Vec<WalEvent>,
 }
 
 impl<S: Storage> WriteAheadLog<S> {
-    /// Opens the log of a storage, whose segments may have `max_bytes` bytes together.
+    /// Opens the log of a storage. All segments together have at most `max_bytes` bytes.
     ///
-    /// Call [`WriteAheadLog::recover`] until it returns `false` to read what is there.
+    /// Call [`WriteAheadLog::recover`] until it returns `false` to read the existing segments.
     ///
     /// # Errors
     ///
-    /// A [`StorageError`] if the storage cannot be listed.
+    /// Returns a [`StorageError`] if the files of the storage cannot be listed.
     pub fn open(storage: S, max_bytes: usize) -> Result<WriteAheadLog<S>, StorageError> {
         let unread = segment::list_files(&storage)?;
         Ok(WriteAheadLog {
@@ -151,8 +152,8 @@
         })
     }
 
-    /// Reads the next segment, one a call so that serving goes on meanwhile; returns whether there
-    /// are more.
+    /// Reads the next segment and returns whether there are more. It reads one segment per call, so
+    /// that the caller can serve requests in between.
     pub fn recover(&mut self, now_ms: u64) -> bool {
         let Some(file) = self.unread.pop_front() else {
             return false;
@@ -164,19 +165,18 @@
                     self.maintain(now_ms);
                 }
             }
-            // Guards against a second run of a key whose entry cannot be read: nothing is promised
-            // any more.
+            // Guards against a second run of a key whose entry cannot be read.
             Err(error) => self.lose_protection(error.into(), now_ms),
         }
         !self.is_recovered()
     }
 
-    /// Whether all segments were read.
+    /// Returns whether all segments have been read.
     pub fn is_recovered(&self) -> bool {
         self.unread.is_empty()
     }
 
-    /// Decides what a request under this key is to be told.
+    /// Returns how to handle a request with this key.
     pub fn replay_decision(&self, key: &[u8], now_ms: u64) -> ReplayDecision {
         match self.index.decide(key, now_ms) {
             Some(decision) => decision,
@@ -185,10 +185,10 @@
         }
     }
 
-    /// Records that a run is about to start; it may once the next commit has succeeded.
+    /// Records the start of a run, which may start after the next successful commit.
     ///
     /// Returns `false` and records nothing if keys are unprotected, the key is too long or recovery
-    /// still reads.
+    /// is in progress.
     pub fn record_start(&mut self, key: &[u8], expires_at_ms: u64, now_ms: u64) -> bool {
         if !self.is_protected() || key.len() > MAX_KEY_BYTES || !self.is_recovered() {
             return false;
@@ -203,7 +203,7 @@
         true
     }
 
-    /// Records how a run ended; nothing happens if the key is not known.
+    /// Records the outcome of a run. Has no effect if the key is unknown.
     pub fn record_outcome(&mut self, key: &[u8], outcome: RecordedOutcome, now_ms: u64) {
         if !self.index.contains(key) {
             return;
@@ -215,7 +215,7 @@
         self.index.apply(entry, now_ms);
     }
 
-    /// When the next commit is due, in ms; `None` if there is nothing to commit.
+    /// Returns when the next commit is due, in ms; `None` if there is nothing to commit.
     pub fn commit_due_ms(&self) -> Option<u64> {
         self.batch.commit_due_ms()
     }
@@ -224,8 +224,8 @@
     ///
     /// # Errors
     ///
-    /// A [`WalError`] if the entries are not durable: runs that wait for this commit must not
-    /// start. Keys are unprotected from then on.
+    /// Returns a [`WalError`] if the entries are not durable. Runs that wait for this commit must
+    /// then not start, and keys become unprotected.
     pub fn commit(&mut self, now_ms: u64) -> Result<(), WalError> {
         if self.batch.is_empty() {
             return Ok(());
@@ -238,8 +238,8 @@
         written
     }
 
-    /// Removes what has expired, and tries the storage again some time after a failure. To be
-    /// called regularly.
+    /// Removes expired keys and segments, and retries the storage some time after a failure. Call it
+    /// regularly.
     pub fn maintain(&mut self, now_ms: u64) {
         self.index.remove_expired(now_ms);
         if self.is_recovered() {
@@ -249,11 +249,11 @@
             .retry_at_ms
             .is_some_and(|retry_at_ms| now_ms >= retry_at_ms)
         {
-            self.probe_storage(now_ms);
+            self.retry_write(now_ms);
         }
     }
 
-    /// Whether runs may start under keys of this log.
+    /// Returns whether keys are protected against a second run, so that runs may start.
     pub fn is_protected(&self) -> bool {
         self.retry_at_ms.is_none()
     }
@@ -263,7 +263,7 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Returns how much the log holds.
+    /// Returns the size of the log.
     pub fn size(&self) -> WalSize {
         WalSize {
             keys: self.index.len(),
@@ -289,8 +289,8 @@
         };
         match segment::parse_contents(bytes) {
             SegmentContents::Records(scanned) => {
-                // The end of the last segment may be torn by a power cut; the runs recorded there
-                // had not started.
+                // A power cut may tear the end of the last segment. The runs recorded there had not
+                // started.
                 if scanned.corrupt_bytes > 0 && !self.is_recovered() {
                     self.report_corrupt(file.name, scanned.corrupt_bytes);
                 }
@@ -309,7 +309,7 @@
         self.segments.push(segment);
     }
 
-    /// Applies entries in their order and returns when the last of them expires, in ms.
+    /// Applies entries in order and returns their latest expiry, in ms.
     fn replay_entries(&mut self, payloads: &[&[u8]], now_ms: u64) -> u64 {
         let mut expires_at_ms = 0;
         for payload in payloads {
@@ -342,9 +342,9 @@
         self.retry_at_ms = Some(now_ms + RETRY_DELAY_MS);
     }
 
-    fn probe_storage(&mut self, now_ms: u64) {
+    fn retry_write(&mut self, now_ms: u64) {
         let mut record = Vec::new();
-        let payload = LogEntry::probe().encode().unwrap_or_default();
+        let payload = LogEntry::no_op().encode().unwrap_or_default();
         framing::append_record(&mut record, &payload);
         match self.write(&record) {
             Ok(()) => {
--- a/crates/coralstep-state/src/wal/batch.rs
+++ b/crates/coralstep-state/src/wal/batch.rs
@@ -1,4 +1,4 @@
-//! Entries that wait for their commit, so that many share one sync.
+//! Entries that wait for a commit, so that many entries share one sync.
 use super::entry::LogEntry;
 use super::{MAX_BATCH_RECORDS, MAX_COMMIT_DELAY_MS};
 use crate::framing;
@@ -26,7 +26,8 @@
         self.records == 0
     }
 
-    /// When it has to be committed: at once if it is full, else after [`MAX_COMMIT_DELAY_MS`].
+    /// Returns when the batch has to be committed: at once if it is full, otherwise after
+    /// [`MAX_COMMIT_DELAY_MS`].
     pub(super) fn commit_due_ms(&self) -> Option<u64> {
         match self.records {
             0 => None,
--- a/crates/coralstep-state/src/wal/entry.rs
+++ b/crates/coralstep-state/src/wal/entry.rs
@@ -1,10 +1,10 @@
-//! One entry of the log. The order of variants and fields is the format, as postcard encodes by
-//! position.
+//! Entries of the log. The order of variants and fields is part of the format, as postcard encodes
+//! by position.
 use serde::{Deserialize, Serialize};
 
 use super::{MAX_RESULT_BYTES, RecordedOutcome};
 
-/// What is recorded of the run under an idempotency key.
+/// A record about the run of an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum LogEntry {
     Started {
@@ -40,8 +40,8 @@
         }
     }
 
-    /// An entry that changes nothing, to try whether the storage takes writes again.
-    pub(super) fn probe() -> LogEntry {
+    /// Returns an entry without effect, used to check whether the storage can be written again.
+    pub(super) fn no_op() -> LogEntry {
         LogEntry::NeverStarted { key: Vec::new() }
     }
 
--- a/crates/coralstep-state/src/wal/index.rs
+++ b/crates/coralstep-state/src/wal/index.rs
@@ -1,4 +1,4 @@
-//! What is known of each idempotency key, in memory.
+//! In-memory index of idempotency keys and the state of their runs.
 use std::collections::HashMap;
 
 use super::ReplayDecision;
@@ -6,9 +6,9 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum KeyState {
-    /// Its run started, and its end is not known.
+    /// The run started and its outcome is unknown.
     Started,
-    /// With its result, if that is known.
+    /// The run succeeded, with its result if that is known.
     Succeeded(Option<Vec<u8>>),
     Failed,
 }
@@ -41,7 +41,7 @@
         self.keys.insert(key, known);
     }
 
-    /// Applies an entry and returns when it expires, in ms; 0 if it concerns no known key.
+    /// Applies an entry and returns the expiry of its key, in ms; 0 if the key is unknown.
     pub(super) fn apply(&mut self, entry: LogEntry, now_ms: u64) -> u64 {
         match entry {
             LogEntry::Started { key, expires_at_ms } => {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// What a repeat of the key is to be told, or `None` if the key is not known.
+    /// Returns how to handle a request with this key, or `None` if the key is unknown.
     pub(super) fn decide(&self, key: &[u8], now_ms: u64) -> Option<ReplayDecision> {
         let known = self.keys.get(key)?;
         if known.expires_at_ms <= now_ms {
--- a/crates/coralstep-state/src/wal/segment.rs
+++ b/crates/coralstep-state/src/wal/segment.rs
@@ -1,4 +1,4 @@
-//! The files of the log: segments that are appended to in turn and removed whole.
+//! Segment files of the log. Entries are appended to the last segment; old segments are removed.
 use std::collections::VecDeque;
 
 use super::{FORMAT_VERSION, MAX_SEGMENT_BYTES, WalError};
@@ -7,7 +7,7 @@
 
 const FILE_PREFIX: &str = "tokens.";
 
-/// A segment file by its number; the order is that of writing.
+/// A segment file; ordered by number, which is the order of writing.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct SegmentFile {
     pub(super) number: u64,
@@ -24,7 +24,7 @@
     Some(SegmentFile { number, name })
 }
 
-/// All segment files of a storage in the order of writing.
+/// Returns all segment files of a storage in the order of writing.
 pub(super) fn list_files(storage: &impl Storage) -> Result<Vec<SegmentFile>, StorageError> {
     let names = storage.list()?;
     let mut files: Vec<SegmentFile> = names.into_iter().filter_map(parse_file_name).collect();
@@ -37,18 +37,18 @@
 pub(super) struct Segment {
     pub(super) number: u64,
     pub(super) bytes: usize,
-    /// When the last key in it expires, in ms.
+    /// Latest expiry of its keys, in ms.
     pub(super) expires_at_ms: u64,
 }
 
-/// What the bytes of a segment file turn out to be.
+/// Parsed contents of a segment file.
 #[derive(Debug)]
 pub(super) enum SegmentContents<'a> {
     Records(framing::ScannedRecords<'a>),
     UnsupportedVersion(u16),
-    /// Cut before its header was complete: no entry of it was ever committed.
+    /// The header is incomplete, so no entry was ever committed.
     Torn,
-    /// Not a segment at all.
+    /// The file is not a segment.
     Corrupt,
 }
 
@@ -63,12 +63,12 @@
     }
 }
 
-/// The segments of the log, the last of which is appended to.
+/// The segments of the log; entries are appended to the last one.
 #[derive(Debug)]
 pub(super) struct SegmentStore<S> {
     pub(super) storage: S,
     segments: VecDeque<Segment>,
-    /// Bound of all segments together, in bytes.
+    /// Maximum total length of all segments, in bytes.
     max_bytes: usize,
 }
 
@@ -85,15 +85,15 @@
         self.segments.iter().map(|segment| segment.bytes).sum()
     }
 
-    /// Adds a recovered segment behind the others.
+    /// Adds a recovered segment after the others.
     pub(super) fn push(&mut self, segment: Segment) {
         self.segments.push_back(segment);
     }
 
-    /// Appends records that expire by `expires_at_ms` and makes them durable.
+    /// Appends records whose latest expiry is `expires_at_ms`, and makes them durable.
     ///
-    /// `force_new` begins a new segment: guards against records behind a torn one, which a failed
-    /// write may have left.
+    /// `force_new` begins a new segment, as a failed write may have left a torn record in the last
+    /// one.
     pub(super) fn append(
         &mut self,
         records: &[u8],
@@ -119,7 +119,7 @@
         Ok(())
     }
 
-    /// Removes the oldest segments whose keys have all expired; the last one stays.
+    /// Removes the oldest segments whose keys have all expired, but never the last one.
     pub(super) fn remove_expired(&mut self, now_ms: u64) {
         while self.segments.len() > 1 {
             let Some(oldest) = self
@@ -129,7 +129,7 @@
                 return;
             };
             if self.storage.remove(&file_name(oldest.number)).is_err() {
-                // It is read again after a restart, when its keys have expired, too.
+                // The file is read again after a restart, when its keys are still expired.
                 return;
             }
         }
--- a/crates/coralstep-state/src/wal/tests.rs
+++ b/crates/coralstep-state/src/wal/tests.rs
@@ -10,52 +10,64 @@
     log
 }
 
-fn fresh() -> WriteAheadLog<FaultyStorage> {
+fn empty_log() -> WriteAheadLog<FaultyStorage> {
     open(FaultyStorage::default(), 0)
 }
 
-fn run(
+fn record_run(
     log: &mut WriteAheadLog<FaultyStorage>,
     key: &[u8],
-    end: Option<RecordedOutcome>,
+    outcome: Option<RecordedOutcome>,
     now_ms: u64,
 ) -> bool {
     if !log.record_start(key, now_ms + WINDOW_MS, now_ms) || log.commit(now_ms).is_err() {
         return false;
     }
-    if let Some(end) = end {
-        log.record_outcome(key, end, now_ms);
+    if let Some(outcome) = outcome {
+        log.record_outcome(key, outcome, now_ms);
         let _ = log.commit(now_ms);
     }
     true
 }
 
 #[test]
-fn after_a_restart_a_repeat_is_told_what_is_known() {
-    let mut log = fresh();
-    assert!(run(
+fn decision_on_repeated_key_survives_restart() {
+    let mut log = empty_log();
+    assert!(record_run(
         &mut log,
-        b"good",
+        b"succeeded",
         Some(RecordedOutcome::Succeeded(b"42".to_vec())),
         10
     ));
-    assert!(run(&mut log, b"bad", Some(RecordedOutcome::Failed), 10));
-    assert!(run(
+    assert!(record_run(
         &mut log,
-        b"never",
+        b"failed",
+        Some(RecordedOutcome::Failed),
+        10
+    ));
+    assert!(record_run(
+        &mut log,
+        b"never_started",
         Some(RecordedOutcome::NeverStarted),
         10
     ));
-    assert!(run(&mut log, b"doubt", None, 10));
-    assert!(run(
+    assert!(record_run(&mut log, b"unknown", None, 10));
+    assert!(record_run(
         &mut log,
-        b"long",
+        b"long_result",
         Some(RecordedOutcome::Succeeded(vec![1; MAX_RESULT_BYTES + 1])),
         10
     ));
     let decisions = |log: &WriteAheadLog<FaultyStorage>, now: u64| {
-        ["good", "bad", "never", "doubt", "long", "new"]
-            .map(|key| log.replay_decision(key.as_bytes(), now))
+        [
+            "succeeded",
+            "failed",
+            "never_started",
+            "unknown",
+            "long_result",
+            "new",
+        ]
+        .map(|key| log.replay_decision(key.as_bytes(), now))
     };
     let all = [
         ReplayDecision::Replay(b"42".to_vec()),
@@ -66,21 +78,21 @@
         ReplayDecision::NotSeen,
     ];
     assert_eq!(decisions(&log, 20), all);
-    let again = open(log.into_storage().after_power_cut(1, Faults::default()), 20);
-    assert_eq!(decisions(&again, 20), all);
+    let reopened = open(log.into_storage().after_power_cut(1, Faults::default()), 20);
+    assert_eq!(decisions(&reopened, 20), all);
     // Keys expire.
     assert_eq!(
-        decisions(&again, 10 + WINDOW_MS),
+        decisions(&reopened, 10 + WINDOW_MS),
         [const { ReplayDecision::NotSeen }; 6]
     );
 }
 
-/// A power cut at every operation, with every kind of loss: a key that ran never counts as not seen.
+/// Guards against a second run of a key after a power cut at any operation.
 #[test]
-fn no_key_runs_twice_whenever_the_power_is_cut() {
-    let play = |faults: Faults| {
+fn no_key_runs_twice_after_power_cut_at_any_operation() {
+    let run_workload = |faults: Faults| {
         let mut log = WriteAheadLog::open(FaultyStorage::with_faults(faults), 64 << 20).unwrap();
-        // Keys whose run started, and those whose result was committed.
+        // Keys whose run started, and keys whose result was committed.
         let (mut started, mut committed) = (Vec::new(), Vec::new());
         for number in 0..4u8 {
             if !log.record_start(&[number], 100_000, 0) || log.commit(0).is_err() {
@@ -94,11 +106,11 @@
         }
         (log.into_storage(), started, committed)
     };
-    let steps = play(Faults::default()).0.operations;
-    assert!(steps > 15);
-    for cut in 0..=steps {
+    let operations = run_workload(Faults::default()).0.operations;
+    assert!(operations > 15);
+    for cut in 0..=operations {
         for seed in 0..60 {
-            let (storage, started, committed) = play(Faults {
+            let (storage, started, committed) = run_workload(Faults {
                 power_cut_at: Some(cut),
                 ..Faults::default()
             });
@@ -119,42 +131,45 @@
 }
 
 #[test]
-fn entries_are_committed_in_batches_within_the_commit_delay() {
-    let mut log = fresh();
+fn entries_are_committed_in_batches_within_commit_delay() {
+    let mut log = empty_log();
     assert_eq!(log.commit_due_ms(), None);
     assert!(log.record_start(b"a", 1_000, 100));
     assert_eq!(log.commit_due_ms(), Some(105));
     (1..MAX_BATCH_RECORDS)
         .for_each(|number| assert!(log.record_start(&[number as u8], 1_000, 101)));
     assert_eq!(log.commit_due_ms(), Some(100));
-    let steps = log.storage_mut().operations;
+    let operations = log.storage_mut().operations;
     log.commit(102).unwrap();
-    // One write and one sync for all, and a segment that is made first.
+    // One write and one sync for all entries, after three operations that create the segment.
     assert_eq!(
-        (log.storage_mut().operations - steps, log.commit_due_ms()),
+        (
+            log.storage_mut().operations - operations,
+            log.commit_due_ms()
+        ),
         (5, None)
     );
 }
 
 #[test]
-fn segments_are_removed_once_all_their_keys_have_expired() {
-    let mut log = fresh();
+fn segments_are_removed_after_all_their_keys_have_expired() {
+    let mut log = empty_log();
     let result = vec![7; MAX_RESULT_BYTES];
     for number in 0..2_500u32 {
-        assert!(run(
+        assert!(record_run(
             &mut log,
             &number.to_le_bytes(),
             Some(RecordedOutcome::Succeeded(result.clone())),
             u64::from(number)
         ));
     }
-    let storage = log.storage_mut().list().unwrap();
-    assert!(storage.len() >= 3, "{storage:?}");
-    // A key whose outcome is in another segment than its start.
-    assert!(log.record_start(b"straddles", 200_000, 3_000));
+    let files = log.storage_mut().list().unwrap();
+    assert!(files.len() >= 3, "{files:?}");
+    // The outcome of this key is in another segment than its start.
+    assert!(log.record_start(b"two_segments", 200_000, 3_000));
     log.commit(3_000).unwrap();
     for number in 0..1_200u32 {
-        assert!(run(
+        assert!(record_run(
             &mut log,
             &(number + 5_000).to_le_bytes(),
             Some(RecordedOutcome::Succeeded(result.clone())),
@@ -162,60 +177,60 @@
         ));
     }
     log.record_outcome(
-        b"straddles",
+        b"two_segments",
         RecordedOutcome::Succeeded(b"here".to_vec()),
         3_000,
     );
     log.commit(3_000).unwrap();
-    let mut again = open(
+    let mut reopened = open(
         log.into_storage().after_power_cut(3, Faults::default()),
         3_000,
     );
     assert_eq!(
-        again.replay_decision(b"straddles", 3_000),
+        reopened.replay_decision(b"two_segments", 3_000),
         ReplayDecision::Replay(b"here".to_vec())
     );
     assert_eq!(
-        again.replay_decision(&7u32.to_le_bytes(), 3_000),
+        reopened.replay_decision(&7u32.to_le_bytes(), 3_000),
         ReplayDecision::Replay(result)
     );
-    let WalSize { keys, bytes } = again.size();
+    let WalSize { keys, bytes } = reopened.size();
     assert!(
         keys > 3_000 && bytes > 3 * MAX_SEGMENT_BYTES,
         "{keys} {bytes}"
     );
-    again.maintain(250_000);
-    let WalSize { keys, bytes } = again.size();
+    reopened.maintain(250_000);
+    let WalSize { keys, bytes } = reopened.size();
     assert!(keys == 0 && bytes <= MAX_SEGMENT_BYTES, "{keys} {bytes}");
-    assert_eq!(again.storage_mut().list().unwrap().len(), 1);
+    assert_eq!(reopened.storage_mut().list().unwrap().len(), 1);
 }
 
 #[test]
-fn a_repeat_waits_while_recovery_reads() {
-    let mut log = fresh();
-    assert!(run(
+fn repeated_key_waits_until_recovery_is_complete() {
+    let mut log = empty_log();
+    assert!(record_run(
         &mut log,
         b"a",
         Some(RecordedOutcome::Succeeded(b"1".to_vec())),
         0
     ));
-    let mut again = WriteAheadLog::open(log.into_storage(), 64 << 20).unwrap();
-    assert_eq!(again.replay_decision(b"a", 10), ReplayDecision::Wait);
+    let mut reopened = WriteAheadLog::open(log.into_storage(), 64 << 20).unwrap();
+    assert_eq!(reopened.replay_decision(b"a", 10), ReplayDecision::Wait);
     assert!(
-        !again.record_start(b"b", 1_000, 10),
-        "nothing begins before all is known"
+        !reopened.record_start(b"b", 1_000, 10),
+        "no run starts before recovery is complete"
     );
-    assert!(!again.recover(10));
+    assert!(!reopened.recover(10));
     assert_eq!(
-        again.replay_decision(b"a", 10),
+        reopened.replay_decision(b"a", 10),
         ReplayDecision::Replay(b"1".to_vec())
     );
 }
 
 #[test]
-fn a_full_or_failing_disk_leaves_keys_unprotected_until_it_recovers() {
-    let mut log = fresh();
-    assert!(run(&mut log, b"a", Some(RecordedOutcome::Failed), 0));
+fn keys_are_unprotected_while_disk_is_full_or_failing() {
+    let mut log = empty_log();
+    assert!(record_run(&mut log, b"a", Some(RecordedOutcome::Failed), 0));
     log.storage_mut().faults.capacity_bytes = Some(0);
     assert!(log.record_start(b"b", 1_000, 10));
     assert!(matches!(log.commit(10), Err(WalError::Storage(_))));
@@ -223,25 +238,25 @@
     assert_eq!(log.take_events().len(), 1);
     log.storage_mut().faults.capacity_bytes = None;
     log.maintain(20);
-    assert!(!log.is_protected(), "it is left alone for a while");
+    assert!(!log.is_protected(), "the retry delay has not passed");
     log.maintain(10 + RETRY_DELAY_MS);
     assert!(log.is_protected() && log.take_events() == [WalEvent::Protected]);
-    assert!(run(
+    assert!(record_run(
         &mut log,
         b"d",
         Some(RecordedOutcome::Succeeded(b"4".to_vec())),
         6_000
     ));
-    // What came behind a torn record is read all the same.
-    let again = open(
+    // Records after a torn record are read.
+    let reopened = open(
         log.into_storage().after_power_cut(1, Faults::default()),
         6_010,
     );
     assert_eq!(
-        again.replay_decision(b"d", 6_010),
+        reopened.replay_decision(b"d", 6_010),
         ReplayDecision::Replay(b"4".to_vec())
     );
-    // The room that was agreed on is a bound, too.
+    // The maximum length of the log is enforced, too.
     let mut small = WriteAheadLog::open(FaultyStorage::default(), 200).unwrap();
     assert!(
         (0..50u8)
@@ -251,11 +266,11 @@
 }
 
 #[test]
-fn a_later_version_is_left_alone_and_corrupt_bytes_are_reported() {
-    let mut log = fresh();
+fn later_version_is_kept_and_corrupt_bytes_are_reported() {
+    let mut log = empty_log();
     let result = vec![7; MAX_RESULT_BYTES];
     for number in 0..2_000u32 {
-        assert!(run(
+        assert!(record_run(
             &mut log,
             &number.to_le_bytes(),
             Some(RecordedOutcome::Succeeded(result.clone())),
@@ -273,8 +288,8 @@
             &framing::file_header(FileKind::IdempotencyKeys, FORMAT_VERSION + 1),
         )
         .unwrap();
-    let mut again = open(storage, 10);
-    let events = again.take_events();
+    let mut reopened = open(storage, 10);
+    let events = reopened.take_events();
     assert!(
         events
             .iter()
@@ -285,9 +300,9 @@
         version: FORMAT_VERSION + 1
     }));
     assert_eq!(
-        again.replay_decision(&9u32.to_le_bytes(), 10),
+        reopened.replay_decision(&9u32.to_le_bytes(), 10),
         ReplayDecision::Replay(result)
     );
-    again.maintain(WINDOW_MS * 2);
-    assert!(again.storage_mut().list().unwrap().contains(&later));
+    reopened.maintain(WINDOW_MS * 2);
+    assert!(reopened.storage_mut().list().unwrap().contains(&later));
 }
--- a/crates/coralstep-state/tests/golden.rs
+++ b/crates/coralstep-state/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes of a state folder, held still by the files under `tests/golden`. `GOLDEN_WRITE=1`
-//! writes these anew, in one thread (`--test-threads=1`), since other tests read them.
+//! Compares the files of a state directory with the golden files in `tests/golden`.
+//! `GOLDEN_WRITE=1` rewrites these; use one thread (`--test-threads=1`), as other tests read them.
 use std::path::{Path, PathBuf};
 
 use coralstep::LearnedState;
@@ -17,7 +17,7 @@
 };
 use coralstep_state::{DirStorage, Storage};
 
-/// Snapshots were written at these seconds, and are read at `NOW_S`.
+/// Times at which the snapshots were written, in seconds since the Unix epoch.
 const WRITTEN_S: [u64; 2] = [1_790_000_000, 1_790_000_300];
 const NOW_S: u64 = 1_790_003_900;
 const NOW_MS: u64 = NOW_S * 1_000;
@@ -35,34 +35,34 @@
         .join(name)
 }
 
-/// `bytes` have to be what the golden file holds.
-fn same_as_golden(name: &str, bytes: &[u8]) {
+/// Asserts that the golden file contains `bytes`.
+fn assert_golden(name: &str, bytes: &[u8]) {
     if std::env::var_os("GOLDEN_WRITE").is_some() {
         std::fs::write(golden(name), bytes).unwrap();
     }
     assert!(
         std::fs::read(golden(name)).unwrap() == bytes,
-        "{name} is written otherwise: {bytes:02x?}"
+        "{name} differs from the golden file: {bytes:02x?}"
     );
 }
 
-/// A folder of its own that holds copies of the golden files; it goes with its guard.
-struct Copied(PathBuf);
+/// A temporary directory with copies of golden files, which is removed on drop.
+struct GoldenCopy(PathBuf);
 
-impl Copied {
-    fn new(test: &str, from: &str) -> (Copied, DirStorage) {
+impl GoldenCopy {
+    fn new(test: &str, from: &str) -> (GoldenCopy, DirStorage) {
         let path =
             std::env::temp_dir().join(format!("coralstep-golden-{test}-{}", std::process::id()));
-        let folder = DirStorage::open(&path).unwrap();
+        let directory = DirStorage::open(&path).unwrap();
         for file in std::fs::read_dir(golden(from)).unwrap() {
             let file = file.unwrap();
             std::fs::copy(file.path(), path.join(file.file_name())).unwrap();
         }
-        (Copied(path), folder)
+        (GoldenCopy(path), directory)
     }
 }
 
-impl Drop for Copied {
+impl Drop for GoldenCopy {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -97,7 +97,7 @@
     }
 }
 
-fn nothing_optional() -> (LearnedState, ConfigFingerprint) {
+fn learned_without_optional_values() -> (LearnedState, ConfigFingerprint) {
     let learned = LearnedState {
         concurrency_limit: None,
         call_permits: None,
@@ -114,7 +114,7 @@
 }
 
 fn fleet() -> Fleet {
-    let terms = FleetConfig {
+    let config = FleetConfig {
         name: "alps".to_owned(),
         own: Member::new(
             "server-17.alps",
@@ -127,11 +127,11 @@
         exclude_when_isolated: false,
         seed: 7,
     };
-    Fleet::new(terms, 0, WRITTEN_S[0] * 1_000)
+    Fleet::new(config, 0, WRITTEN_S[0] * 1_000)
 }
 
-/// The version that a server acts on after it published and took two, and its record of the earlier
-/// ones.
+/// Returns the record of a server after it published and activated two versions, and its active
+/// version.
 fn fleet_record() -> (FleetRecord, VersionId) {
     let mut fleet = fleet();
     for second in 1..=2 {
@@ -161,7 +161,7 @@
     (record, fleet.active_version())
 }
 
-/// A run of each end, each known from then on as the verdict says.
+/// Returns runs with each outcome, and the decision on a repeated key.
 fn runs() -> Vec<(&'static [u8], Option<RecordedOutcome>, ReplayDecision)> {
     let result: Vec<u8> = (0..200).collect();
     vec![
@@ -194,14 +194,14 @@
     ]
 }
 
-/// Two segments: each kind of record in the first, the second begun after a disk was full.
+/// Writes two segments: the first with each kind of record, the second after the disk was full.
 fn write_log(files: FaultyStorage) -> FaultyStorage {
     let mut log = WriteAheadLog::open(files, MAX_LOG_BYTES).unwrap();
-    for (token, end, _) in runs() {
-        assert!(log.record_start(token, EXPIRES_AT_MS, NOW_MS));
+    for (key, outcome, _) in runs() {
+        assert!(log.record_start(key, EXPIRES_AT_MS, NOW_MS));
         log.commit(NOW_MS).unwrap();
-        if let Some(end) = end {
-            log.record_outcome(token, end, NOW_MS);
+        if let Some(outcome) = outcome {
+            log.record_outcome(key, outcome, NOW_MS);
             log.commit(NOW_MS).unwrap();
         }
     }
@@ -215,10 +215,17 @@
     log.into_storage()
 }
 
-fn write_folder() -> FaultyStorage {
+fn write_state_directory() -> FaultyStorage {
     let mut files = FaultyStorage::default();
-    let (older, of) = nothing_optional();
-    snapshot::save(&mut files, &older, &of, SEQUENCE_NUMBERS[0], WRITTEN_S[0]).unwrap();
+    let (older, older_config) = learned_without_optional_values();
+    snapshot::save(
+        &mut files,
+        &older,
+        &older_config,
+        SEQUENCE_NUMBERS[0],
+        WRITTEN_S[0],
+    )
+    .unwrap();
     snapshot::save(
         &mut files,
         &learned(300),
@@ -231,7 +238,7 @@
     write_log(files)
 }
 
-fn believed(learned: LearnedState, written_s: u64, number: SequenceNumber) -> LoadedSnapshots {
+fn loaded(learned: LearnedState, written_s: u64, number: SequenceNumber) -> LoadedSnapshots {
     let confidence = confidence::from_age((NOW_S - written_s) as f64);
     LoadedSnapshots {
         restored: Some(RestoredState {
@@ -243,10 +250,10 @@
     }
 }
 
-/// Guards against a field, variant or frame that is written in another order or width than before.
+/// Guards against a change of the order or width of fields, variants or frames.
 #[test]
-fn a_state_folder_is_written_to_the_same_bytes() {
-    let files = write_folder();
+fn encoding_of_state_directory_is_unchanged() {
+    let files = write_state_directory();
     let names = files.list().unwrap();
     assert_eq!(
         names,
@@ -259,14 +266,14 @@
         ]
     );
     for name in names {
-        same_as_golden(
+        assert_golden(
             &format!("folder/{name}"),
             &files.read(&name, MAX_READ_BYTES).unwrap(),
         );
     }
 }
 
-fn assert_keys_are_known_as_recorded(storage: DirStorage) {
+fn assert_recorded_decisions(storage: DirStorage) {
     let mut log = WriteAheadLog::open(storage, MAX_LOG_BYTES).unwrap();
     while log.recover(NOW_MS) {}
     for (key, _, decision) in runs() {
@@ -288,70 +295,68 @@
     assert_eq!(
         log.replay_decision(b"good", EXPIRES_AT_MS),
         ReplayDecision::NotSeen,
-        "it has expired"
+        "the key has expired"
     );
     assert_eq!(log.take_events(), [] as [WalEvent; 0]);
 }
 
-/// Guards against a start that believes less, or other things, of a folder that an earlier program
-/// left.
+/// Guards against restoring less or other state from the directory of an earlier release.
 #[test]
-fn a_state_folder_of_before_is_read_whole_and_believed_the_same() {
-    let (_copied, mut folder) = Copied::new("whole", "folder");
+fn state_directory_of_earlier_release_is_restored_completely() {
+    let (_copy, mut directory) = GoldenCopy::new("whole", "folder");
     assert_eq!(
-        snapshot::load(&folder, &fingerprint(), NOW_S),
-        believed(learned(300), WRITTEN_S[1], SEQUENCE_NUMBERS[1])
+        snapshot::load(&directory, &fingerprint(), NOW_S),
+        loaded(learned(300), WRITTEN_S[1], SEQUENCE_NUMBERS[1])
     );
-    let (expected, acts_on) = fleet_record();
+    let (expected, active_version) = fleet_record();
     let LoadedFleetRecord {
         record,
         corrupt_bytes,
-    } = fleet_record::load(&folder).unwrap().unwrap();
+    } = fleet_record::load(&directory).unwrap().unwrap();
     assert_eq!((&record, corrupt_bytes), (&expected, 0));
     let mut restarted = fleet();
     let snapshot = Snapshot {
         active_version: record.active_version,
         audit_entries: record.audit_entries,
     };
-    assert_eq!(restarted.restore(&snapshot), Some(acts_on));
-    // Its chain of entries hangs together, else there were an event.
+    assert_eq!(restarted.restore(&snapshot), Some(active_version));
+    // A broken chain of audit entries would be reported as an event.
     assert_eq!(
         (restarted.take_events(), restarted.snapshot().audit_entries),
         (Vec::new(), expected.audit_entries)
     );
-    // The older generation counts where the newer one is gone.
-    folder.remove("learned.1").unwrap();
-    let (older, of) = nothing_optional();
+    // The older generation is restored if the newer one is missing.
+    directory.remove("learned.1").unwrap();
+    let (older, older_config) = learned_without_optional_values();
     assert_eq!(
-        snapshot::load(&folder, &of, NOW_S),
-        believed(older, WRITTEN_S[0], SEQUENCE_NUMBERS[0])
+        snapshot::load(&directory, &older_config, NOW_S),
+        loaded(older, WRITTEN_S[0], SEQUENCE_NUMBERS[0])
     );
-    assert_keys_are_known_as_recorded(folder);
+    assert_recorded_decisions(directory);
 }
 
-/// Guards against a server that starts from nothing after an update from the program that wrote
-/// version 1.
+/// Guards against a server losing its learned state after an update from a release with version 1.
 #[test]
-fn a_snapshot_of_version_1_is_believed_without_tenants() {
-    let (_copied, folder) = Copied::new("version_1", "version_1");
+fn snapshot_of_version_1_is_restored_without_tenants() {
+    let (_copy, directory) = GoldenCopy::new("version_1", "version_1");
     let expected = LearnedState {
         tenants: vec![tenant(0.0, 0.0); 2],
         ..learned(300)
     };
     assert_eq!(
-        snapshot::load(&folder, &fingerprint(), NOW_S),
-        believed(expected, WRITTEN_S[1], SEQUENCE_NUMBERS[1])
+        snapshot::load(&directory, &fingerprint(), NOW_S),
+        loaded(expected, WRITTEN_S[1], SEQUENCE_NUMBERS[1])
     );
 }
 
-/// Guards against JSON keys that are renamed with the fields: operators' tools read these.
+/// Guards against JSON keys, which operators' tools read, changing with the names of fields.
 #[test]
-fn what_operators_are_shown_of_a_folder_keeps_its_keys() {
+fn json_keys_of_summaries_and_exports_are_unchanged() {
     let directory = ReadOnlyDir::open(&golden("folder")).unwrap();
     let views = serde_json::to_string_pretty(&snapshot::list_snapshots(&directory, NOW_S)).unwrap();
-    same_as_golden("views.json", views.as_bytes());
+    assert_golden("views.json", views.as_bytes());
     for name in ["learned.0", "learned.1"] {
         let export = snapshot::export_json(&directory, name).unwrap();
-        same_as_golden(&format!("{name}.json"), export.as_bytes());
+        assert_golden(&format!("{name}.json"), export.as_bytes());
     }
 }
