--- a/crates/coralstep-server/src/app.rs
+++ b/crates/coralstep-server/src/app.rs
@@ -1,4 +1,4 @@
-//! Wires the parts of one server together and runs them until the shutdown. Nothing is decided here.
+//! Builds the components of a server, connects them and runs them until shutdown.
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::net::{SocketAddr, TcpListener};
@@ -28,29 +28,29 @@
 use crate::lifecycle::snapshots::SnapshotService;
 use crate::lifecycle::{registration, reload};
 use crate::note;
-use crate::operators::ops::Operator;
+use crate::operators::listener::OperatorListener;
 use crate::runs::Backend;
 use crate::runs::applications::Applications;
 use crate::runs::engine::Engine;
 use crate::runs::request_handler::RequestHandler;
 
-/// Until the scheduler is started, its clock is looked at again after so long.
-const UNSTARTED_TICK: Duration = Duration::from_millis(100);
-/// Between two counts of the fleet's members, whose number the applications' slow start depends on.
+/// Interval between checks whether the scheduler has been started.
+const START_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which the number of fleet members, on which the applications' slow start depends, is updated.
 const MEMBER_COUNT_PERIOD: Duration = Duration::from_secs(1);
 
-/// A part of the server that runs beside the others.
+/// A concurrent task of the server.
 type Task<'a> = Pin<Box<dyn Future<Output = ()> + 'a>>;
 
-/// A listener and the protocol that its callers speak.
+/// A listening socket and the protocol of its callers.
 struct Listener {
     socket: Async<TcpListener>,
     protocol: Rc<dyn Protocol>,
-    /// What the log adds to the address.
+    /// Suffix of the address in the log.
     label: &'static str,
 }
 
-/// One server, all its ports bound.
+/// A server whose ports are all bound.
 pub(crate) struct App {
     config: Config,
     executor: Rc<LocalExecutor<'static>>,
@@ -59,26 +59,26 @@
     engine: Rc<Engine>,
     connections: Rc<Connections>,
     listeners: Vec<Listener>,
-    operator: Option<Operator>,
+    operator: Option<OperatorListener>,
     fleet: Option<Rc<FleetService>>,
     snapshots: Option<SnapshotService>,
     parts: Rc<ReloadableParts>,
-    /// The shutdown has begun.
+    /// Whether the shutdown has begun.
     draining: Cell<bool>,
 }
 
 impl App {
-    /// Builds the parts, binds all ports, and takes in what was learned before a restart.
+    /// Builds all components, binds all ports and restores the state saved before a restart.
     ///
     /// # Errors
-    /// A port that cannot be bound, or a section that its part refuses.
+    /// Fails if a port can't be bound or a component rejects its configuration section.
     pub(crate) fn build(config: Config) -> Result<App, String> {
         log::init(&config.site.log).map_err(|error| error.to_string())?;
         let executor = Rc::new(LocalExecutor::new());
-        let scheduler = Rc::new(scheduler(&config)?);
+        let scheduler = Rc::new(build_scheduler(&config)?);
         let endpoints = Rc::new(Endpoints::new(&config));
         let engine = Rc::new(Engine::default());
-        let applications = applications(&config, &executor, &endpoints);
+        let applications = build_applications(&config, &executor, &endpoints);
         let backend: Rc<dyn Backend> = match &applications {
             Some(applications) => applications.clone(),
             None => engine.clone(),
@@ -96,12 +96,12 @@
             endpoints.descriptors.clone(),
             config.limits,
         ));
-        let scgi = scgi(&config)?;
-        // All ports are bound before any is announced: guards against an operator who reads where the server listens and
-        // does not reach the operators' listener yet.
-        let listeners = listeners(&config, scgi.as_ref())?;
-        let operator = operator(&config)?;
-        let fleet = fleet(&config)?;
+        let scgi = build_scgi(&config)?;
+        // All ports are bound before any address is logged. Guards against an operator who reads an address in the log and
+        // connects before the operator listener is bound.
+        let listeners = bind_listeners(&config, scgi.as_ref())?;
+        let operator = bind_operator(&config)?;
+        let fleet = bind_fleet(&config)?;
         let parts = Rc::new(ReloadableParts {
             scgi,
             applications,
@@ -124,12 +124,12 @@
             draining: Cell::new(false),
         };
         app.log_addresses()?;
-        // Nothing is decided before the executor runs, so what was learned comes in time.
+        // The scheduler makes no decisions before the executor runs, so the restored state applies to all of them.
         app.snapshots = app.start_snapshots();
         Ok(app)
     }
 
-    /// Serves until a signal of `stop` and the shutdown that follows; each signal of `reload` takes up the files of `source`.
+    /// Serves until a signal from `stop`, then shuts down. Each signal from `reload` reloads the files of `source`.
     pub(crate) fn run(mut self, source: &ConfigFiles, stop: Signals, reload: Signals) {
         let listeners = std::mem::take(&mut self.listeners);
         let apply_version = self.version_applier();
@@ -163,7 +163,7 @@
         }
     }
 
-    /// All tasks but those of the fleet and the listeners.
+    /// Returns all tasks except those of the fleet and the listeners.
     fn tasks<'a>(&'a self, source: &'a ConfigFiles, reload: Signals) -> Vec<Task<'a>> {
         let heartbeats = registration::send_heartbeats(
             &self.config.name,
@@ -180,7 +180,7 @@
             Box::pin(drive_scheduler(&self.scheduler, &self.engine)),
         ];
         if self.parts.applications.is_some() {
-            // Applications may come and go, so there is nothing to wait for.
+            // Applications may come and go at any time, so the scheduler starts without waiting for one.
             self.scheduler.start(None, Duration::ZERO);
         } else {
             let link =
@@ -207,16 +207,16 @@
         let Some(fleet) = &self.fleet else {
             return Vec::new();
         };
-        fleet.guard(&self.scheduler);
+        fleet.attach_to(&self.scheduler);
         let service = fleet.run(&self.scheduler, apply_version, health_sources);
         let mut tasks: Vec<Task<'a>> = vec![Box::pin(service)];
         if let Some(applications) = &self.parts.applications {
-            tasks.push(Box::pin(count_members(fleet, applications)));
+            tasks.push(Box::pin(update_process_count(fleet, applications)));
         }
         tasks
     }
 
-    /// Takes up versions of the fleet's settings.
+    /// Returns the callback that applies a configuration version of the fleet.
     fn version_applier(&self) -> ApplyVersion {
         let parts = self.parts.clone();
         let site = self.config.site.clone();
@@ -229,7 +229,7 @@
         })
     }
 
-    /// The dependencies beside the store whose health is shared with the fleet.
+    /// Returns the callback that exchanges the health of all dependencies except the store.
     fn health_sources(&self) -> HealthSources {
         let applications = self.parts.applications.clone();
         Box::new(move |exchange| {
@@ -264,9 +264,9 @@
     }
 }
 
-fn scheduler(config: &Config) -> Result<SchedulerHandle, String> {
-    let (terms, names) = (config.scheduler.clone(), config.names.clone());
-    let scheduler = SchedulerHandle::new(terms, names, config.seed, &config.limits);
+fn build_scheduler(config: &Config) -> Result<SchedulerHandle, String> {
+    let (scheduler_config, names) = (config.scheduler.clone(), config.names.clone());
+    let scheduler = SchedulerHandle::new(scheduler_config, names, config.seed, &config.limits);
     match &config.site.levels {
         Some(levels) => scheduler
             .with_degradation(levels)
@@ -275,7 +275,7 @@
     }
 }
 
-fn applications(
+fn build_applications(
     config: &Config,
     executor: &Rc<LocalExecutor<'static>>,
     endpoints: &Endpoints,
@@ -286,14 +286,17 @@
     Some(Rc::new(applications))
 }
 
-fn scgi(config: &Config) -> Result<Option<Rc<ScgiProtocol>>, String> {
+fn build_scgi(config: &Config) -> Result<Option<Rc<ScgiProtocol>>, String> {
     let section = config.site.scgi.as_ref();
     let scgi = section.map(|section| ScgiProtocol::new(section, &config.names));
     let scgi = scgi.transpose().map_err(|error| error.to_string())?;
     Ok(scgi.map(Rc::new))
 }
 
-fn listeners(config: &Config, scgi: Option<&Rc<ScgiProtocol>>) -> Result<Vec<Listener>, String> {
+fn bind_listeners(
+    config: &Config,
+    scgi: Option<&Rc<ScgiProtocol>>,
+) -> Result<Vec<Listener>, String> {
     let mut listeners = Vec::new();
     if let Some(address) = config.listen {
         listeners.push(Listener {
@@ -320,19 +323,19 @@
         .map_err(|error| format!("listen: {address}: {error}"))
 }
 
-fn operator(config: &Config) -> Result<Option<Operator>, String> {
+fn bind_operator(config: &Config) -> Result<Option<OperatorListener>, String> {
     let section = config.site.operator.as_ref();
     section
-        .map(|section| Operator::bind(&section.listen))
+        .map(|section| OperatorListener::bind(&section.listen))
         .transpose()
 }
 
-fn fleet(config: &Config) -> Result<Option<Rc<FleetService>>, String> {
+fn bind_fleet(config: &Config) -> Result<Option<Rc<FleetService>>, String> {
     let Some(section) = &config.site.fleet else {
         return Ok(None);
     };
     let (site, names) = (config.site.clone(), config.names.clone());
-    let limits_of = move |version: Option<&str>| {
+    let limits_for_version = move |version: Option<&str>| {
         let site = match version {
             None => Ok(site.clone()),
             Some(version) => site.with_version(version, &names),
@@ -350,12 +353,12 @@
         &config.name,
         config.seed,
         state_directory,
-        Box::new(limits_of),
+        Box::new(limits_for_version),
     );
     Ok(Some(Rc::new(fleet.map_err(|error| error.to_string())?)))
 }
 
-/// Runs all tasks side by side. Never ends, since some of them don't.
+/// Runs all tasks concurrently. Never returns, not even after all tasks have ended.
 async fn run_all(mut tasks: Vec<Task<'_>>) {
     poll_fn(|context| {
         tasks.retain_mut(|task| task.as_mut().poll(context).is_pending());
@@ -364,26 +367,30 @@
     .await
 }
 
-async fn count_members(fleet: &FleetService, applications: &Applications) {
+async fn update_process_count(fleet: &FleetService, applications: &Applications) {
     loop {
         applications.set_process_count(fleet.member_count());
         Timer::after(MEMBER_COUNT_PERIOD).await;
     }
 }
 
-/// Ticks the scheduler when its timer is due, with the last readings of the engine's gauges.
+/// Runs the scheduler's timer with the latest gauge readings of the engine, whenever it is due.
 async fn drive_scheduler(scheduler: &SchedulerHandle, engine: &Engine) {
     loop {
         let sooner = scheduler.earlier_tick();
         let next = scheduler.next_tick();
         let is_started = !next.is_zero();
-        let wait = if is_started { next } else { UNSTARTED_TICK };
+        let wait = if is_started {
+            next
+        } else {
+            START_POLL_INTERVAL
+        };
         let timer = async {
             Timer::after(wait).await;
         };
         timer.or(sooner).await;
         if is_started {
-            // Guards against one panic that ends the process, and with it all RPCs.
+            // Guards against a panic in the scheduler that ends the process and all its RPCs.
             let tick = AssertUnwindSafe(|| {
                 engine.poll_gauges();
                 scheduler.tick(&engine.gauge_readings());
--- a/crates/coralstep-server/src/cli/fleet.rs
+++ b/crates/coralstep-server/src/cli/fleet.rs
@@ -4,12 +4,12 @@
 use std::path::PathBuf;
 
 use coralstep_config::site::Listen;
-use coralstep_server::operators::ops::Question;
+use coralstep_server::operators::listener::OperatorRequest;
 use lexopt::Arg::{Long, Short, Value};
 use lexopt::ValueExt;
 use serde_json::Value as Json;
 
-use crate::levels::ask;
+use crate::levels::send_request;
 
 pub(crate) const USAGE: &str = "\
 usage: coralstep fleet members --at WHERE [--json]
@@ -24,45 +24,46 @@
 says no, 2 for a call that is not understood.
 ";
 
-/// Rollout stages of one version at the most.
+/// Maximum number of rollout stages of a version.
 const MAX_STAGES: usize = 16;
-/// Pause between two rollout stages where `--pause` is not given, and the longest one, in seconds.
+/// Pause between two rollout stages if `--pause` is not given, in seconds.
 const DEFAULT_PAUSE_S: f64 = 30.0;
+/// Maximum pause between two rollout stages, in seconds.
 const MAX_PAUSE_S: f64 = 86_400.0;
-/// A sub-command and its argument.
-const MAX_WORDS: usize = 2;
-/// Keys under which a server answers with rows.
+/// Maximum number of positional arguments: a sub-command and its argument.
+const MAX_POSITIONALS: usize = 2;
+/// Keys of responses that contain rows of a table.
 const ROW_KEYS: [&str; 5] = ["members", "versions", "audit", "limits", "verdicts"];
 
-/// What is to be done.
-pub(crate) enum Call {
+/// A parsed `coralstep fleet` command.
+pub(crate) enum Command {
     Help,
-    Ask(Request),
+    Send(Request),
     Publish(Publish),
 }
 
-/// A question to a server.
+/// A request to a server.
 pub(crate) struct Request {
-    question: Question,
-    /// Where the server answers operators.
-    at: Listen,
+    body: OperatorRequest,
+    /// Address of the server's operator listener.
+    address: Listen,
     json: bool,
 }
 
-/// A version to be published.
+/// Options of `coralstep fleet publish`.
 pub(crate) struct Publish {
     file: PathBuf,
     mandatory: bool,
-    /// Cumulative fractions of the fleet, 0 to 1; none for all servers at once.
+    /// Cumulative fractions of the fleet, from 0 to 1; empty to roll out to all servers at once.
     stages: Vec<f32>,
     stage_pause_ms: u64,
-    at: Listen,
+    address: Listen,
     json: bool,
 }
 
-/// A call that could not be carried out.
+/// Error of executing a `coralstep fleet` command.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum FleetCallError {
+pub(crate) enum FleetCommandError {
     #[error("{}: {source}", path.display())]
     ReadFile { path: PathBuf, source: io::Error },
     #[error("{}: {source}", path.display())]
@@ -70,17 +71,17 @@
         path: PathBuf,
         source: serde_json::Error,
     },
-    #[error("{at}: {source}")]
-    Connection { at: Listen, source: io::Error },
-    /// The server's own words.
+    #[error("{address}: {source}")]
+    Connection { address: Listen, source: io::Error },
+    /// The server returned this error.
     #[error("{0}")]
-    Refused(String),
+    Server(String),
 }
 
-/// The options of the command line as they are read.
+/// Command-line options and positional arguments.
 struct Options {
-    words: Vec<OsString>,
-    at: Option<Listen>,
+    positionals: Vec<OsString>,
+    address: Option<Listen>,
     json: bool,
     mandatory: bool,
     stages: Vec<f32>,
@@ -93,8 +94,8 @@
 impl Options {
     fn new() -> Options {
         Options {
-            words: Vec::new(),
-            at: None,
+            positionals: Vec::new(),
+            address: None,
             json: false,
             mandatory: false,
             stages: Vec::new(),
@@ -105,13 +106,13 @@
         }
     }
 
-    /// Reads all options; none where help is asked for.
+    /// Parses all options; returns `None` if help is requested.
     fn parse(parser: &mut lexopt::Parser) -> Result<Option<Options>, lexopt::Error> {
         let mut options = Options::new();
         while let Some(arg) = parser.next()? {
             match arg {
                 Short('h') | Long("help") => return Ok(None),
-                Long("at") => options.at = Some(parse_address(&parser.value()?.string()?)?),
+                Long("at") => options.address = Some(parse_address(&parser.value()?.string()?)?),
                 Long("json") => options.json = true,
                 Long("must") => options.mandatory = true,
                 Long("waves") => options.stages = parse_stages(&parser.value()?.string()?)?,
@@ -119,31 +120,33 @@
                 Long("version") => options.version = Some(parser.value()?.string()?),
                 Long("server") => options.server = Some(parser.value()?.string()?),
                 Long("time") => options.time_ms = Some(parser.value()?.parse::<u64>()?),
-                Value(word) if options.words.len() < MAX_WORDS => options.words.push(word),
+                Value(argument) if options.positionals.len() < MAX_POSITIONALS => {
+                    options.positionals.push(argument);
+                }
                 other => return Err(other.unexpected()),
             }
         }
         Ok(Some(options))
     }
 
-    fn word(&self, index: usize) -> Option<String> {
-        let word = self.words.get(index)?;
-        Some(word.to_string_lossy().into_owned())
+    fn positional(&self, index: usize) -> Option<String> {
+        let argument = self.positionals.get(index)?;
+        Some(argument.to_string_lossy().into_owned())
     }
 
-    fn into_call(self) -> Result<Call, lexopt::Error> {
-        let question = match (self.word(0).as_deref(), self.word(1)) {
-            (Some("members"), None) => Question::FleetMembers,
-            (Some("versions"), None) => Question::FleetVersions,
-            (Some("audit"), None) => Question::FleetAudit {
+    fn into_command(self) -> Result<Command, lexopt::Error> {
+        let body = match (self.positional(0).as_deref(), self.positional(1)) {
+            (Some("members"), None) => OperatorRequest::FleetMembers,
+            (Some("versions"), None) => OperatorRequest::FleetVersions,
+            (Some("audit"), None) => OperatorRequest::FleetAudit {
                 version: self.version,
                 server: self.server,
                 at_ms: self.time_ms,
             },
-            (Some("limits"), None) => Question::FleetLimits,
-            (Some("verdicts"), None) => Question::FleetVerdicts,
-            (Some("shut-out"), Some(server)) => Question::FleetShutOut { server },
-            (Some("let-in"), Some(server)) => Question::FleetLetIn { server },
+            (Some("limits"), None) => OperatorRequest::FleetLimits,
+            (Some("verdicts"), None) => OperatorRequest::FleetVerdicts,
+            (Some("shut-out"), Some(server)) => OperatorRequest::FleetShutOut { server },
+            (Some("let-in"), Some(server)) => OperatorRequest::FleetLetIn { server },
             (Some("publish"), Some(file)) => return self.into_publish(file.into()),
             (None, _) => return Err("fleet: no sub-command; see coralstep fleet --help".into()),
             (Some(other), _) => {
@@ -152,23 +155,23 @@
                 return Err(error.into());
             }
         };
-        Ok(Call::Ask(Request {
-            question,
-            at: required_address(self.at)?,
+        Ok(Command::Send(Request {
+            body,
+            address: required_address(self.address)?,
             json: self.json,
         }))
     }
 
-    fn into_publish(self, file: PathBuf) -> Result<Call, lexopt::Error> {
+    fn into_publish(self, file: PathBuf) -> Result<Command, lexopt::Error> {
         if !(0.0..=MAX_PAUSE_S).contains(&self.pause_s) {
             return Err(format!("--pause: {} is not from 0 to {MAX_PAUSE_S}", self.pause_s).into());
         }
-        Ok(Call::Publish(Publish {
+        Ok(Command::Publish(Publish {
             file,
             mandatory: self.mandatory,
             stages: self.stages,
             stage_pause_ms: (self.pause_s * 1000.0) as u64,
-            at: required_address(self.at)?,
+            address: required_address(self.address)?,
             json: self.json,
         }))
     }
@@ -179,18 +182,18 @@
         .map_err(|error| lexopt::Error::from(format!("--at: {error}")))
 }
 
-fn required_address(at: Option<Listen>) -> Result<Listen, lexopt::Error> {
-    at.ok_or_else(|| lexopt::Error::from("--at: missing"))
+fn required_address(address: Option<Listen>) -> Result<Listen, lexopt::Error> {
+    address.ok_or_else(|| lexopt::Error::from("--at: missing"))
 }
 
-/// Reads cumulative fractions of the fleet, rising to all of it.
+/// Parses increasing cumulative fractions of the fleet, the last of which is 1.
 fn parse_stages(text: &str) -> Result<Vec<f32>, String> {
     let stages: Result<Vec<f32>, _> = text.split(',').map(str::parse).collect();
     let stages = stages.map_err(|_| format!("--waves: {text:?} is no list of parts"))?;
-    let is_rising = stages.windows(2).all(|two| two[0] < two[1]);
-    let starts_above_none = stages.first().is_some_and(|first| *first > 0.0);
-    let ends_with_all = stages.last() == Some(&1.0);
-    if stages.len() > MAX_STAGES || !is_rising || !starts_above_none || !ends_with_all {
+    let is_increasing = stages.windows(2).all(|pair| pair[0] < pair[1]);
+    let starts_above_zero = stages.first().is_some_and(|first| *first > 0.0);
+    let ends_with_whole_fleet = stages.last() == Some(&1.0);
+    if stages.len() > MAX_STAGES || !is_increasing || !starts_above_zero || !ends_with_whole_fleet {
         return Err(format!(
             "--waves: {text}: parts rise from above 0 to 1, {MAX_STAGES} at most"
         ));
@@ -198,83 +201,87 @@
     Ok(stages)
 }
 
-/// Reads the command line behind `coralstep fleet`.
-pub(crate) fn call(parser: &mut lexopt::Parser) -> Result<Call, lexopt::Error> {
+/// Parses the command line after `coralstep fleet`.
+pub(crate) fn parse(parser: &mut lexopt::Parser) -> Result<Command, lexopt::Error> {
     match Options::parse(parser)? {
-        None => Ok(Call::Help),
-        Some(options) => options.into_call(),
+        None => Ok(Command::Help),
+        Some(options) => options.into_command(),
     }
 }
 
-/// Carries out a call and prints the answer.
-pub(crate) fn run(call: Call) -> Result<(), FleetCallError> {
-    let request = match call {
-        Call::Help => {
+/// Executes a command and prints the response.
+pub(crate) fn run(command: Command) -> Result<(), FleetCommandError> {
+    let request = match command {
+        Command::Help => {
             print!("{USAGE}");
             return Ok(());
         }
-        Call::Ask(request) => request,
-        Call::Publish(publish) => publish_request(publish)?,
+        Command::Send(request) => request,
+        Command::Publish(publish) => publish_request(publish)?,
     };
-    let Request { question, at, json } = request;
-    let answer = match ask(&at, &question) {
-        Ok(answer) => answer,
-        Err(source) => return Err(FleetCallError::Connection { at, source }),
+    let Request {
+        body,
+        address,
+        json,
+    } = request;
+    let response = match send_request(&address, &body) {
+        Ok(response) => response,
+        Err(source) => return Err(FleetCommandError::Connection { address, source }),
     };
-    if let Some(error) = answer["error"].as_str() {
-        return Err(FleetCallError::Refused(error.to_owned()));
+    if let Some(error) = response["error"].as_str() {
+        return Err(FleetCommandError::Server(error.to_owned()));
     }
-    print_answer(&answer, json);
+    print_response(&response, json);
     Ok(())
 }
 
-/// Reads the file of a version to be published.
-fn publish_request(publish: Publish) -> Result<Request, FleetCallError> {
+/// Builds the publish request from the file's content.
+fn publish_request(publish: Publish) -> Result<Request, FleetCommandError> {
     let path = publish.file;
     let text = match std::fs::read_to_string(&path) {
         Ok(text) => text,
-        Err(source) => return Err(FleetCallError::ReadFile { path, source }),
+        Err(source) => return Err(FleetCommandError::ReadFile { path, source }),
     };
     let content = match serde_json::from_str(&text) {
         Ok(content) => content,
-        Err(source) => return Err(FleetCallError::ParseFile { path, source }),
+        Err(source) => return Err(FleetCommandError::ParseFile { path, source }),
     };
     Ok(Request {
-        question: Question::FleetPublish {
+        body: OperatorRequest::FleetPublish {
             content,
             must: publish.mandatory,
             waves: publish.stages,
             pause_ms: publish.stage_pause_ms,
         },
-        at: publish.at,
+        address: publish.address,
         json: publish.json,
     })
 }
 
-fn print_answer(answer: &Json, json: bool) {
-    let rows = ROW_KEYS.iter().find_map(|key| answer[key].as_array());
+fn print_response(response: &Json, json: bool) {
+    let rows = ROW_KEYS.iter().find_map(|key| response[key].as_array());
     match rows {
-        None => println!("{answer}"),
+        None => println!("{response}"),
         Some(rows) if json => rows.iter().for_each(|row| println!("{row}")),
-        Some(rows) => print!("{}", table(rows)),
+        Some(rows) => print!("{}", format_table(rows)),
     }
 }
 
-/// Renders rows as lines of cells that are separated by tabs, below a line of the keys.
-fn table(rows: &[Json]) -> String {
+/// Formats rows as tab-separated lines below a header line with the keys.
+fn format_table(rows: &[Json]) -> String {
     let Some(first) = rows.first().and_then(Json::as_object) else {
         return String::new();
     };
     let keys: Vec<&str> = first.keys().map(String::as_str).collect();
     let mut table = keys.join("\t") + "\n";
     for row in rows {
-        let cells: Vec<String> = keys.iter().map(|key| cell(&row[*key])).collect();
+        let cells: Vec<String> = keys.iter().map(|key| format_cell(&row[*key])).collect();
         table += &(cells.join("\t") + "\n");
     }
     table
 }
 
-fn cell(value: &Json) -> String {
+fn format_cell(value: &Json) -> String {
     match value {
         Json::Null => "-".to_owned(),
         Json::String(text) => text.clone(),
--- a/crates/coralstep-server/src/cli/levels.rs
+++ b/crates/coralstep-server/src/cli/levels.rs
@@ -1,5 +1,5 @@
-//! `coralstep levels`: what a running server says of its levels, a hold by hand, and recorded figures played through other
-//! conditions.
+//! `coralstep levels`: shows, holds and releases the degradation level of a running server, and replays recorded signals
+//! through other conditions.
 use std::ffi::OsString;
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -10,7 +10,7 @@
 
 use coralstep_config::site::{Listen, SiteConfig};
 use coralstep_degradation::{DegradationConfig, replay};
-use coralstep_server::operators::ops::Question;
+use coralstep_server::operators::listener::OperatorRequest;
 use lexopt::Arg::{Long, Short, Value};
 use lexopt::ValueExt;
 use serde_json::Value as Json;
@@ -27,14 +27,15 @@
 file says no, 2 for a call that is not understood.
 ";
 
-/// The longest wait for the server.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Timeout for connecting to the server and for its response.
+const TIMEOUT: Duration = Duration::from_secs(2);
 
-pub enum Call {
+/// A parsed `coralstep levels` command.
+pub enum Command {
     Help,
-    Ask {
-        question: Question,
-        at: Listen,
+    Send {
+        request: OperatorRequest,
+        address: Listen,
         json: bool,
     },
     Replay {
@@ -44,53 +45,54 @@
     },
 }
 
-/// What stands behind `coralstep levels`.
-pub fn call(parser: &mut lexopt::Parser) -> Result<Call, lexopt::Error> {
-    let (mut words, mut at, mut span, mut site, mut json) =
+/// Parses the command line after `coralstep levels`.
+pub fn parse(parser: &mut lexopt::Parser) -> Result<Command, lexopt::Error> {
+    let (mut positionals, mut address, mut duration_s, mut site, mut json) =
         (Vec::<OsString>::new(), None, None, None, false);
     while let Some(arg) = parser.next()? {
         match arg {
-            Short('h') | Long("help") => return Ok(Call::Help),
+            Short('h') | Long("help") => return Ok(Command::Help),
             Long("at") => {
-                at = Some(
+                address = Some(
                     parser
                         .value()?
                         .string()?
                         .parse::<Listen>()
-                        .map_err(|why| format!("--at: {why}"))?,
+                        .map_err(|error| format!("--at: {error}"))?,
                 )
             }
-            Long("for") => span = Some(parser.value()?.parse::<f64>()?),
+            Long("for") => duration_s = Some(parser.value()?.parse::<f64>()?),
             Long("site") => site = Some(PathBuf::from(parser.value()?)),
             Long("json") => json = true,
-            Value(word) if words.len() < 2 => words.push(word),
+            Value(argument) if positionals.len() < 2 => positionals.push(argument),
             other => return Err(other.unexpected()),
         }
     }
-    let word = |at: usize| {
-        words
-            .get(at)
-            .map(|word| word.to_string_lossy().into_owned())
+    let positional = |index: usize| {
+        positionals
+            .get(index)
+            .map(|argument| argument.to_string_lossy().into_owned())
     };
-    let at = || {
-        at.clone()
+    let required_address = || {
+        address
+            .clone()
             .ok_or_else(|| lexopt::Error::from("--at: missing"))
     };
-    let question = match (word(0).as_deref(), word(1)) {
-        (Some("show"), None) => Question::Levels,
-        (Some("history"), None) => Question::History,
-        (Some("release"), None) => Question::Release,
+    let request = match (positional(0).as_deref(), positional(1)) {
+        (Some("show"), None) => OperatorRequest::Levels,
+        (Some("history"), None) => OperatorRequest::History,
+        (Some("release"), None) => OperatorRequest::Release,
         (Some("hold"), Some(level)) => {
-            let seconds = span
-                .filter(|span| *span > 0.0 && *span < 1e6)
+            let seconds = duration_s
+                .filter(|seconds| *seconds > 0.0 && *seconds < 1e6)
                 .ok_or("--for: seconds above 0 are missing")?;
-            Question::Hold {
+            OperatorRequest::Hold {
                 level,
                 ms: (seconds * 1000.0) as u64,
             }
         }
         (Some("replay"), Some(file)) => {
-            return Ok(Call::Replay {
+            return Ok(Command::Replay {
                 file: file.into(),
                 site,
                 json,
@@ -104,124 +106,145 @@
             .into());
         }
     };
-    Ok(Call::Ask {
-        question,
-        at: at()?,
+    Ok(Command::Send {
+        request,
+        address: required_address()?,
         json,
     })
 }
 
-pub fn run(call: Call) -> Result<(), String> {
-    match call {
-        Call::Help => print!("{USAGE}"),
-        Call::Ask { question, at, json } => {
-            let said = ask(&at, &question).map_err(|why| format!("{at}: {why}"))?;
-            if let Some(why) = said["error"].as_str() {
-                return Err(why.to_owned());
+/// Executes a command and prints its result.
+pub fn run(command: Command) -> Result<(), String> {
+    match command {
+        Command::Help => print!("{USAGE}"),
+        Command::Send {
+            request,
+            address,
+            json,
+        } => {
+            let response =
+                send_request(&address, &request).map_err(|error| format!("{address}: {error}"))?;
+            if let Some(error) = response["error"].as_str() {
+                return Err(error.to_owned());
             }
             if json {
-                println!("{said}");
+                println!("{response}");
             } else {
-                print!("{}", text(&said));
+                print!("{}", format_response(&response));
             }
         }
-        Call::Replay { file, site, json } => replayed(&file, site, json)?,
+        Command::Replay { file, site, json } => replay_file(&file, site, json)?,
     }
     Ok(())
 }
 
-pub fn ask(at: &Listen, question: &Question) -> io::Result<Json> {
-    fn talk(mut stream: impl Read + Write, question: &Question) -> io::Result<String> {
-        stream.write_all(format!("{}\n", serde_json::to_string(question)?).as_bytes())?;
-        let mut said = String::new();
-        BufReader::new(stream).take(1 << 20).read_line(&mut said)?;
-        Ok(said)
+/// Sends a request to a server's operator listener and returns the response.
+///
+/// # Errors
+/// Fails if the connection fails or times out, or if the response is not JSON.
+pub fn send_request(address: &Listen, request: &OperatorRequest) -> io::Result<Json> {
+    fn exchange(mut stream: impl Read + Write, request: &OperatorRequest) -> io::Result<String> {
+        stream.write_all(format!("{}\n", serde_json::to_string(request)?).as_bytes())?;
+        let mut response = String::new();
+        BufReader::new(stream)
+            .take(1 << 20)
+            .read_line(&mut response)?;
+        Ok(response)
     }
-    let said = match at {
+    let response = match address {
         Listen::Address(address) => {
-            let stream = TcpStream::connect_timeout(address, PATIENCE)?;
-            stream.set_read_timeout(Some(PATIENCE))?;
-            talk(stream, question)?
+            let stream = TcpStream::connect_timeout(address, TIMEOUT)?;
+            stream.set_read_timeout(Some(TIMEOUT))?;
+            exchange(stream, request)?
         }
         Listen::Path(path) => {
             let stream = UnixStream::connect(path)?;
-            stream.set_read_timeout(Some(PATIENCE))?;
-            talk(stream, question)?
+            stream.set_read_timeout(Some(TIMEOUT))?;
+            exchange(stream, request)?
         }
     };
-    Ok(serde_json::from_str(&said)?)
+    Ok(serde_json::from_str(&response)?)
 }
 
-fn seconds(ms: &Json) -> f64 {
+fn to_seconds(ms: &Json) -> f64 {
     ms.as_f64().unwrap_or(0.0) / 1000.0
 }
 
-fn causes(causes: &Json) -> String {
-    let one = |cause: &Json| {
+fn format_causes(causes: &Json) -> String {
+    let format_cause = |cause: &Json| {
         let (figure, threshold) = (&cause["figure"], &cause["threshold"]);
         format!(
             "{} {:.2} of {:.2}",
-            word(&cause["signal"]),
+            text_or_dash(&cause["signal"]),
             figure.as_f64().unwrap_or(0.0),
             threshold.as_f64().unwrap_or(0.0)
         )
     };
-    let all: Vec<String> = causes.as_array().into_iter().flatten().map(one).collect();
-    if all.is_empty() {
+    let causes: Vec<String> = causes
+        .as_array()
+        .into_iter()
+        .flatten()
+        .map(format_cause)
+        .collect();
+    if causes.is_empty() {
         "-".to_owned()
     } else {
-        all.join(", ")
+        causes.join(", ")
     }
 }
 
-fn word(value: &Json) -> &str {
+fn text_or_dash(value: &Json) -> &str {
     value.as_str().unwrap_or("-")
 }
 
-/// A table a person or a shell can read: one fact a line, words apart by tabs where there are several.
-fn text(said: &Json) -> String {
+/// Formats a response for people and shell scripts: one item per line, with tab-separated fields.
+fn format_response(response: &Json) -> String {
     let mut out = String::new();
-    if let Some(view) = said.get("levels") {
+    if let Some(view) = response.get("levels") {
         out += &format!(
             "level\t{}\nsince\t{:.1} s\nwhy\t{}\n",
-            word(&view["level"]),
-            seconds(&view["since_ms"]),
-            causes(&view["why"])
+            text_or_dash(&view["level"]),
+            to_seconds(&view["since_ms"]),
+            format_causes(&view["why"])
         );
-        out += &format!("stays\t{:.1} s\n", seconds(&view["stays_ms"]));
+        out += &format!("stays\t{:.1} s\n", to_seconds(&view["stays_ms"]));
         if !view["held_ms"].is_null() {
-            out += &format!("held\t{:.1} s\n", seconds(&view["held_ms"]));
+            out += &format!("held\t{:.1} s\n", to_seconds(&view["held_ms"]));
         }
         out += "condition\tsignal\tfigure\tenter\tleave\tmet s\tgone s\n";
-        for one in view["conditions"].as_array().into_iter().flatten() {
-            let figure = one["figure"]
+        for condition in view["conditions"].as_array().into_iter().flatten() {
+            let figure = condition["figure"]
                 .as_f64()
                 .map_or("-".to_owned(), |figure| format!("{figure:.2}"));
             let (enter, leave) = (
-                one["enter"].as_f64().unwrap_or(0.0),
-                one["leave"].as_f64().unwrap_or(0.0),
+                condition["enter"].as_f64().unwrap_or(0.0),
+                condition["leave"].as_f64().unwrap_or(0.0),
+            );
+            let (met, gone) = (
+                to_seconds(&condition["met_ms"]),
+                to_seconds(&condition["gone_ms"]),
             );
-            let (met, gone) = (seconds(&one["met_ms"]), seconds(&one["gone_ms"]));
             out += &format!(
                 "{}\t{}\t{figure}\t{enter:.2}\t{leave:.2}\t{met:.1}\t{gone:.1}\n",
-                word(&one["level"]),
-                word(&one["signal"])
+                text_or_dash(&condition["level"]),
+                text_or_dash(&condition["signal"])
             );
         }
-    } else if let Some(history) = said.get("history") {
-        for one in history.as_array().into_iter().flatten() {
-            let lasted = seconds(&one["lasted_ms"]);
+    } else if let Some(history) = response.get("history") {
+        for change in history.as_array().into_iter().flatten() {
+            let lasted = to_seconds(&change["lasted_ms"]);
             out += &format!(
                 "{}\t{}\t{}\t{lasted:.1} s\t{}\n",
-                one["unix_ms"],
-                word(&one["from"]),
-                word(&one["to"]),
-                causes(&one["causes"])
+                change["unix_ms"],
+                text_or_dash(&change["from"]),
+                text_or_dash(&change["to"]),
+                format_causes(&change["causes"])
             );
         }
-    } else if let Some(level) = said.get("held") {
-        out += &format!("held\t{}\t{:.1} s\n", word(level), seconds(&said["ms"]));
-    } else if let Some(released) = said.get("released") {
+    } else if let Some(level) = response.get("held") {
+        let held_s = to_seconds(&response["ms"]);
+        out += &format!("held\t{}\t{held_s:.1} s\n", text_or_dash(level));
+    } else if let Some(released) = response.get("released") {
         out += if released.as_bool() == Some(true) {
             "released\n"
         } else {
@@ -231,40 +254,42 @@
     out
 }
 
-fn replayed(file: &PathBuf, site: Option<PathBuf>, json: bool) -> Result<(), String> {
-    let terms = match site {
+/// Replays a recorded log through the site file's conditions, or through the built-in ones, and prints the level changes.
+fn replay_file(file: &PathBuf, site: Option<PathBuf>, json: bool) -> Result<(), String> {
+    let config = match site {
         None => DegradationConfig::default(),
         Some(path) => {
-            let named = |why: String| format!("{}: {why}", path.display());
-            let text = std::fs::read_to_string(&path).map_err(|why| named(why.to_string()))?;
+            let with_path = |error: String| format!("{}: {error}", path.display());
+            let text =
+                std::fs::read_to_string(&path).map_err(|error| with_path(error.to_string()))?;
             SiteConfig::read(&text)
-                .map_err(|error| named(error.to_string()))?
+                .map_err(|error| with_path(error.to_string()))?
                 .levels
                 .unwrap_or_default()
         }
     };
-    let named = |why: String| format!("{}: {why}", file.display());
+    let with_path = |error: String| format!("{}: {error}", file.display());
     let record: Box<dyn BufRead> = match file.to_str() {
         Some("-") => Box::new(BufReader::new(io::stdin())),
         _ => Box::new(BufReader::new(
-            File::open(file).map_err(|why| named(why.to_string()))?,
+            File::open(file).map_err(|error| with_path(error.to_string()))?,
         )),
     };
     let mut changes = 0u64;
-    let count = replay(&terms, record, |at_ms, change| {
+    let sample_count = replay(&config, record, |at_ms, change| {
         changes += 1;
         match json {
             true => println!("{}", serde_json::json!({"at_ms": at_ms, "change": change})),
             false => println!("{:.1} s\t{change}", at_ms as f64 / 1000.0),
         }
     })
-    .map_err(|error| named(error.to_string()))?;
+    .map_err(|error| with_path(error.to_string()))?;
     match json {
         true => println!(
             "{}",
-            serde_json::json!({"samples": count, "changes": changes})
+            serde_json::json!({"samples": sample_count, "changes": changes})
         ),
-        false => println!("{count} samples, {changes} changes"),
+        false => println!("{sample_count} samples, {changes} changes"),
     }
     Ok(())
 }
--- a/crates/coralstep-server/src/cli/state.rs
+++ b/crates/coralstep-server/src/cli/state.rs
@@ -1,4 +1,4 @@
-//! `coralstep state`: what is kept in a state folder, also while a server has it.
+//! `coralstep state`: inspects the snapshots in a state directory, even while a server uses it.
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
@@ -16,20 +16,20 @@
 call that is not understood.
 ";
 
-/// What is to be done with the folder.
+/// Operation on a state directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Action {
     /// Print a summary of each snapshot.
     Show,
-    /// The same, and fail if nothing is believed of one of them.
+    /// Print a summary of each snapshot, and fail if one of them is corrupt or can't be read.
     Verify,
-    /// Print the newest good snapshot as JSON.
+    /// Print the newest valid snapshot as JSON.
     Export,
 }
 
-/// The parsed command line.
+/// A parsed `coralstep state` command.
 #[derive(Debug)]
-pub(crate) enum Call {
+pub(crate) enum Command {
     Help,
     Inspect {
         action: Action,
@@ -38,14 +38,16 @@
     },
 }
 
-/// Whether the folder is as the call requires.
+/// Result of inspecting a state directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    Good,
-    Bad,
+pub(crate) enum Inspection {
+    /// The command succeeded.
+    Passed,
+    /// Verification found a corrupt or unreadable snapshot.
+    Failed,
 }
 
-/// Why a folder could not be inspected.
+/// Error of inspecting a state directory.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum InspectError {
     #[error("{}: {source}", folder.display())]
@@ -59,71 +61,71 @@
     Json(#[from] serde_json::Error),
 }
 
-/// Parses what follows `coralstep state`.
-pub(crate) fn call(parser: &mut lexopt::Parser) -> Result<Call, lexopt::Error> {
+/// Parses the command line after `coralstep state`.
+pub(crate) fn parse(parser: &mut lexopt::Parser) -> Result<Command, lexopt::Error> {
     let mut action = None;
     let mut folder = None;
     let mut json = false;
     while let Some(arg) = parser.next()? {
         match arg {
-            Short('h') | Long("help") => return Ok(Call::Help),
+            Short('h') | Long("help") => return Ok(Command::Help),
             Long("json") => json = true,
-            Value(word) if action.is_none() => action = Some(parse_action(&word)?),
+            Value(name) if action.is_none() => action = Some(parse_action(&name)?),
             Value(path) if folder.is_none() => folder = Some(PathBuf::from(path)),
             other => return Err(other.unexpected()),
         }
     }
-    Ok(Call::Inspect {
+    Ok(Command::Inspect {
         action: action.ok_or("state: show, verify or export; see coralstep state --help")?,
         folder: folder.ok_or("state: no folder")?,
         json,
     })
 }
 
-fn parse_action(word: &std::ffi::OsStr) -> Result<Action, lexopt::Error> {
-    match word.to_str() {
+fn parse_action(name: &std::ffi::OsStr) -> Result<Action, lexopt::Error> {
+    match name.to_str() {
         Some("show") => Ok(Action::Show),
         Some("verify") => Ok(Action::Verify),
         Some("export") => Ok(Action::Export),
-        _ => Err(format!("state: {word:?} is not understood; see coralstep state --help").into()),
+        _ => Err(format!("state: {name:?} is not understood; see coralstep state --help").into()),
     }
 }
 
-/// Carries out the call and prints what it asks for.
-pub(crate) fn run(call: Call) -> Result<Verdict, InspectError> {
-    let Call::Inspect {
+/// Executes a command and prints its output.
+pub(crate) fn run(command: Command) -> Result<Inspection, InspectError> {
+    let Command::Inspect {
         action,
         folder,
         json,
-    } = call
+    } = command
     else {
         print!("{USAGE}");
-        return Ok(Verdict::Good);
+        return Ok(Inspection::Passed);
     };
     let directory = ReadOnlyDir::open(&folder).map_err(|source| InspectError::Storage {
         folder: folder.clone(),
         source,
     })?;
-    let summaries = snapshot::list_snapshots(&directory, unix_time_s());
+    let summaries = snapshot::list_snapshots(&directory, current_unix_time_s());
     match action {
         Action::Export => export(&directory, &folder, &summaries)?,
         Action::Show | Action::Verify if json => print_json(&summaries)?,
         Action::Show | Action::Verify => print_text(&summaries),
     }
-    let all_good = summaries.iter().all(is_good);
-    if action == Action::Verify && !all_good {
-        return Ok(Verdict::Bad);
+    let all_valid = summaries.iter().all(is_valid);
+    if action == Action::Verify && !all_valid {
+        return Ok(Inspection::Failed);
     }
-    Ok(Verdict::Good)
+    Ok(Inspection::Passed)
 }
 
-fn unix_time_s() -> u64 {
+fn current_unix_time_s() -> u64 {
     SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .map_or(0, |since_epoch| since_epoch.as_secs())
 }
 
-fn is_good(summary: &SnapshotSummary) -> bool {
+fn is_valid(summary: &SnapshotSummary) -> bool {
     summary.sequence_number.is_some()
 }
 
@@ -134,7 +136,7 @@
 ) -> Result<(), InspectError> {
     let newest = summaries
         .iter()
-        .filter(|summary| is_good(summary))
+        .filter(|summary| is_valid(summary))
         .max_by_key(|summary| summary.sequence_number)
         .ok_or_else(|| InspectError::NoSnapshot {
             folder: folder.to_owned(),
@@ -156,11 +158,11 @@
         println!("nothing is kept here");
     }
     for summary in summaries {
-        println!("{}", text_line(summary));
+        println!("{}", format_line(summary));
     }
 }
 
-fn text_line(summary: &SnapshotSummary) -> String {
+fn format_line(summary: &SnapshotSummary) -> String {
     let SnapshotSummary {
         file,
         sequence_number,
--- a/crates/coralstep-server/src/fleet/event_log.rs
+++ b/crates/coralstep-server/src/fleet/event_log.rs
@@ -1,4 +1,4 @@
-//! The fleet's events as log lines of target `fleet`.
+//! Logs fleet events under the target `fleet`.
 use std::time::Instant;
 
 use coralstep_fleet::Event;
@@ -7,9 +7,9 @@
 
 use crate::base::log;
 
-/// Writes one line for an event.
+/// Logs one line for `event`, unless peers have used up the line limit.
 pub(super) fn log_event(event: &Event) {
-    // Guards against members that come and go without end and crowd out all other lines: theirs count as a client's.
+    // Guards against flapping members whose events crowd out other log lines: they count against the clients' limit.
     if is_caused_by_peer(event) && log::admit_line(Instant::now(), log::LineCause::Client).is_none()
     {
         return;
--- a/crates/coralstep-server/src/fleet/health_exchange.rs
+++ b/crates/coralstep-server/src/fleet/health_exchange.rs
@@ -1,5 +1,5 @@
-//! The health of dependencies, exchanged with the fleet: what this server's circuit breakers see goes out, what the others
-//! report comes back.
+//! Exchanges the health of dependencies with the fleet: reports the state of this server's circuit breakers and applies
+//! the reports of its peers.
 use std::time::Duration;
 
 use coralstep_fleet::Millis;
@@ -8,26 +8,26 @@
 use super::service::FleetService;
 use crate::decisions::{BreakerStatus, SchedulerHandle};
 
-/// The store's name among the fleet's dependencies.
+/// Name of the store in health reports.
 const STORE: &str = "store";
 
-/// What a circuit breaker may go by, after the reports of other servers.
+/// Adjustments to a circuit breaker that follow from peers' reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerAdvice {
-    /// Outcomes of its own before it may open.
+    /// Minimum number of local outcomes before the breaker may open.
     pub min_outcomes: u32,
-    /// When a running cooldown ends, from now; none leaves it as it is.
+    /// Remaining time of a running cooldown; `None` leaves it unchanged.
     pub cooldown_left: Option<Duration>,
 }
 
-/// Reports the named dependency's circuit breaker, and returns what the others advise.
+/// Reports the status of the named dependency's circuit breaker and returns the advice derived from peers' reports.
 pub type ExchangeHealth<'a> = &'a mut dyn FnMut(&str, BreakerStatus) -> PeerAdvice;
 
-/// Exchanges the health of the dependencies beside the store.
+/// Exchanges the health of all dependencies except the store.
 pub type HealthSources = Box<dyn Fn(ExchangeHealth<'_>)>;
 
 impl FleetService {
-    /// Exchanges the health of the store, and of all other dependencies.
+    /// Exchanges the health of the store and of all other dependencies.
     pub(super) fn exchange_health(
         &self,
         now: Millis,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Returns the state of this name; closed for an unknown one.
+/// Returns the breaker state with this name, or `Closed` if the name is unknown.
 fn breaker_state(name: &str) -> BreakerState {
     let states = [
         BreakerState::Closed,
--- a/crates/coralstep-server/src/fleet/mod.rs
+++ b/crates/coralstep-server/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! This server's part in its fleet: the datagrams of `coralstep-fleet` on a socket, its versions as settings, its events as
-//! log lines, and what outlives a restart.
+//! Connects this server to its fleet: sends and receives the datagrams of `coralstep-fleet`, applies published
+//! configuration versions, logs fleet events and persists fleet state across restarts.
 mod event_log;
 mod health_exchange;
 mod operator_views;
@@ -10,6 +10,6 @@
 mod wall_clock;
 
 pub use health_exchange::{ExchangeHealth, HealthSources, PeerAdvice};
-pub use quotas::LimitsOfVersion;
+pub use quotas::LimitsForVersion;
 pub use service::{ApplyVersion, FleetService, FleetStartError};
 pub use wall_clock::ClockStepsDisabledError;
--- a/crates/coralstep-server/src/fleet/operator_views.rs
+++ b/crates/coralstep-server/src/fleet/operator_views.rs
@@ -1,4 +1,4 @@
-//! The fleet as operators ask for it, in JSON, and what they order. The keys are the operators' words.
+//! Fleet queries and commands of operators. Queries return JSON, whose keys are part of the operator interface.
 use std::collections::BTreeMap;
 
 use coralstep_fleet::audit::{AuditFilter, AuditRow};
@@ -11,7 +11,7 @@
 use super::wall_clock::ClockStepsDisabledError;
 
 impl FleetService {
-    /// Returns the members, an object each.
+    /// Returns the members, one object per member.
     pub fn members(&self) -> Value {
         let fleet = self.fleet.borrow();
         let members = fleet.members(self.now());
@@ -23,14 +23,14 @@
         })
     }
 
-    /// Returns the number of servers that are not down, this one among them.
+    /// Returns the number of servers that are not down, including this one.
     pub fn member_count(&self) -> usize {
         let members = self.fleet.borrow().members(self.now());
         let is_up = |view: &&MemberView| view.state != MemberState::Down;
         members.iter().filter(is_up).count().max(1)
     }
 
-    /// Returns the versions that are held here, and the forks among them.
+    /// Returns the versions stored on this server and the forks between them.
     pub fn versions(&self) -> Value {
         let fleet = self.fleet.borrow();
         let versions = fleet.versions().iter();
@@ -43,13 +43,13 @@
         })
     }
 
-    /// Returns which server had which version active.
+    /// Returns the audit rows that match `filter`: which server had which version active, and when.
     pub fn audit(&self, filter: &AuditFilter) -> Value {
         let rows = self.fleet.borrow().audit(self.now(), filter);
         json!({ "audit": rows.iter().map(audit_json).collect::<Vec<Value>>() })
     }
 
-    /// Returns the shares of the limits by server.
+    /// Returns each server's shares of the fleet-wide limits.
     pub fn limits(&self) -> Value {
         let rows = self
             .quota
@@ -59,7 +59,7 @@
         json!({ "limits": rows })
     }
 
-    /// Returns what each server reports of each dependency, and where a fault lies as far as this server can tell.
+    /// Returns each server's health reports per dependency, and the likely source of each fault.
     pub fn shared_health(&self) -> Value {
         let Some(shared_health) = &self.shared_health else {
             return json!({ "verdicts": [] });
@@ -72,11 +72,11 @@
         json!({ "verdicts": shared_health.rows(self.now()), "whose": fault_sources })
     }
 
-    /// Publishes a version of the settings.
+    /// Publishes a configuration version.
     ///
     /// # Errors
     ///
-    /// The version is too long.
+    /// Fails if the version is too long.
     pub fn publish(&self, publication: Publication) -> Result<VersionId, PublishError> {
         let wall_ms = self.wall_clock.now_ms();
         let mut fleet = self.fleet.borrow_mut();
@@ -86,11 +86,11 @@
         Ok(id)
     }
 
-    /// Excludes a server or readmits it: this one, or any that is known here.
+    /// Excludes or readmits a server, which may be this one or any known member.
     ///
     /// # Errors
     ///
-    /// No server of that name is known here.
+    /// Fails if no member has this name.
     pub fn set_excluded(&self, server: &str, exclude: bool) -> Result<(), UnknownMemberError> {
         let mut fleet = self.fleet.borrow_mut();
         fleet.set_excluded(self.now(), server, exclude)?;
@@ -99,13 +99,13 @@
         Ok(())
     }
 
-    /// For tests: sets the wall clock that this server goes by off by `offset_ms` milliseconds.
+    /// Shifts this server's wall clock from the system clock by `offset_ms` milliseconds, for tests.
     ///
     /// # Errors
     ///
-    /// The site file does not let the clock be stepped.
-    pub fn step_clock(&self, offset_ms: i64) -> Result<(), ClockStepsDisabledError> {
-        self.wall_clock.step(offset_ms)
+    /// Fails unless the site file sets `fleet.clock_steps`.
+    pub fn set_clock_offset(&self, offset_ms: i64) -> Result<(), ClockStepsDisabledError> {
+        self.wall_clock.set_offset(offset_ms)
     }
 }
 
--- a/crates/coralstep-server/src/fleet/quotas.rs
+++ b/crates/coralstep-server/src/fleet/quotas.rs
@@ -1,4 +1,4 @@
-//! The fleet's limits: which ones hold, and what RPCs take of them.
+//! Applies fleet-wide limits: selects the limits in force and admits RPCs under them.
 use coralstep_fleet::{Millis, VersionId};
 use coralstep_quota::limit::stricter_limits;
 use coralstep_quota::{Limit, Permit, QuotaExhausted, RequestKey};
@@ -6,20 +6,21 @@
 use super::service::FleetService;
 use crate::decisions::QuotaLimiter;
 
-/// Returns the limits of a version's content, or of the site file alone.
-pub type LimitsOfVersion = Box<dyn Fn(Option<&str>) -> Vec<Limit>>;
+/// Returns the limits of a version's content, or those of the site file for `None`.
+pub type LimitsForVersion = Box<dyn Fn(Option<&str>) -> Vec<Limit>>;
 
-/// The versions whose limits hold.
+/// The versions whose limits are in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LimitVersions {
     active: VersionId,
-    /// The version that is to be activated; the default id where there is none.
+    /// The version to be activated next; the default id if there is none.
     upcoming: VersionId,
 }
 
 impl FleetService {
-    /// Sets the limits where their versions have changed. Of the active version and the one that is to be activated the
-    /// stricter limits hold: during a rollout both are in use.
+    /// Updates the limits if the versions they come from have changed.
+    ///
+    /// During a rollout servers use both the active and the upcoming version, so the stricter limit of the two applies.
     pub(super) fn update_limits(&self, now: Millis) {
         let Some(quota) = &self.quota else { return };
         let fleet = self.fleet.borrow();
@@ -34,10 +35,10 @@
             return;
         }
         let active = fleet.versions().get(active);
-        let mut limits = (self.limits_of)(active.map(|version| version.content.as_str()));
+        let mut limits = (self.limits_for_version)(active.map(|version| version.content.as_str()));
         if let Some(upcoming) = upcoming {
             let content = &upcoming.version.content;
-            limits = stricter_limits(&limits, &(self.limits_of)(Some(content)));
+            limits = stricter_limits(&limits, &(self.limits_for_version)(Some(content)));
         }
         quota.borrow_mut().set_limits(now, &limits);
     }
--- a/crates/coralstep-server/src/fleet/recorder.rs
+++ b/crates/coralstep-server/src/fleet/recorder.rs
@@ -1,6 +1,6 @@
-//! Keeps the active version and the audit chain over a restart, where the site file names a state directory.
+//! Persists the active version and the audit chain across restarts, if the site file configures a state directory.
 //!
-//! A thread of its own writes: a slow disk costs neither an RPC nor a datagram.
+//! A dedicated thread writes the record, so that a slow disk delays neither RPCs nor datagrams.
 use std::fmt::Display;
 use std::path::Path;
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
@@ -10,19 +10,22 @@
 
 use crate::note;
 
-/// The record's own directory in the state directory.
+/// Subdirectory of the state directory that holds the record.
 const DIRECTORY: &str = "fleet";
 const THREAD_NAME: &str = "record";
 
-/// Hands records to the thread that writes them.
+/// Sends records to the writer thread.
 pub(super) struct Recorder(SyncSender<FleetRecord>);
 
 impl Recorder {
-    /// Opens the directory and returns what was kept there. None where it can't be had, which is logged.
+    /// Opens the directory, loads its record and starts the writer thread. Logs an error and returns `None` on failure.
     pub(super) fn start(state_dir: &Path) -> Option<(Recorder, FleetRecord)> {
         let path = state_dir.join(DIRECTORY);
         let log = |error: &dyn Display| {
-            note!("fleet: {}: {error}; no record is kept", path.display());
+            note!(
+                "fleet: {}: {error}; fleet state is not persisted",
+                path.display()
+            );
         };
         let log_storage_error = |error: StorageError| log(&error);
         let storage = DirStorage::open(&path).map_err(log_storage_error).ok()?;
@@ -39,34 +42,34 @@
         Some((Recorder(sender), record))
     }
 
-    /// Hands a record over. False where the one before is still being written, and this one has to be handed over again.
+    /// Queues a record for writing. Returns `false` if another record is still queued; the caller must then retry.
     pub(super) fn save(&self, record: FleetRecord) -> bool {
         !matches!(self.0.try_send(record), Err(TrySendError::Full(_)))
     }
 }
 
-/// Believes nothing of a record that is corrupt in part.
+/// Returns the loaded record, or an empty one if any of it is corrupt.
 fn intact_record(loaded: LoadedFleetRecord) -> FleetRecord {
     let corrupt_bytes = loaded.corrupt_bytes;
     if corrupt_bytes == 0 {
         return loaded.record;
     }
-    note!("fleet: {corrupt_bytes} bytes of the record are corrupt; nothing of it is believed");
+    note!("fleet: discarded the stored record, {corrupt_bytes} bytes are corrupt");
     FleetRecord::default()
 }
 
-/// Writes until the server ends. Of errors in a row the first is logged.
+/// Writes records until the sender is dropped. Logs only the first of consecutive errors.
 fn write_records(mut storage: DirStorage, receiver: &Receiver<FleetRecord>) {
     let mut failed = false;
     while let Ok(record) = receiver.recv() {
         match fleet_record::save(&mut storage, &record) {
             Ok(()) if failed => {
                 failed = false;
-                note!("fleet: the record is written again");
+                note!("fleet: writing the record succeeded again");
             }
             Err(error) if !failed => {
                 failed = true;
-                note!("fleet: no record: {error}; tried again at the next change");
+                note!("fleet: failed to write the record: {error}; will retry at the next change");
             }
             _ => {}
         }
--- a/crates/coralstep-server/src/fleet/service.rs
+++ b/crates/coralstep-server/src/fleet/service.rs
@@ -1,5 +1,5 @@
-//! The fleet at work: datagrams in and out, ticks at their times, a version taken up as settings. What a datagram means is
-//! decided in `coralstep-fleet`.
+//! Runs the fleet protocol of `coralstep-fleet`: receives and sends datagrams, drives its timers and applies new
+//! configuration versions.
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -25,76 +25,76 @@
 
 use super::event_log::log_event;
 use super::health_exchange::HealthSources;
-use super::quotas::{LimitVersions, LimitsOfVersion};
+use super::quotas::{LimitVersions, LimitsForVersion};
 use super::recorder::Recorder;
 use super::socket::{FleetSocket, Received};
 use super::wall_clock::{WallClock, unix_ms};
 use crate::decisions::SchedulerHandle;
 use crate::note;
 
-/// Between two ticks.
-const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Datagrams that are read in a row before other tasks have their turn.
-const MAX_DATAGRAMS_IN_A_ROW: usize = 32;
-/// Pause after an error of the socket. It says nothing that the members don't find out.
+/// Interval between two periodic updates.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of datagrams handled before the task yields to others.
+const MAX_DATAGRAMS_PER_BATCH: usize = 32;
+/// Pause after a socket error. The error is not logged: members detect an unreachable peer themselves.
 const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(1);
 
-/// Takes up the content of a version as settings, or says why it can't be.
+/// Applies the content of a version as settings, or returns the reason why it is rejected.
 pub type ApplyVersion = Box<dyn Fn(&str) -> Result<(), String>>;
 
-/// The fleet can't be joined.
+/// Error that prevents this server from joining its fleet.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetStartError {
-    /// The address can't be bound.
+    /// The listen address can't be bound.
     #[error("fleet.listen: {address}: {source}")]
     Bind {
-        /// The address as it is configured.
+        /// The configured address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error returned by the system.
         source: io::Error,
     },
-    /// The system does not tell the address that was bound.
+    /// The bound address can't be read.
     #[error("fleet.listen: {0}")]
     LocalAddress(#[source] io::Error),
-    /// The server's name or address is none that other servers accept.
-    #[error("name: {name:?} is none that a fleet can hear")]
+    /// Peers would reject this server's name or address.
+    #[error("name: {name:?} is not a valid member name")]
     InvalidName {
-        /// The name as it is configured.
+        /// The configured name.
         name: String,
     },
 }
 
-/// This server's part in its fleet.
+/// This server's membership in its fleet.
 pub struct FleetService {
     pub(super) fleet: RefCell<Fleet>,
     pub(super) socket: FleetSocket,
     pub(super) wall_clock: WallClock,
     start: Instant,
-    /// Datagrams that were not believed.
+    /// Number of datagrams that were rejected.
     pub(super) rejected_datagrams: Cell<u64>,
     recorder: Option<Recorder>,
-    /// Whether what outlives a restart has changed and was not handed to the recorder yet.
+    /// Whether persisted state has changed since the last record was queued.
     has_unsaved_changes: Cell<bool>,
-    /// The fleet's limits, where servers are named that may grant shares of them.
+    /// Fleet-wide limits; `None` if no servers are configured to grant shares.
     pub(super) quota: Option<Rc<RefCell<QuotaExtension>>>,
-    pub(super) limits_of: LimitsOfVersion,
+    pub(super) limits_for_version: LimitsForVersion,
     pub(super) limit_versions: Cell<Option<LimitVersions>>,
-    /// The health of dependencies, where it is shared.
+    /// Shared health of dependencies; `None` if sharing is not configured.
     pub(super) shared_health: Option<Rc<RefCell<SharedHealth>>>,
 }
 
 impl FleetService {
-    /// Binds the fleet's socket for the server `name`. What outlives a restart is kept in `state_dir`, where there is one.
+    /// Binds the fleet socket of the server `name` and restores its state from `state_dir`, if there is one.
     ///
     /// # Errors
     ///
-    /// Why the fleet can't be joined.
+    /// Fails if the address can't be bound or the name is not valid.
     pub fn bind(
         config: &FleetConfig,
         name: &str,
         seed: u64,
         state_dir: Option<&Path>,
-        limits_of: LimitsOfVersion,
+        limits_for_version: LimitsForVersion,
     ) -> Result<FleetService, FleetStartError> {
         let address = config.listen;
         let socket = FleetSocket::bind(address, config.networks.clone())
@@ -120,13 +120,13 @@
             recorder,
             has_unsaved_changes: Cell::new(false),
             quota,
-            limits_of,
+            limits_for_version,
             limit_versions: Cell::new(None),
             shared_health,
         })
     }
 
-    /// Returns the address of the socket.
+    /// Returns the socket's local address.
     pub fn address(&self) -> Option<SocketAddr> {
         self.socket.local_address().ok()
     }
@@ -135,8 +135,8 @@
         self.start.elapsed().as_millis() as Millis
     }
 
-    /// From here on the scheduler asks before each RPC whether this server is excluded, and for the fleet's limits.
-    pub fn guard(self: &Rc<Self>, scheduler: &SchedulerHandle) {
+    /// Makes the scheduler check each RPC against this server's exclusion and the fleet-wide limits.
+    pub fn attach_to(self: &Rc<Self>, scheduler: &SchedulerHandle) {
         let service = self.clone();
         scheduler.set_fence_check(Rc::new(move || service.retry_after()));
         if self.quota.is_some() {
@@ -145,39 +145,39 @@
     }
 
     fn retry_after(&self) -> Option<Span> {
-        // Not asked while the fleet itself is at work.
+        // Skipped while the fleet is mutably borrowed.
         let mut fleet = self.fleet.try_borrow_mut().ok()?;
         fleet.retry_after(self.now()).map(Span::ms)
     }
 
-    /// Receives, ticks and sends without end.
+    /// Receives datagrams, runs periodic updates and sends datagrams; never returns.
     pub async fn run(
         &self,
         scheduler: &SchedulerHandle,
         apply: &ApplyVersion,
         health_sources: &HealthSources,
     ) {
-        let mut next_tick = Instant::now();
+        let mut next_update = Instant::now();
         let mut buffer = vec![0; MAX_RECEIVED_BYTES + 1];
         loop {
-            let tick = async {
-                Timer::at(next_tick).await;
+            let update_due = async {
+                Timer::at(next_update).await;
                 None
             };
             let received = async { Some(self.socket.receive(&mut buffer).await) };
-            // Guards against a flood of datagrams that lets no time pass: the tick comes first.
-            match tick.or(received).await {
+            // Guards against a flood of datagrams that starves the periodic update, which is polled first.
+            match update_due.or(received).await {
                 Some(Ok(received)) => {
-                    self.receive_in_a_row(received, &mut buffer);
+                    self.receive_batch(received, &mut buffer);
                     yield_now().await;
                 }
                 Some(Err(_)) => drop(Timer::after(SOCKET_ERROR_PAUSE).await),
                 None => {
-                    next_tick = Instant::now() + TICK_INTERVAL;
-                    let tick = || self.tick(scheduler, apply, health_sources);
-                    // Guards against one fault that ends the fleet's task, and with it all that it guards.
-                    if catch_unwind(AssertUnwindSafe(tick)).is_err() {
-                        note!("a tick of the fleet ended by a panic");
+                    next_update = Instant::now() + UPDATE_INTERVAL;
+                    let update = || self.update(scheduler, apply, health_sources);
+                    // Guards against a panic that ends the fleet task and all checks that depend on it.
+                    if catch_unwind(AssertUnwindSafe(update)).is_err() {
+                        note!("fleet: periodic update panicked");
                     }
                 }
             }
@@ -185,9 +185,9 @@
         }
     }
 
-    fn receive_in_a_row(&self, first: Received, buffer: &mut [u8]) {
+    fn receive_batch(&self, first: Received, buffer: &mut [u8]) {
         self.handle_datagram(&buffer[..first.bytes], first.from);
-        for _ in 1..MAX_DATAGRAMS_IN_A_ROW {
+        for _ in 1..MAX_DATAGRAMS_PER_BATCH {
             let Ok(next) = self.socket.try_receive(buffer) else {
                 break;
             };
@@ -202,16 +202,16 @@
                 .handle_datagram(self.now(), self.wall_clock.now_ms(), bytes)
                 .is_ok()
         };
-        // Guards against a peer's bytes that end the process by a fault in what reads them.
-        let is_believed =
+        // Guards against a malformed datagram that makes the decoder panic.
+        let is_accepted =
             self.socket.accepts(from) && catch_unwind(AssertUnwindSafe(handle)).unwrap_or(false);
-        if !is_believed {
+        if !is_accepted {
             self.rejected_datagrams
                 .set(self.rejected_datagrams.get() + 1);
         }
     }
 
-    fn tick(
+    fn update(
         &self,
         scheduler: &SchedulerHandle,
         apply: &ApplyVersion,
@@ -243,7 +243,7 @@
         let Some(PublishedVersion { id, version }) = pending else {
             return;
         };
-        // Applied without a borrow of the fleet: what it changes may ask the fleet.
+        // The fleet must not be borrowed here: applying the version may call back into it.
         let applied = apply(&version.content);
         let mut fleet = self.fleet.borrow_mut();
         match applied {
@@ -264,14 +264,14 @@
             return;
         }
         let snapshot = self.fleet.borrow().snapshot();
-        let is_handed_over = recorder.save(FleetRecord {
+        let is_queued = recorder.save(FleetRecord {
             active_version: snapshot.active_version,
             audit_entries: snapshot.audit_entries,
         });
-        self.has_unsaved_changes.set(!is_handed_over);
+        self.has_unsaved_changes.set(!is_queued);
     }
 
-    /// Logs the events and sends the datagrams that wait.
+    /// Logs pending events and sends pending datagrams.
     pub(super) fn flush(&self) {
         if let Some(quota) = &self.quota {
             for event in quota.borrow_mut().take_events() {
@@ -291,7 +291,7 @@
         self.socket.send(&datagrams);
     }
 
-    /// Announces that this server leaves.
+    /// Announces to the fleet that this server is leaving.
     pub fn leave(&self) {
         let wall_ms = self.wall_clock.now_ms();
         self.fleet.borrow_mut().leave(self.now(), wall_ms);
@@ -311,7 +311,7 @@
     }
 }
 
-/// Registers the fleet's limits, where servers are named that may grant shares of them.
+/// Registers the quota extension, if servers are configured to grant shares.
 fn register_quota(
     fleet: &mut Fleet,
     config: &FleetConfig,
@@ -328,7 +328,7 @@
     Some(quota)
 }
 
-/// Registers the shared health of dependencies, where it is configured.
+/// Registers the shared-health extension, if it is configured.
 fn register_shared_health(
     fleet: &mut Fleet,
     config: &FleetConfig,
@@ -344,7 +344,7 @@
     Some(shared_health)
 }
 
-/// Opens the record in `state_dir` and takes in what it holds.
+/// Opens the record in `state_dir` and restores the fleet state from it.
 fn restore(fleet: &mut Fleet, state_dir: &Path) -> Option<Recorder> {
     let (recorder, record) = Recorder::start(state_dir)?;
     let snapshot = Snapshot {
--- a/crates/coralstep-server/src/fleet/socket.rs
+++ b/crates/coralstep-server/src/fleet/socket.rs
@@ -1,4 +1,4 @@
-//! The fleet's UDP socket: datagrams from listed networks alone, a bounded number of bytes a second.
+//! The fleet's UDP socket: accepts datagrams only from configured networks and limits the sending rate.
 use std::cell::Cell;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -8,36 +8,37 @@
 use coralstep_fleet::fleet::Transmit;
 use ipnet::IpNet;
 
-/// Bytes that may be sent a second, whatever the fleet's size; also the most that may be sent at once.
+/// Sending rate limit in bytes per second, independent of the fleet's size; also the burst size.
 const MAX_BYTES_PER_SECOND: f64 = 64.0 * 1024.0;
 
-/// A token bucket of bytes.
+/// Token bucket for outgoing bytes.
 #[derive(Clone, Copy)]
 struct ByteBudget {
     available: f64,
-    since: Instant,
+    updated_at: Instant,
 }
 
 impl ByteBudget {
-    /// Takes `bytes` where so many are available.
+    /// Withdraws `bytes` and returns `true` if that many are available.
     fn withdraw(&mut self, bytes: usize) -> bool {
-        let refilled = self.available + self.since.elapsed().as_secs_f64() * MAX_BYTES_PER_SECOND;
+        let refilled =
+            self.available + self.updated_at.elapsed().as_secs_f64() * MAX_BYTES_PER_SECOND;
         let available = refilled.min(MAX_BYTES_PER_SECOND);
         let may_send = available >= bytes as f64;
         let withdrawn = if may_send { bytes as f64 } else { 0.0 };
         self.available = available - withdrawn;
-        self.since = Instant::now();
+        self.updated_at = Instant::now();
         may_send
     }
 }
 
-/// A received datagram's length, and its sender.
+/// Length in bytes and sender of a received datagram.
 pub(super) struct Received {
     pub(super) bytes: usize,
     pub(super) from: SocketAddr,
 }
 
-/// The fleet's socket.
+/// UDP socket of the fleet protocol.
 pub(super) struct FleetSocket {
     socket: Async<UdpSocket>,
     networks: Vec<IpNet>,
@@ -46,7 +47,7 @@
 }
 
 impl FleetSocket {
-    /// Binds `address`; datagrams from outside `networks` are not read.
+    /// Binds `address`; only datagrams from `networks` are accepted.
     pub(super) fn bind(address: SocketAddr, networks: Vec<IpNet>) -> io::Result<FleetSocket> {
         let socket = UdpSocket::bind(address).and_then(Async::new)?;
         Ok(FleetSocket {
@@ -54,7 +55,7 @@
             networks,
             budget: Cell::new(ByteBudget {
                 available: MAX_BYTES_PER_SECOND,
-                since: Instant::now(),
+                updated_at: Instant::now(),
             }),
             unsent: Cell::new(0),
         })
@@ -70,20 +71,20 @@
         Ok(Received { bytes, from })
     }
 
-    /// Reads a datagram that has arrived already.
+    /// Receives a datagram that is already in the socket buffer, without waiting.
     pub(super) fn try_receive(&self, buffer: &mut [u8]) -> io::Result<Received> {
         let (bytes, from) = self.socket.get_ref().recv_from(buffer)?;
         Ok(Received { bytes, from })
     }
 
-    /// Whether datagrams from `address` are read.
+    /// Returns whether datagrams from `address` are accepted.
     pub(super) fn accepts(&self, address: SocketAddr) -> bool {
         self.networks
             .iter()
             .any(|network| network.contains(&address.ip()))
     }
 
-    /// Sends datagrams as far as the budget goes, and counts the others.
+    /// Sends datagrams while the byte budget lasts and counts those that were not sent.
     pub(super) fn send(&self, datagrams: &[Transmit]) {
         for datagram in datagrams {
             if !self.try_send(datagram) {
@@ -99,7 +100,7 @@
         may_send && self.socket.get_ref().send_to(bytes, *destination).is_ok()
     }
 
-    /// Datagrams that were not sent, for want of budget or by an error.
+    /// Number of datagrams not sent, because the budget was exhausted or sending failed.
     pub(super) fn unsent(&self) -> u64 {
         self.unsent.get()
     }
--- a/crates/coralstep-server/src/lib.rs
+++ b/crates/coralstep-server/src/lib.rs
@@ -1,12 +1,12 @@
-//! One coralstep server on sockets: one thread, a folder a concern, dependencies one way.
+//! The coralstep server process. It runs on one thread; each module depends only on the modules to its right:
 //!
 //! ```text
 //! app ──> lifecycle ──> operators, callers ──> runs ──> fleet, dependency ──> decisions ──> base
 //! ```
 //!
-//! [`callers`] read RPCs and write answers; [`decisions::SchedulerHandle`] is the way to the scheduler; [`runs`] carries out what
-//! it decides, at an engine or at applications, and [`dependency`] calls the store. No lock, and no borrow of shared state is
-//! held across an await.
+//! [`callers`] reads RPCs and writes replies. [`decisions::SchedulerHandle`] wraps the scheduler, and [`runs`] executes its
+//! decisions on an engine or on applications. [`dependency`] calls the store. The server uses no locks, and no borrow of
+//! shared state is held across an await.
 use thiserror::Error;
 
 mod app;
@@ -23,24 +23,24 @@
 use base::config::ConfigFiles;
 use lifecycle::{drain, reload};
 
-/// Why nothing was served.
+/// Error that prevents the server from starting.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// The files are at fault; no port was opened.
+    /// The configuration is invalid; no port was opened.
     #[error("{0}")]
     Config(String),
-    /// The system refused something that the server needs.
+    /// A system call that the server needs failed.
     #[error("{0}")]
     System(String),
 }
 
-/// Serves until SIGTERM or SIGINT and the shutdown that follows.
+/// Serves until SIGTERM or SIGINT, then shuts down gracefully.
 ///
 /// # Errors
-/// Faulty files, or a system that refuses ports or signals.
+/// Fails if the configuration is invalid, or if ports can't be bound or signal handlers can't be installed.
 pub fn serve(source: ConfigFiles) -> Result<(), ServeError> {
     let system = |error: std::io::Error| ServeError::System(error.to_string());
-    // Before the files are read, so that a signal in between ends nobody and is not missed.
+    // Installed before the files are read, so that a signal in the meantime neither kills the process nor is lost.
     let stop = drain::signals().map_err(system)?;
     let reload = reload::signals().map_err(system)?;
     let config = source
--- a/crates/coralstep-server/src/main.rs
+++ b/crates/coralstep-server/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `coralstep`.
+//! The `coralstep` command-line program.
 #[path = "cli/fleet.rs"]
 mod fleet;
 #[path = "cli/levels.rs"]
@@ -30,21 +30,21 @@
 `name` and `listen` where it leaves them out.
 ";
 
-/// The configuration and the site file, where they are named.
-type Files = (Option<PathBuf>, Option<PathBuf>);
+/// Paths of the configuration file and the site file, if given.
+type FilePaths = (Option<PathBuf>, Option<PathBuf>);
 
 enum Command {
-    Serve(Files),
-    Check(Files),
+    Serve(FilePaths),
+    Check(FilePaths),
     Schema,
-    Levels(levels::Call),
-    State(state::Call),
-    Fleet(fleet::Call),
+    Levels(levels::Command),
+    State(state::Command),
+    Fleet(fleet::Command),
     Version,
     Help,
 }
 
-fn command(mut parser: lexopt::Parser) -> Result<Command, lexopt::Error> {
+fn parse_command(mut parser: lexopt::Parser) -> Result<Command, lexopt::Error> {
     let (mut name, mut config, mut site): (Option<String>, Option<OsString>, Option<OsString>) =
         (None, None, None);
     while let Some(arg) = parser.next()? {
@@ -54,13 +54,13 @@
             Long("config") => config = Some(parser.value()?),
             Long("site") => site = Some(parser.value()?),
             Value(value) if name.is_none() && value == "levels" => {
-                return levels::call(&mut parser).map(Command::Levels);
+                return levels::parse(&mut parser).map(Command::Levels);
             }
             Value(value) if name.is_none() && value == "fleet" => {
-                return fleet::call(&mut parser).map(Command::Fleet);
+                return fleet::parse(&mut parser).map(Command::Fleet);
             }
             Value(value) if name.is_none() && value == "state" => {
-                return state::call(&mut parser).map(Command::State);
+                return state::parse(&mut parser).map(Command::State);
             }
             Value(value) if name.is_none() => name = Some(value.to_string_lossy().into_owned()),
             other => return Err(other.unexpected()),
@@ -78,39 +78,43 @@
     }
 }
 
-/// What `check` says of a good configuration.
-fn told(config: &Config) -> String {
+/// Returns the summary that `check` prints for a valid configuration.
+fn format_summary(config: &Config) -> String {
     let (methods, tenants) = (config.names.methods.len(), config.names.tenants.len());
     let listens = config
         .listen
-        .map_or("nowhere".to_owned(), |at| at.to_string());
-    let mut told = format!(
+        .map_or("nowhere".to_owned(), |address| address.to_string());
+    let mut summary = format!(
         "{}: {methods} methods, {tenants} tenants, listens on {listens}\n",
         config.name
     );
     if let Some(scgi) = &config.site.scgi {
-        let at: Vec<String> = scgi.listen.iter().map(|at| at.to_string()).collect();
-        told += &format!(
+        let addresses: Vec<String> = scgi
+            .listen
+            .iter()
+            .map(|address| address.to_string())
+            .collect();
+        summary += &format!(
             "SCGI: {} routes, listens on {}\n",
             scgi.routes.len(),
-            at.join(", ")
+            addresses.join(", ")
         );
     }
     if let Some(applications) = &config.site.applications {
-        told += &format!("applications: {}\n", applications.addresses.len());
+        summary += &format!("applications: {}\n", applications.addresses.len());
     }
-    told
+    summary
 }
 
-/// What was asked for, or the files that say how, are at fault; nothing was begun.
-fn at_fault(why: &str) -> ExitCode {
-    eprintln!("coralstep: {why}");
+/// Reports an error in the command line or the configuration and returns exit status 2. Nothing has been started yet.
+fn reject_input(error: &str) -> ExitCode {
+    eprintln!("coralstep: {error}");
     ExitCode::from(2)
 }
 
 fn main() -> ExitCode {
-    let done = match command(lexopt::Parser::from_env()) {
-        Err(why) => return at_fault(&why.to_string()),
+    let result = match parse_command(lexopt::Parser::from_env()) {
+        Err(error) => return reject_input(&error.to_string()),
         Ok(Command::Help) => {
             print!("{USAGE}");
             Ok(())
@@ -123,20 +127,20 @@
             print!("{}", SiteConfig::schema());
             Ok(())
         }
-        Ok(Command::Levels(call)) => levels::run(call),
-        Ok(Command::Fleet(call)) => fleet::run(call).map_err(|error| error.to_string()),
-        Ok(Command::State(call)) => match state::run(call) {
-            Ok(state::Verdict::Good) => Ok(()),
-            Ok(state::Verdict::Bad) => return ExitCode::FAILURE,
+        Ok(Command::Levels(command)) => levels::run(command),
+        Ok(Command::Fleet(command)) => fleet::run(command).map_err(|error| error.to_string()),
+        Ok(Command::State(command)) => match state::run(command) {
+            Ok(state::Inspection::Passed) => Ok(()),
+            Ok(state::Inspection::Failed) => return ExitCode::FAILURE,
             Err(error) => Err(error.to_string()),
         },
         Ok(Command::Check((config, site))) => {
             match ConfigFiles::new(config, site).and_then(|files| files.load()) {
                 Ok(config) => {
-                    print!("{}", told(&config));
+                    print!("{}", format_summary(&config));
                     Ok(())
                 }
-                Err(error) => return at_fault(&error.to_string()),
+                Err(error) => return reject_input(&error.to_string()),
             }
         }
         Ok(Command::Serve((config, site))) => {
@@ -145,15 +149,15 @@
                 .and_then(coralstep_server::serve)
             {
                 Ok(()) => Ok(()),
-                Err(ServeError::Config(why)) => return at_fault(&why),
-                Err(ServeError::System(why)) => Err(why),
+                Err(ServeError::Config(error)) => return reject_input(&error),
+                Err(ServeError::System(error)) => Err(error),
             }
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("coralstep: {why}");
+        Err(error) => {
+            eprintln!("coralstep: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/coralstep-server/src/operators/mod.rs
+++ b/crates/coralstep-server/src/operators/mod.rs
@@ -1,2 +1,2 @@
-//! Where operators ask.
-pub mod ops;
+//! Operator interface: requests for status and commands.
+pub mod listener;
