--- a/crates/coralstep-server/benches/front.rs
+++ b/crates/coralstep-server/benches/front.rs
@@ -1,6 +1,7 @@
-//! From the first byte of a request to the last of its answer, by front, with a place that runs nothing: what the fronts, the
-//! table, the ledger and the decisions cost together. Beside them a plain echo on the same kind of socket, which is what the
-//! system itself takes.
+//! Measures the round trip of an RPC, from the first byte of the request to the last byte of the reply, for each protocol.
+//!
+//! The backend returns each request's body at once, so the time is that of protocol, request table, idempotency records and
+//! scheduler together. A plain echo server on the same kind of socket is the baseline for the cost of the system calls.
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
@@ -28,58 +29,61 @@
 use criterion::{Criterion, criterion_group, criterion_main};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 
-/// Every run ends at once with its own body.
-struct Echo;
+/// Backend whose runs end at once, with the request's body as the result.
+struct EchoBackend;
 
 #[derive(Default)]
 struct EchoRun(RefCell<RunEvents>);
 
 impl Run for EchoRun {
-    fn start(&self, order: &RunRequest<'_>) {
+    fn start(&self, request: &RunRequest<'_>) {
         self.0
             .borrow_mut()
-            .push(RunEvent::Ended(RunOutcome::Ok(order.body.into())));
+            .push(RunEvent::Ended(RunOutcome::Ok(request.body.into())));
     }
-    fn resume(&self, _answer: &[u8]) {}
+    fn resume(&self, _result: &[u8]) {}
     fn mark_answered(&self) {}
     fn cancel(&self) {}
-    fn probe(&self, _order: &RunRequest<'_>) {}
+    fn probe(&self, _request: &RunRequest<'_>) {}
     fn poll_event(&self, cx: &mut Context<'_>) -> Poll<RunEvent> {
         self.0.borrow_mut().poll(cx)
     }
 }
 
-impl Backend for Echo {
+impl Backend for EchoBackend {
     fn register(self: Rc<Self>, _id: RequestId) -> Option<Box<dyn Run>> {
         Some(Box::<EchoRun>::default())
     }
 }
 
 fn bind() -> (Async<TcpListener>, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("its address");
-    (Async::new(listener).expect("a reactor"), address)
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
+    let address = listener.local_addr().expect("read the bound address");
+    (
+        Async::new(listener).expect("register with the reactor"),
+        address,
+    )
 }
 
-fn site() -> SiteConfig {
+fn site_config() -> SiteConfig {
     let names = Names {
         methods: vec!["read".to_owned()],
         ..Names::default()
     };
     let text = r#"{"scgi": {"listen": ["127.0.0.1:1"], "trusted": ["127.0.0.0/8"],
         "routes": [{"verb": "POST", "path": "/read", "method": "read"}]}}"#;
-    SiteConfig::parse(text, &names).expect("a proper site file")
+    SiteConfig::parse(text, &names).expect("valid site file")
 }
 
-/// A call of `invoke`, framed.
-fn invoke(seq: i32, id: &str, body: &[u8]) -> Vec<u8> {
+/// Encodes a framed call of `invoke`.
+fn encode_invoke(sequence: i32, id: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes = vec![0x80, 1, 0, 1];
-    let text = |bytes: &mut Vec<u8>, text: &[u8]| {
+    let put_text = |bytes: &mut Vec<u8>, text: &[u8]| {
         bytes.extend_from_slice(&(text.len() as u32).to_be_bytes());
         bytes.extend_from_slice(text);
     };
-    text(&mut bytes, b"invoke");
-    bytes.extend_from_slice(&seq.to_be_bytes());
+    put_text(&mut bytes, b"invoke");
+    bytes.extend_from_slice(&sequence.to_be_bytes());
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
@@ -93,30 +97,31 @@
     bytes.extend_from_slice(&[13, 0, 1, 11, 11]);
     bytes.extend_from_slice(&(fields.len() as u32).to_be_bytes());
     for (key, value) in fields {
-        text(&mut bytes, key.as_bytes());
-        text(&mut bytes, value.as_bytes());
+        put_text(&mut bytes, key.as_bytes());
+        put_text(&mut bytes, value.as_bytes());
     }
     bytes.extend_from_slice(&[11, 0, 2]);
-    text(&mut bytes, body);
+    put_text(&mut bytes, body);
     bytes.push(0);
     [&(bytes.len() as u32).to_be_bytes()[..], &bytes].concat()
 }
 
-async fn until_the_end(mut stream: Async<TcpStream>) -> usize {
+/// Reads `stream` to its end and returns the number of bytes.
+async fn read_to_end(mut stream: Async<TcpStream>) -> usize {
     let mut bytes = Vec::new();
-    stream.read_to_end(&mut bytes).await.expect("an answer");
+    stream.read_to_end(&mut bytes).await.expect("read a reply");
     bytes.len()
 }
 
 fn front(criterion: &mut Criterion) {
-    let target = Span::ms(60_000);
+    let objective = Span::ms(60_000);
     let method = Method {
-        latency_objective: target,
-        deadline: target,
+        latency_objective: objective,
+        deadline: objective,
         priority_weight: 1.0,
         ..Method::default()
     };
-    let terms = SchedulerConfig {
+    let config = SchedulerConfig {
         methods: vec![method],
         cores: 8,
         memory_kb: 1e6,
@@ -134,7 +139,7 @@
         result_bytes: 1 << 20,
         request_ids: 1 << 16,
     };
-    let scheduler = Rc::new(SchedulerHandle::new(terms, names.clone(), 1, &limits));
+    let scheduler = Rc::new(SchedulerHandle::new(config, names.clone(), 1, &limits));
     scheduler.start(Some(false), Duration::from_secs(1));
     let endpoints = Endpoints {
         engine: Endpoint::new(None),
@@ -145,7 +150,7 @@
     let descriptors = endpoints.descriptors.clone();
     let handler = Rc::new(RequestHandler::new(
         scheduler.clone(),
-        Rc::new(Echo),
+        Rc::new(EchoBackend),
         StoreClient(Rc::new(endpoints)),
         &limits,
     ));
@@ -157,30 +162,31 @@
         descriptors,
         limits,
     ));
-    let site = site();
-    let scgi_terms: &ScgiConfig = site.scgi.as_ref().expect("its SCGI part");
+    let site = site_config();
+    let scgi_config: &ScgiConfig = site.scgi.as_ref().expect("section scgi");
     assert_eq!(
-        scgi_terms.routes,
+        scgi_config.routes,
         [RouteConfig {
             verb: "POST".into(),
             path: "/read".into(),
             method: "read".into()
         }]
     );
-    let scgi: Rc<dyn Protocol> = Rc::new(ScgiProtocol::new(scgi_terms, &names).expect("a front"));
+    let scgi: Rc<dyn Protocol> =
+        Rc::new(ScgiProtocol::new(scgi_config, &names).expect("valid routes"));
     let mut addresses = Vec::new();
-    for front in [Rc::new(GatewayProtocol) as Rc<dyn Protocol>, scgi] {
+    for protocol in [Rc::new(GatewayProtocol) as Rc<dyn Protocol>, scgi] {
         let (listener, address) = bind();
         let connections = connections.clone();
         executor
-            .spawn(async move { connections.listen(listener, front).await })
+            .spawn(async move { connections.listen(listener, protocol).await })
             .detach();
         addresses.push(address);
     }
-    let (plain, echo) = bind();
+    let (echo_listener, echo_address) = bind();
     executor
         .spawn(async move {
-            while let Ok((mut stream, _)) = plain.accept().await {
+            while let Ok((mut stream, _)) = echo_listener.accept().await {
                 let mut bytes = [0; 2048];
                 let count = stream.read(&mut bytes).await.unwrap_or(0);
                 let _ = stream.write_all(&bytes[..count]).await;
@@ -195,11 +201,11 @@
     group.bench_function("baseline: a connection and its echo", |b| {
         b.iter(|| {
             run(Box::pin(async {
-                let mut stream = Async::<TcpStream>::connect(echo)
+                let mut stream = Async::<TcpStream>::connect(echo_address)
                     .await
-                    .expect("a connection");
-                stream.write_all(&body).await.expect("room");
-                until_the_end(stream).await
+                    .expect("connect");
+                stream.write_all(&body).await.expect("write a request");
+                read_to_end(stream).await
             }))
         })
     });
@@ -209,15 +215,15 @@
         &[("REQUEST_METHOD", b"POST"), ("REQUEST_URI", b"/read")],
         &body,
     )
-    .expect("a request");
+    .expect("encode a request");
     group.bench_function("SCGI: a connection and its RPC", |b| {
         b.iter(|| {
             run(Box::pin(async {
                 let mut stream = Async::<TcpStream>::connect(addresses[1])
                     .await
-                    .expect("a connection");
-                stream.write_all(&bytes).await.expect("room");
-                until_the_end(stream).await
+                    .expect("connect");
+                stream.write_all(&bytes).await.expect("write a request");
+                read_to_end(stream).await
             }))
         })
     });
@@ -225,32 +231,32 @@
     group.bench_function("Thrift: a connection and its RPC", |b| {
         b.iter(|| {
             number += 1;
-            let call = invoke(1, &format!("{number:016x}"), &body);
+            let call = encode_invoke(1, &format!("{number:016x}"), &body);
             run(Box::pin(async {
                 let mut stream = Async::<TcpStream>::connect(addresses[0])
                     .await
-                    .expect("a connection");
-                stream.write_all(&call).await.expect("room");
+                    .expect("connect");
+                stream.write_all(&call).await.expect("write a request");
                 let mut bytes = [0; 2048];
-                stream.read(&mut bytes).await.expect("an answer")
+                stream.read(&mut bytes).await.expect("read a reply")
             }))
         })
     });
-    let mut kept = block_on(Async::<TcpStream>::connect(addresses[0])).expect("a connection");
-    let mut seq = 0;
+    let mut kept = block_on(Async::<TcpStream>::connect(addresses[0])).expect("connect");
+    let mut sequence = 0;
     group.bench_function("Thrift: an RPC on a kept connection", |b| {
         b.iter(|| {
-            (seq, number) = (seq + 1, number + 1);
-            let call = invoke(seq, &format!("{number:016x}"), &body);
+            (sequence, number) = (sequence + 1, number + 1);
+            let call = encode_invoke(sequence, &format!("{number:016x}"), &body);
             run(Box::pin(async {
-                kept.write_all(&call).await.expect("room");
+                kept.write_all(&call).await.expect("write a request");
                 let mut bytes = [0; 2048];
-                kept.read(&mut bytes).await.expect("an answer")
+                kept.read(&mut bytes).await.expect("read a reply")
             }))
         })
     });
     group.finish();
-    // What is still under way ends with the executor.
+    // Gives pending tasks one more turn; those still running are dropped with the executor.
     block_on(executor.run(async {}.or(async {})));
 }
 
--- a/deploy/standing.sh
+++ b/deploy/standing.sh
@@ -26,7 +26,8 @@
 kind=${full:+full}
 kind=${kind:-quick}
 
-# The newest figure of a kind in a column of the table of landings: "quick 1.000, full 0.991" has two.
+# Prints the latest score of a kind (quick or full) from a column of the roadmap's landing table. A cell may contain both
+# kinds: "quick 1.000, full 0.991".
 last() {
   awk -F'|' -v name="$1" -v kind="$2" '
     /^\| *landing *\|/ { for (i = 1; i <= NF; i++) { cell = $i; gsub(/^ +| +$/, "", cell); if (cell == name) column = i } next }
@@ -37,7 +38,7 @@
 }
 
 bad=0
-# NAME, PROGRAM, WHAT ITS SCORE IS CALLED
+# play NAME PROGRAM SCORE_LABEL: runs the program and compares its score with that of the last landing.
 play() {
   local out before now
   out=$(mktemp)
