--- a/crates/coralstep-quota/src/client.rs
+++ b/crates/coralstep-quota/src/client.rs
@@ -17,7 +17,7 @@
 use share::{Round, Share};
 
 /// Maximum number of limits requested in one round; the others follow in the next round.
-const MAX_REQUESTS: usize = 4 * MAX_ENTRIES;
+const MAX_REQUESTS_PER_ROUND: usize = 4 * MAX_ENTRIES;
 /// Interval between rounds of requests until a leader sets another one, in milliseconds.
 const DEFAULT_ROUND_MS: Millis = 250;
 /// Bounds of the interval that a leader may set, in milliseconds.
@@ -123,7 +123,7 @@
         let mut retry_at = None;
         for position in &applicable {
             let share = &mut self.shares[*position];
-            match share.check(now, max_duration, self.members) {
+            match share.check_admission(now, max_duration, self.members) {
                 Some(admission) => admissions.push(admission),
                 None => retry_at = retry_at.max(Some(share.reject(now, self.round_interval))),
             }
@@ -137,7 +137,7 @@
         let mut permit = QuotaPermit::default();
         for (position, admission) in applicable.into_iter().zip(admissions) {
             let share = &mut self.shares[position];
-            share.take(now, admission);
+            share.take_unit(now, admission);
             if !share.kind().is_rate() {
                 permit.add(share.key());
             }
@@ -210,7 +210,7 @@
             let Some(request) = share.end_round(round) else {
                 continue;
             };
-            if requests.len() >= MAX_REQUESTS {
+            if requests.len() >= MAX_REQUESTS_PER_ROUND {
                 self.first_share = position;
                 break;
             }
--- a/crates/coralstep-quota/src/client/retries.rs
+++ b/crates/coralstep-quota/src/client/retries.rs
@@ -82,7 +82,7 @@
     }
 
     /// Returns the number of reserved units.
-    pub(super) fn reserved(&self) -> u32 {
+    pub(super) fn reserved_units(&self) -> u32 {
         self.reserved.len() as u32
     }
 
--- a/crates/coralstep-quota/src/client/share.rs
+++ b/crates/coralstep-quota/src/client/share.rs
@@ -132,7 +132,7 @@
 
     /// Checks whether an RPC that is answered within `max_duration` milliseconds may be admitted: with a held unit, or
     /// else with the allowance of a server that is cut off.
-    pub(super) fn check(
+    pub(super) fn check_admission(
         &mut self,
         now: Millis,
         max_duration: Millis,
@@ -165,7 +165,7 @@
     }
 
     /// Takes the unit of an admitted RPC.
-    pub(super) fn take(&mut self, now: Millis, admission: Admission) {
+    pub(super) fn take_unit(&mut self, now: Millis, admission: Admission) {
         self.demand.record_admitted(now);
         self.retries.record_admitted();
         let is_over_quota = admission == Admission::CutOffAllowance;
@@ -204,7 +204,7 @@
         let wanted = if round.draining {
             self.in_flight
         } else {
-            self.wanted(round.now, round.interval)
+            self.wanted_units(round.now, round.interval)
         };
         self.demand.begin_round(self.in_flight);
         self.held.expire(round.now);
@@ -224,8 +224,8 @@
     }
 
     /// Returns the units wanted for the next rounds.
-    fn wanted(&self, now: Millis, round_interval: Millis) -> u32 {
-        let reserved = self.retries.reserved();
+    fn wanted_units(&self, now: Millis, round_interval: Millis) -> u32 {
+        let reserved = self.retries.reserved_units();
         if reserved == 0 && self.demand.is_idle(now) {
             return self.in_flight;
         }
--- a/crates/coralstep-quota/src/config/consistency.rs
+++ b/crates/coralstep-quota/src/config/consistency.rs
@@ -7,12 +7,12 @@
 
 /// A limit's settings and their position in the list.
 #[derive(Clone, Copy)]
-struct Entry<'a> {
+struct LimitEntry<'a> {
     index: usize,
     config: &'a LimitConfig,
 }
 
-impl Entry<'_> {
+impl LimitEntry<'_> {
     /// Returns the limit's value in RPCs per second or in flight.
     fn value(&self) -> f64 {
         let in_flight = f64::from(self.config.in_flight.unwrap_or(0));
@@ -20,7 +20,7 @@
     }
 
     /// Returns whether this limit applies to all RPCs of `other` and both are of the same kind.
-    fn covers(&self, other: &Entry<'_>) -> bool {
+    fn covers(&self, other: &LimitEntry<'_>) -> bool {
         let (config, part) = (self.config, other.config);
         self.index != other.index
             && covers_name(config.tenant.as_ref(), part.tenant.as_ref())
@@ -39,13 +39,13 @@
     if configs.len() > MAX_COMPARED_LIMITS {
         return Ok(());
     }
-    let entries: Vec<Entry<'_>> = configs
+    let entries: Vec<LimitEntry<'_>> = configs
         .iter()
         .enumerate()
-        .map(|(index, config)| Entry { index, config })
+        .map(|(index, config)| LimitEntry { index, config })
         .collect();
     for whole in &entries {
-        let parts: Vec<Entry<'_>> = entries
+        let parts: Vec<LimitEntry<'_>> = entries
             .iter()
             .copied()
             .filter(|part| whole.covers(part))
@@ -56,7 +56,10 @@
     Ok(())
 }
 
-fn check_parts_reachable(whole: &Entry<'_>, parts: &[Entry<'_>]) -> Result<(), LimitConfigError> {
+fn check_parts_reachable(
+    whole: &LimitEntry<'_>,
+    parts: &[LimitEntry<'_>],
+) -> Result<(), LimitConfigError> {
     let greater = parts.iter().find(|part| part.value() > whole.value());
     greater.map_or(Ok(()), |part| {
         Err(LimitConfigError::Unreachable {
@@ -69,7 +72,10 @@
 }
 
 /// Only parts without common RPCs are added up: those for one tenant each, and those for one method each.
-fn check_sum_of_parts(whole: &Entry<'_>, parts: &[Entry<'_>]) -> Result<(), LimitConfigError> {
+fn check_sum_of_parts(
+    whole: &LimitEntry<'_>,
+    parts: &[LimitEntry<'_>],
+) -> Result<(), LimitConfigError> {
     let by_tenant = parts.iter().filter(|part| {
         whole.config.tenant.is_none()
             && part.config.tenant.is_some()
@@ -81,8 +87,8 @@
             && part.config.tenant == whole.config.tenant
     });
     let sums: [f64; 2] = [
-        by_tenant.map(Entry::value).sum(),
-        by_method.map(Entry::value).sum(),
+        by_tenant.map(LimitEntry::value).sum(),
+        by_method.map(LimitEntry::value).sum(),
     ];
     for sum in sums {
         if sum > whole.value() {
--- a/crates/coralstep-quota/src/config/resolve.rs
+++ b/crates/coralstep-quota/src/config/resolve.rs
@@ -83,11 +83,11 @@
 impl Resolver<'_> {
     fn resolve(&self, names: &KnownNames<'_>) -> Result<Limit, LimitConfigError> {
         self.check_name()?;
-        let scope = self.scope(names)?;
-        let kind = self.kind()?;
+        let scope = self.resolve_scope(names)?;
+        let kind = self.resolve_kind()?;
         self.check_cut_off()?;
         Ok(Limit {
-            key: self.key(kind),
+            key: self.derive_key(kind),
             name: self.config.name.clone(),
             scope,
             kind,
@@ -106,11 +106,11 @@
         Ok(())
     }
 
-    fn scope(&self, names: &KnownNames<'_>) -> Result<LimitScope, LimitConfigError> {
+    fn resolve_scope(&self, names: &KnownNames<'_>) -> Result<LimitScope, LimitConfigError> {
         let index = self.index;
-        let tenant = self.find("tenant", self.config.tenant.as_ref(), names.tenants)?;
-        let method = self.find("method", self.config.method.as_ref(), names.methods)?;
-        let dependency = self.find(
+        let tenant = self.find_name("tenant", self.config.tenant.as_ref(), names.tenants)?;
+        let method = self.find_name("method", self.config.method.as_ref(), names.methods)?;
+        let dependency = self.find_name(
             "dependency",
             self.config.dependency.as_ref(),
             names.dependencies,
@@ -134,7 +134,7 @@
         })
     }
 
-    fn find(
+    fn find_name(
         &self,
         setting: &'static str,
         name: Option<&String>,
@@ -151,15 +151,15 @@
         }
     }
 
-    fn kind(&self) -> Result<LimitKind, LimitConfigError> {
+    fn resolve_kind(&self) -> Result<LimitKind, LimitConfigError> {
         match (self.config.rps, self.config.in_flight) {
-            (Some(rps), None) => self.rate(rps),
-            (None, Some(max)) => self.in_flight(max),
+            (Some(rps), None) => self.resolve_rate(rps),
+            (None, Some(max)) => self.resolve_in_flight(max),
             _ => Err(LimitConfigError::NotOneKind { index: self.index }),
         }
     }
 
-    fn rate(&self, rps: f64) -> Result<LimitKind, LimitConfigError> {
+    fn resolve_rate(&self, rps: f64) -> Result<LimitKind, LimitConfigError> {
         self.check_range("rps", rps, MIN_RPS, MAX_RPS)?;
         let default_burst = (rps.ceil() as u32).max(MIN_BURST);
         let burst = self.config.burst.unwrap_or(default_burst);
@@ -181,7 +181,7 @@
         Ok(LimitKind::Rate { rps, burst })
     }
 
-    fn in_flight(&self, max: u32) -> Result<LimitKind, LimitConfigError> {
+    fn resolve_in_flight(&self, max: u32) -> Result<LimitKind, LimitConfigError> {
         self.check_range("in_hand", f64::from(max), 1.0, f64::from(MAX_UNITS))?;
         if self.config.burst.is_some() {
             return Err(LimitConfigError::BurstWithoutRate { index: self.index });
@@ -221,7 +221,7 @@
     }
 
     /// Returns a digest of what the limit applies to and counts. It has to be the same in every release.
-    fn key(&self, kind: LimitKind) -> LimitKey {
+    fn derive_key(&self, kind: LimitKind) -> LimitKey {
         let kind_name = if kind.is_rate() { "rps" } else { "in_hand" };
         let text = format!(
             "{:?} {:?} {:?} {:?} {kind_name}",
--- a/crates/coralstep-quota/src/cut_off.rs
+++ b/crates/coralstep-quota/src/cut_off.rs
@@ -6,7 +6,7 @@
 /// A server is cut off if the leader has not answered for longer than this, in milliseconds.
 pub const CUT_OFF_AFTER_MS: Millis = TOKEN_LIFETIME_MS + 1_000;
 /// Maximum burst of a server that is cut off. Guards against all such servers admitting a burst at the same time.
-const MAX_TOKENS: f64 = 1.0;
+const BUCKET_CAPACITY: f64 = 1.0;
 
 /// Returns what a server that is cut off may admit beyond the units that it holds: RPCs per second for a rate limit,
 /// the total number of RPCs in flight otherwise.
@@ -52,7 +52,7 @@
     /// Creates a full bucket.
     pub(crate) fn new(now: Millis) -> CutOffBucket {
         CutOffBucket {
-            tokens: MAX_TOKENS,
+            tokens: BUCKET_CAPACITY,
             refilled: now,
         }
     }
@@ -60,7 +60,7 @@
     /// Refills the bucket at `allowance` RPCs per second.
     pub(crate) fn refill(&mut self, now: Millis, allowance: f64) {
         let elapsed = now.saturating_sub(self.refilled) as f64;
-        self.tokens = (self.tokens + allowance * elapsed / 1000.0).min(MAX_TOKENS);
+        self.tokens = (self.tokens + allowance * elapsed / 1000.0).min(BUCKET_CAPACITY);
         self.refilled = now;
     }
 
--- a/crates/coralstep-quota/src/extension.rs
+++ b/crates/coralstep-quota/src/extension.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    fn record(&mut self, event: QuotaEvent) {
+    fn record_event(&mut self, event: QuotaEvent) {
         if self.events.len() < MAX_EVENTS {
             self.events.push(event);
         }
@@ -96,7 +96,7 @@
         if let Some(leader) = &mut self.leader {
             leader.set_limits(now, limits);
         }
-        self.record(QuotaEvent::LimitsChanged(limits.len()));
+        self.record_event(QuotaEvent::LimitsChanged(limits.len()));
     }
 
     /// Takes a unit of each limit that applies to an RPC that is answered within `max_duration` milliseconds.
@@ -145,13 +145,13 @@
         let mut leader = QuotaLeader::new(now, self.lease);
         leader.set_limits(now, &self.limits);
         self.leader = Some(leader);
-        self.record(QuotaEvent::TermBegan);
+        self.record_event(QuotaEvent::TermBegan);
     }
 
     fn end_lapsed_term(&mut self, now: Millis) {
         if self.leader.is_some() && !self.election.is_leader(now) {
             self.leader = None;
-            self.record(QuotaEvent::TermEnded);
+            self.record_event(QuotaEvent::TermEnded);
         }
     }
 
@@ -205,7 +205,7 @@
         }
         self.client.handle_grants(now, batch);
         if self.contact.record_answer() {
-            self.record(QuotaEvent::Reconnected);
+            self.record_event(QuotaEvent::Reconnected);
         }
     }
 
@@ -358,7 +358,7 @@
         let mut outgoing = self.run_election(now, view.leaving);
         outgoing.extend(self.send_requests(now, view.leaving));
         if self.contact.detect_cut_off(now) {
-            self.record(QuotaEvent::CutOff);
+            self.record_event(QuotaEvent::CutOff);
         }
         self.report_shares(now);
         outgoing
--- a/crates/coralstep-quota/src/leader.rs
+++ b/crates/coralstep-quota/src/leader.rs
@@ -78,7 +78,7 @@
         // Guards against granting units twice if a limit is removed and added again while servers still hold its units.
         self.allocators.retain(|key, allocator| {
             allocator.expire_and_refill(now);
-            keys.contains(key) || allocator.allocated() > 0
+            keys.contains(key) || allocator.allocated_units() > 0
         });
     }
 
--- a/crates/coralstep-quota/src/leader/limit_allocator.rs
+++ b/crates/coralstep-quota/src/leader/limit_allocator.rs
@@ -13,7 +13,7 @@
 /// Maximum number of servers that hold units of one limit.
 pub(super) const MAX_ALLOCATIONS: usize = 8_192;
 /// Maximum number of servers that wait for units of one limit.
-const MAX_WAITING: usize = 4_096;
+const MAX_WAITING_SERVERS: usize = 4_096;
 /// A waiting server that sends no request for this long is removed from the wait queue, in milliseconds.
 const WAITING_TIMEOUT_MS: Millis = 2 * TOKEN_LIFETIME_MS;
 /// Minimum interval between grants of tokens to one server, in milliseconds.
@@ -52,7 +52,7 @@
 
 /// The values of a request after validation.
 #[derive(Clone, Copy)]
-struct Claim {
+struct ValidatedRequest {
     held: u32,
     wanted: u32,
 }
@@ -97,13 +97,13 @@
     }
 
     /// Returns the units that servers may hold.
-    pub(super) fn allocated(&self) -> u32 {
+    pub(super) fn allocated_units(&self) -> u32 {
         let units = self.allocations.values().map(|allocation| allocation.units);
         units.fold(0, u32::saturating_add)
     }
 
     /// Returns the units that servers other than `member` may hold.
-    fn allocated_to_others(&self, member: &Member) -> u32 {
+    fn units_of_others(&self, member: &Member) -> u32 {
         let others = self
             .allocations
             .iter()
@@ -120,7 +120,7 @@
             .retain(|waiting| now.saturating_sub(waiting.last_request) <= WAITING_TIMEOUT_MS);
         if let LimitKind::Rate { rps, .. } = self.kind {
             let seconds = now.saturating_sub(self.last_refill) as f64 / 1000.0;
-            let capacity = f64::from(self.kind.units()) - f64::from(self.allocated());
+            let capacity = f64::from(self.kind.units()) - f64::from(self.allocated_units());
             self.bucket = (self.bucket + seconds * rps).min(capacity).max(0.0);
         }
         self.last_refill = now.max(self.last_refill);
@@ -134,26 +134,26 @@
         requester: &Requester<'_>,
         request: &QuotaRequest,
     ) -> Option<Grant> {
-        let claim = Claim {
+        let validated = ValidatedRequest {
             held: self.validated_held(requester, request.held),
             wanted: request.wanted.min(self.kind.units()),
         };
         self.expire_and_refill(now);
-        let known = self.allocations.get(requester.member).copied();
+        let current = self.allocations.get(requester.member).copied();
         // Guards against duplicated or delayed messages, whose contents are outdated.
-        let is_stale = known.is_some_and(|known| known.sequence >= requester.sequence);
-        if is_stale || (known.is_none() && self.allocations.len() >= MAX_ALLOCATIONS) {
+        let is_stale = current.is_some_and(|current| current.sequence >= requester.sequence);
+        if is_stale || (current.is_none() && self.allocations.len() >= MAX_ALLOCATIONS) {
             return None;
         }
-        let known = known.unwrap_or_default();
+        let current = current.unwrap_or_default();
         let decision = match self.kind {
-            LimitKind::Rate { .. } => self.decide_tokens(now, requester, known, claim),
-            LimitKind::InFlight(max) => self.decide_in_flight(max, requester, known, claim),
+            LimitKind::Rate { .. } => self.decide_tokens(now, requester, current, validated),
+            LimitKind::InFlight(max) => self.decide_in_flight(max, requester, current, validated),
         };
         let lease = lease_of(self.kind, requester.in_flight_lease);
-        let has_to_wait = claim.wanted > 0 && decision.granted == 0;
+        let has_to_wait = validated.wanted > 0 && decision.granted == 0;
         self.update_wait_queue(now, requester.member, has_to_wait);
-        self.record_allocation(now, requester, claim, &decision, lease);
+        self.record_allocation(now, requester, validated, &decision, lease);
         let wait_ms = if has_to_wait {
             self.expected_wait(now, requester.member, lease)
         } else {
@@ -175,8 +175,8 @@
             LimitKind::InFlight(_) if requester.leader_is_recovering => held,
             // Guards against a server that reports units that it was never granted.
             LimitKind::InFlight(_) => {
-                let known = self.allocations.get(requester.member);
-                held.min(known.map_or(0, |known| known.units))
+                let current = self.allocations.get(requester.member);
+                held.min(current.map_or(0, |current| current.units))
             }
         }
     }
@@ -187,21 +187,21 @@
         &mut self,
         now: Millis,
         requester: &Requester<'_>,
-        known: Allocation,
-        claim: Claim,
+        current: Allocation,
+        validated: ValidatedRequest,
     ) -> Decision {
         // Tokens whose grant was lost are not used by the server.
-        let held = claim.held.min(known.units);
-        let missing = claim.wanted.saturating_sub(held);
+        let held = validated.held.min(current.units);
+        let missing = validated.wanted.saturating_sub(held);
         let reserved = self.count_waiting_before(requester.member);
         let free = (self.bucket.floor() as u32).saturating_sub(reserved);
         let fair_share_left = self
-            .fair_share_of(requester.member, claim.wanted)
+            .fair_share_of(requester.member, validated.wanted)
             .saturating_sub(held)
             .max(1);
-        // Guards against a server that takes all new tokens by sending more requests than one per round.
+        // Guards against requests more often than once per round, which would exceed the fair share of new tokens.
         let requested_too_soon =
-            known.tokens_granted > 0 && now < known.tokens_granted + MIN_TOKEN_INTERVAL_MS;
+            current.tokens_granted > 0 && now < current.tokens_granted + MIN_TOKEN_INTERVAL_MS;
         let additional = if requested_too_soon {
             0
         } else {
@@ -214,7 +214,7 @@
             tokens_granted: if additional > 0 {
                 now
             } else {
-                known.tokens_granted
+                current.tokens_granted
             },
         }
     }
@@ -226,24 +226,24 @@
         &self,
         max: u32,
         requester: &Requester<'_>,
-        known: Allocation,
-        claim: Claim,
+        current: Allocation,
+        validated: ValidatedRequest,
     ) -> Decision {
-        let available = max.saturating_sub(self.allocated_to_others(requester.member));
+        let available = max.saturating_sub(self.units_of_others(requester.member));
         let free = if requester.leader_is_recovering {
-            claim.held.min(available)
+            validated.held.min(available)
         } else {
             available.saturating_sub(self.count_waiting_before(requester.member))
         };
-        let fair_share = self.fair_share_of(requester.member, claim.wanted);
-        let granted = claim.wanted.min(free).min(fair_share);
+        let fair_share = self.fair_share_of(requester.member, validated.wanted);
+        let granted = validated.wanted.min(free).min(fair_share);
         // Units stay allocated until the server reports fewer, as the grant that lowers them may be lost. More than
         // the others leave available is not counted, so that a forged report takes no units from other servers.
-        let counted = granted.max(claim.held.min(available));
+        let counted = granted.max(validated.held.min(available));
         Decision {
             granted,
             counted,
-            tokens_granted: known.tokens_granted,
+            tokens_granted: current.tokens_granted,
         }
     }
 
@@ -274,7 +274,7 @@
     fn update_wait_queue(&mut self, now: Millis, member: &Member, has_to_wait: bool) {
         match (has_to_wait, self.waiting_position(member)) {
             (true, Some(position)) => self.waiting[position].last_request = now,
-            (true, None) if self.waiting.len() < MAX_WAITING => {
+            (true, None) if self.waiting.len() < MAX_WAITING_SERVERS => {
                 self.waiting.push_back(WaitingServer {
                     member: member.clone(),
                     last_request: now,
@@ -289,11 +289,11 @@
         &mut self,
         now: Millis,
         requester: &Requester<'_>,
-        claim: Claim,
+        validated: ValidatedRequest,
         decision: &Decision,
         lease: Millis,
     ) {
-        let has_any = decision.counted > 0 || claim.wanted > 0;
+        let has_any = decision.counted > 0 || validated.wanted > 0;
         let retention = if has_any {
             lengthen_by_drift(lease)
         } else {
@@ -303,7 +303,7 @@
         let allocation = Allocation {
             units: decision.counted,
             expires: now + retention,
-            wanted: claim.wanted,
+            wanted: validated.wanted,
             sequence: requester.sequence,
             tokens_granted: decision.tokens_granted,
         };
--- a/crates/coralstep-quota/src/leader/tests.rs
+++ b/crates/coralstep-quota/src/leader/tests.rs
@@ -52,10 +52,10 @@
         .pop()
 }
 
-fn allocated(leader: &mut QuotaLeader, now: Millis) -> u32 {
+fn allocated_units(leader: &mut QuotaLeader, now: Millis) -> u32 {
     let allocator = leader.allocators.get_mut(&KEY).unwrap();
     allocator.expire_and_refill(now);
-    allocator.allocated()
+    allocator.allocated_units()
 }
 
 #[test]
@@ -90,8 +90,8 @@
     assert_eq!(send_request(1_900, "c", 2, 0, 1).unwrap().units, 1);
     // Units of a server that crashed are free after its lease.
     let after = from + 1_100 + lengthen_by_drift(TOKEN_LIFETIME_MS);
-    assert_eq!(allocated(&mut leader, after - 1), 4);
-    assert!(allocated(&mut leader, after) <= 2);
+    assert_eq!(allocated_units(&mut leader, after - 1), 4);
+    assert!(allocated_units(&mut leader, after) <= 2);
 }
 
 #[test]
@@ -133,7 +133,7 @@
             .units,
         2
     );
-    assert!(allocated(&mut leader, recovered + 30) <= 8);
+    assert!(allocated_units(&mut leader, recovered + 30) <= 8);
     // Reported units that were never granted do not count.
     assert_eq!(
         request(&mut leader, recovered + 40, "forger", 1, 8, 8)
@@ -142,7 +142,7 @@
             .min(1),
         1
     );
-    assert!(allocated(&mut leader, recovered + 40) <= 8);
+    assert!(allocated_units(&mut leader, recovered + 40) <= 8);
 }
 
 #[test]
--- a/crates/coralstep-state/src/background.rs
+++ b/crates/coralstep-state/src/background.rs
@@ -60,7 +60,7 @@
 /// Unused budget is kept for this long, in seconds.
 const MAX_SAVED_BUDGET_S: f64 = 2.0;
 /// A task without a step for this long loses its claim to unused budget, in ms.
-const IDLE_MS: f64 = 1_000.0;
+const IDLE_AFTER_MS: f64 = 1_000.0;
 /// Guards against a division by zero if the budget is 0.
 const MIN_BUDGET: f64 = 1e-9;
 
@@ -115,7 +115,8 @@
         let Some(task) = self.task_mut(name) else {
             return;
         };
-        let was_idle = task.waiting_since_ms.is_none() && now_ms - task.last_done_ms >= IDLE_MS;
+        let was_idle =
+            task.waiting_since_ms.is_none() && now_ms - task.last_done_ms >= IDLE_AFTER_MS;
         // Guards against a task that uses the whole budget after a long idle time.
         if was_idle && min_usage < f64::MAX {
             task.weighted_usage = task.weighted_usage.max(min_usage);
--- a/crates/coralstep-state/src/background/tests.rs
+++ b/crates/coralstep-state/src/background/tests.rs
@@ -22,7 +22,7 @@
     cpu_ms
 }
 
-const STEP: StepCost = StepCost {
+const STEP_COST: StepCost = StepCost {
     time_ms: 2.0,
     cpu_ms: 1.0,
     bytes: 10_000.0,
@@ -33,7 +33,7 @@
     let cpu_ms = run_for_an_hour(
         &[task("snapshot", 3.0), task("compaction", 1.0)],
         |_| 0.1,
-        STEP,
+        STEP_COST,
     );
     let total: f64 = cpu_ms.iter().sum();
     assert!((total / (50.0 * 3_600.0) - 1.0).abs() < 0.02, "{cpu_ms:?}");
@@ -45,7 +45,7 @@
     let cpu_ms = run_for_an_hour(
         &[task("snapshot", 3.0), task("report", 0.01)],
         |_| 1.0,
-        STEP,
+        STEP_COST,
     );
     let total: f64 = cpu_ms.iter().sum();
     assert!(
@@ -79,7 +79,7 @@
         now += 100.0;
         scheduler.request_step("a", now);
         while let Some(name) = scheduler.next_step(now, 0.0) {
-            scheduler.complete_step(name, STEP);
+            scheduler.complete_step(name, STEP_COST);
             scheduler.request_step("a", now);
         }
     }
@@ -89,7 +89,7 @@
         now += 100.0;
         if let Some(name) = scheduler.next_step(now, 0.0) {
             order.push(name);
-            scheduler.complete_step(name, STEP);
+            scheduler.complete_step(name, STEP_COST);
             scheduler.request_step(name, now);
         }
     }
--- a/crates/coralstep-state/src/faulty_storage.rs
+++ b/crates/coralstep-state/src/faulty_storage.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns the contents after a power cut: each unsynced write is kept, torn or lost.
-    fn contents_after_cut(&self, rng: &mut SmallRng) -> Vec<u8> {
+    fn contents_after_power_cut(&self, rng: &mut SmallRng) -> Vec<u8> {
         let mut contents = self.durable.clone();
         for Write { offset, bytes } in &self.unsynced {
             match rng.random_range(0..3u8) {
@@ -122,7 +122,7 @@
         let inodes = self
             .inodes
             .iter()
-            .map(|inode| Inode::from_durable(inode.contents_after_cut(&mut rng)))
+            .map(|inode| Inode::from_durable(inode.contents_after_power_cut(&mut rng)))
             .collect();
         FaultyStorage {
             faults,
--- a/crates/coralstep-state/src/faulty_storage/tests.rs
+++ b/crates/coralstep-state/src/faulty_storage/tests.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn full_disk_writes_a_part_and_reports_an_error() {
+fn append_to_full_disk_writes_a_part_and_fails() {
     let mut storage = FaultyStorage {
         faults: Faults {
             capacity_bytes: Some(5),
--- a/crates/coralstep-state/src/fleet_record.rs
+++ b/crates/coralstep-state/src/fleet_record.rs
@@ -5,7 +5,7 @@
 use crate::framing::{self, FileKind, HEADER_BYTES};
 use crate::storage::{Storage, StorageError};
 
-const FILE: &str = "fleet";
+const RECORD_FILE: &str = "fleet";
 const TEMPORARY_FILE: &str = "fleet.new";
 const FORMAT_VERSION: u16 = 1;
 /// Maximum length of a file that is read, in bytes.
@@ -45,7 +45,7 @@
     storage.create(TEMPORARY_FILE)?;
     storage.append(TEMPORARY_FILE, &bytes)?;
     storage.sync(TEMPORARY_FILE)?;
-    storage.rename(TEMPORARY_FILE, FILE)?;
+    storage.rename(TEMPORARY_FILE, RECORD_FILE)?;
     storage.sync_directory()
 }
 
@@ -55,7 +55,7 @@
 ///
 /// Returns a [`StorageError`] if the file exists and cannot be read.
 pub fn load(storage: &impl Storage) -> Result<Option<LoadedFleetRecord>, StorageError> {
-    let bytes = match storage.read(FILE, MAX_FILE_BYTES) {
+    let bytes = match storage.read(RECORD_FILE, MAX_FILE_BYTES) {
         Ok(bytes) => bytes,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
         Err(error) => return Err(error),
--- a/crates/coralstep-state/src/fleet_record/tests.rs
+++ b/crates/coralstep-state/src/fleet_record/tests.rs
@@ -16,11 +16,11 @@
     };
     save(&mut storage, &record).unwrap();
     assert_eq!(load(&storage).unwrap(), Some(complete.clone()));
-    let bytes = storage.read(FILE, MAX_FILE_BYTES).unwrap();
+    let bytes = storage.read(RECORD_FILE, MAX_FILE_BYTES).unwrap();
     for at in 0..bytes.len() {
         let mut corrupt = bytes.clone();
         corrupt[at] ^= 1;
-        std::fs::write(path.join(FILE), &corrupt).unwrap();
+        std::fs::write(path.join(RECORD_FILE), &corrupt).unwrap();
         let loaded = load(&storage).unwrap();
         assert!(
             loaded.is_none_or(
--- a/crates/coralstep-state/src/snapshot/tests.rs
+++ b/crates/coralstep-state/src/snapshot/tests.rs
@@ -28,7 +28,7 @@
 }
 
 /// Saves a snapshot that differs from others in its concurrency limit.
-fn save_limit(
+fn save_with_limit(
     storage: &mut FaultyStorage,
     limit: u32,
     number: SequenceNumber,
@@ -41,7 +41,7 @@
 fn storage_with_snapshots(all: &[(u32, u64)]) -> FaultyStorage {
     let mut storage = FaultyStorage::default();
     for (number, (limit, at)) in all.iter().enumerate() {
-        save_limit(&mut storage, *limit, SequenceNumber(number as u64 + 1), *at).unwrap();
+        save_with_limit(&mut storage, *limit, SequenceNumber(number as u64 + 1), *at).unwrap();
     }
     storage
 }
@@ -109,13 +109,13 @@
             let (mut number, mut last_saved) = (SequenceNumber::default(), 0);
             for (limit, at) in [(5, 100), (6, 110), (7, 120)] {
                 number = number.next();
-                if save_limit(&mut storage, limit, number, at).is_ok() {
+                if save_with_limit(&mut storage, limit, number, at).is_ok() {
                     last_saved = limit;
                 }
             }
             let after = storage.after_power_cut(seed, Faults::default());
             let loaded = load(&after, &fingerprint(), 130);
-            // At most the snapshot that was being written is lost.
+            // At most the snapshot that was being written is lost; it may also be complete.
             let restored = limit(&loaded).unwrap_or(0);
             assert!(
                 restored == last_saved
@@ -133,7 +133,7 @@
             );
             // A later snapshot can be saved.
             let mut after = after;
-            save_limit(&mut after, 8, loaded.last_sequence_number.next(), 140).unwrap();
+            save_with_limit(&mut after, 8, loaded.last_sequence_number.next(), 140).unwrap();
             assert_eq!(limit(&load(&after, &fingerprint(), 150)), Some(8));
         }
     }
@@ -147,7 +147,7 @@
             ..Faults::default()
         });
         for (number, last) in [(1, 5), (2, 6), (3, 7)] {
-            save_limit(&mut storage, last, SequenceNumber(number), 100).unwrap();
+            save_with_limit(&mut storage, last, SequenceNumber(number), 100).unwrap();
         }
         let loaded = load(
             &storage.after_power_cut(seed, Faults::default()),
@@ -229,14 +229,14 @@
         }]
     );
     for number in 10..14 {
-        save_limit(&mut storage, 6, SequenceNumber(number), 120).unwrap();
+        save_with_limit(&mut storage, 6, SequenceNumber(number), 120).unwrap();
     }
     assert_eq!(storage.read("learned.1", MAX_FILE_BYTES).unwrap(), later);
     assert_eq!(limit(&load(&storage, &fingerprint(), 130)), Some(6));
     // If both files have a later version, saving fails.
     storage.corrupt("learned.0", |bytes| bytes.clone_from(&later));
     assert!(matches!(
-        save_limit(&mut storage, 6, SequenceNumber(20), 140),
+        save_with_limit(&mut storage, 6, SequenceNumber(20), 140),
         Err(SaveError::NoFreeGeneration)
     ));
 }
@@ -246,7 +246,7 @@
     for step in 0..5 {
         let mut storage = storage_with_snapshots(&[(5, 100)]);
         storage.faults.error_at = Some(storage.operations + step);
-        assert!(save_limit(&mut storage, 6, SequenceNumber(2), 110).is_err());
+        assert!(save_with_limit(&mut storage, 6, SequenceNumber(2), 110).is_err());
         assert!(
             limit(&load(&storage, &fingerprint(), 120))
                 .is_some_and(|limit| limit == 5 || step == 4)
@@ -255,7 +255,7 @@
     let mut full = storage_with_snapshots(&[(5, 100)]);
     full.faults.capacity_bytes = Some(full.read("learned.0", MAX_FILE_BYTES).unwrap().len() + 20);
     assert!(matches!(
-        save_limit(&mut full, 6, SequenceNumber(2), 110),
+        save_with_limit(&mut full, 6, SequenceNumber(2), 110),
         Err(SaveError::Storage(error)) if error.kind() == io::ErrorKind::StorageFull
     ));
     assert_eq!(limit(&load(&full, &fingerprint(), 120)), Some(5));
--- a/crates/coralstep-state/src/wal.rs
+++ b/crates/coralstep-state/src/wal.rs
@@ -166,7 +166,7 @@
                 }
             }
             // Guards against a second run of a key whose entry cannot be read.
-            Err(error) => self.lose_protection(error.into(), now_ms),
+            Err(error) => self.mark_unprotected(error.into(), now_ms),
         }
         !self.is_recovered()
     }
@@ -231,9 +231,9 @@
             return Ok(());
         }
         let records = self.batch.take();
-        let written = self.write(&records);
+        let written = self.write_records(&records);
         if let Err(error) = &written {
-            self.lose_protection(error.clone(), now_ms);
+            self.mark_unprotected(error.clone(), now_ms);
         }
         written
     }
@@ -327,7 +327,7 @@
         });
     }
 
-    fn write(&mut self, records: &[u8]) -> Result<(), WalError> {
+    fn write_records(&mut self, records: &[u8]) -> Result<(), WalError> {
         let force_new_segment = !self.is_protected();
         self.segments
             .append(records, self.unwritten_expires_at_ms, force_new_segment)?;
@@ -335,7 +335,7 @@
         Ok(())
     }
 
-    fn lose_protection(&mut self, error: WalError, now_ms: u64) {
+    fn mark_unprotected(&mut self, error: WalError, now_ms: u64) {
         if self.is_protected() {
             self.events.push(WalEvent::Unprotected { error });
         }
@@ -346,7 +346,7 @@
         let mut record = Vec::new();
         let payload = LogEntry::no_op().encode().unwrap_or_default();
         framing::append_record(&mut record, &payload);
-        match self.write(&record) {
+        match self.write_records(&record) {
             Ok(()) => {
                 self.retry_at_ms = None;
                 self.events.push(WalEvent::Protected);
--- a/crates/coralstep-state/src/wal/segment.rs
+++ b/crates/coralstep-state/src/wal/segment.rs
@@ -105,7 +105,7 @@
                 max_bytes: self.max_bytes,
             });
         }
-        if force_new || !self.last_has_room_for(records.len()) {
+        if force_new || !self.last_segment_has_space(records.len()) {
             self.create_segment()?;
         }
         let Some(last) = self.segments.back_mut() else {
@@ -135,7 +135,7 @@
         }
     }
 
-    fn last_has_room_for(&self, bytes: usize) -> bool {
+    fn last_segment_has_space(&self, bytes: usize) -> bool {
         self.segments.back().is_some_and(|last| {
             last.bytes >= HEADER_BYTES && last.bytes + bytes <= MAX_SEGMENT_BYTES
         })
--- a/crates/coralstep-state/tests/golden.rs
+++ b/crates/coralstep-state/tests/golden.rs
@@ -19,6 +19,7 @@
 
 /// Times at which the snapshots were written, in seconds since the Unix epoch.
 const WRITTEN_S: [u64; 2] = [1_790_000_000, 1_790_000_300];
+/// Time at which they are read, in seconds since the Unix epoch.
 const NOW_S: u64 = 1_790_003_900;
 const NOW_MS: u64 = NOW_S * 1_000;
 const EXPIRES_AT_MS: u64 = NOW_MS + 90_000;
