--- a/crates/coralstep-quota/src/leader/limit_allocator.rs
+++ b/crates/coralstep-quota/src/leader/limit_allocator.rs
@@ -278,7 +278,7 @@
                 self.waiting.push_back(WaitingServer {
                     member: member.clone(),
                     last_request: now,
-                })
+                });
             }
             (false, Some(position)) => drop(self.waiting.remove(position)),
             _ => {}
--- a/crates/coralstep-state/src/wal.rs
+++ b/crates/coralstep-state/src/wal.rs
@@ -30,7 +30,7 @@
 pub const MAX_COMMIT_DELAY_MS: u64 = 5;
 /// Number of records in a batch from which its commit is due at once.
 pub const MAX_BATCH_RECORDS: usize = 64;
-/// Maximum length of a segment, in bytes; a longer one is continued in a new segment.
+/// Maximum length of a segment, in bytes; further records go to a new segment.
 pub const MAX_SEGMENT_BYTES: usize = 4 << 20;
 /// Maximum length of a recorded result, in bytes; a run with a longer one is recorded without its
 /// result.
--- a/crates/coralstep-state/src/wal/tests.rs
+++ b/crates/coralstep-state/src/wal/tests.rs
@@ -35,7 +35,7 @@
     let mut log = empty_log();
     assert!(record_run(
         &mut log,
-        b"succeeded",
+        b"ok",
         Some(RecordedOutcome::Succeeded(b"42".to_vec())),
         10
     ));
@@ -47,27 +47,20 @@
     ));
     assert!(record_run(
         &mut log,
-        b"never_started",
+        b"never",
         Some(RecordedOutcome::NeverStarted),
         10
     ));
     assert!(record_run(&mut log, b"unknown", None, 10));
     assert!(record_run(
         &mut log,
-        b"long_result",
+        b"long",
         Some(RecordedOutcome::Succeeded(vec![1; MAX_RESULT_BYTES + 1])),
         10
     ));
     let decisions = |log: &WriteAheadLog<FaultyStorage>, now: u64| {
-        [
-            "succeeded",
-            "failed",
-            "never_started",
-            "unknown",
-            "long_result",
-            "new",
-        ]
-        .map(|key| log.replay_decision(key.as_bytes(), now))
+        ["ok", "failed", "never", "unknown", "long", "new"]
+            .map(|key| log.replay_decision(key.as_bytes(), now))
     };
     let all = [
         ReplayDecision::Replay(b"42".to_vec()),
