--- a/crates/coralstep-quota/src/client.rs
+++ b/crates/coralstep-quota/src/client.rs
@@ -159,7 +159,7 @@
         self.next_round = self.next_round.min(soonest);
     }
 
-    /// Returns the units of an RPC that was answered.
+    /// Releases the units of an RPC that was answered.
     pub fn release(&mut self, permit: QuotaPermit) {
         for key in permit.into_keys() {
             if let Some(position) = self.by_key.get(&key) {
--- a/crates/coralstep-quota/src/client/permit.rs
+++ b/crates/coralstep-quota/src/client/permit.rs
@@ -2,7 +2,7 @@
 use crate::Millis;
 use crate::limit::LimitKey;
 
-/// Units that an RPC took of limits on RPCs in flight. Return them with
+/// Units that an RPC took of limits on RPCs in flight. Release them with
 /// [`QuotaClient::release`](super::QuotaClient::release).
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct QuotaPermit(Vec<LimitKey>);
--- a/crates/coralstep-quota/src/election.rs
+++ b/crates/coralstep-quota/src/election.rs
@@ -189,8 +189,8 @@
         term_began
     }
 
-    /// Begins or ends a ballot if it is due. `present` has the candidates that are alive, by name. A server that is
-    /// `draining` does not become a candidate.
+    /// Begins a ballot or releases the votes of a lost one, if either is due. `present` has the candidates that are
+    /// alive, by name. A server that is `draining` begins no ballot.
     pub fn handle_timeout(
         &mut self,
         now: Millis,
@@ -214,7 +214,7 @@
         self.begin_ballot(now, present)
     }
 
-    /// Guards against a split vote: voters stay bound to candidates none of which has a majority.
+    /// Releases the votes of a lost ballot. Guards against voters bound to candidates none of which has a majority.
     fn release_votes(
         &mut self,
         now: Millis,
--- a/crates/coralstep-quota/src/extension.rs
+++ b/crates/coralstep-quota/src/extension.rs
@@ -113,7 +113,7 @@
         self.client.admit(now, request, max_duration)
     }
 
-    /// Returns the units of an RPC that was answered.
+    /// Releases the units of an RPC that was answered.
     pub fn release(&mut self, permit: QuotaPermit) {
         self.client.release(permit);
     }
--- a/crates/coralstep-quota/src/guarantees.rs
+++ b/crates/coralstep-quota/src/guarantees.rs
@@ -1,7 +1,7 @@
 //! Guarantees of the limits as formulas; `docs/limits.md` describes them.
 //!
-//! Tests and model checkers compare results with these formulas. They share no code with the implementation, so that
-//! a bug in it does not go unnoticed.
+//! Tests and model checkers rely on these formulas alone. They are stated independently of the rules that implement
+//! the limits, so that a bug in a rule is detected.
 use crate::Millis;
 use crate::election::{BALLOT_INTERVAL_MS, TERM_MS};
 use crate::lease::{MAX_CLOCK_DRIFT, lengthen_by_drift};
--- a/crates/coralstep-quota/src/leader/limit_allocator.rs
+++ b/crates/coralstep-quota/src/leader/limit_allocator.rs
@@ -335,11 +335,11 @@
             .allocations
             .iter()
             .filter(|(_, allocation)| allocation.units > 0);
-        holders.map(move |(member, held)| AllocationRow {
+        holders.map(move |(member, allocation)| AllocationRow {
             key,
             server: member.name.clone(),
-            units: held.units,
-            lease_ms: held.expires.saturating_sub(now),
+            units: allocation.units,
+            lease_ms: allocation.expires.saturating_sub(now),
         })
     }
 }
--- a/crates/coralstep-state/src/wal/tests.rs
+++ b/crates/coralstep-state/src/wal/tests.rs
@@ -62,7 +62,7 @@
         ["ok", "failed", "never", "unknown", "long", "new"]
             .map(|key| log.replay_decision(key.as_bytes(), now))
     };
-    let all = [
+    let expected = [
         ReplayDecision::Replay(b"42".to_vec()),
         ReplayDecision::Aborted,
         ReplayDecision::NotSeen,
@@ -70,9 +70,9 @@
         ReplayDecision::Aborted,
         ReplayDecision::NotSeen,
     ];
-    assert_eq!(decisions(&log, 20), all);
+    assert_eq!(decisions(&log, 20), expected);
     let reopened = open(log.into_storage().after_power_cut(1, Faults::default()), 20);
-    assert_eq!(decisions(&reopened, 20), all);
+    assert_eq!(decisions(&reopened, 20), expected);
     // Keys expire.
     assert_eq!(
         decisions(&reopened, 10 + WINDOW_MS),
--- a/crates/coralstep-state/tests/golden.rs
+++ b/crates/coralstep-state/tests/golden.rs
@@ -162,7 +162,7 @@
     (record, fleet.active_version())
 }
 
-/// Returns runs with each outcome, and the decision on a repeated key.
+/// Returns a key for each outcome of a run, and the decision on a repeated request with the key.
 fn runs() -> Vec<(&'static [u8], Option<RecordedOutcome>, ReplayDecision)> {
     let result: Vec<u8> = (0..200).collect();
     vec![
