--- a/crates/coralstep-state/src/wal/tests.rs
+++ b/crates/coralstep-state/src/wal/tests.rs
@@ -35,7 +35,7 @@
     let mut log = empty_log();
     assert!(record_run(
         &mut log,
-        b"succeeded",
+        b"ok",
         Some(RecordedOutcome::Succeeded(b"42".to_vec())),
         10
     ));
@@ -47,29 +47,22 @@
     ));
     assert!(record_run(
         &mut log,
-        b"never_started",
+        b"never",
         Some(RecordedOutcome::NeverStarted),
         10
     ));
     assert!(record_run(&mut log, b"unknown", None, 10));
     assert!(record_run(
         &mut log,
-        b"long_result",
+        b"long",
         Some(RecordedOutcome::Succeeded(vec![1; MAX_RESULT_BYTES + 1])),
         10
     ));
     let decisions = |log: &WriteAheadLog<FaultyStorage>, now: u64| {
-        [
-            "succeeded",
-            "failed",
-            "never_started",
-            "unknown",
-            "long_result",
-            "new",
-        ]
-        .map(|key| log.replay_decision(key.as_bytes(), now))
+        ["ok", "failed", "never", "unknown", "long", "new"]
+            .map(|key| log.replay_decision(key.as_bytes(), now))
     };
-    let all = [
+    let expected = [
         ReplayDecision::Replay(b"42".to_vec()),
         ReplayDecision::Aborted,
         ReplayDecision::NotSeen,
@@ -77,9 +70,9 @@
         ReplayDecision::Aborted,
         ReplayDecision::NotSeen,
     ];
-    assert_eq!(decisions(&log, 20), all);
+    assert_eq!(decisions(&log, 20), expected);
     let reopened = open(log.into_storage().after_power_cut(1, Faults::default()), 20);
-    assert_eq!(decisions(&reopened, 20), all);
+    assert_eq!(decisions(&reopened, 20), expected);
     // Keys expire.
     assert_eq!(
         decisions(&reopened, 10 + WINDOW_MS),
--- a/crates/coralstep-state/tests/golden.rs
+++ b/crates/coralstep-state/tests/golden.rs
@@ -19,6 +19,7 @@
 
 /// Times at which the snapshots were written, in seconds since the Unix epoch.
 const WRITTEN_S: [u64; 2] = [1_790_000_000, 1_790_000_300];
+/// Time at which they are read, in seconds since the Unix epoch.
 const NOW_S: u64 = 1_790_003_900;
 const NOW_MS: u64 = NOW_S * 1_000;
 const EXPIRES_AT_MS: u64 = NOW_MS + 90_000;
@@ -161,7 +162,7 @@
     (record, fleet.active_version())
 }
 
-/// Returns runs with each outcome, and the decision on a repeated key.
+/// Returns a key for each outcome of a run, and the decision on a repeated request with the key.
 fn runs() -> Vec<(&'static [u8], Option<RecordedOutcome>, ReplayDecision)> {
     let result: Vec<u8> = (0..200).collect();
     vec![
