--- a/crates/coralstep-fleet/src/audit/peers.rs
+++ b/crates/coralstep-fleet/src/audit/peers.rs
@@ -62,7 +62,7 @@
         if let Some(past) = status.previous {
             self.close_row(past);
         }
-        // A row whose end was never reported ended when this one began at the latest.
+        // A row whose end was never reported ended at the latest when this one began.
         for row in self.rows.iter_mut().filter(|row| row.to_ms.is_none()) {
             row.to_ms = Some(status.active_since_ms);
         }
--- a/crates/coralstep-fleet/src/clock.rs
+++ b/crates/coralstep-fleet/src/clock.rs
@@ -11,8 +11,8 @@
 /// Maximum lead of a peer's timestamp over this server's wall clock. Timestamps beyond it are
 /// rejected. Guards against one clock that is an hour ahead and advances those of all servers.
 pub const MAX_CLOCK_LEAD: Duration = Duration::from_secs(2);
-/// Compensates for the library's binary fractions of a second, which fall slightly short of the
-/// millisecond.
+/// Compensates for the library's representation of fractions of a second, which is rounded to
+/// slightly less than the millisecond.
 const ROUNDING: Duration = Duration::from_micros(500);
 
 thread_local! {
--- a/crates/coralstep-fleet/src/exclusion.rs
+++ b/crates/coralstep-fleet/src/exclusion.rs
@@ -90,15 +90,15 @@
 pub struct ExclusionInputs {
     /// The version that is active on this server.
     pub active_version: VersionId,
-    /// The newest known version, whether stored here or not.
+    /// The newest known version, whether held by this server or not.
     pub newest: VersionId,
-    /// The newest version that is stored here and was not rejected.
+    /// The newest version that this server holds and has not rejected.
     pub newest_accepted: VersionId,
     /// Whether the newest known version is mandatory.
     pub newest_mandatory: bool,
     /// Whether this server rejected the newest known version.
     pub newest_rejected: bool,
-    /// Whether the [target](ExclusionInputs::target) is stored here.
+    /// Whether the [target](ExclusionInputs::target) is held by this server.
     pub target_held: bool,
     /// Delay of this server's rollout stage of the target, in milliseconds.
     pub stage_delay: Millis,
--- a/crates/coralstep-fleet/src/fleet/extensions.rs
+++ b/crates/coralstep-fleet/src/fleet/extensions.rs
@@ -32,7 +32,8 @@
         self.registered.is_empty()
     }
 
-    /// Passes a payload to its extension and returns the replies, or `None` if there are none.
+    /// Passes a payload to its extension. Returns the replies to a message, or `None` if the payload
+    /// is gossip or its extension is not registered.
     pub(super) fn handle(
         &self,
         now: Millis,
--- a/crates/coralstep-fleet/src/fleet/mod.rs
+++ b/crates/coralstep-fleet/src/fleet/mod.rs
@@ -151,8 +151,8 @@
     pub fn leave(&mut self, now: Millis, wall_ms: UnixMillis) {
         self.leaving = true;
         self.publish_status();
-        // Extensions release their resources while this server still counts as a member; its
-        // messages are ignored afterwards.
+        // Extensions release their resources before this server leaves, because peers ignore its
+        // messages afterwards.
         self.handle_extension_timeouts(now, wall_ms);
         self.membership.leave(now);
         self.send_membership(now, wall_ms);
--- a/crates/coralstep-fleet/src/fleet/views.rs
+++ b/crates/coralstep-fleet/src/fleet/views.rs
@@ -35,7 +35,7 @@
         self.membership.own()
     }
 
-    /// Returns the settings versions that this server stores or knows of.
+    /// Returns the settings versions that this server holds or knows of.
     pub fn versions(&self) -> &VersionStore {
         &self.versions
     }
--- a/crates/coralstep-fleet/src/membership/mod.rs
+++ b/crates/coralstep-fleet/src/membership/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::Millis;
 
-/// Interval between pings. Each interval, one member is pinged.
+/// Interval between pings. One member is pinged in each interval.
 const PING_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Time without an answer after which a member is pinged through other members.
 const PING_TIMEOUT: Duration = Duration::from_millis(400);
--- a/crates/coralstep-fleet/src/status.rs
+++ b/crates/coralstep-fleet/src/status.rs
@@ -95,9 +95,9 @@
     pub succeeded: u64,
     /// The previous version, as recorded in the server's audit chain.
     pub previous: Option<PastVersion>,
-    /// The newest version that the server stores.
+    /// The newest version that the server holds.
     pub newest_held: VersionId,
-    /// The rejection of the newest stored version, if the server rejected it.
+    /// The rejection of the newest held version, if the server rejected it.
     pub rejected: Option<Rejection>,
     /// The head of the server's audit chain.
     pub audit: ChainHead,
--- a/crates/coralstep-fleet/src/versions/store.rs
+++ b/crates/coralstep-fleet/src/versions/store.rs
@@ -43,7 +43,7 @@
 /// Two versions that replace the same predecessor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fork {
-    /// The version with the smaller id, which is discarded.
+    /// The version with the smaller id, which no server activates any more.
     pub superseded: VersionId,
     /// The version with the greater id, which all servers activate.
     pub winner: VersionId,
--- a/crates/coralstep-fleet/src/versions/tests.rs
+++ b/crates/coralstep-fleet/src/versions/tests.rs
@@ -53,7 +53,7 @@
     // holder.
     let mut other = VersionStore::default();
     other.record_reported(id);
-    let lose_and_corrupt_some = |count: usize, message| match message {
+    let lossy = |count: usize, message| match message {
         _ if count.is_multiple_of(3) => None,
         VersionMessage::Chunk {
             id,
@@ -71,10 +71,7 @@
         }
         message => Some(message),
     };
-    assert_eq!(
-        fetch(&mut publisher, &mut other, lose_and_corrupt_some),
-        Some(id)
-    );
+    assert_eq!(fetch(&mut publisher, &mut other, lossy), Some(id));
     assert_eq!(other.get(id), publisher.get(id));
     // A version whose chunks are always altered is never stored.
     let mut third = VersionStore::default();
--- a/crates/coralstep-shared-health/src/aggregate.rs
+++ b/crates/coralstep-shared-health/src/aggregate.rs
@@ -23,7 +23,8 @@
 
 /// Probe calls per second from the whole fleet while the breakers of several servers are open.
 pub const FLEET_PROBES_PER_SECOND: f64 = 1.2;
-/// Minimum time between the opening of a breaker and its next probe call, in ms.
+/// Minimum time between two probe calls of one server, in ms, counted from the opening of its
+/// breaker.
 pub const MIN_PROBE_INTERVAL_MS: Millis = 750;
 /// Remaining cooldown while breakers of peers are open as well, in ms, plus up to half as much
 /// jitter. It is renewed until the server is selected for a probe call, and bounds the Retry-After
@@ -78,10 +79,10 @@
     /// Jitter added to [`EXTENDED_COOLDOWN_MS`], so that the cooldowns of servers differ.
     cooldown_jitter_ms: Millis,
     /// Whether the server was selected for a probe call whose outcome is not known yet.
-    is_selected: bool,
+    is_selected_for_probe: bool,
     next_recovery_step_at: Millis,
     /// Peers whose recovery reports led to the pending probe call.
-    trusted_peers: Vec<PeerId>,
+    recovery_reporters: Vec<PeerId>,
     distrusted_peers: Vec<DistrustedPeer>,
 }
 
@@ -94,9 +95,9 @@
             last_advised_at: 0,
             open_since: 0,
             cooldown_jitter_ms: 0,
-            is_selected: false,
+            is_selected_for_probe: false,
             next_recovery_step_at: 0,
-            trusted_peers: Vec::new(),
+            recovery_reporters: Vec::new(),
             distrusted_peers: Vec::new(),
         }
     }
@@ -122,13 +123,16 @@
             advice.min_outcomes = min_outcomes(peers);
         }
         // A selected server gets no further advice on its cooldown until its probe call has ended.
-        if state != ReportedBreakerState::Open || self.is_selected {
+        if state != ReportedBreakerState::Open || self.is_selected_for_probe {
             return advice;
         }
         if config.limit_probe_rate && peers.open > 0 {
             advice.cooldown_left_ms = Some(self.extended_cooldown(now, elapsed_ms, peers));
         }
-        if config.follow_recovery && !self.is_selected && now >= self.next_recovery_step_at {
+        if config.follow_recovery
+            && !self.is_selected_for_probe
+            && now >= self.next_recovery_step_at
+        {
             let ends_in_ms = self.recovery_step(now, peers, reports);
             advice.cooldown_left_ms = ends_in_ms.or(advice.cooldown_left_ms);
         }
@@ -146,7 +150,7 @@
             let open_servers = (peers.open + 1) as f64;
             let probability = FLEET_PROBES_PER_SECOND * elapsed_ms as f64 / 1000.0 / open_servers;
             if self.rng.random_bool(probability.min(1.0)) {
-                self.is_selected = true;
+                self.is_selected_for_probe = true;
                 return 0;
             }
         }
@@ -155,8 +159,7 @@
 
     /// Returns the remaining cooldown if it ends in this step after a recovery.
     ///
-    /// Guards against simultaneous calls of all servers, which would overload a dependency that has
-    /// just recovered.
+    /// Guards against overloading a recovered dependency by simultaneous calls of all servers.
     fn recovery_step(
         &mut self,
         now: Millis,
@@ -171,8 +174,8 @@
         if recovered.is_empty() || !self.rng.random_bool(probability) {
             return None;
         }
-        self.is_selected = true;
-        self.trusted_peers = recovered;
+        self.is_selected_for_probe = true;
+        self.recovery_reporters = recovered;
         Some(self.rng.random_range(0..RECOVERY_STEP_MS))
     }
 
@@ -205,27 +208,29 @@
         let previous = std::mem::replace(&mut self.last_state, state);
         if state == ReportedBreakerState::Open && previous != ReportedBreakerState::Open {
             self.open_since = now;
-            self.is_selected = false;
+            self.is_selected_for_probe = false;
             self.cooldown_jitter_ms = self.rng.random_range(0..EXTENDED_COOLDOWN_MS / 2);
         }
         match state {
             ReportedBreakerState::Open if previous == ReportedBreakerState::HalfOpen => {
-                self.distrust_trusted_peers(now);
+                self.distrust_recovery_reporters(now);
             }
-            ReportedBreakerState::Closed => self.trusted_peers.clear(),
+            ReportedBreakerState::Closed => self.recovery_reporters.clear(),
             _ => {}
         }
     }
 
-    /// Guards against a peer that reports recovery regardless of its calls. If many peers reported a
-    /// recovery, it may have been real but short, so only small groups are distrusted.
-    fn distrust_trusted_peers(&mut self, now: Millis) {
-        let trusted = std::mem::take(&mut self.trusted_peers);
-        if trusted.len() > MIN_INFORMED_PEERS {
+    /// Guards against a peer that reports recovery regardless of the outcome of its calls.
+    ///
+    /// A recovery reported by many peers may have been real but short, so peers are distrusted only if
+    /// few of them reported it.
+    fn distrust_recovery_reporters(&mut self, now: Millis) {
+        let reporters = std::mem::take(&mut self.recovery_reporters);
+        if reporters.len() > MIN_INFORMED_PEERS {
             return;
         }
         let until_ms = now + DISTRUST_MS;
-        let distrusted = trusted
+        let distrusted = reporters
             .into_iter()
             .map(|peer| DistrustedPeer { peer, until_ms });
         self.distrusted_peers.extend(distrusted);
--- a/crates/coralstep-shared-health/src/aggregate/tests.rs
+++ b/crates/coralstep-shared-health/src/aggregate/tests.rs
@@ -1,3 +1,5 @@
+use ReportedBreakerState::{Closed, HalfOpen, Open};
+
 use super::*;
 
 fn report(peer: u64, state: ReportedBreakerState, failures: u32, calls: u32) -> PeerReport {
@@ -22,60 +24,36 @@
     let mut aggregator = Aggregator::new(1);
     let mut needed = |reports: &[PeerReport]| {
         aggregator
-            .advise(
-                0,
-                SharingConfig::default(),
-                ReportedBreakerState::Closed,
-                reports,
-            )
+            .advise(0, SharingConfig::default(), Closed, reports)
             .min_outcomes
     };
     assert_eq!(needed(&[]), WINDOW_OUTCOMES);
     assert_eq!(
-        needed(&peers(1, ReportedBreakerState::Open, 1, 1)),
-        WINDOW_OUTCOMES,
-        "a single peer has no effect"
-    );
-    assert_eq!(
-        needed(&peers(10, ReportedBreakerState::Closed, 0, 5)),
-        WINDOW_OUTCOMES
-    );
-    assert_eq!(
-        needed(&peers(10, ReportedBreakerState::Closed, 2, 2)),
-        MIN_OUTCOMES
-    );
-    let mut reports = peers(10, ReportedBreakerState::Closed, 0, 5);
-    reports[0] = report(0, ReportedBreakerState::Open, 20, 20);
-    assert_eq!(
-        needed(&reports),
+        needed(&peers(1, Open, 1, 1)),
         WINDOW_OUTCOMES,
-        "one false report among ten peers"
+        "a single peer"
     );
+    assert_eq!(needed(&peers(10, Closed, 0, 5)), WINDOW_OUTCOMES);
+    assert_eq!(needed(&peers(10, Closed, 2, 2)), MIN_OUTCOMES);
+    let mut reports = peers(10, Closed, 0, 5);
+    reports[0] = report(0, Open, 20, 20);
+    assert_eq!(needed(&reports), WINDOW_OUTCOMES, "one false report of ten");
     reports[1..6]
         .iter_mut()
         .for_each(|report| report.failures = 5);
     assert_eq!(needed(&reports), 8, "six of ten peers report failure");
-    let mut old_reports = peers(10, ReportedBreakerState::Closed, 2, 2);
-    old_reports
+    let mut outdated = peers(10, Closed, 2, 2);
+    outdated
         .iter_mut()
         .for_each(|report| report.since_call_ms = crate::report::MAX_REPORT_AGE_MS + 1);
-    assert_eq!(
-        needed(&old_reports),
-        WINDOW_OUTCOMES,
-        "the reports are too old"
-    );
+    assert_eq!(needed(&outdated), WINDOW_OUTCOMES, "reports too old");
     let without_failure = SharingConfig {
         follow_failure: false,
         ..SharingConfig::default()
     };
     assert_eq!(
         Aggregator::new(1)
-            .advise(
-                0,
-                without_failure,
-                ReportedBreakerState::Closed,
-                &peers(9, ReportedBreakerState::Open, 2, 2)
-            )
+            .advise(0, without_failure, Closed, &peers(9, Open, 2, 2))
             .min_outcomes,
         WINDOW_OUTCOMES
     );
@@ -84,18 +62,13 @@
 #[test]
 fn probe_rate_of_the_fleet_and_extended_cooldown_are_bounded() {
     for (open, duration_ms) in [(2u64, 100_000u64), (10, 100_000), (300, 20_000)] {
-        let reports = peers(open - 1, ReportedBreakerState::Open, 1, 1);
+        let reports = peers(open - 1, Open, 1, 1);
         let mut fleet: Vec<Aggregator> = (0..open).map(Aggregator::new).collect();
         let mut probes = 0;
         for now in (0..duration_ms).step_by(50) {
             for aggregator in &mut fleet {
                 let left = aggregator
-                    .advise(
-                        now,
-                        SharingConfig::default(),
-                        ReportedBreakerState::Open,
-                        &reports,
-                    )
+                    .advise(now, SharingConfig::default(), Open, &reports)
                     .cooldown_left_ms
                     .unwrap();
                 if left > 0 {
@@ -107,12 +80,7 @@
                 }
                 // The probe call fails immediately.
                 probes += 1;
-                aggregator.advise(
-                    now,
-                    SharingConfig::default(),
-                    ReportedBreakerState::HalfOpen,
-                    &reports,
-                );
+                aggregator.advise(now, SharingConfig::default(), HalfOpen, &reports);
             }
         }
         let rate = f64::from(probes) * 1000.0 / duration_ms as f64;
@@ -124,21 +92,11 @@
     // If the breakers of all peers are closed, or there are no peers, the cooldown is unchanged.
     let mut aggregator = Aggregator::new(1);
     assert_eq!(
-        aggregator.advise(
-            0,
-            SharingConfig::default(),
-            ReportedBreakerState::Open,
-            &peers(5, ReportedBreakerState::Closed, 0, 5)
-        ),
+        aggregator.advise(0, SharingConfig::default(), Open, &peers(5, Closed, 0, 5)),
         BreakerAdvice::default()
     );
     assert_eq!(
-        aggregator.advise(
-            50,
-            SharingConfig::default(),
-            ReportedBreakerState::Open,
-            &[]
-        ),
+        aggregator.advise(50, SharingConfig::default(), Open, &[]),
         BreakerAdvice::default()
     );
 }
@@ -150,10 +108,10 @@
         ..SharingConfig::default()
     };
     let recovered = |count: u64, open: u64| {
-        let mut reports = peers(open, ReportedBreakerState::Open, 1, 1);
+        let mut reports = peers(open, Open, 1, 1);
         reports.extend((open..open + count).map(|peer| PeerReport {
             since_recovery_ms: Some(500),
-            ..report(peer, ReportedBreakerState::Closed, 0, 1)
+            ..report(peer, Closed, 0, 1)
         }));
         reports
     };
@@ -161,7 +119,7 @@
     let ended_cooldowns = |reports: &[PeerReport]| {
         let step = |seed: u64| {
             Aggregator::new(seed)
-                .advise(1_000, config, ReportedBreakerState::Open, reports)
+                .advise(1_000, config, Open, reports)
                 .cooldown_left_ms
         };
         (0..60)
@@ -178,28 +136,22 @@
         one <= 6 && ten > one && ten <= 40 && most == 60,
         "{one}, {ten}, {most}"
     );
-    assert_eq!(
-        ended_cooldowns(&peers(58, ReportedBreakerState::Open, 1, 1)),
-        0
-    );
+    assert_eq!(ended_cooldowns(&peers(58, Open, 1, 1)), 0);
     // Peers that never failed do not end the cooldown: they say nothing about this server's path.
-    assert_eq!(
-        ended_cooldowns(&peers(58, ReportedBreakerState::Closed, 0, 20)),
-        0
-    );
+    assert_eq!(ended_cooldowns(&peers(58, Closed, 0, 20)), 0);
     // The probe call fails, so the peer's recovery reports are ignored for some time.
     let (mut aggregator, reports) = (Aggregator::new(3), recovered(1, 0));
     let mut now = 1_000;
     let mut probes = 0;
     while now < 21_000 {
         if aggregator
-            .advise(now, config, ReportedBreakerState::Open, &reports)
+            .advise(now, config, Open, &reports)
             .cooldown_left_ms
             .is_some()
         {
             probes += 1;
-            aggregator.advise(now + 50, config, ReportedBreakerState::HalfOpen, &reports);
-            aggregator.advise(now + 100, config, ReportedBreakerState::Open, &reports);
+            aggregator.advise(now + 50, config, HalfOpen, &reports);
+            aggregator.advise(now + 100, config, Open, &reports);
         }
         now += 200;
     }
