--- a/crates/coralstep-fleet/tests/golden.rs
+++ b/crates/coralstep-fleet/tests/golden.rs
@@ -273,10 +273,10 @@
         ("near", datagram(ipv4_member(), 200, 1 << 33)),
         ("far", datagram(ipv6_member(), (1 << 50) + 1, 0)),
     ];
-    let written = values
+    let actual = values
         .clone()
         .map(|(name, value)| (name.to_owned(), value.encode()));
-    for (bytes, (name, value)) in golden("datagrams", &written).iter().zip(values) {
+    for (bytes, (name, value)) in golden("datagrams", &actual).iter().zip(values) {
         assert_eq!(
             Datagram::decode(bytes, fleet_id("alps")),
             Ok(value),
@@ -314,17 +314,17 @@
 /// Guards against a changed encoding of status lists or ages, which other releases would misread.
 #[test]
 fn encoding_of_status_payloads_is_stable() {
-    let mut all = statuses().into_iter().map(|(_, status)| status);
-    let (relayed, own) = (all.next().unwrap(), all.next().unwrap());
+    let mut statuses = statuses().into_iter().map(|(_, status)| status);
+    let (relayed, own) = (statuses.next().unwrap(), statuses.next().unwrap());
     let mut disseminator = NodeStatuses::default();
     let payload = postcard::to_allocvec(&vec![(relayed.clone(), 5_000u32)]).unwrap();
     disseminator.receive(100_000, &own.member, &payload);
     disseminator.set_own(own.clone());
-    let written = [(
+    let actual = [(
         "own_and_passed".to_owned(),
         disseminator.next_payload(165_535, 1_000).unwrap(),
     )];
-    let bytes = golden("spread", &written).remove(0);
+    let bytes = golden("spread", &actual).remove(0);
     let mut other = NodeStatuses::default();
     assert_eq!(
         other.receive(200_000, &Member::new("x", ipv4_member().address, 1), &bytes),
@@ -350,21 +350,21 @@
         replaces: VersionId::default(),
         ..version()
     };
-    let all = [("waved", version()), ("plain", unstaged)];
-    let mut written: Vec<_> = all
+    let versions = [("waved", version()), ("plain", unstaged)];
+    let mut actual: Vec<_> = versions
         .iter()
         .map(|(name, version)| ((*name).to_owned(), version.encode()))
         .collect();
-    for (name, version) in &all {
+    for (name, version) in &versions {
         let id = Version::decode(&version.encode()).unwrap().id;
         let stages = (0..64)
             .map(|index| version.stage(&format!("n{index}")).unwrap() as u8)
             .collect();
-        written.push((format!("{name}_id"), id.to_string().into_bytes()));
-        written.push((format!("{name}_waves"), stages));
+        actual.push((format!("{name}_id"), id.to_string().into_bytes()));
+        actual.push((format!("{name}_waves"), stages));
     }
-    let bytes = golden("versions", &written);
-    for (encoded, (_, version)) in bytes.iter().zip(&all) {
+    let bytes = golden("versions", &actual);
+    for (encoded, (_, version)) in bytes.iter().zip(&versions) {
         assert_eq!(
             Version::decode(encoded)
                 .map(|published| published.version)
@@ -415,41 +415,41 @@
 /// Guards against a changed encoding of members or SWIM messages, by which releases can't find each other.
 #[test]
 fn encoding_of_membership_messages_is_stable() {
-    let mut all = [
+    let mut members = [
         Membership::new(ipv4_member(), &[ipv6_member().address], 7),
         Membership::new(ipv6_member(), &[], 8),
     ];
-    let mut written = Vec::new();
+    let mut actual = Vec::new();
     for now in (0..2_500).step_by(100) {
         for from in 0..2 {
-            all[from].handle_timeout(now);
-            for message in all[from].take_messages() {
-                all[1 - from].receive(now, &message.bytes);
-                written.push((format!("{now}_from_{from}"), message.bytes));
+            members[from].handle_timeout(now);
+            for message in members[from].take_messages() {
+                members[1 - from].receive(now, &message.bytes);
+                actual.push((format!("{now}_from_{from}"), message.bytes));
             }
         }
     }
     assert!(
-        all[1]
+        members[1]
             .take_changes()
             .contains(&MembershipChange::Up(ipv4_member()))
-            && all[0]
+            && members[0]
                 .take_changes()
                 .contains(&MembershipChange::Up(ipv6_member()))
     );
-    all[0].leave(2_500);
-    let leave_messages = all[0]
+    members[0].leave(2_500);
+    let leave_messages = members[0]
         .take_messages()
         .into_iter()
         .map(|message| ("leaves".to_owned(), message.bytes));
-    written.extend(leave_messages);
-    let bytes = golden("members", &written);
+    actual.extend(leave_messages);
+    let bytes = golden("members", &actual);
     // A new process in place of the second member receives the golden bytes.
     let mut other = Membership::new(ipv6_member(), &[], 9);
     let receive = |other: &mut Membership, from: &str| {
         let messages = bytes
             .iter()
-            .zip(&written)
+            .zip(&actual)
             .filter(|(_, (name, _))| name.ends_with(from));
         messages.for_each(|(bytes, _)| other.receive(0, bytes));
     };
@@ -466,7 +466,7 @@
 /// versions. The second one activates the first version, rejects the second, is excluded and
 /// readmitted. Then the first server leaves.
 fn scenario() -> Vec<(String, Vec<u8>)> {
-    let mut all = [
+    let mut servers = [
         fleet(ipv4_member(), vec![ipv6_member().address]),
         fleet(ipv6_member(), vec![ipv4_member().address]),
     ];
@@ -481,20 +481,22 @@
                     stages: Vec::new(),
                     stage_pause_ms: 0,
                 };
-                let id = all[0].publish(now, wall_ms, publication).unwrap();
-                all[0].activate(now, wall_ms, id);
+                let id = servers[0].publish(now, wall_ms, publication).unwrap();
+                servers[0].activate(now, wall_ms, id);
             }
-            3_000 => all[0].set_excluded(now, &ipv6_member().name, true).unwrap(),
-            3_500 => all[0]
+            3_000 => servers[0]
+                .set_excluded(now, &ipv6_member().name, true)
+                .unwrap(),
+            3_500 => servers[0]
                 .set_excluded(now, &ipv6_member().name, false)
                 .unwrap(),
-            4_500 => all[0].leave(now, wall_ms),
+            4_500 => servers[0].leave(now, wall_ms),
             _ => {}
         }
-        if let Some(pending) = all[1].pending_version(now) {
+        if let Some(pending) = servers[1].pending_version(now) {
             match now < 2_500 {
-                true => all[1].activate(now, wall_ms, pending.id),
-                false => all[1].reject(now, pending.id, "limits: unknown"),
+                true => servers[1].activate(now, wall_ms, pending.id),
+                false => servers[1].reject(now, pending.id, "limits: unknown"),
             }
         }
         let rpcs = RpcCounts {
@@ -502,9 +504,11 @@
             succeeded: now * 2,
         };
         for from in 0..2 {
-            all[from].handle_timeout(now, wall_ms, rpcs);
-            for Transmit { bytes, .. } in all[from].take_datagrams() {
-                all[1 - from].handle_datagram(now, wall_ms, &bytes).unwrap();
+            servers[from].handle_timeout(now, wall_ms, rpcs);
+            for Transmit { bytes, .. } in servers[from].take_datagrams() {
+                servers[1 - from]
+                    .handle_datagram(now, wall_ms, &bytes)
+                    .unwrap();
                 sent.push((format!("{now}_from_{from}"), bytes));
             }
         }
@@ -512,7 +516,7 @@
     sent
 }
 
-/// Guards against a value that is written to another field of the same type, and against changes in
+/// Guards against a value assigned to another field of the same type, and against changes in
 /// which datagrams are sent.
 #[test]
 fn datagrams_of_a_scenario_are_stable() {
@@ -527,10 +531,10 @@
     // Each of the two versions is requested once and sent in one chunk.
     assert_eq!(sent.iter().filter(has_version_message).count(), 4);
     // The hashes of all datagrams, and the last four datagrams completely.
-    let mut written: Vec<_> = sent
+    let mut actual: Vec<_> = sent
         .iter()
         .map(|(name, bytes)| (name.clone(), hash(bytes).to_vec()))
         .collect();
-    written.extend(sent[sent.len() - 4..].iter().cloned());
-    golden("play", &written);
+    actual.extend(sent[sent.len() - 4..].iter().cloned());
+    golden("play", &actual);
 }
