--- a/crates/coralstep-server/tests/verdicts.rs
+++ b/crates/coralstep-server/tests/verdicts.rs
@@ -196,7 +196,7 @@
     });
     assert!(fleet.logged(2, "breaker"), "{:?}", fleet.log(2));
     assert!(
-        fleet.logged(2, "this server's way to store fails"),
+        fleet.logged(2, "this server's path to store fails"),
         "{:?}",
         fleet.log(2)
     );
