--- a/crates/coralstep-server/src/callers/connections.rs
+++ b/crates/coralstep-server/src/callers/connections.rs
@@ -36,7 +36,7 @@
     dispatcher: RequestDispatcher,
     descriptors: Rc<Descriptors>,
     limits: Limits,
-    all: RefCell<Vec<Rc<Connection>>>,
+    connections: RefCell<Vec<Rc<Connection>>>,
     stopped_accepting: Cell<bool>,
     accept_stopped: Event,
     closed: Event,
@@ -56,7 +56,7 @@
             executor,
             descriptors,
             limits,
-            all: RefCell::default(),
+            connections: RefCell::default(),
             stopped_accepting: Cell::new(false),
             accept_stopped: Event::new(),
             closed: Event::new(),
@@ -103,7 +103,7 @@
 
     /// Returns the number of connections that are not closing.
     fn active_count(&self) -> usize {
-        self.all
+        self.connections
             .borrow()
             .iter()
             .filter(|connection| !connection.is_closing())
@@ -114,7 +114,7 @@
     /// all protocols are active.
     fn is_full(&self, protocol: &Rc<dyn ClosingNotice>) -> bool {
         let closing = self
-            .all
+            .connections
             .borrow()
             .iter()
             .filter(|connection| connection.is_closing() && connection.uses_protocol(protocol))
@@ -151,7 +151,7 @@
     /// Aborts the first lingering connection, whose replies are all written, or else sheds an idle one.
     fn free_capacity(&self) {
         let lingering = self
-            .all
+            .connections
             .borrow()
             .iter()
             .find(|connection| connection.is_lingering())
@@ -165,22 +165,23 @@
 
     /// Closes the least useful idle connection; returns `false` if all connections have open requests.
     ///
-    /// Connections that never sent a message come first, then other idle ones, then those younger than
+    /// Connections that never sent a message come first, then other idle ones, then silent ones younger than
     /// [`FIRST_MESSAGE_GRACE`]; within each group, the one idle longest. Guards against silent clients that lock out
     /// gateways. Among silent connections, one of the protocol with the most of them is closed. Guards against a flood at
     /// one protocol that leaves callers of another no time for a first message.
     fn shed_idle_connection(&self) -> bool {
-        let all = self.all.borrow();
+        let connections = self.connections.borrow();
         let is_idle =
             |connection: &&Rc<Connection>| !connection.is_busy() && !connection.is_closing();
         let silent_of_protocol = |of: &Connection| {
-            all.iter()
+            connections
+                .iter()
                 .filter(is_idle)
                 .filter(|other| !other.has_received_message() && other.has_same_protocol(of))
                 .count()
         };
         let now = Instant::now();
-        let victim = all.iter().filter(is_idle).min_by_key(|connection| {
+        let victim = connections.iter().filter(is_idle).min_by_key(|connection| {
             let has_received = connection.has_received_message();
             let idle = now.saturating_duration_since(connection.idle_since());
             (
@@ -226,7 +227,7 @@
                 connection.request_close();
             }
         }
-        self.all.borrow_mut().push(connection.clone());
+        self.connections.borrow_mut().push(connection.clone());
         if self.stopped_accepting.get() {
             connection.request_close();
         }
@@ -256,7 +257,7 @@
             note!(%peer, "connection task panicked");
         }
         connection.abort();
-        self.all
+        self.connections
             .borrow_mut()
             .retain(|other| !Rc::ptr_eq(other, connection));
         drop(stream);
@@ -276,8 +277,11 @@
     /// Asks callers to close connections that are idle for too long, and closes those that stay open regardless.
     fn close_idle(&self, now: Instant) {
         let idle_limit = self.dispatcher.scheduler.idle_limit();
-        let all = self.all.borrow();
-        for connection in all.iter().filter(|connection| !connection.is_busy()) {
+        let connections = self.connections.borrow();
+        for connection in connections
+            .iter()
+            .filter(|connection| !connection.is_busy())
+        {
             let idle = now.saturating_duration_since(connection.idle_since());
             if idle_limit.is_some_and(|limit| idle >= limit) {
                 connection.request_close();
@@ -290,15 +294,15 @@
 
     /// Guards against callers that don't read their replies, which together would exhaust the memory.
     fn enforce_unread_reply_limit(&self) {
-        let all = self.all.borrow();
-        let unread: usize = all
+        let connections = self.connections.borrow();
+        let unread: usize = connections
             .iter()
             .map(|connection| connection.outbox.unsent_bytes())
             .sum();
         if unread <= self.limits.unread_reply_bytes {
             return;
         }
-        let slowest = all
+        let slowest = connections
             .iter()
             .max_by_key(|connection| connection.outbox.unsent_bytes());
         if let Some(slowest) = slowest {
@@ -311,23 +315,23 @@
     pub fn stop_accepting(&self) {
         self.stopped_accepting.set(true);
         self.accept_stopped.notify(usize::MAX);
-        for connection in self.all.borrow().iter() {
+        for connection in self.connections.borrow().iter() {
             connection.request_close();
         }
     }
 
     /// Closes all connections, each once its open requests are answered.
     pub fn close_all(&self) {
-        for connection in self.all.borrow().iter() {
+        for connection in self.connections.borrow().iter() {
             connection.begin_close();
         }
     }
 
     /// Waits until no connection is left.
     pub async fn wait_until_all_closed(&self) {
-        while !self.all.borrow().is_empty() {
+        while !self.connections.borrow().is_empty() {
             let closed = self.closed.listen();
-            if !self.all.borrow().is_empty() {
+            if !self.connections.borrow().is_empty() {
                 closed.await;
             }
         }
--- a/crates/coralstep-server/src/callers/connections/tests.rs
+++ b/crates/coralstep-server/src/callers/connections/tests.rs
@@ -54,7 +54,10 @@
         ))
     };
     let added: Vec<_> = (0..count).map(new_connection).collect();
-    connections.all.borrow_mut().extend(added.iter().cloned());
+    connections
+        .connections
+        .borrow_mut()
+        .extend(added.iter().cloned());
     added
 }
 
