--- a/crates/coralstep-server/benches/front.rs
+++ b/crates/coralstep-server/benches/front.rs
@@ -43,7 +43,7 @@
     fn resume(&self, _answer: &[u8]) {}
     fn mark_answered(&self) {}
     fn cancel(&self) {}
-    fn probe(&self, _order: &RunRequest<'_>) {}
+    fn query_status(&self, _order: &RunRequest<'_>) {}
     fn poll_event(&self, cx: &mut Context<'_>) -> Poll<RunEvent> {
         self.0.borrow_mut().poll(cx)
     }
--- a/crates/coralstep-server/src/app.rs
+++ b/crates/coralstep-server/src/app.rs
@@ -106,7 +106,7 @@
             scgi,
             applications,
             levels: scheduler.degradation().cloned(),
-            versioned: Cell::new(false),
+            version_active: Cell::new(false),
             version: RefCell::default(),
         });
         let mut app = App {
@@ -374,8 +374,8 @@
 /// Ticks the scheduler when its timer is due, with the last readings of the engine's gauges.
 async fn drive_scheduler(scheduler: &SchedulerHandle, engine: &Engine) {
     loop {
-        let sooner = scheduler.earlier_tick();
-        let next = scheduler.next_tick();
+        let sooner = scheduler.earlier_timeout();
+        let next = scheduler.next_timeout();
         let is_started = !next.is_zero();
         let wait = if is_started { next } else { UNSTARTED_TICK };
         let timer = async {
@@ -386,7 +386,7 @@
             // Guards against one panic that ends the process, and with it all RPCs.
             let tick = AssertUnwindSafe(|| {
                 engine.poll_gauges();
-                scheduler.tick(&engine.gauge_readings());
+                scheduler.handle_timeout(&engine.gauge_readings());
             });
             if catch_unwind(tick).is_err() {
                 note!("scheduler tick panicked");
--- a/crates/coralstep-server/src/callers/gateway/reply.rs
+++ b/crates/coralstep-server/src/callers/gateway/reply.rs
@@ -59,7 +59,7 @@
                 success: true,
             }
             .encode(out),
-            Reply::Aborted => thrift::encode_internal_error(out, self.sequence, &fields),
+            Reply::Failed => thrift::encode_internal_error(out, self.sequence, &fields),
             Reply::Rejected {
                 retry_after_ms,
                 is_final,
--- a/crates/coralstep-server/src/callers/scgi/reply.rs
+++ b/crates/coralstep-server/src/callers/scgi/reply.rs
@@ -71,7 +71,7 @@
                 let content_type: Header<'_> = ("Content-Type", &"application/octet-stream");
                 encode(out, status, 200, &[content_type], body);
             }
-            Reply::Aborted => encode(out, status, 500, &[], b""),
+            Reply::Failed => encode(out, status, 500, &[], b""),
             Reply::Rejected {
                 retry_after_ms,
                 is_final,
--- a/crates/coralstep-server/src/callers/tests.rs
+++ b/crates/coralstep-server/src/callers/tests.rs
@@ -11,7 +11,7 @@
 const REPLIES: [(&str, Reply<'static>); 7] = [
     ("ok", Reply::Ok(b"\0\r\n\xff")),
     ("ok, empty", Reply::Ok(b"")),
-    ("aborted", Reply::Aborted),
+    ("aborted", Reply::Failed),
     (
         "rejected",
         Reply::Rejected {
--- a/crates/coralstep-server/src/decisions/actions.rs
+++ b/crates/coralstep-server/src/decisions/actions.rs
@@ -5,20 +5,20 @@
 use coralstep::{Actions, Event, RpcId, Span, Transition};
 
 use crate::base::clock::{self, Clock};
-use crate::decisions::admission::MAX_UNREAD_SPAN;
+use crate::decisions::admission::MAX_READ_DELAY;
 use crate::decisions::idempotency_keys::IdempotencyKeys;
 use crate::decisions::request::Decision;
-use crate::decisions::request_table::RequestTable;
+use crate::decisions::rpc_table::RpcTable;
 use crate::note;
 
 /// What the scheduler's actions lead to, until network code fetches it.
 pub(super) struct PendingActions {
-    pub(super) requests: RequestTable,
+    pub(super) rpcs: RpcTable,
     pub(super) idempotency_keys: IdempotencyKeys,
     pub(super) healthy: bool,
     pub(super) load_report: Option<f64>,
     pub(super) idle_timeout: Option<Duration>,
-    pub(super) next_tick: Span,
+    pub(super) next_timeout: Span,
     clock: Clock,
     /// Name of this server, for log lines.
     instance: String,
@@ -26,18 +26,18 @@
 
 impl PendingActions {
     pub(super) fn new(
-        requests: RequestTable,
+        rpcs: RpcTable,
         idempotency_keys: IdempotencyKeys,
         clock: Clock,
         instance: String,
     ) -> PendingActions {
         PendingActions {
-            requests,
+            rpcs,
             idempotency_keys,
             healthy: true,
             load_report: None,
             idle_timeout: None,
-            next_tick: Span::ZERO,
+            next_timeout: Span::ZERO,
             clock,
             instance,
         }
@@ -62,63 +62,62 @@
 
 impl Actions for PendingActions {
     fn admit(&mut self, rpc: RpcId) {
-        let entry = self.requests.get_mut(rpc);
+        let entry = self.rpcs.get_mut(rpc);
         if let Some(key) = entry.and_then(|entry| entry.idempotency_key.as_ref()) {
             self.idempotency_keys.mark_started(key, rpc);
         }
-        self.requests.push_decision(rpc, Decision::Run);
+        self.rpcs.push_decision(rpc, Decision::Run);
     }
 
     fn reject(&mut self, rpc: RpcId, retry_after: Span, is_final: bool) {
         // Guards against callers sent back to where nobody may try yet.
-        let entry = self.requests.get_mut(rpc);
+        let entry = self.rpcs.get_mut(rpc);
         let retry_after = entry.map_or(retry_after, |entry| retry_after.max(entry.retry_after));
         let decision = Decision::Reject {
             retry_after_ms: clock::millis_rounded_up(retry_after),
             is_final,
         };
-        self.requests.push_decision(rpc, decision);
+        self.rpcs.push_decision(rpc, decision);
     }
 
     fn fail(&mut self, rpc: RpcId) {
-        self.requests.push_decision(rpc, Decision::Abort);
+        self.rpcs.push_decision(rpc, Decision::Fail);
     }
 
     fn call(&mut self, rpc: RpcId, timeout: Span) {
         let timeout = clock::duration(timeout);
-        self.requests.push_decision(rpc, Decision::Call { timeout });
+        self.rpcs.push_decision(rpc, Decision::Call { timeout });
     }
 
     fn preempt(&mut self, rpc: RpcId) {
-        self.requests.push_decision(rpc, Decision::CancelRun);
+        self.rpcs.push_decision(rpc, Decision::CancelRun);
     }
 
     fn query_run(&mut self, rpc: RpcId) {
-        self.requests.push_decision(rpc, Decision::ProbeRun);
+        self.rpcs.push_decision(rpc, Decision::QueryRun);
     }
 
     fn retain_key(&mut self, rpc: RpcId, span: Span) {
         let until = self.clock.now() + span;
-        let Some(entry) = self.requests.get_mut(rpc) else {
+        let Some(entry) = self.rpcs.get_mut(rpc) else {
             return;
         };
         if let Some(key) = entry.idempotency_key.clone() {
             let fingerprint = entry.fingerprint;
-            self.idempotency_keys.keep(key, fingerprint, rpc, until);
+            self.idempotency_keys.retain(key, fingerprint, rpc, until);
         }
     }
 
     fn release_key(&mut self, rpc: RpcId) {
         let now = self.clock.now();
-        let entry = self.requests.get_mut(rpc);
+        let entry = self.rpcs.get_mut(rpc);
         if let Some(key) = entry.and_then(|entry| entry.idempotency_key.as_ref()) {
-            self.idempotency_keys
-                .release(now, key, rpc, MAX_UNREAD_SPAN);
+            self.idempotency_keys.release(now, key, rpc, MAX_READ_DELAY);
         }
     }
 
     fn replay(&mut self, rpc: RpcId) {
-        self.requests.replay(rpc);
+        self.rpcs.replay(rpc);
     }
 
     fn set_health(&mut self, good: bool) {
@@ -134,7 +133,7 @@
     }
 
     fn set_timer(&mut self, span: Span) {
-        self.next_tick = span;
+        self.next_timeout = span;
     }
 
     fn log(&mut self, event: Event) {
@@ -160,6 +159,6 @@
     }
 
     fn release_id(&mut self, rpc: RpcId) {
-        self.requests.finish(rpc);
+        self.rpcs.finish(rpc);
     }
 }
--- a/crates/coralstep-server/src/decisions/admission.rs
+++ b/crates/coralstep-server/src/decisions/admission.rs
@@ -8,14 +8,14 @@
 
 use crate::base::clock;
 use crate::decisions::handle::SchedulerHandle;
-use crate::decisions::idempotency_keys::{Fingerprint, IdempotencyKey, Lookup};
+use crate::decisions::idempotency_keys::{IdempotencyKey, Lookup, PayloadFingerprint};
 use crate::decisions::request::{
     AdmissionError, CallOutcome, Decision, Progress, RpcRequest, RunOutcome,
 };
-use crate::decisions::request_table::RequestEntry;
+use crate::decisions::rpc_table::RpcEntry;
 
 /// For so long an attempt may lie unread: what ran and is no longer kept is remembered for as long.
-pub const MAX_UNREAD_SPAN: Span = Span::ms(60_000);
+pub const MAX_READ_DELAY: Span = Span::ms(60_000);
 
 /// An RPC's place with the scheduler; given back when dropped.
 pub struct RequestTicket {
@@ -26,7 +26,7 @@
 impl Drop for RequestTicket {
     fn drop(&mut self) {
         let mut inner = self.scheduler.inner.borrow_mut();
-        inner.actions.requests.abandon(self.id);
+        inner.actions.rpcs.abandon(self.id);
     }
 }
 
@@ -50,9 +50,9 @@
         mut request: RpcRequest,
     ) -> Result<RequestTicket, AdmissionError> {
         self.start(None, Duration::ZERO);
-        let (id, repeats) = self.insert(&mut request)?;
-        let scheduler_request = self.scheduler_request(&request, id, repeats);
-        self.update_fence();
+        let (id, repeat_of) = self.insert(&mut request)?;
+        let scheduler_request = self.scheduler_request(&request, id, repeat_of);
+        self.update_exclusion();
         self.submitted.set(self.submitted.get() + 1);
         self.drive(|scheduler, now, actions| {
             scheduler.handle_request(now, scheduler_request, actions);
@@ -70,29 +70,29 @@
             method: request.method,
             key,
         });
-        let fingerprint = Fingerprint {
+        let fingerprint = PayloadFingerprint {
             body_digest: request.body_digest,
             tenant: request.tenant,
         };
         let arrived = self.clock.now() - request.age;
         let lookup = key.as_ref().map_or(Lookup::Unknown, |key| {
-            actions.idempotency_keys.find(key, fingerprint, arrived)
+            actions.idempotency_keys.lookup(key, fingerprint, arrived)
         });
-        let repeats = match lookup {
+        let repeat_of = match lookup {
             Lookup::Unknown => None,
             Lookup::RepeatOf(repeated) => Some(repeated),
             Lookup::Conflict => return Err(AdmissionError::KeyConflict),
         };
-        let entry = RequestEntry::new(key, fingerprint, repeats);
-        let id = actions.requests.insert(entry)?;
-        Ok((id, repeats))
+        let entry = RpcEntry::new(key, fingerprint, repeat_of);
+        let id = actions.rpcs.insert(entry)?;
+        Ok((id, repeat_of))
     }
 
     fn scheduler_request(
         &self,
         request: &RpcRequest,
         id: RpcId,
-        repeats: Option<RpcId>,
+        repeat_of: Option<RpcId>,
     ) -> Request {
         // A stated timeout makes an RPC due sooner, never later: nobody may have kept what its
         // method promises.
@@ -109,7 +109,7 @@
             is_retry: request.retry,
             age: request.age,
             untrusted_age: request.age_unverified,
-            earlier_attempt: repeats.map_or(EarlierAttempt::None, EarlierAttempt::Known),
+            earlier_attempt: repeat_of.map_or(EarlierAttempt::None, EarlierAttempt::Known),
         }
     }
 
@@ -128,14 +128,14 @@
         self.succeeded.set(self.succeeded.get() + succeeded);
         self.drive(|scheduler, now, actions| {
             if let RunOutcome::NeverStarted { retry_after } = outcome
-                && let Some(entry) = actions.requests.get_mut(id)
+                && let Some(entry) = actions.rpcs.get_mut(id)
             {
                 entry.retry_after = clock::span(*retry_after);
                 if let Some(key) = &entry.idempotency_key {
                     actions.idempotency_keys.mark_never_started(key, id);
                 }
             }
-            actions.requests.record_result(id, outcome);
+            actions.rpcs.record_result(id, outcome);
             scheduler.handle_completion(now, id, outcome.as_scheduler_outcome(), actions);
         });
     }
@@ -155,7 +155,7 @@
                 scheduler.report_call(id, outcome, elapsed);
             }
             Progress::RunEnded(outcome) => scheduler.report_run(id, &outcome),
-            Progress::CallerGone => {
+            Progress::CallerDisconnected => {
                 scheduler.drive(|scheduler, now, actions| {
                     scheduler.handle_cancellation(now, id, actions);
                 });
@@ -167,7 +167,7 @@
     pub async fn next_decision(&self) -> Decision {
         poll_fn(|cx| {
             let mut inner = self.scheduler.inner.borrow_mut();
-            inner.actions.requests.poll_decision(self.id, cx)
+            inner.actions.rpcs.poll_decision(self.id, cx)
         })
         .await
     }
--- a/crates/coralstep-server/src/decisions/degradation.rs
+++ b/crates/coralstep-server/src/decisions/degradation.rs
@@ -36,7 +36,7 @@
     last_logged: Cell<Time>,
     /// For tests: the next change fails.
     #[cfg(test)]
-    pub(super) next_change_fails: Cell<bool>,
+    pub(super) panic_on_next_change: Cell<bool>,
 }
 
 fn log_interval(config: &DegradationConfig) -> Option<Span> {
@@ -61,7 +61,7 @@
             log_interval: Cell::new(log_interval(config)),
             last_logged: Cell::new(clock.now()),
             #[cfg(test)]
-            next_change_fails: Cell::new(false),
+            panic_on_next_change: Cell::new(false),
         })
     }
 
@@ -76,13 +76,13 @@
         if let Some(change) = change {
             self.record_change(change);
         }
-        self.effect()
+        self.degradation_level()
     }
 
     /// Each change is one event, and none of them is left out.
     fn record_change(&self, change: LevelChange) {
         #[cfg(test)]
-        assert!(!self.next_change_fails.take(), "a fault in a change");
+        assert!(!self.panic_on_next_change.take(), "a fault in a change");
         log_change(&change);
         let unix = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
@@ -98,17 +98,17 @@
     }
 
     /// What the level that holds asks of the scheduler.
-    pub fn effect(&self) -> DegradationLevel {
+    pub fn degradation_level(&self) -> DegradationLevel {
         self.levels.borrow().degradation()
     }
 
     /// Name of the level that holds.
-    pub fn name(&self) -> String {
+    pub fn level_name(&self) -> String {
         self.levels.borrow().name().to_owned()
     }
 
     /// The level that holds, and how far the others are.
-    pub fn view(&self) -> LevelStatus {
+    pub fn status(&self) -> LevelStatus {
         self.levels.borrow().status(self.clock.now())
     }
 
@@ -122,14 +122,14 @@
     /// # Errors
     ///
     /// There is no such level, or it may not be held for so long.
-    pub fn hold(&self, level: &str, ms: u64) -> Result<(), OverrideError> {
+    pub fn set_override(&self, level: &str, ms: u64) -> Result<(), OverrideError> {
         let span = clock::span(Duration::from_millis(ms));
         let mut levels = self.levels.borrow_mut();
         levels.set_override(self.clock.now(), level, span)
     }
 
     /// Ends a hold; `false` where there is none.
-    pub fn release(&self) -> bool {
+    pub fn clear_override(&self) -> bool {
         self.levels.borrow_mut().clear_override()
     }
 
--- a/crates/coralstep-server/src/decisions/fence.rs
+++ b/crates/coralstep-server/src/decisions/exclusion.rs
@@ -6,25 +6,25 @@
 use crate::decisions::handle::SchedulerHandle;
 
 /// Says for how long nothing is to be admitted; none while this server is not excluded.
-pub type FenceCheck = Rc<dyn Fn() -> Option<Span>>;
+pub type ExclusionCheck = Rc<dyn Fn() -> Option<Span>>;
 
 impl SchedulerHandle {
     /// Sets who may exclude this server; asked before each RPC.
-    pub fn set_fence_check(&self, check: FenceCheck) {
-        *self.fence_check.borrow_mut() = Some(check);
+    pub fn set_exclusion_check(&self, check: ExclusionCheck) {
+        *self.exclusion_check.borrow_mut() = Some(check);
     }
 
     /// Asks whether this server is excluded, and sets or lifts the fence. Queued RPCs are then answered at once, what has run
     /// goes on to its end.
-    pub fn update_fence(&self) {
-        let Some(check) = self.fence_check.borrow().clone() else {
+    pub fn update_exclusion(&self) {
+        let Some(check) = self.exclusion_check.borrow().clone() else {
             return;
         };
         let excluded_for = check();
-        if excluded_for.is_none() && !self.fenced.get() {
+        if excluded_for.is_none() && !self.excluded.get() {
             return;
         }
-        self.fenced.set(excluded_for.is_some());
+        self.excluded.set(excluded_for.is_some());
         let level = match excluded_for {
             Some(retry_after) => DegradationLevel {
                 reject_all: true,
@@ -42,7 +42,7 @@
     fn degradation_level(&self) -> DegradationLevel {
         self.degradation()
             .map_or_else(DegradationLevel::default, |degradation| {
-                degradation.effect()
+                degradation.degradation_level()
             })
     }
 }
--- a/crates/coralstep-server/src/decisions/handle.rs
+++ b/crates/coralstep-server/src/decisions/handle.rs
@@ -17,15 +17,15 @@
 use crate::decisions::actions::PendingActions;
 use crate::decisions::breaker::RecentCalls;
 use crate::decisions::degradation::DegradationController;
-use crate::decisions::fence::FenceCheck;
+use crate::decisions::exclusion::ExclusionCheck;
 use crate::decisions::idempotency_keys::IdempotencyKeys;
 use crate::decisions::quota::QuotaLimiter;
 use crate::decisions::request::{Decision, ServerStatus};
-use crate::decisions::request_table::{CompletedRepeat, RequestTable};
+use crate::decisions::rpc_table::{CompletedRepeat, RpcTable};
 use crate::note;
 
 /// One idempotency key that ran and is no longer kept is remembered for so many request ids known.
-const REQUEST_IDS_PER_PAST_KEY: usize = 4;
+const REQUEST_IDS_PER_RELEASED_KEY: usize = 4;
 
 pub(super) struct Inner {
     /// `None` before the start.
@@ -34,7 +34,7 @@
 }
 
 /// State learned before a restart.
-struct RestoredState {
+struct TrustedLearnedState {
     learned: LearnedState,
     /// How far it is trusted, from 0 to 1.
     confidence: f64,
@@ -55,16 +55,16 @@
     names: Names,
     config: SchedulerConfig,
     degradation: Option<Rc<DegradationController>>,
-    restored: RefCell<Option<RestoredState>>,
+    restored: RefCell<Option<TrustedLearnedState>>,
     seed: u64,
     pub(super) clock: Clock,
     /// Notified where a tick is wanted before the one waited for.
-    earlier_tick: Event,
+    earlier_timeout: Event,
     pub(super) submitted: Cell<u64>,
     pub(super) succeeded: Cell<u64>,
-    pub(super) fence_check: RefCell<Option<FenceCheck>>,
+    pub(super) exclusion_check: RefCell<Option<ExclusionCheck>>,
     /// Whether this server is excluded.
-    pub(super) fenced: Cell<bool>,
+    pub(super) excluded: Cell<bool>,
     pub(super) recent_calls: RefCell<RecentCalls>,
     pub(super) quota_limiter: RefCell<Option<Rc<dyn QuotaLimiter>>>,
 }
@@ -79,8 +79,8 @@
     ) -> SchedulerHandle {
         let clock = Clock::start();
         let actions = PendingActions::new(
-            RequestTable::new(limits.requests, limits.result_bytes),
-            IdempotencyKeys::new(limits.request_ids / REQUEST_IDS_PER_PAST_KEY),
+            RpcTable::new(limits.requests, limits.result_bytes),
+            IdempotencyKeys::new(limits.request_ids / REQUEST_IDS_PER_RELEASED_KEY),
             clock,
             names.instance.clone(),
         );
@@ -95,11 +95,11 @@
             restored: RefCell::default(),
             seed,
             clock,
-            earlier_tick: Event::new(),
+            earlier_timeout: Event::new(),
             submitted: Cell::new(0),
             succeeded: Cell::new(0),
-            fence_check: RefCell::default(),
-            fenced: Cell::new(false),
+            exclusion_check: RefCell::default(),
+            excluded: Cell::new(false),
             recent_calls: RefCell::default(),
             quota_limiter: RefCell::default(),
         }
@@ -128,7 +128,7 @@
     pub fn server_status(&self) -> ServerStatus {
         ServerStatus {
             value: self.load_report(),
-            level: self.degradation.as_ref().map(|levels| levels.name()),
+            level: self.degradation.as_ref().map(|levels| levels.level_name()),
         }
     }
 
@@ -152,7 +152,7 @@
         // Guards against a start long ago that looks like cores which have stood still ever since.
         started.handle_timeout(self.clock.now(), Gauges::default(), actions);
         *scheduler = Some(started);
-        self.earlier_tick.notify(usize::MAX);
+        self.earlier_timeout.notify(usize::MAX);
     }
 
     /// Whether the scheduler is started.
@@ -162,7 +162,7 @@
 
     /// Takes `learned` in at the start, trusted from 0 to 1.
     pub fn restore_at_start(&self, learned: LearnedState, confidence: f64) {
-        *self.restored.borrow_mut() = Some(RestoredState {
+        *self.restored.borrow_mut() = Some(TrustedLearnedState {
             learned,
             confidence,
         });
@@ -191,28 +191,28 @@
         let Some(scheduler) = scheduler else {
             return;
         };
-        let (now, tick_before) = (self.clock.now(), actions.next_tick);
+        let (now, previous_timeout) = (self.clock.now(), actions.next_timeout);
         event(scheduler, now, actions);
-        while let Some(repeat) = actions.requests.next_completed_repeat() {
+        while let Some(repeat) = actions.rpcs.next_completed_repeat() {
             let CompletedRepeat { id, result } = repeat;
             let (decision, outcome) = match result {
                 Some(result) => (Decision::Replay(result), Outcome::Ok),
-                None => (Decision::Abort, Outcome::Error),
+                None => (Decision::Fail, Outcome::Error),
             };
-            actions.requests.push_decision(id, decision);
+            actions.rpcs.push_decision(id, decision);
             scheduler.handle_completion(now, id, outcome, actions);
         }
-        if actions.next_tick < tick_before {
-            self.earlier_tick.notify(usize::MAX);
+        if actions.next_timeout < previous_timeout {
+            self.earlier_timeout.notify(usize::MAX);
         }
     }
 
     /// Lets time pass; `gauge_readings` stand in the order of the settings' gauges.
-    pub fn tick(&self, gauge_readings: &[Option<f64>]) {
+    pub fn handle_timeout(&self, gauge_readings: &[Option<f64>]) {
         let gauges = self.gauges(gauge_readings);
         self.drive(|scheduler, now, actions| scheduler.handle_timeout(now, gauges, actions));
-        self.update_fence();
-        if !self.fenced.get() {
+        self.update_exclusion();
+        if !self.excluded.get() {
             self.update_degradation();
         }
     }
@@ -247,13 +247,13 @@
     }
 
     /// How long until the next tick is wanted; zero before the start.
-    pub fn next_tick(&self) -> Duration {
-        clock::duration(self.inner.borrow().actions.next_tick)
+    pub fn next_timeout(&self) -> Duration {
+        clock::duration(self.inner.borrow().actions.next_timeout)
     }
 
     /// Ends when the scheduler starts, and when a tick is wanted sooner than was said.
-    pub fn earlier_tick(&self) -> EventListener {
-        self.earlier_tick.listen()
+    pub fn earlier_timeout(&self) -> EventListener {
+        self.earlier_timeout.listen()
     }
 
     /// Begins a graceful shutdown: the process ends after `left`.
@@ -270,7 +270,7 @@
 
     /// What a health check is answered.
     pub fn is_healthy(&self) -> bool {
-        self.inner.borrow().actions.healthy && !self.fenced.get()
+        self.inner.borrow().actions.healthy && !self.excluded.get()
     }
 
     /// The load report, where one was made.
--- a/crates/coralstep-server/src/decisions/handle/tests.rs
+++ b/crates/coralstep-server/src/decisions/handle/tests.rs
@@ -79,7 +79,7 @@
         outcome: CallOutcome::Error,
         elapsed: Duration::from_millis(5),
     };
-    assert_eq!(report(&ticket, called), Decision::Abort);
+    assert_eq!(report(&ticket, called), Decision::Fail);
 }
 
 #[test]
@@ -101,7 +101,7 @@
     let (_runs, decision) = block_on(scheduler.submit(request(b"a"))).unwrap();
     assert_eq!(decision, Decision::Run);
     std::thread::sleep(clock::duration(Span::ms(25)));
-    scheduler.tick(&[]);
+    scheduler.handle_timeout(&[]);
     assert!(scheduler.is_healthy());
 }
 
@@ -127,18 +127,18 @@
     );
     scheduler.start(Some(false), Duration::ZERO);
     let levels = scheduler.degradation().unwrap();
-    levels.hold("closed", 60_000).unwrap();
-    levels.next_change_fails.set(true);
-    scheduler.tick(&[]);
+    levels.set_override("closed", 60_000).unwrap();
+    levels.panic_on_next_change.set(true);
+    scheduler.handle_timeout(&[]);
     assert!(
-        !levels.next_change_fails.get(),
+        !levels.panic_on_next_change.get(),
         "the change came, and failed"
     );
     // RPCs are decided on as before, and with the next tick the level is carried out.
     let (_runs, decision) = block_on(scheduler.submit(request(b"a"))).unwrap();
     assert_eq!(decision, Decision::Run);
-    scheduler.tick(&[]);
-    assert_eq!(levels.name(), "closed");
+    scheduler.handle_timeout(&[]);
+    assert_eq!(levels.level_name(), "closed");
     let (_rejected, decision) = block_on(scheduler.submit(request(b"b"))).unwrap();
     assert!(matches!(decision, Decision::Reject { .. }), "{decision:?}");
 }
@@ -168,7 +168,10 @@
     let (first, _) = block_on(scheduler.submit(request(b"a"))).unwrap();
     let second = scheduler.enqueue(request(b"a")).unwrap();
     let index = second.id;
-    assert_eq!(report(&second, Progress::CallerGone), Decision::Finished);
+    assert_eq!(
+        report(&second, Progress::CallerDisconnected),
+        Decision::Finished
+    );
     drop(second);
     let (third, decision) = block_on(scheduler.submit(request(b"b"))).unwrap();
     assert_eq!((third.id, decision), (index, Decision::Run));
@@ -181,7 +184,7 @@
 fn results_are_kept_for_repeats_while_there_is_room() {
     for (result, decision) in [
         (&b"12345678"[..], Decision::Replay(b"12345678"[..].into())),
-        (&[0; 9], Decision::Abort),
+        (&[0; 9], Decision::Fail),
     ] {
         let scheduler = scheduler(limits());
         let (first, _) = block_on(scheduler.submit(request(b"a"))).unwrap();
@@ -222,13 +225,13 @@
         .borrow()
         .actions
         .idempotency_keys
-        .is_kept(&IdempotencyKey {
+        .is_retained(&IdempotencyKey {
             method: 0,
             key: b"a"[..].into(),
         })
     {
-        std::thread::sleep(scheduler.next_tick());
-        scheduler.tick(&[]);
+        std::thread::sleep(scheduler.next_timeout());
+        scheduler.handle_timeout(&[]);
     }
     let came = |age: Duration| RpcRequest {
         age: clock::span(age),
--- a/crates/coralstep-server/src/decisions/idempotency_keys.rs
+++ b/crates/coralstep-server/src/decisions/idempotency_keys.rs
@@ -15,16 +15,16 @@
 
 /// What came with a key: attempts of one RPC have the same.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Fingerprint {
+pub struct PayloadFingerprint {
     /// Digest of the body.
     pub body_digest: u64,
     /// Index of the tenant, where the front knows one.
     pub tenant: Option<usize>,
 }
 
-impl Fingerprint {
+impl PayloadFingerprint {
     /// Whether both may be attempts of one RPC. A front that knows no tenants says nothing of them.
-    fn matches(self, other: Fingerprint) -> bool {
+    fn matches(self, other: PayloadFingerprint) -> bool {
         let tenants = self.tenant.zip(other.tenant);
         let same_tenant = tenants.is_none_or(|(one, other)| one == other);
         self.body_digest == other.body_digest && same_tenant
@@ -42,9 +42,9 @@
     Conflict,
 }
 
-struct KeptKey {
+struct RetainedKey {
     rpc: RpcId,
-    fingerprint: Fingerprint,
+    fingerprint: PayloadFingerprint,
     until: Time,
     started: bool,
 }
@@ -57,56 +57,71 @@
 /// All idempotency keys that are known.
 #[derive(Default)]
 pub struct IdempotencyKeys {
-    kept: HashMap<IdempotencyKey, KeptKey>,
-    /// Keys that ran and are no longer kept: what came to the machine by then must not run.
-    past: HashMap<IdempotencyKey, Time>,
+    retained: HashMap<IdempotencyKey, RetainedKey>,
+    /// Keys that ran and are no longer retained: what came to the machine by then must not run.
+    released: HashMap<IdempotencyKey, Time>,
     /// When these may be forgotten, in order.
     expiries: VecDeque<Expiry>,
-    max_past: usize,
+    max_released: usize,
 }
 
 impl IdempotencyKeys {
-    /// A table that remembers at most `max_past` keys beyond those that are kept.
-    pub fn new(max_past: usize) -> IdempotencyKeys {
+    /// A table that remembers at most `max_released` keys beyond those that are retained.
+    pub fn new(max_released: usize) -> IdempotencyKeys {
         IdempotencyKeys {
-            max_past,
+            max_released,
             ..IdempotencyKeys::default()
         }
     }
 
     /// Whether an RPC of this key is here, or has run within the window.
-    pub fn is_kept(&self, key: &IdempotencyKey) -> bool {
-        self.kept.contains_key(key)
+    pub fn is_retained(&self, key: &IdempotencyKey) -> bool {
+        self.retained.contains_key(key)
     }
 
     /// What an RPC that came to the machine at `arrived` repeats.
-    pub fn find(&self, key: &IdempotencyKey, fingerprint: Fingerprint, arrived: Time) -> Lookup {
-        if let Some(kept) = self.kept.get(key) {
+    pub fn lookup(
+        &self,
+        key: &IdempotencyKey,
+        fingerprint: PayloadFingerprint,
+        arrived: Time,
+    ) -> Lookup {
+        if let Some(retained) = self.retained.get(key) {
             // Guards against a stranger who has seen a key: neither is the result theirs, nor may
             // theirs run in its place.
-            return if kept.fingerprint.matches(fingerprint) {
-                Lookup::RepeatOf(kept.rpc)
+            return if retained.fingerprint.matches(fingerprint) {
+                Lookup::RepeatOf(retained.rpc)
             } else {
                 Lookup::Conflict
             };
         }
         // Guards against a second run of what came within the window and was read after it: after a
         // pause, or from a full socket.
-        if self.past.get(key).is_some_and(|until| arrived <= *until) {
+        if self
+            .released
+            .get(key)
+            .is_some_and(|until| arrived <= *until)
+        {
             return Lookup::Conflict;
         }
         Lookup::Unknown
     }
 
     /// Keeps `key` for `rpc`, whose repeats are known until `until`.
-    pub fn keep(&mut self, key: IdempotencyKey, fingerprint: Fingerprint, rpc: RpcId, until: Time) {
-        let kept = KeptKey {
+    pub fn retain(
+        &mut self,
+        key: IdempotencyKey,
+        fingerprint: PayloadFingerprint,
+        rpc: RpcId,
+        until: Time,
+    ) {
+        let retained = RetainedKey {
             rpc,
             fingerprint,
             until,
             started: false,
         };
-        self.kept.insert(key, kept);
+        self.retained.insert(key, retained);
     }
 
     /// The run of `rpc` begins.
@@ -120,39 +135,51 @@
     }
 
     fn set_started(&mut self, key: &IdempotencyKey, rpc: RpcId, started: bool) {
-        if let Some(kept) = self.kept.get_mut(key).filter(|kept| kept.rpc == rpc) {
-            kept.started = started;
+        if let Some(retained) = self
+            .retained
+            .get_mut(key)
+            .filter(|retained| retained.rpc == rpc)
+        {
+            retained.started = started;
         }
     }
 
-    /// `key` need not be kept for `rpc` any more. An attempt of it may lie unread for `unread` at
+    /// `key` need not be retained for `rpc` any more. An attempt of it may lie unread for `unread` at
     /// the most.
-    pub fn release(&mut self, now: Time, key: &IdempotencyKey, rpc: RpcId, unread: Span) {
-        self.forget_expired(now, unread);
-        if self.kept.get(key).is_none_or(|kept| kept.rpc != rpc) {
+    pub fn release(&mut self, now: Time, key: &IdempotencyKey, rpc: RpcId, max_read_delay: Span) {
+        self.forget_expired(now, max_read_delay);
+        if self
+            .retained
+            .get(key)
+            .is_none_or(|retained| retained.rpc != rpc)
+        {
             return;
         }
-        if let Some(kept) = self.kept.remove(key).filter(|kept| kept.started) {
-            self.past.insert(key.clone(), kept.until);
+        if let Some(retained) = self
+            .retained
+            .remove(key)
+            .filter(|retained| retained.started)
+        {
+            self.released.insert(key.clone(), retained.until);
             self.expiries.push_back(Expiry {
-                at: kept.until + unread,
+                at: retained.until + max_read_delay,
                 key: key.clone(),
             });
         }
     }
 
-    fn forget_expired(&mut self, now: Time, unread: Span) {
-        let max_past = self.max_past.max(1);
+    fn forget_expired(&mut self, now: Time, max_read_delay: Span) {
+        let max_released = self.max_released.max(1);
         while self.expiries.front().is_some_and(|first| first.at <= now)
-            || self.expiries.len() >= max_past
+            || self.expiries.len() >= max_released
         {
             let Some(Expiry { at, key }) = self.expiries.pop_front() else {
                 break;
             };
             // A later run of the same key has a later expiry of its own.
-            let past = self.past.get(&key);
-            if past.is_some_and(|until| *until + unread <= at) {
-                self.past.remove(&key);
+            let released = self.released.get(&key);
+            if released.is_some_and(|until| *until + max_read_delay <= at) {
+                self.released.remove(&key);
             }
         }
     }
--- a/crates/coralstep-server/src/decisions/idempotency_keys/tests.rs
+++ b/crates/coralstep-server/src/decisions/idempotency_keys/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const MAX_UNREAD_SPAN: Span = Span::ms(60_000);
+const MAX_READ_DELAY: Span = Span::ms(60_000);
 
 fn key(text: &str) -> IdempotencyKey {
     IdempotencyKey {
@@ -9,8 +9,8 @@
     }
 }
 
-fn fingerprint(body_digest: u64, tenant: Option<usize>) -> Fingerprint {
-    Fingerprint {
+fn fingerprint(body_digest: u64, tenant: Option<usize>) -> PayloadFingerprint {
+    PayloadFingerprint {
         body_digest,
         tenant,
     }
@@ -23,7 +23,7 @@
 #[test]
 fn a_key_with_another_body_or_tenant_is_no_repeat() {
     let mut keys = IdempotencyKeys::new(8);
-    keys.keep(key("a"), fingerprint(1, Some(2)), RpcId(3), at(100));
+    keys.retain(key("a"), fingerprint(1, Some(2)), RpcId(3), at(100));
     for (content, tenant, found) in [
         (1, Some(2), Lookup::RepeatOf(RpcId(3))),
         (1, None, Lookup::RepeatOf(RpcId(3))),
@@ -31,12 +31,12 @@
         (1, Some(1), Lookup::Conflict),
     ] {
         assert_eq!(
-            keys.find(&key("a"), fingerprint(content, tenant), at(1)),
+            keys.lookup(&key("a"), fingerprint(content, tenant), at(1)),
             found
         );
     }
     assert_eq!(
-        keys.find(
+        keys.lookup(
             &IdempotencyKey {
                 method: 1,
                 ..key("a")
@@ -52,19 +52,19 @@
 fn what_came_within_the_window_never_runs_again_however_late_it_is_read() {
     let mut keys = IdempotencyKeys::new(8);
     for (name, ran) in [("ran", true), ("never", false), ("doubt", true)] {
-        keys.keep(key(name), fingerprint(1, None), RpcId(1), at(100));
+        keys.retain(key(name), fingerprint(1, None), RpcId(1), at(100));
         keys.set_started(&key(name), RpcId(1), ran);
         keys.set_started(&key(name), RpcId(2), !ran);
     }
     keys.set_started(&key("doubt"), RpcId(1), false);
     for name in ["ran", "never", "doubt"] {
-        keys.release(at(101), &key(name), RpcId(2), MAX_UNREAD_SPAN);
-        assert!(keys.is_kept(&key(name)), "another's");
-        keys.release(at(101), &key(name), RpcId(1), MAX_UNREAD_SPAN);
-        assert!(!keys.is_kept(&key(name)));
+        keys.release(at(101), &key(name), RpcId(2), MAX_READ_DELAY);
+        assert!(keys.is_retained(&key(name)), "another's");
+        keys.release(at(101), &key(name), RpcId(1), MAX_READ_DELAY);
+        assert!(!keys.is_retained(&key(name)));
     }
     let find =
-        |keys: &IdempotencyKeys, name, ms| keys.find(&key(name), fingerprint(1, None), at(ms));
+        |keys: &IdempotencyKeys, name, ms| keys.lookup(&key(name), fingerprint(1, None), at(ms));
     // Just before, at and just after the end of the window.
     assert_eq!(
         [99, 100, 101].map(|ms| find(&keys, "ran", ms)),
@@ -73,12 +73,12 @@
     assert_eq!(find(&keys, "never", 50), Lookup::Unknown);
     assert_eq!(find(&keys, "doubt", 50), Lookup::Unknown);
     // After the window it may run once more, and then it is the later window that counts.
-    keys.keep(key("ran"), fingerprint(1, None), RpcId(4), at(300));
+    keys.retain(key("ran"), fingerprint(1, None), RpcId(4), at(300));
     keys.set_started(&key("ran"), RpcId(4), true);
-    keys.release(at(300), &key("ran"), RpcId(4), MAX_UNREAD_SPAN);
-    keys.keep(key("b"), fingerprint(1, None), RpcId(5), at(60_100));
+    keys.release(at(300), &key("ran"), RpcId(4), MAX_READ_DELAY);
+    keys.retain(key("b"), fingerprint(1, None), RpcId(5), at(60_100));
     keys.set_started(&key("b"), RpcId(5), true);
-    keys.release(at(60_101), &key("b"), RpcId(5), MAX_UNREAD_SPAN);
+    keys.release(at(60_101), &key("b"), RpcId(5), MAX_READ_DELAY);
     assert_eq!(
         find(&keys, "ran", 250),
         Lookup::Conflict,
@@ -90,13 +90,13 @@
 fn what_is_remembered_is_bounded() {
     let mut keys = IdempotencyKeys::new(2);
     for name in ["a", "b", "c"] {
-        keys.keep(key(name), fingerprint(1, None), RpcId(1), at(100));
+        keys.retain(key(name), fingerprint(1, None), RpcId(1), at(100));
         keys.set_started(&key(name), RpcId(1), true);
-        keys.release(at(100), &key(name), RpcId(1), MAX_UNREAD_SPAN);
+        keys.release(at(100), &key(name), RpcId(1), MAX_READ_DELAY);
     }
-    assert_eq!((keys.past.len(), keys.expiries.len()), (2, 2));
+    assert_eq!((keys.released.len(), keys.expiries.len()), (2, 2));
     assert_eq!(
-        keys.find(&key("c"), fingerprint(1, None), at(50)),
+        keys.lookup(&key("c"), fingerprint(1, None), at(50)),
         Lookup::Conflict
     );
 }
--- a/crates/coralstep-server/src/decisions/mod.rs
+++ b/crates/coralstep-server/src/decisions/mod.rs
@@ -6,15 +6,15 @@
 mod actions;
 mod admission;
 mod breaker;
-mod fence;
+mod exclusion;
 mod handle;
 mod quota;
 mod request;
-mod request_table;
+mod rpc_table;
 
-pub use admission::{MAX_UNREAD_SPAN, RequestTicket};
+pub use admission::{MAX_READ_DELAY, RequestTicket};
 pub use breaker::BreakerStatus;
-pub use fence::FenceCheck;
+pub use exclusion::ExclusionCheck;
 pub use handle::{RequestCounts, SchedulerHandle};
 pub use quota::{QuotaGuard, QuotaLimiter};
 pub use request::{
--- a/crates/coralstep-server/src/decisions/quota.rs
+++ b/crates/coralstep-server/src/decisions/quota.rs
@@ -10,16 +10,16 @@
 
 /// The fleet's quotas, as an RPC takes of them.
 pub trait QuotaLimiter {
-    /// Takes a unit of each quota that holds for an RPC, which is answered within `covers_ms`
+    /// Takes a unit of each quota that holds for an RPC, which is answered within `timeout_ms`
     /// milliseconds.
     ///
     /// # Errors
     ///
     /// A quota is used up.
-    fn take(&self, request: RequestKey, covers_ms: u64) -> Result<Permit, QuotaExhausted>;
+    fn acquire(&self, request: RequestKey, timeout_ms: u64) -> Result<Permit, QuotaExhausted>;
 
     /// Gives back what an RPC took.
-    fn give_back(&self, permit: Permit);
+    fn release(&self, permit: Permit);
 }
 
 struct Reservation {
@@ -33,7 +33,7 @@
 impl Drop for QuotaGuard {
     fn drop(&mut self) {
         if let Some(Reservation { limiter, permit }) = self.0.take() {
-            limiter.give_back(permit);
+            limiter.release(permit);
         }
     }
 }
@@ -52,7 +52,7 @@
     /// A quota is used up.
     pub fn reserve_quota(&self, request: &RpcRequest) -> Result<QuotaGuard, QuotaExhausted> {
         let limiter = self.quota_limiter.borrow().clone();
-        let Some(limiter) = limiter.filter(|_| !self.fenced.get()) else {
+        let Some(limiter) = limiter.filter(|_| !self.excluded.get()) else {
             return Ok(QuotaGuard(None));
         };
         if self.is_repeat(request) {
@@ -67,8 +67,8 @@
         let timeout = request
             .timeout
             .map_or(method.deadline, |timeout| timeout.min(method.deadline));
-        let covers_ms = (timeout.0.saturating_sub(request.age.0)).div_ceil(10);
-        match limiter.take(key, covers_ms) {
+        let timeout_ms = (timeout.0.saturating_sub(request.age.0)).div_ceil(10);
+        match limiter.acquire(key, timeout_ms) {
             Ok(permit) => Ok(QuotaGuard(Some(Reservation { limiter, permit }))),
             Err(error) => {
                 self.submitted.set(self.submitted.get() + 1);
@@ -86,6 +86,6 @@
             key,
         };
         let inner = self.inner.borrow();
-        inner.actions.idempotency_keys.is_kept(&key)
+        inner.actions.idempotency_keys.is_retained(&key)
     }
 }
--- a/crates/coralstep-server/src/decisions/request.rs
+++ b/crates/coralstep-server/src/decisions/request.rs
@@ -43,7 +43,7 @@
     /// Stop its run.
     CancelRun,
     /// Find out whether its run goes on.
-    ProbeRun,
+    QueryRun,
     /// Answer that it is not served here.
     Reject {
         /// How long its caller is to wait before it asks here again, in milliseconds.
@@ -52,7 +52,7 @@
         is_final: bool,
     },
     /// Answer that it failed.
-    Abort,
+    Fail,
     /// Answer with the result of the RPC that it repeats.
     Replay(Rc<[u8]>),
     /// Nothing more will come of it.
@@ -85,7 +85,7 @@
     /// It never left this machine.
     Unreachable,
     /// It left, and nothing came back.
-    Broken,
+    ConnectionLost,
     /// No run waited for it.
     NoLongerNeeded,
 }
@@ -98,7 +98,7 @@
             CallOutcome::Rejected => Outcome::Rejected,
             CallOutcome::TimedOut => Outcome::TimedOut,
             CallOutcome::Unreachable => Outcome::Unreachable,
-            CallOutcome::Broken => Outcome::ConnectionLost,
+            CallOutcome::ConnectionLost => Outcome::ConnectionLost,
             CallOutcome::NoLongerNeeded => Outcome::NoLongerNeeded,
         }
     }
@@ -149,7 +149,7 @@
     /// Its run has ended.
     RunEnded(RunOutcome),
     /// Nobody waits for its answer any more.
-    CallerGone,
+    CallerDisconnected,
 }
 
 /// What answers carry of this server beside their own content.
--- a/crates/coralstep-server/src/decisions/request_table.rs
+++ b/crates/coralstep-server/src/decisions/rpc_table.rs
@@ -6,7 +6,7 @@
 
 use coralstep::{RpcId, Span};
 
-use crate::decisions::idempotency_keys::{Fingerprint, IdempotencyKey};
+use crate::decisions::idempotency_keys::{IdempotencyKey, PayloadFingerprint};
 use crate::decisions::request::{AdmissionError, Decision, RunOutcome};
 
 /// How the run of an RPC with an idempotency key ended.
@@ -21,34 +21,34 @@
 
 /// One RPC in the table.
 #[derive(Default)]
-pub(super) struct RequestEntry {
+pub(super) struct RpcEntry {
     decisions: VecDeque<Decision>,
     waker: Option<Waker>,
     /// Nobody waits for decisions any more.
     abandoned: bool,
     pub(super) idempotency_key: Option<IdempotencyKey>,
-    pub(super) fingerprint: Fingerprint,
+    pub(super) fingerprint: PayloadFingerprint,
     result: RunResult,
     /// The RPC that it repeats.
-    repeats: Option<RpcId>,
+    repeat_of: Option<RpcId>,
     /// Repeats of it that wait for its result.
     waiting_repeats: Vec<RpcId>,
     /// Its run cannot be tried again sooner.
     pub(super) retry_after: Span,
 }
 
-impl RequestEntry {
+impl RpcEntry {
     /// The entry of an RPC that repeats `repeats`, where it does.
     pub(super) fn new(
         idempotency_key: Option<IdempotencyKey>,
-        fingerprint: Fingerprint,
-        repeats: Option<RpcId>,
-    ) -> RequestEntry {
-        RequestEntry {
+        fingerprint: PayloadFingerprint,
+        repeat_of: Option<RpcId>,
+    ) -> RpcEntry {
+        RpcEntry {
             idempotency_key,
             fingerprint,
-            repeats,
-            ..RequestEntry::default()
+            repeat_of,
+            ..RpcEntry::default()
         }
     }
 }
@@ -60,8 +60,8 @@
 }
 
 /// All RPCs known to the scheduler.
-pub(super) struct RequestTable {
-    entries: Vec<Option<RequestEntry>>,
+pub(super) struct RpcTable {
+    entries: Vec<Option<RpcEntry>>,
     free_ids: Vec<u32>,
     max_entries: usize,
     completed_repeats: VecDeque<CompletedRepeat>,
@@ -69,9 +69,9 @@
     max_kept_bytes: usize,
 }
 
-impl RequestTable {
-    pub(super) fn new(max_entries: usize, max_kept_bytes: usize) -> RequestTable {
-        RequestTable {
+impl RpcTable {
+    pub(super) fn new(max_entries: usize, max_kept_bytes: usize) -> RpcTable {
+        RpcTable {
             entries: Vec::new(),
             free_ids: Vec::new(),
             max_entries,
@@ -81,7 +81,7 @@
         }
     }
 
-    pub(super) fn insert(&mut self, entry: RequestEntry) -> Result<RpcId, AdmissionError> {
+    pub(super) fn insert(&mut self, entry: RpcEntry) -> Result<RpcId, AdmissionError> {
         let id = match self.free_ids.pop() {
             Some(id) => RpcId(id),
             None if self.entries.len() >= self.max_entries => {
@@ -96,7 +96,7 @@
         Ok(id)
     }
 
-    pub(super) fn get_mut(&mut self, id: RpcId) -> Option<&mut RequestEntry> {
+    pub(super) fn get_mut(&mut self, id: RpcId) -> Option<&mut RpcEntry> {
         self.entries.get_mut(id.0 as usize)?.as_mut()
     }
 
@@ -147,7 +147,7 @@
             return;
         };
         // Guards against a late result that goes to whatever RPC has this index by then.
-        if let Some(repeated) = entry.repeats.and_then(|repeated| self.get_mut(repeated)) {
+        if let Some(repeated) = entry.repeat_of.and_then(|repeated| self.get_mut(repeated)) {
             repeated.waiting_repeats.retain(|waiting| *waiting != id);
         }
         if let RunResult::Kept(result) = entry.result {
@@ -157,7 +157,7 @@
         self.free_ids.push(id.0);
     }
 
-    /// Keeps the result of an RPC with an idempotency key for its repeats, while there is room.
+    /// Keeps the result of an RPC with an idempotency key for its repeat_of, while there is room.
     pub(super) fn record_result(&mut self, id: RpcId, outcome: &RunOutcome) {
         let free_bytes = self.max_kept_bytes.saturating_sub(self.kept_bytes);
         let Some(entry) = self.get_mut(id) else {
@@ -178,9 +178,9 @@
         self.complete_repeats(waiting, result);
     }
 
-    /// Answers `id` with the result of the RPC that it repeats, now or when that has ended.
+    /// Answers `id` with the result of the RPC that it repeat_of, now or when that has ended.
     pub(super) fn replay(&mut self, id: RpcId) {
-        let repeated = self.get_mut(id).and_then(|entry| entry.repeats);
+        let repeated = self.get_mut(id).and_then(|entry| entry.repeat_of);
         let result = match repeated.and_then(|repeated| self.get_mut(repeated)) {
             Some(entry) => match &entry.result {
                 RunResult::Pending => return entry.waiting_repeats.push(id),
--- a/crates/coralstep-server/src/dependency/store.rs
+++ b/crates/coralstep-server/src/dependency/store.rs
@@ -55,7 +55,7 @@
 }
 
 /// Waits for the end of `call`, for ever where there is none.
-pub async fn result_of(call: &mut Option<StoreCall>) -> CallResult {
+pub async fn wait_for_result(call: &mut Option<StoreCall>) -> CallResult {
     match call {
         Some(call) => call.result().await,
         None => pending().await,
@@ -114,7 +114,7 @@
         // What never left this machine never ran.
         (false, _) => CallOutcome::Unreachable,
         (true, true) => CallOutcome::TimedOut,
-        (true, false) => CallOutcome::Broken,
+        (true, false) => CallOutcome::ConnectionLost,
     }
 }
 
--- a/crates/coralstep-server/src/fleet/quotas.rs
+++ b/crates/coralstep-server/src/fleet/quotas.rs
@@ -44,14 +44,14 @@
 }
 
 impl QuotaLimiter for FleetService {
-    fn take(&self, request: RequestKey, covers_ms: u64) -> Result<Permit, QuotaExhausted> {
+    fn acquire(&self, request: RequestKey, covers_ms: u64) -> Result<Permit, QuotaExhausted> {
         let Some(quota) = &self.quota else {
             return Ok(Permit::default());
         };
         quota.borrow_mut().admit(self.now(), request, covers_ms)
     }
 
-    fn give_back(&self, permit: Permit) {
+    fn release(&self, permit: Permit) {
         if let Some(quota) = &self.quota {
             quota.borrow_mut().release(permit);
         }
--- a/crates/coralstep-server/src/fleet/service.rs
+++ b/crates/coralstep-server/src/fleet/service.rs
@@ -138,7 +138,7 @@
     /// From here on the scheduler asks before each RPC whether this server is excluded, and for the fleet's limits.
     pub fn guard(self: &Rc<Self>, scheduler: &SchedulerHandle) {
         let service = self.clone();
-        scheduler.set_fence_check(Rc::new(move || service.retry_after()));
+        scheduler.set_exclusion_check(Rc::new(move || service.retry_after()));
         if self.quota.is_some() {
             scheduler.set_quota_limiter(self.clone());
         }
@@ -230,7 +230,7 @@
         self.update_limits(now);
         self.exchange_health(now, scheduler, health_sources);
         self.save_changes();
-        scheduler.update_fence();
+        scheduler.update_exclusion();
     }
 
     fn apply_pending_version(
--- a/crates/coralstep-server/src/lifecycle/registration.rs
+++ b/crates/coralstep-server/src/lifecycle/registration.rs
@@ -24,7 +24,7 @@
     let mut failing = false;
     let mut reserved = reserve_descriptor();
     while !draining.get() {
-        let started = scheduler.earlier_tick();
+        let started = scheduler.earlier_timeout();
         if !scheduler.is_started() {
             started.await;
             continue;
--- a/crates/coralstep-server/src/lifecycle/reload.rs
+++ b/crates/coralstep-server/src/lifecycle/reload.rs
@@ -38,7 +38,7 @@
     /// Degradation levels.
     pub levels: Option<Rc<DegradationController>>,
     /// Whether the sections are those of a version; the site file's are not taken then.
-    pub versioned: Cell<bool>,
+    pub version_active: Cell<bool>,
     /// The site file with the version in its place.
     pub version: RefCell<Option<SiteConfig>>,
 }
@@ -81,7 +81,7 @@
             .map_err(|error| VersionError::Config(error.to_string()))?;
         let before = self.version.replace(Some(new.clone()));
         let Err(refused) = self.apply(&new, names) else {
-            self.versioned.set(true);
+            self.version_active.set(true);
             return Ok(());
         };
         // Guards against a version that is rejected and yet leaves some of its sections behind.
@@ -110,7 +110,7 @@
 
     /// Takes up the sections of a site file that was read again.
     fn apply_file(&self, new: &Config, start: &Config) {
-        if self.versioned.get() {
+        if self.version_active.get() {
             // Guards against a server that reports a version as active and runs with the file's settings.
             return note!(
                 "reload: sections of the fleet's version stay, those of the file are ignored"
--- a/crates/coralstep-server/src/operators/ops.rs
+++ b/crates/coralstep-server/src/operators/ops.rs
@@ -292,13 +292,13 @@
         return json!({"error": "this server has no levels: its site file names none"});
     };
     match question {
-        Question::Levels => json!({ "levels": levels.view() }),
+        Question::Levels => json!({ "levels": levels.status() }),
         Question::History => json!({ "history": levels.history() }),
-        Question::Hold { level, ms } => match levels.hold(&level, ms) {
+        Question::Hold { level, ms } => match levels.set_override(&level, ms) {
             Ok(()) => json!({"held": level, "ms": ms}),
             Err(error) => json!({ "error": error.to_string() }),
         },
-        Question::Release => json!({ "released": levels.release() }),
+        Question::Release => json!({ "released": levels.clear_override() }),
         _ => json!({"error": "this is no question about levels"}),
     }
 }
--- a/crates/coralstep-server/src/runs/active_request.rs
+++ b/crates/coralstep-server/src/runs/active_request.rs
@@ -18,7 +18,7 @@
     Decision(Decision),
     Run(RunEvent),
     CallEnded(CallResult),
-    CallerGone,
+    CallerDisconnected,
 }
 
 /// An RPC in service: admitted, and not yet finished. Fields are released in this order.
@@ -40,12 +40,12 @@
 }
 
 impl<R: FnOnce(Reply<'_>)> ActiveRequest<'_, R> {
-    /// Serves the RPC until the scheduler is done with it. `caller_gone` ends when its caller has
+    /// Serves the RPC until the scheduler is done with it. `caller_disconnected` ends when its caller has
     /// left.
     pub(super) async fn serve(
         mut self,
         first_decision: Decision,
-        mut caller_gone: Pin<&mut impl Future<Output = ()>>,
+        mut caller_disconnected: Pin<&mut impl Future<Output = ()>>,
     ) {
         let mut caller_present = true;
         let mut event = Event::Decision(first_decision);
@@ -54,25 +54,29 @@
                 if !caller_present {
                     std::future::pending::<()>().await;
                 }
-                caller_gone.as_mut().await;
+                caller_disconnected.as_mut().await;
             };
             event = self.next_event(gone).await;
-            caller_present &= !matches!(event, Event::CallerGone);
+            caller_present &= !matches!(event, Event::CallerDisconnected);
         }
     }
 
     /// The next event; decisions come first where several are ready.
-    async fn next_event(&mut self, caller_gone: impl Future<Output = ()>) -> Event {
+    async fn next_event(&mut self, caller_disconnected: impl Future<Output = ()>) -> Event {
         let (ticket, run) = (&self.ticket, &self.run);
         let call = &mut self.call;
         let decision = async { Event::Decision(ticket.next_decision().await) };
         let run_event = async { Event::Run(poll_fn(|cx| run.poll_event(cx)).await) };
-        let call_ended = async { Event::CallEnded(store::result_of(call).await) };
-        let caller_gone = async {
-            caller_gone.await;
-            Event::CallerGone
+        let call_ended = async { Event::CallEnded(store::wait_for_result(call).await) };
+        let caller_disconnected = async {
+            caller_disconnected.await;
+            Event::CallerDisconnected
         };
-        decision.or(run_event).or(call_ended).or(caller_gone).await
+        decision
+            .or(run_event)
+            .or(call_ended)
+            .or(caller_disconnected)
+            .await
     }
 
     fn apply(&mut self, event: Event) -> ControlFlow<()> {
@@ -82,7 +86,7 @@
             Event::Run(RunEvent::CallNeeded(body)) => self.on_call_needed(body),
             Event::Run(RunEvent::Ended(outcome)) => self.on_run_ended(outcome),
             Event::CallEnded(result) => self.on_call_ended(result),
-            Event::CallerGone => self.on_caller_gone(),
+            Event::CallerDisconnected => self.on_caller_disconnected(),
         }
         ControlFlow::Continue(())
     }
@@ -95,7 +99,7 @@
                 self.call = Some(call);
             }
             Decision::CancelRun => self.run.cancel(),
-            Decision::ProbeRun => self.run.probe(&self.run_request),
+            Decision::QueryRun => self.run.query_status(&self.run_request),
             Decision::Reject {
                 retry_after_ms,
                 is_final,
@@ -103,7 +107,7 @@
                 retry_after_ms,
                 is_final,
             }),
-            Decision::Abort => self.answer(Reply::Aborted),
+            Decision::Fail => self.answer(Reply::Failed),
             Decision::Replay(result) => self.answer(Reply::Ok(&result)),
             Decision::Finished => {}
         }
@@ -137,16 +141,16 @@
         self.call = None;
         match &outcome {
             RunOutcome::Ok(result) => self.answer(Reply::Ok(result)),
-            RunOutcome::Error => self.answer(Reply::Aborted),
+            RunOutcome::Error => self.answer(Reply::Failed),
             RunOutcome::NeverStarted { .. } => self.claim.mark_never_started(),
             RunOutcome::Cancelled | RunOutcome::NoLongerNeeded => {}
         }
         self.ticket.report(Progress::RunEnded(outcome));
     }
 
-    fn on_caller_gone(&mut self) {
-        self.answer(Reply::Aborted);
-        self.ticket.report(Progress::CallerGone);
+    fn on_caller_disconnected(&mut self) {
+        self.answer(Reply::Failed);
+        self.ticket.report(Progress::CallerDisconnected);
     }
 
     /// The first answer is the only one; with it the RPC counts no longer against its quotas.
--- a/crates/coralstep-server/src/runs/applications/run.rs
+++ b/crates/coralstep-server/src/runs/applications/run.rs
@@ -98,7 +98,7 @@
     }
 
     /// SCGI has no words for it.
-    fn probe(&self, _request: &RunRequest<'_>) {}
+    fn query_status(&self, _request: &RunRequest<'_>) {}
 
     fn poll_event(&self, cx: &mut Context<'_>) -> Poll<RunEvent> {
         match self.applications.runs.borrow_mut().get_mut(&self.id) {
--- a/crates/coralstep-server/src/runs/engine/run.rs
+++ b/crates/coralstep-server/src/runs/engine/run.rs
@@ -61,7 +61,7 @@
     /// The RPC is over, so nothing can begin any more: the same command again draws the end of a
     /// run that has ended, and nothing of one that goes on. Guards against ends that were never
     /// told, which would keep their places.
-    fn probe(&self, request: &RunRequest<'_>) {
+    fn query_status(&self, request: &RunRequest<'_>) {
         let mut runs = self.engine.runs.borrow_mut();
         if runs
             .get_mut(self.id)
--- a/crates/coralstep-server/src/runs/mod.rs
+++ b/crates/coralstep-server/src/runs/mod.rs
@@ -57,7 +57,7 @@
     fn cancel(&self);
 
     /// Finds out whether a run goes on whose RPC was answered long ago, where the backend can.
-    fn probe(&self, request: &RunRequest<'_>);
+    fn query_status(&self, request: &RunRequest<'_>);
 
     /// The next event, each once.
     fn poll_event(&self, cx: &mut Context<'_>) -> Poll<RunEvent>;
--- a/crates/coralstep-server/src/runs/reply.rs
+++ b/crates/coralstep-server/src/runs/reply.rs
@@ -13,5 +13,5 @@
         is_final: bool,
     },
     /// It failed, or must not run.
-    Aborted,
+    Failed,
 }
--- a/crates/coralstep-server/src/runs/request_handler.rs
+++ b/crates/coralstep-server/src/runs/request_handler.rs
@@ -45,7 +45,7 @@
         let retry_after_ms = match self {
             NotAdmitted::DuplicateId
             | NotAdmitted::RunRegistered
-            | NotAdmitted::Admission(AdmissionError::KeyConflict) => return Reply::Aborted,
+            | NotAdmitted::Admission(AdmissionError::KeyConflict) => return Reply::Failed,
             NotAdmitted::RequestIdsFull | NotAdmitted::Admission(AdmissionError::TableFull) => 0,
             NotAdmitted::Quota(QuotaExhausted { retry_after_ms }) => *retry_after_ms,
         };
@@ -114,14 +114,14 @@
         )
     }
 
-    /// Serves one RPC to its end. `reply` is called at most once, with the answer; `caller_gone`
+    /// Serves one RPC to its end. `reply` is called at most once, with the answer; `caller_disconnected`
     /// ends when the caller has left.
     pub async fn handle(
         &self,
         request: RpcRequest,
         id: RequestId,
         body: Vec<u8>,
-        caller_gone: impl Future<Output = ()>,
+        caller_disconnected: impl Future<Output = ()>,
         reply: impl FnOnce(Reply<'_>),
     ) {
         let (method, tenant) = (request.method, request.tenant);
@@ -154,7 +154,7 @@
             claim: admitted.claim,
         };
         active
-            .serve(admitted.first_decision, pin!(caller_gone))
+            .serve(admitted.first_decision, pin!(caller_disconnected))
             .await;
     }
 
