--- a/crates/coralstep-server/src/app.rs
+++ b/crates/coralstep-server/src/app.rs
@@ -107,7 +107,7 @@
             applications,
             levels: scheduler.degradation().cloned(),
             version_active: Cell::new(false),
-            version: RefCell::default(),
+            versioned_site: RefCell::default(),
         });
         let mut app = App {
             config,
--- a/crates/coralstep-server/src/decisions/actions.rs
+++ b/crates/coralstep-server/src/decisions/actions.rs
@@ -1,5 +1,5 @@
-//! Carries the scheduler's actions to those who wait for them: decisions to the tasks of RPCs, the
-//! rest to the server's state.
+//! Implements the scheduler's actions: queues decisions for the tasks of RPCs and updates the
+//! server's state.
 use std::time::Duration;
 
 use coralstep::{Actions, Event, RpcId, Span, Transition};
@@ -11,7 +11,7 @@
 use crate::decisions::rpc_table::RpcTable;
 use crate::note;
 
-/// What the scheduler's actions lead to, until network code fetches it.
+/// Results of the scheduler's actions, for network code to read.
 pub(super) struct PendingActions {
     pub(super) rpcs: RpcTable,
     pub(super) idempotency_keys: IdempotencyKeys,
@@ -45,7 +45,7 @@
 }
 
 impl PendingActions {
-    /// Each change of the circuit breaker is an event of its own target and never left out.
+    /// Logs each change of the circuit breaker under its own target, without rate limiting.
     fn log_breaker(&self, transition: Transition) {
         let Transition {
             from,
@@ -70,7 +70,7 @@
     }
 
     fn reject(&mut self, rpc: RpcId, retry_after: Span, is_final: bool) {
-        // Guards against callers sent back to where nobody may try yet.
+        // Guards against a retry before the backend accepts the run again.
         let entry = self.rpcs.get_mut(rpc);
         let retry_after = entry.map_or(retry_after, |entry| retry_after.max(entry.retry_after));
         let decision = Decision::Reject {
--- a/crates/coralstep-server/src/decisions/admission.rs
+++ b/crates/coralstep-server/src/decisions/admission.rs
@@ -1,5 +1,4 @@
-//! An RPC's way through the decisions: it is submitted, its progress is reported, its decisions are
-//! waited for.
+//! Submits RPCs to the scheduler, reports their progress and waits for decisions on them.
 use std::future::poll_fn;
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,10 +13,11 @@
 };
 use crate::decisions::rpc_table::RpcEntry;
 
-/// For so long an attempt may lie unread: what ran and is no longer kept is remembered for as long.
+/// Maximum read delay of an attempt. A key that ran is remembered for this long after its release,
+/// so that an attempt that arrived within the retry window and is read later does not run again.
 pub const MAX_READ_DELAY: Span = Span::ms(60_000);
 
-/// An RPC's place with the scheduler; given back when dropped.
+/// The entry of an RPC in the scheduler's table; abandoned when dropped.
 pub struct RequestTicket {
     scheduler: Rc<SchedulerHandle>,
     pub(super) id: RpcId,
@@ -31,11 +31,12 @@
 }
 
 impl SchedulerHandle {
-    /// Takes an RPC in and waits for the first decision on it.
+    /// Submits an RPC and waits for the first decision on it.
     ///
     /// # Errors
     ///
-    /// The table of requests is full, or the RPC must not run for its idempotency key.
+    /// Returns an error if the RPC table is full, or if the RPC must not run because of its
+    /// idempotency key.
     pub async fn submit(
         self: &Rc<Self>,
         request: RpcRequest,
@@ -63,7 +64,7 @@
         })
     }
 
-    /// Its id, and that of the RPC that it repeats.
+    /// Adds an RPC to the table. Returns its id and the id of the RPC that it repeats, if any.
     fn insert(&self, request: &mut RpcRequest) -> Result<(RpcId, Option<RpcId>), AdmissionError> {
         let actions = &mut self.inner.borrow_mut().actions;
         let key = request.idempotency_key.take().map(|key| IdempotencyKey {
@@ -94,8 +95,8 @@
         id: RpcId,
         repeat_of: Option<RpcId>,
     ) -> Request {
-        // A stated timeout makes an RPC due sooner, never later: nobody may have kept what its
-        // method promises.
+        // A client's timeout can only shorten the method's deadline: state that the deadline
+        // guarantees may be gone after it.
         let deadline = request.timeout.map(|timeout| {
             let timeout = timeout.min(self.method(request.method).deadline);
             self.clock.now() - request.age + timeout
@@ -142,7 +143,7 @@
 }
 
 impl RequestTicket {
-    /// Reports what has happened to the RPC; the scheduler acts on it at once.
+    /// Reports progress of the RPC to the scheduler, which acts on it at once.
     pub fn report(&self, progress: Progress) {
         let (scheduler, id) = (&self.scheduler, self.id);
         match progress {
@@ -163,7 +164,8 @@
         }
     }
 
-    /// The next decision on the RPC, each once; [`Decision::Finished`] from its end on.
+    /// Waits for the next decision on the RPC. Returns each decision once, except
+    /// [`Decision::Finished`], which is returned from then on.
     pub async fn next_decision(&self) -> Decision {
         poll_fn(|cx| {
             let mut inner = self.scheduler.inner.borrow_mut();
--- a/crates/coralstep-server/src/decisions/breaker.rs
+++ b/crates/coralstep-server/src/decisions/breaker.rs
@@ -1,11 +1,11 @@
-//! The circuit breaker of the store, as the fleet's shared health sees it.
+//! State of the store's circuit breaker, as exchanged with the other servers of the fleet.
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use crate::base::clock;
 use crate::decisions::handle::SchedulerHandle;
 
-/// Calls that other servers are told of: those of so long, the last ones.
+/// Age up to which calls are reported to other servers.
 const RECENT_CALLS_SPAN: Duration = Duration::from_secs(2);
 const MAX_RECENT_CALLS: usize = 64;
 
@@ -14,7 +14,7 @@
     failed: bool,
 }
 
-/// The last calls to the store.
+/// The latest calls to the store.
 #[derive(Default)]
 pub(super) struct RecentCalls(VecDeque<RecentCall>);
 
@@ -35,19 +35,20 @@
     }
 }
 
-/// State of the breaker, and the calls of the last two seconds.
+/// State of a breaker, and the number of recent calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BreakerStatus {
-    /// Name of the state.
+    /// Name of the breaker's state.
     pub state: &'static str,
-    /// Calls that failed.
+    /// Number of recent calls that failed.
     pub failures: u32,
-    /// Calls that ended, failed or not.
+    /// Number of recent calls that ended, including failures.
     pub calls: u32,
 }
 
 impl SchedulerHandle {
-    /// The state of the store's breaker; none before the start.
+    /// Returns the state of the store's breaker and the calls of the last two seconds, or `None`
+    /// before the scheduler is started.
     pub fn breaker_status(&self) -> Option<BreakerStatus> {
         let state = self
             .inner
@@ -67,8 +68,8 @@
         })
     }
 
-    /// What other servers saw of the store: a breaker may open on `min_outcomes` of its own; a
-    /// cooldown that runs ends after `cooldown_left`.
+    /// Applies other servers' reports on the store: the breaker may open after `min_outcomes` own
+    /// outcomes, and a current cooldown ends after `cooldown_left`.
     pub fn apply_peer_reports(&self, min_outcomes: u32, cooldown_left: Option<Duration>) {
         let cooldown_left = cooldown_left.map(clock::span);
         self.drive(|scheduler, now, _| {
--- a/crates/coralstep-server/src/decisions/degradation.rs
+++ b/crates/coralstep-server/src/decisions/degradation.rs
@@ -1,5 +1,5 @@
-//! The degradation levels of this server: fed with what the scheduler observes, their changes
-//! logged and remembered. What a level does is carried out by the scheduler.
+//! Degradation levels of this server: selects the level from the scheduler's signals, and logs and
+//! records its changes. The scheduler applies the level.
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::time::{Duration, SystemTime};
@@ -13,28 +13,28 @@
 
 use crate::base::clock::{self, Clock};
 
-/// Changes of level that are remembered.
+/// Number of level changes that are kept.
 const MAX_HISTORY_LEN: usize = 200;
 
-/// A change of level, and when it was.
+/// A change of level and its time.
 #[derive(Clone, Debug, Serialize)]
 pub struct RecordedChange {
-    /// Milliseconds of the Unix clock.
+    /// Milliseconds since the Unix epoch.
     pub unix_ms: u64,
     /// The change.
     #[serde(flatten)]
     pub change: LevelChange,
 }
 
-/// Chooses the degradation level.
+/// Selects the degradation level and keeps the history of its changes.
 pub struct DegradationController {
     clock: Clock,
     levels: RefCell<LevelStateMachine>,
     history: RefCell<VecDeque<RecordedChange>>,
-    /// How often signals go into the log, where they do.
+    /// Interval at which signals are logged; `None` if they are not logged.
     log_interval: Cell<Option<Span>>,
     last_logged: Cell<Time>,
-    /// For tests: the next change fails.
+    /// Makes the next change of level panic, for tests.
     #[cfg(test)]
     pub(super) panic_on_next_change: Cell<bool>,
 }
@@ -44,11 +44,11 @@
 }
 
 impl DegradationController {
-    /// A controller at the level that `config` begin with.
+    /// Creates a controller at the initial level of `config`.
     ///
     /// # Errors
     ///
-    /// The levels contradict each other.
+    /// Returns an error if the levels contradict each other.
     pub fn new(
         config: &DegradationConfig,
         clock: Clock,
@@ -65,7 +65,7 @@
         })
     }
 
-    /// Takes in what the scheduler observes; what it is to do from now on.
+    /// Evaluates the scheduler's signals and returns the level that the scheduler must apply.
     pub fn observe(&self, now: Time, signals: &Signals) -> DegradationLevel {
         let interval = self.log_interval.get();
         if interval.is_some_and(|interval| now - self.last_logged.get() >= interval) {
@@ -79,10 +79,13 @@
         self.degradation_level()
     }
 
-    /// Each change is one event, and none of them is left out.
+    /// Logs a change of level, without rate limiting, and adds it to the history.
     fn record_change(&self, change: LevelChange) {
         #[cfg(test)]
-        assert!(!self.panic_on_next_change.take(), "a fault in a change");
+        assert!(
+            !self.panic_on_next_change.take(),
+            "test panic in a level change"
+        );
         log_change(&change);
         let unix = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
@@ -97,47 +100,47 @@
         });
     }
 
-    /// What the level that holds asks of the scheduler.
+    /// Returns the current level in the form that the scheduler applies.
     pub fn degradation_level(&self) -> DegradationLevel {
         self.levels.borrow().degradation()
     }
 
-    /// Name of the level that holds.
+    /// Returns the name of the current level.
     pub fn level_name(&self) -> String {
         self.levels.borrow().name().to_owned()
     }
 
-    /// The level that holds, and how far the others are.
+    /// Returns the current level and the state of each level's conditions.
     pub fn status(&self) -> LevelStatus {
         self.levels.borrow().status(self.clock.now())
     }
 
-    /// The last changes, the oldest first.
+    /// Returns the latest changes, oldest first.
     pub fn history(&self) -> Vec<RecordedChange> {
         self.history.borrow().iter().cloned().collect()
     }
 
-    /// Holds `level` for `ms` milliseconds, whatever is observed.
+    /// Forces `level` for `ms` milliseconds, regardless of the signals.
     ///
     /// # Errors
     ///
-    /// There is no such level, or it may not be held for so long.
+    /// Returns an error if the level does not exist or `ms` is too long.
     pub fn set_override(&self, level: &str, ms: u64) -> Result<(), OverrideError> {
         let span = clock::span(Duration::from_millis(ms));
         let mut levels = self.levels.borrow_mut();
         levels.set_override(self.clock.now(), level, span)
     }
 
-    /// Ends a hold; `false` where there is none.
+    /// Ends an override. Returns `false` if none is in effect.
     pub fn clear_override(&self) -> bool {
         self.levels.borrow_mut().clear_override()
     }
 
-    /// Takes up other settings; those at fault change nothing.
+    /// Replaces the settings. Invalid settings change nothing.
     ///
     /// # Errors
     ///
-    /// The levels contradict each other.
+    /// Returns an error if the levels contradict each other.
     pub fn reload(&self, config: &DegradationConfig) -> Result<(), DegradationConfigError> {
         let now = self.clock.now();
         let reloaded = self.levels.borrow_mut().reload(config, now);
@@ -151,7 +154,7 @@
 }
 
 fn log_signals(now: Time, signals: &Signals) {
-    // The keys are those of a recorded `Sample`.
+    // The field names are those of a serialized `Sample`.
     let sample = Sample::new(now.0 / 10, signals);
     tracing::info!(
         target: "signals",
--- a/crates/coralstep-server/src/decisions/exclusion.rs
+++ b/crates/coralstep-server/src/decisions/exclusion.rs
@@ -1,21 +1,21 @@
-//! The fence: while the fleet excludes this server, it admits nothing.
+//! Exclusion: while the fleet excludes this server, it admits no RPC.
 use std::rc::Rc;
 
 use coralstep::{DegradationLevel, Span};
 
 use crate::decisions::handle::SchedulerHandle;
 
-/// Says for how long nothing is to be admitted; none while this server is not excluded.
+/// Returns the time for which this server admits nothing, or `None` if it is not excluded.
 pub type ExclusionCheck = Rc<dyn Fn() -> Option<Span>>;
 
 impl SchedulerHandle {
-    /// Sets who may exclude this server; asked before each RPC.
+    /// Sets the check that decides whether this server is excluded. It is called before each RPC.
     pub fn set_exclusion_check(&self, check: ExclusionCheck) {
         *self.exclusion_check.borrow_mut() = Some(check);
     }
 
-    /// Asks whether this server is excluded, and sets or lifts the fence. Queued RPCs are then answered at once, what has run
-    /// goes on to its end.
+    /// Updates whether this server is excluded. While it is, queued RPCs are rejected at once, and
+    /// current runs continue to their end.
     pub fn update_exclusion(&self) {
         let Some(check) = self.exclusion_check.borrow().clone() else {
             return;
@@ -32,8 +32,8 @@
                 retry_after,
                 ..DegradationLevel::default()
             },
-            // Guards against a moment of full service before the degradation level that holds takes
-            // over.
+            // Guards against admitting every RPC until the current degradation level is applied
+            // again.
             None => self.degradation_level(),
         };
         self.drive(|scheduler, now, actions| scheduler.set_degradation(now, level, actions));
--- a/crates/coralstep-server/src/decisions/handle.rs
+++ b/crates/coralstep-server/src/decisions/handle.rs
@@ -1,5 +1,5 @@
-//! The scheduler as network code sees it: started once the engine is up, driven by events and
-//! ticks, asked for its state.
+//! The scheduler's interface for network code: starts the scheduler once the engine is up, passes
+//! events and timeouts to it, and returns its state.
 use std::cell::{Cell, RefCell};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
@@ -24,32 +24,32 @@
 use crate::decisions::rpc_table::{CompletedRepeat, RpcTable};
 use crate::note;
 
-/// One idempotency key that ran and is no longer kept is remembered for so many request ids known.
+/// Request ids that the server may track per idempotency key remembered after its release.
 const REQUEST_IDS_PER_RELEASED_KEY: usize = 4;
 
 pub(super) struct Inner {
-    /// `None` before the start.
+    /// `None` until the scheduler is started.
     pub(super) scheduler: Option<Scheduler>,
     pub(super) actions: PendingActions,
 }
 
-/// State learned before a restart.
+/// State that was learned before a restart, and the confidence in it.
 struct TrustedLearnedState {
     learned: LearnedState,
-    /// How far it is trusted, from 0 to 1.
+    /// From 0 (ignored) to 1 (fully trusted).
     confidence: f64,
 }
 
-/// How many RPCs there were since the start.
+/// Number of RPCs since the process started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// RPCs submitted, those beyond a quota included.
+    /// RPCs submitted, including those that were rejected because a quota was exhausted.
     pub submitted: u64,
-    /// Of these, those whose runs ended well.
+    /// Submitted RPCs whose runs succeeded.
     pub succeeded: u64,
 }
 
-/// The way to the scheduler.
+/// Drives the scheduler with events from the network and holds the state that its actions set.
 pub struct SchedulerHandle {
     pub(super) inner: RefCell<Inner>,
     names: Names,
@@ -58,19 +58,19 @@
     restored: RefCell<Option<TrustedLearnedState>>,
     seed: u64,
     pub(super) clock: Clock,
-    /// Notified where a tick is wanted before the one waited for.
+    /// Notified when the scheduler starts or moves its timer to an earlier time.
     earlier_timeout: Event,
     pub(super) submitted: Cell<u64>,
     pub(super) succeeded: Cell<u64>,
     pub(super) exclusion_check: RefCell<Option<ExclusionCheck>>,
-    /// Whether this server is excluded.
+    /// Whether the fleet excludes this server.
     pub(super) excluded: Cell<bool>,
     pub(super) recent_calls: RefCell<RecentCalls>,
     pub(super) quota_limiter: RefCell<Option<Rc<dyn QuotaLimiter>>>,
 }
 
 impl SchedulerHandle {
-    /// A handle whose scheduler is not started yet.
+    /// Creates a handle without starting the scheduler.
     pub fn new(
         config: SchedulerConfig,
         names: Names,
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     ///
-    /// The levels contradict each other.
+    /// Returns an error if the levels contradict each other.
     pub fn with_degradation(
         mut self,
         config: &DegradationConfig,
@@ -119,12 +119,12 @@
         Ok(self)
     }
 
-    /// The degradation levels, where there are any.
+    /// Returns the controller of the degradation levels, or `None` if no levels are configured.
     pub fn degradation(&self) -> Option<&Rc<DegradationController>> {
         self.degradation.as_ref()
     }
 
-    /// What answers carry of this server beside their own content.
+    /// Returns the server state that is attached to each answer.
     pub fn server_status(&self) -> ServerStatus {
         ServerStatus {
             value: self.load_report(),
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Starts the scheduler, once: the engine is up since `uptime`, and not yet warm where `cold`
-    /// or, without that, the settings say so.
+    /// Starts the scheduler unless it is started already. `uptime` is the time since the engine
+    /// started; `cold` tells whether the engine is still warming up, and defaults to the settings.
     pub fn start(&self, cold: Option<bool>, uptime: Duration) {
         let mut inner = self.inner.borrow_mut();
         let Inner { scheduler, actions } = &mut *inner;
@@ -149,18 +149,20 @@
         if let Some(restored) = self.restored.take() {
             started.restore(&restored.learned, restored.confidence);
         }
-        // Guards against a start long ago that looks like cores which have stood still ever since.
+        // Guards against the time between the engine's start and now being taken for a stall of
+        // the cores.
         started.handle_timeout(self.clock.now(), Gauges::default(), actions);
         *scheduler = Some(started);
         self.earlier_timeout.notify(usize::MAX);
     }
 
-    /// Whether the scheduler is started.
+    /// Returns whether the scheduler is started.
     pub fn is_started(&self) -> bool {
         self.inner.borrow().scheduler.is_some()
     }
 
-    /// Takes `learned` in at the start, trusted from 0 to 1.
+    /// Stores learned state that the scheduler restores when it starts. `confidence` is a fraction
+    /// from 0 to 1.
     pub fn restore_at_start(&self, learned: LearnedState, confidence: f64) {
         *self.restored.borrow_mut() = Some(TrustedLearnedState {
             learned,
@@ -168,13 +170,14 @@
         });
     }
 
-    /// What is learned so far; none before the start.
+    /// Returns the state that the scheduler has learned, or `None` before it is started.
     pub fn learned_state(&self) -> Option<LearnedState> {
         let inner = self.inner.borrow();
         inner.scheduler.as_ref().map(Scheduler::learned_state)
     }
 
-    /// How much runs, as a part of the concurrency limit.
+    /// Returns the number of current runs as a fraction of the concurrency limit, or 0 before the
+    /// scheduler is started.
     pub fn utilization(&self) -> f64 {
         let inner = self.inner.borrow();
         let scheduler = inner.scheduler.as_ref();
@@ -183,8 +186,8 @@
             .unwrap_or(0.0)
     }
 
-    /// Passes an event to the scheduler, and to it again all that follows from it; does nothing
-    /// before the start.
+    /// Passes an event to the scheduler, followed by the completions of repeats that the event
+    /// causes. Does nothing before the scheduler is started.
     pub(super) fn drive(&self, event: impl FnOnce(&mut Scheduler, Time, &mut PendingActions)) {
         let mut inner = self.inner.borrow_mut();
         let Inner { scheduler, actions } = &mut *inner;
@@ -207,7 +210,8 @@
         }
     }
 
-    /// Lets time pass; `gauge_readings` stand in the order of the settings' gauges.
+    /// Runs the scheduler's timers and updates the exclusion and the degradation level.
+    /// `gauge_readings` are in the order of the settings' gauges.
     pub fn handle_timeout(&self, gauge_readings: &[Option<f64>]) {
         let gauges = self.gauges(gauge_readings);
         self.drive(|scheduler, now, actions| scheduler.handle_timeout(now, gauges, actions));
@@ -229,8 +233,8 @@
         gauges
     }
 
-    /// Guards against a fault among the levels that takes the tick along: the last level then
-    /// holds.
+    /// Guards against a panic in the degradation levels that ends the timer task: the last level
+    /// stays in effect.
     fn update_degradation(&self) {
         let Some(degradation) = &self.degradation else {
             return;
@@ -246,45 +250,47 @@
         }
     }
 
-    /// How long until the next tick is wanted; zero before the start.
+    /// Returns the time until [`Self::handle_timeout`] must be called; zero before the scheduler
+    /// is started.
     pub fn next_timeout(&self) -> Duration {
         clock::duration(self.inner.borrow().actions.next_timeout)
     }
 
-    /// Ends when the scheduler starts, and when a tick is wanted sooner than was said.
+    /// Returns a listener that is notified when the scheduler starts or needs its next timeout
+    /// earlier than [`Self::next_timeout`] returned.
     pub fn earlier_timeout(&self) -> EventListener {
         self.earlier_timeout.listen()
     }
 
-    /// Begins a graceful shutdown: the process ends after `left`.
-    pub fn begin_drain(&self, left: Duration) {
+    /// Begins a graceful shutdown: the process ends after `remaining`.
+    pub fn begin_drain(&self, remaining: Duration) {
         self.start(None, Duration::ZERO);
-        let left = Span(left.as_micros() as u64 / 100);
-        self.drive(|scheduler, now, actions| scheduler.begin_drain(now, now + left, actions));
+        let remaining = Span(remaining.as_micros() as u64 / 100);
+        self.drive(|scheduler, now, actions| scheduler.begin_drain(now, now + remaining, actions));
     }
 
-    /// Another version of the settings holds for what is read from now on.
+    /// Tells the scheduler that RPCs read from now on belong to another version of the settings.
     pub fn handle_config_change(&self) {
         self.drive(|scheduler, _, _| scheduler.begin_config_version());
     }
 
-    /// What a health check is answered.
+    /// Returns the answer to a health check.
     pub fn is_healthy(&self) -> bool {
         self.inner.borrow().actions.healthy && !self.excluded.get()
     }
 
-    /// The load report, where one was made.
+    /// Returns the latest load report, or `None` if the scheduler has made none.
     pub fn load_report(&self) -> Option<f64> {
         self.inner.borrow().actions.load_report
     }
 
-    /// How long a connection may carry nothing.
+    /// Returns the time after which an idle connection is closed, or `None` if there is no limit.
     pub fn idle_limit(&self) -> Option<Duration> {
         let limit = self.inner.borrow().actions.idle_timeout;
         limit.filter(|limit| !limit.is_zero())
     }
 
-    /// How many RPCs there were since the start.
+    /// Returns the number of RPCs since the process started.
     pub fn request_counts(&self) -> RequestCounts {
         RequestCounts {
             submitted: self.submitted.get(),
@@ -292,32 +298,36 @@
         }
     }
 
-    /// Index of the method of this name.
+    /// Returns the index of the method called `name`.
     pub fn method_index(&self, name: &str) -> Option<usize> {
         self.names.methods.iter().position(|method| method == name)
     }
 
-    /// Name of a method.
+    /// Returns the name of a method.
+    ///
+    /// # Panics
+    ///
+    /// Panics if `method` is not the index of a configured method.
     pub fn method_name(&self, method: usize) -> &str {
         &self.names.methods[method]
     }
 
-    /// Index of the tenant of this name.
+    /// Returns the index of the tenant called `name`.
     pub fn tenant_index(&self, name: &str) -> Option<usize> {
         self.names.tenants.iter().position(|tenant| tenant == name)
     }
 
-    /// Name of a tenant.
+    /// Returns the name of a tenant.
     pub fn tenant_name(&self, tenant: usize) -> Option<&str> {
         self.names.tenants.get(tenant).map(String::as_str)
     }
 
-    /// Whether an RPC of `method` may run twice.
+    /// Returns whether an RPC of `method` may run twice.
     pub fn idempotency(&self, method: usize) -> Idempotency {
         self.method(method).idempotency
     }
 
-    /// How long an RPC of `method` is waited for at the most.
+    /// Returns the maximum time in which an RPC of `method` is answered.
     pub fn deadline(&self, method: usize) -> Duration {
         clock::duration(self.method(method).deadline)
     }
--- a/crates/coralstep-server/src/decisions/handle/tests.rs
+++ b/crates/coralstep-server/src/decisions/handle/tests.rs
@@ -20,17 +20,17 @@
         deadline: target,
         ..Method::default()
     };
-    let terms = SchedulerConfig {
+    let config = SchedulerConfig {
         methods: vec![method],
         cores: 8,
         key_kb: 1.0,
         ..SchedulerConfig::default()
     };
-    let terms = SchedulerConfig {
+    let config = SchedulerConfig {
         memory_kb: 1e6,
-        ..terms
+        ..config
     };
-    let scheduler = Rc::new(SchedulerHandle::new(terms, Names::default(), 1, &limits));
+    let scheduler = Rc::new(SchedulerHandle::new(config, Names::default(), 1, &limits));
     scheduler.start(Some(false), Duration::ZERO);
     scheduler
 }
@@ -59,14 +59,14 @@
     block_on(ticket.next_decision())
 }
 
-fn end(ticket: &RequestTicket, end: RunOutcome) -> Decision {
-    // The token is kept: nothing is said until its window is over, and nothing is waited for here.
-    ticket.report(Progress::RunEnded(end));
+fn end_run(ticket: &RequestTicket, outcome: RunOutcome) -> Decision {
+    // `Finished` follows only at the end of the retry window, which this doesn't wait for.
+    ticket.report(Progress::RunEnded(outcome));
     block_on(or(ticket.next_decision(), ready(Decision::Finished)))
 }
 
 #[test]
-fn a_decision_follows_each_report() {
+fn reported_progress_yields_next_decision() {
     let scheduler = scheduler(limits());
     let (ticket, decision) = block_on(scheduler.submit(request(b"a"))).unwrap();
     assert_eq!(decision, Decision::Run);
@@ -75,28 +75,28 @@
         matches!(decision, Decision::Call { timeout } if !timeout.is_zero()),
         "{decision:?}"
     );
-    let called = Progress::CallEnded {
+    let call_ended = Progress::CallEnded {
         outcome: CallOutcome::Error,
         elapsed: Duration::from_millis(5),
     };
-    assert_eq!(report(&ticket, called), Decision::Fail);
+    assert_eq!(report(&ticket, call_ended), Decision::Fail);
 }
 
 #[test]
-fn an_engine_that_was_up_long_before_has_not_stood_still() {
+fn long_engine_uptime_is_not_taken_for_a_stall() {
     let target = Span::ms(60_000);
     let method = Method {
         latency_objective: target,
         deadline: target,
         ..Method::default()
     };
-    let terms = SchedulerConfig {
+    let config = SchedulerConfig {
         methods: vec![method],
         cores: 1,
         memory_kb: 1e6,
         ..SchedulerConfig::default()
     };
-    let scheduler = Rc::new(SchedulerHandle::new(terms, Names::default(), 1, &limits()));
+    let scheduler = Rc::new(SchedulerHandle::new(config, Names::default(), 1, &limits()));
     scheduler.start(Some(false), Duration::from_secs(3_600));
     let (_runs, decision) = block_on(scheduler.submit(request(b"a"))).unwrap();
     assert_eq!(decision, Decision::Run);
@@ -106,20 +106,20 @@
 }
 
 #[test]
-fn a_panic_in_a_change_of_level_costs_neither_the_tick_nor_the_levels() {
+fn panic_in_level_change_keeps_timeouts_and_levels_working() {
     let target = Span::ms(60_000);
     let method = Method {
         latency_objective: target,
         deadline: target,
         ..Method::default()
     };
-    let terms = SchedulerConfig {
+    let config = SchedulerConfig {
         methods: vec![method],
         cores: 1,
         memory_kb: 1e6,
         ..SchedulerConfig::default()
     };
-    let scheduler = SchedulerHandle::new(terms, Names::default(), 1, &limits());
+    let scheduler = SchedulerHandle::new(config, Names::default(), 1, &limits());
     let scheduler = Rc::new(
         scheduler
             .with_degradation(&DegradationConfig::default())
@@ -132,9 +132,9 @@
     scheduler.handle_timeout(&[]);
     assert!(
         !levels.panic_on_next_change.get(),
-        "the change came, and failed"
+        "the level changed and the change panicked"
     );
-    // RPCs are decided on as before, and with the next tick the level is carried out.
+    // RPCs are admitted as before, and the next timeout applies the level.
     let (_runs, decision) = block_on(scheduler.submit(request(b"a"))).unwrap();
     assert_eq!(decision, Decision::Run);
     scheduler.handle_timeout(&[]);
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_full_table_takes_nothing_and_dropped_tickets_make_room_once_they_are_over() {
+fn full_table_rejects_rpcs_until_dropped_ticket_is_finished() {
     let scheduler = scheduler(limits());
     let (first, _) = block_on(scheduler.submit(request(b"a"))).unwrap();
     let (second, _) = block_on(scheduler.submit(request(b"b"))).unwrap();
@@ -163,41 +163,45 @@
 }
 
 #[test]
-fn a_late_result_reaches_nobody_who_has_the_index_of_a_repeat_that_left() {
+fn late_result_is_not_delivered_to_rpc_that_reuses_id_of_cancelled_repeat() {
     let scheduler = scheduler(limits());
     let (first, _) = block_on(scheduler.submit(request(b"a"))).unwrap();
     let second = scheduler.enqueue(request(b"a")).unwrap();
-    let index = second.id;
+    let reused_id = second.id;
     assert_eq!(
         report(&second, Progress::CallerDisconnected),
         Decision::Finished
     );
     drop(second);
     let (third, decision) = block_on(scheduler.submit(request(b"b"))).unwrap();
-    assert_eq!((third.id, decision), (index, Decision::Run));
-    end(&first, RunOutcome::Ok(b"x"[..].into()));
+    assert_eq!((third.id, decision), (reused_id, Decision::Run));
+    end_run(&first, RunOutcome::Ok(b"x"[..].into()));
     let next = block_on(or(third.next_decision(), ready(Decision::CancelRun)));
-    assert_eq!(next, Decision::CancelRun, "nothing has been said to it");
+    assert_eq!(
+        next,
+        Decision::CancelRun,
+        "no decision is pending for the third RPC"
+    );
 }
 
 #[test]
-fn results_are_kept_for_repeats_while_there_is_room() {
+fn result_is_replayed_only_if_it_fits_into_memory_limit() {
     for (result, decision) in [
         (&b"12345678"[..], Decision::Replay(b"12345678"[..].into())),
         (&[0; 9], Decision::Fail),
     ] {
         let scheduler = scheduler(limits());
         let (first, _) = block_on(scheduler.submit(request(b"a"))).unwrap();
-        end(&first, RunOutcome::Ok(result.into()));
-        // A second end changes nothing.
-        end(&first, RunOutcome::Cancelled);
+        end_run(&first, RunOutcome::Ok(result.into()));
+        // A second outcome is ignored.
+        end_run(&first, RunOutcome::Cancelled);
         let (_second, repeat) = block_on(scheduler.submit(request(b"a"))).unwrap();
         assert_eq!(repeat, decision);
     }
 }
 
 #[test]
-fn a_repeat_that_came_within_the_window_and_is_read_after_it_does_not_run() {
+fn repeat_that_arrived_within_retry_window_does_not_run_after_it() {
     let target = Span::ms(60_000);
     let method = Method {
         idempotency: Idempotency::Keyed,
@@ -206,20 +210,20 @@
         retry_window: Span::ms(5),
         ..Method::default()
     };
-    let terms = SchedulerConfig {
+    let config = SchedulerConfig {
         methods: vec![method],
         cores: 8,
         key_kb: 1.0,
         memory_kb: 1e6,
         ..SchedulerConfig::default()
     };
-    let scheduler = Rc::new(SchedulerHandle::new(terms, Names::default(), 1, &limits()));
+    let scheduler = Rc::new(SchedulerHandle::new(config, Names::default(), 1, &limits()));
     scheduler.start(Some(false), Duration::ZERO);
-    let began = Instant::now();
+    let submitted_at = Instant::now();
     let (first, _) = block_on(scheduler.submit(request(b"a"))).unwrap();
-    end(&first, RunOutcome::Ok(b"x"[..].into()));
+    end_run(&first, RunOutcome::Ok(b"x"[..].into()));
     drop(first);
-    // The window is over, and the key is let go of.
+    // Waits until the retry window ends and the key is released.
     while scheduler
         .inner
         .borrow()
@@ -233,13 +237,13 @@
         std::thread::sleep(scheduler.next_timeout());
         scheduler.handle_timeout(&[]);
     }
-    let came = |age: Duration| RpcRequest {
+    let request_of_age = |age: Duration| RpcRequest {
         age: clock::span(age),
         ..request(b"a")
     };
-    let rejected = block_on(scheduler.submit(came(began.elapsed()))).err();
+    let rejected = block_on(scheduler.submit(request_of_age(submitted_at.elapsed()))).err();
     assert_eq!(rejected, Some(AdmissionError::KeyConflict));
-    // One that comes after it is another RPC.
-    let (_second, decision) = block_on(scheduler.submit(came(Duration::ZERO))).unwrap();
+    // An attempt that arrives after the window counts as a new RPC.
+    let (_second, decision) = block_on(scheduler.submit(request_of_age(Duration::ZERO))).unwrap();
     assert_eq!(decision, Decision::Run);
 }
--- a/crates/coralstep-server/src/decisions/idempotency_keys.rs
+++ b/crates/coralstep-server/src/decisions/idempotency_keys.rs
@@ -1,29 +1,30 @@
-//! The idempotency keys by which repeats are known: of which RPC each is, whether that has run, and
-//! for how long one that ran must not run again. Reads no clock; the caller passes the time in.
+//! Table of idempotency keys, which identify repeats: maps each key to its RPC, and records whether
+//! the RPC has run and until when it must not run again. Reads no clock; the caller passes the time.
 use std::collections::{HashMap, VecDeque};
 
 use coralstep::{RpcId, Span, Time};
 
-/// A key, and the method that it was sent to.
+/// An idempotency key and the method that it was sent to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct IdempotencyKey {
     /// Index of the method.
     pub method: usize,
-    /// The key, as its caller wrote it.
+    /// The key as sent by the caller.
     pub key: Box<[u8]>,
 }
 
-/// What came with a key: attempts of one RPC have the same.
+/// Fingerprint of a request's payload, which is the same for all attempts of one RPC.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PayloadFingerprint {
     /// Digest of the body.
     pub body_digest: u64,
-    /// Index of the tenant, where the front knows one.
+    /// Index of the tenant, or `None` if the caller's protocol carries none.
     pub tenant: Option<usize>,
 }
 
 impl PayloadFingerprint {
-    /// Whether both may be attempts of one RPC. A front that knows no tenants says nothing of them.
+    /// Returns whether both may belong to attempts of one RPC. Tenants are compared only if both
+    /// are known.
     fn matches(self, other: PayloadFingerprint) -> bool {
         let tenants = self.tenant.zip(other.tenant);
         let same_tenant = tenants.is_none_or(|(one, other)| one == other);
@@ -31,14 +32,14 @@
     }
 }
 
-/// What is known of a key.
+/// Result of [`IdempotencyKeys::lookup`].
 #[derive(Debug, PartialEq, Eq)]
 pub enum Lookup {
-    /// Nothing: the RPC is the first of it.
+    /// The key is not in use: the RPC is the first attempt.
     Unknown,
-    /// An attempt of the same RPC is here, or has run.
+    /// An attempt of the same RPC is in progress or has run.
     RepeatOf(RpcId),
-    /// The RPC must not run, and must not be told another's result.
+    /// The RPC must not run and must not receive the result of another RPC.
     Conflict,
 }
 
@@ -54,19 +55,20 @@
     key: IdempotencyKey,
 }
 
-/// All idempotency keys that are known.
+/// Table of all idempotency keys that are in use or have run.
 #[derive(Default)]
 pub struct IdempotencyKeys {
     retained: HashMap<IdempotencyKey, RetainedKey>,
-    /// Keys that ran and are no longer retained: what came to the machine by then must not run.
+    /// End of the retry window of released keys that ran. An attempt that arrived by then must not
+    /// run.
     released: HashMap<IdempotencyKey, Time>,
-    /// When these may be forgotten, in order.
+    /// When released keys may be forgotten, in order of their release.
     expiries: VecDeque<Expiry>,
     max_released: usize,
 }
 
 impl IdempotencyKeys {
-    /// A table that remembers at most `max_released` keys beyond those that are retained.
+    /// Creates a table that remembers at most `max_released` keys after their release.
     pub fn new(max_released: usize) -> IdempotencyKeys {
         IdempotencyKeys {
             max_released,
@@ -74,12 +76,12 @@
         }
     }
 
-    /// Whether an RPC of this key is here, or has run within the window.
+    /// Returns whether an RPC with this key is in progress or has run within the retry window.
     pub fn is_retained(&self, key: &IdempotencyKey) -> bool {
         self.retained.contains_key(key)
     }
 
-    /// What an RPC that came to the machine at `arrived` repeats.
+    /// Looks up which RPC an attempt that arrived at this machine at `arrived` repeats.
     pub fn lookup(
         &self,
         key: &IdempotencyKey,
@@ -87,16 +89,16 @@
         arrived: Time,
     ) -> Lookup {
         if let Some(retained) = self.retained.get(key) {
-            // Guards against a stranger who has seen a key: neither is the result theirs, nor may
-            // theirs run in its place.
+            // Guards against another client that has learned a key: it must neither receive the
+            // result nor run its own request in place of the original.
             return if retained.fingerprint.matches(fingerprint) {
                 Lookup::RepeatOf(retained.rpc)
             } else {
                 Lookup::Conflict
             };
         }
-        // Guards against a second run of what came within the window and was read after it: after a
-        // pause, or from a full socket.
+        // Guards against a second run of an attempt that arrived within the retry window and was
+        // read after it, because the process was paused or the socket's buffer was full.
         if self
             .released
             .get(key)
@@ -107,7 +109,7 @@
         Lookup::Unknown
     }
 
-    /// Keeps `key` for `rpc`, whose repeats are known until `until`.
+    /// Retains `key` for `rpc`, whose repeats are recognized if they arrive until `until`.
     pub fn retain(
         &mut self,
         key: IdempotencyKey,
@@ -124,12 +126,12 @@
         self.retained.insert(key, retained);
     }
 
-    /// The run of `rpc` begins.
+    /// Marks the run of `rpc` as started.
     pub fn mark_started(&mut self, key: &IdempotencyKey, rpc: RpcId) {
         self.set_started(key, rpc, true);
     }
 
-    /// The run of `rpc` provably never began.
+    /// Marks the run of `rpc` as never started.
     pub fn mark_never_started(&mut self, key: &IdempotencyKey, rpc: RpcId) {
         self.set_started(key, rpc, false);
     }
@@ -144,8 +146,8 @@
         }
     }
 
-    /// `key` need not be retained for `rpc` any more. An attempt of it may lie unread for `unread` at
-    /// the most.
+    /// Releases `key`, which no longer needs to be retained for `rpc`. An attempt with this key may be
+    /// read up to `max_read_delay` after its arrival.
     pub fn release(&mut self, now: Time, key: &IdempotencyKey, rpc: RpcId, max_read_delay: Span) {
         self.forget_expired(now, max_read_delay);
         if self
@@ -176,7 +178,7 @@
             let Some(Expiry { at, key }) = self.expiries.pop_front() else {
                 break;
             };
-            // A later run of the same key has a later expiry of its own.
+            // Guards against forgetting a later run of the same key, which has a later expiry.
             let released = self.released.get(&key);
             if released.is_some_and(|until| *until + max_read_delay <= at) {
                 self.released.remove(&key);
--- a/crates/coralstep-server/src/decisions/idempotency_keys/tests.rs
+++ b/crates/coralstep-server/src/decisions/idempotency_keys/tests.rs
@@ -21,18 +21,18 @@
 }
 
 #[test]
-fn a_key_with_another_body_or_tenant_is_no_repeat() {
+fn key_with_different_body_or_tenant_conflicts() {
     let mut keys = IdempotencyKeys::new(8);
     keys.retain(key("a"), fingerprint(1, Some(2)), RpcId(3), at(100));
-    for (content, tenant, found) in [
+    for (body_digest, tenant, expected) in [
         (1, Some(2), Lookup::RepeatOf(RpcId(3))),
         (1, None, Lookup::RepeatOf(RpcId(3))),
         (2, Some(2), Lookup::Conflict),
         (1, Some(1), Lookup::Conflict),
     ] {
         assert_eq!(
-            keys.lookup(&key("a"), fingerprint(content, tenant), at(1)),
-            found
+            keys.lookup(&key("a"), fingerprint(body_digest, tenant), at(1)),
+            expected
         );
     }
     assert_eq!(
@@ -49,30 +49,30 @@
 }
 
 #[test]
-fn what_came_within_the_window_never_runs_again_however_late_it_is_read() {
+fn attempt_that_arrived_within_retry_window_never_runs_again() {
     let mut keys = IdempotencyKeys::new(8);
-    for (name, ran) in [("ran", true), ("never", false), ("doubt", true)] {
+    for (name, ran) in [("ran", true), ("never", false), ("revoked", true)] {
         keys.retain(key(name), fingerprint(1, None), RpcId(1), at(100));
         keys.set_started(&key(name), RpcId(1), ran);
         keys.set_started(&key(name), RpcId(2), !ran);
     }
-    keys.set_started(&key("doubt"), RpcId(1), false);
-    for name in ["ran", "never", "doubt"] {
+    keys.set_started(&key("revoked"), RpcId(1), false);
+    for name in ["ran", "never", "revoked"] {
         keys.release(at(101), &key(name), RpcId(2), MAX_READ_DELAY);
-        assert!(keys.is_retained(&key(name)), "another's");
+        assert!(keys.is_retained(&key(name)), "retained for another RPC");
         keys.release(at(101), &key(name), RpcId(1), MAX_READ_DELAY);
         assert!(!keys.is_retained(&key(name)));
     }
-    let find =
+    let lookup =
         |keys: &IdempotencyKeys, name, ms| keys.lookup(&key(name), fingerprint(1, None), at(ms));
     // Just before, at and just after the end of the window.
     assert_eq!(
-        [99, 100, 101].map(|ms| find(&keys, "ran", ms)),
+        [99, 100, 101].map(|ms| lookup(&keys, "ran", ms)),
         [Lookup::Conflict, Lookup::Conflict, Lookup::Unknown]
     );
-    assert_eq!(find(&keys, "never", 50), Lookup::Unknown);
-    assert_eq!(find(&keys, "doubt", 50), Lookup::Unknown);
-    // After the window it may run once more, and then it is the later window that counts.
+    assert_eq!(lookup(&keys, "never", 50), Lookup::Unknown);
+    assert_eq!(lookup(&keys, "revoked", 50), Lookup::Unknown);
+    // After the window the key may run once more; its later window then applies.
     keys.retain(key("ran"), fingerprint(1, None), RpcId(4), at(300));
     keys.set_started(&key("ran"), RpcId(4), true);
     keys.release(at(300), &key("ran"), RpcId(4), MAX_READ_DELAY);
@@ -80,14 +80,14 @@
     keys.set_started(&key("b"), RpcId(5), true);
     keys.release(at(60_101), &key("b"), RpcId(5), MAX_READ_DELAY);
     assert_eq!(
-        find(&keys, "ran", 250),
+        lookup(&keys, "ran", 250),
         Lookup::Conflict,
-        "the earlier one was to be forgotten, not this one"
+        "only the earlier window is forgotten"
     );
 }
 
 #[test]
-fn what_is_remembered_is_bounded() {
+fn number_of_released_keys_is_bounded() {
     let mut keys = IdempotencyKeys::new(2);
     for name in ["a", "b", "c"] {
         keys.retain(key(name), fingerprint(1, None), RpcId(1), at(100));
--- a/crates/coralstep-server/src/decisions/mod.rs
+++ b/crates/coralstep-server/src/decisions/mod.rs
@@ -1,5 +1,6 @@
-//! The way to the decisions. Only here do the scheduler's ids, times and actions show; the rest of
-//! the server submits an [`RpcRequest`], carries out each [`Decision`] and reports [`Progress`].
+//! Connects the server to the scheduler. The scheduler's ids, times and actions are used only in
+//! this module; the rest of the server submits an [`RpcRequest`], executes each [`Decision`] and
+//! reports [`Progress`].
 pub mod degradation;
 pub mod idempotency_keys;
 
--- a/crates/coralstep-server/src/decisions/quota.rs
+++ b/crates/coralstep-server/src/decisions/quota.rs
@@ -1,5 +1,5 @@
-//! The fleet's quotas: what an RPC takes of them before the scheduler weighs it, given back when it
-//! is answered.
+//! Fleet-wide quotas: an RPC acquires a permit before it is submitted to the scheduler and releases
+//! it when it is answered.
 use std::rc::Rc;
 
 use coralstep_quota::{Permit, QuotaExhausted, RequestKey};
@@ -8,17 +8,17 @@
 use crate::decisions::idempotency_keys::IdempotencyKey;
 use crate::decisions::request::RpcRequest;
 
-/// The fleet's quotas, as an RPC takes of them.
+/// Grants RPCs permits of the fleet-wide quotas.
 pub trait QuotaLimiter {
-    /// Takes a unit of each quota that holds for an RPC, which is answered within `timeout_ms`
-    /// milliseconds.
+    /// Acquires one unit of each quota that applies to an RPC. The RPC is answered within
+    /// `timeout_ms` milliseconds.
     ///
     /// # Errors
     ///
-    /// A quota is used up.
+    /// Returns an error if a quota is exhausted.
     fn acquire(&self, request: RequestKey, timeout_ms: u64) -> Result<Permit, QuotaExhausted>;
 
-    /// Gives back what an RPC took.
+    /// Releases the permit of an RPC.
     fn release(&self, permit: Permit);
 }
 
@@ -27,7 +27,7 @@
     permit: Permit,
 }
 
-/// What an RPC took of the fleet's quotas, if anything; given back when dropped.
+/// The quota permit of an RPC, if it needs one; released when dropped.
 pub struct QuotaGuard(Option<Reservation>);
 
 impl Drop for QuotaGuard {
@@ -39,17 +39,17 @@
 }
 
 impl SchedulerHandle {
-    /// The fleet's quotas hold from now on.
+    /// Enforces the fleet-wide quotas from now on.
     pub fn set_quota_limiter(&self, limiter: Rc<dyn QuotaLimiter>) {
         *self.quota_limiter.borrow_mut() = Some(limiter);
     }
 
-    /// Takes what `request` needs of the fleet's quotas, before anything else is decided of it. A
-    /// repeat of what is here, or has run, costs nothing: it is not run again.
+    /// Acquires the quota permit that `request` needs, before the scheduler decides on it. A repeat
+    /// of an RPC that is in progress or has run needs no permit, because it is not run again.
     ///
     /// # Errors
     ///
-    /// A quota is used up.
+    /// Returns an error if a quota is exhausted.
     pub fn reserve_quota(&self, request: &RpcRequest) -> Result<QuotaGuard, QuotaExhausted> {
         let limiter = self.quota_limiter.borrow().clone();
         let Some(limiter) = limiter.filter(|_| !self.excluded.get()) else {
--- a/crates/coralstep-server/src/decisions/request.rs
+++ b/crates/coralstep-server/src/decisions/request.rs
@@ -1,92 +1,92 @@
-//! What network code and the decisions tell each other about one RPC.
+//! Messages between network code and the scheduler about one RPC.
 use std::rc::Rc;
 use std::time::Duration;
 
 use coralstep::{Outcome, Span};
 
-/// What is known of an RPC once it is read.
+/// An RPC as read from a client.
 #[derive(Debug, Default)]
 pub struct RpcRequest {
     /// Index of its method in the settings.
     pub method: usize,
-    /// Index of its tenant in the settings, where it names one.
+    /// Index of its tenant in the settings, or `None` if it names none.
     pub tenant: Option<usize>,
-    /// Memory that its run takes, in KB.
+    /// Memory that its run needs, in KB.
     pub memory_kb: f64,
-    /// Its caller says that this is a further attempt.
+    /// Whether the caller marked it as a retry.
     pub retry: bool,
-    /// Time since it came to the machine.
+    /// Time since it arrived at this machine.
     pub age: Span,
-    /// The age is only what an untrusted caller says.
+    /// Whether the age was stated by an untrusted caller.
     pub age_unverified: bool,
-    /// The key by which a repeat is known.
+    /// The key that identifies repeats of it.
     pub idempotency_key: Option<Box<[u8]>>,
-    /// Digest of the body: a repeat has the same. 0 without an idempotency key.
+    /// Digest of the body, which is the same for a repeat; 0 without an idempotency key.
     pub body_digest: u64,
-    /// How long its caller said that it waits, from when it came to the machine.
+    /// How long its caller waits, counted from its arrival at this machine.
     pub timeout: Option<Span>,
-    /// Where its id is taken another will do: callers of such a front keep an id over their
-    /// attempts.
+    /// Whether another id may be assigned if its id is in use. Set for protocols whose callers use
+    /// one id for all attempts of a request.
     pub accepts_new_id: bool,
 }
 
-/// What is to be done next with an RPC.
+/// The next step of an RPC.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// Start its run.
     Run,
-    /// Make the call that its run waits for.
+    /// Make the call that its run is waiting for.
     Call {
-        /// The call ends as timed out after this.
+        /// Maximum duration of the call.
         timeout: Duration,
     },
-    /// Stop its run.
+    /// Cancel its run.
     CancelRun,
-    /// Find out whether its run goes on.
+    /// Ask the backend whether its run is still in progress.
     QueryRun,
-    /// Answer that it is not served here.
+    /// Reject it.
     Reject {
-        /// How long its caller is to wait before it asks here again, in milliseconds.
+        /// Time after which the caller may retry on this server, in milliseconds.
         retry_after_ms: u64,
-        /// Another server would reject it as well.
+        /// Whether another server would reject it as well.
         is_final: bool,
     },
-    /// Answer that it failed.
+    /// Answer it with an error.
     Fail,
     /// Answer with the result of the RPC that it repeats.
     Replay(Rc<[u8]>),
-    /// Nothing more will come of it.
+    /// The scheduler is done with it; no decision follows.
     Finished,
 }
 
-/// Why an RPC was not taken in.
+/// Error returned when an RPC is not submitted to the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdmissionError {
-    /// The table of requests is full.
+    /// The RPC table is full.
     #[error("the request table is full")]
     TableFull,
-    /// Its idempotency key is another RPC's, or ran and came again within its window; it must not
-    /// run.
-    #[error("the idempotency key is another request's, or has run")]
+    /// The idempotency key belongs to another RPC, or it has run and this attempt arrived within
+    /// the retry window. The RPC must not run.
+    #[error("the idempotency key belongs to another request or has already run")]
     KeyConflict,
 }
 
 /// How a call to the store ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// With a result.
+    /// The store replied with a result.
     Ok,
-    /// The store failed.
+    /// The store failed the call.
     Error,
-    /// The store would not begin it.
+    /// The store rejected the call without starting it.
     Rejected,
-    /// Nothing came in time.
+    /// No reply arrived in time.
     TimedOut,
-    /// It never left this machine.
+    /// No byte of the call was sent.
     Unreachable,
-    /// It left, and nothing came back.
+    /// The connection was lost after the call was sent.
     ConnectionLost,
-    /// No run waited for it.
+    /// No run was waiting for the call.
     NoLongerNeeded,
 }
 
@@ -107,17 +107,17 @@
 /// How a run ended.
 #[derive(Clone, Debug)]
 pub enum RunOutcome {
-    /// With this result.
+    /// The run succeeded with this result.
     Ok(Rc<[u8]>),
-    /// It failed, or may have.
+    /// The run failed, or its outcome is unknown.
     Error,
-    /// It was stopped.
+    /// The run was cancelled.
     Cancelled,
-    /// The RPC was over, so nothing was begun.
+    /// The RPC was already answered, so the run was not started.
     NoLongerNeeded,
-    /// It provably never began.
+    /// The run is known not to have started.
     NeverStarted {
-        /// It cannot be tried again here before this.
+        /// Minimum time before this server can try it again.
         retry_after: Duration,
     },
 }
@@ -134,29 +134,29 @@
     }
 }
 
-/// What has happened to an RPC.
+/// Progress of an RPC, as reported to the scheduler.
 #[derive(Debug)]
 pub enum Progress {
-    /// Its run waits for a call.
+    /// Its run needs the result of a call.
     CallNeeded,
-    /// The call that its run waits for has ended.
+    /// The call that its run needs has ended.
     CallEnded {
-        /// How.
+        /// Outcome of the call.
         outcome: CallOutcome,
-        /// How long it took.
+        /// Duration of the call.
         elapsed: Duration,
     },
     /// Its run has ended.
     RunEnded(RunOutcome),
-    /// Nobody waits for its answer any more.
+    /// The caller disconnected before the answer.
     CallerDisconnected,
 }
 
-/// What answers carry of this server beside their own content.
+/// State of this server that is attached to each answer.
 #[derive(Clone, Debug, Default)]
 pub struct ServerStatus {
-    /// The load report, where one was made.
+    /// The load report, if one was made.
     pub value: Option<f64>,
-    /// Name of the degradation level, where there are levels.
+    /// Name of the degradation level, if levels are configured.
     pub level: Option<String>,
 }
--- a/crates/coralstep-server/src/decisions/rpc_table.rs
+++ b/crates/coralstep-server/src/decisions/rpc_table.rs
@@ -1,5 +1,5 @@
-//! The RPCs known to the scheduler, by its ids: decisions that their tasks have not taken yet, and
-//! the results kept for repeats.
+//! Table of the RPCs known to the scheduler, indexed by its ids. Holds decisions until the RPC's
+//! task receives them, and results for repeats.
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
@@ -14,31 +14,31 @@
 enum RunResult {
     #[default]
     Pending,
-    /// It failed, or its result was not kept.
+    /// The run failed, or its result was not kept.
     Unavailable,
     Kept(Rc<[u8]>),
 }
 
-/// One RPC in the table.
+/// Entry of one RPC.
 #[derive(Default)]
 pub(super) struct RpcEntry {
     decisions: VecDeque<Decision>,
     waker: Option<Waker>,
-    /// Nobody waits for decisions any more.
+    /// The RPC's ticket was dropped, so no task receives its decisions.
     abandoned: bool,
     pub(super) idempotency_key: Option<IdempotencyKey>,
     pub(super) fingerprint: PayloadFingerprint,
     result: RunResult,
-    /// The RPC that it repeats.
+    /// The RPC that this one repeats.
     repeat_of: Option<RpcId>,
-    /// Repeats of it that wait for its result.
+    /// Repeats that wait for the result of this RPC.
     waiting_repeats: Vec<RpcId>,
-    /// Its run cannot be tried again sooner.
+    /// Minimum time before this server can try the run again.
     pub(super) retry_after: Span,
 }
 
 impl RpcEntry {
-    /// The entry of an RPC that repeats `repeats`, where it does.
+    /// Creates the entry of an RPC that repeats `repeat_of`, if any.
     pub(super) fn new(
         idempotency_key: Option<IdempotencyKey>,
         fingerprint: PayloadFingerprint,
@@ -53,13 +53,13 @@
     }
 }
 
-/// A repeat that has come to its end, with the result of what it repeats where there is one.
+/// A repeat whose original RPC has ended, with the original's result if it is available.
 pub(super) struct CompletedRepeat {
     pub(super) id: RpcId,
     pub(super) result: Option<Rc<[u8]>>,
 }
 
-/// All RPCs known to the scheduler.
+/// Table of all RPCs known to the scheduler, and of the results kept for repeats.
 pub(super) struct RpcTable {
     entries: Vec<Option<RpcEntry>>,
     free_ids: Vec<u32>,
@@ -112,7 +112,7 @@
             return Poll::Ready(Decision::Finished);
         };
         match entry.decisions.front() {
-            // It stays in the queue: what it stands for is freed with the ticket.
+            // Stays in the queue: `abandon` frees the entry when the ticket is dropped.
             Some(Decision::Finished) => Poll::Ready(Decision::Finished),
             Some(_) => Poll::Ready(entry.decisions.pop_front().unwrap_or(Decision::Finished)),
             None => {
@@ -122,7 +122,8 @@
         }
     }
 
-    /// The scheduler is done with `id`: frees it, unless its task has still to take that decision.
+    /// Marks `id` as finished by the scheduler. Frees the entry unless its task still has to receive
+    /// this decision.
     pub(super) fn finish(&mut self, id: RpcId) {
         self.push_decision(id, Decision::Finished);
         if self.get_mut(id).is_some_and(|entry| entry.abandoned) {
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Nobody waits for decisions on `id` any more: frees it, unless the scheduler still holds it.
+    /// Marks `id` as abandoned by its task. Frees the entry unless the scheduler still uses the id.
     pub(super) fn abandon(&mut self, id: RpcId) {
         let Some(entry) = self.get_mut(id) else {
             return;
@@ -146,7 +147,7 @@
         let Some(entry) = self.entries.get_mut(id.0 as usize).and_then(Option::take) else {
             return;
         };
-        // Guards against a late result that goes to whatever RPC has this index by then.
+        // Guards against a late result that is delivered to another RPC which reuses this id.
         if let Some(repeated) = entry.repeat_of.and_then(|repeated| self.get_mut(repeated)) {
             repeated.waiting_repeats.retain(|waiting| *waiting != id);
         }
@@ -157,7 +158,8 @@
         self.free_ids.push(id.0);
     }
 
-    /// Keeps the result of an RPC with an idempotency key for its repeat_of, while there is room.
+    /// Records the outcome of an RPC with an idempotency key and completes the repeats that wait for
+    /// it. Keeps the result for later repeats if it fits into the memory limit.
     pub(super) fn record_result(&mut self, id: RpcId, outcome: &RunOutcome) {
         let free_bytes = self.max_kept_bytes.saturating_sub(self.kept_bytes);
         let Some(entry) = self.get_mut(id) else {
@@ -166,7 +168,7 @@
         if entry.idempotency_key.is_none() || !matches!(entry.result, RunResult::Pending) {
             return;
         }
-        // Repeats that wait get it even where it is not kept.
+        // Waiting repeats get the result even if it is not kept.
         let result = match outcome {
             RunOutcome::Ok(result) => Some(result.clone()),
             _ => None,
@@ -178,7 +180,7 @@
         self.complete_repeats(waiting, result);
     }
 
-    /// Answers `id` with the result of the RPC that it repeat_of, now or when that has ended.
+    /// Completes `id` with the result of the RPC that it repeats, at once or when that RPC ends.
     pub(super) fn replay(&mut self, id: RpcId) {
         let repeated = self.get_mut(id).and_then(|entry| entry.repeat_of);
         let result = match repeated.and_then(|repeated| self.get_mut(repeated)) {
--- a/crates/coralstep-server/src/dependency/mod.rs
+++ b/crates/coralstep-server/src/dependency/mod.rs
@@ -1,2 +1,2 @@
-//! The dependency that all servers share.
+//! Client of the dependency that all servers share.
 pub mod store;
--- a/crates/coralstep-server/src/dependency/store.rs
+++ b/crates/coralstep-server/src/dependency/store.rs
@@ -1,7 +1,7 @@
 //! Calls to the store that all servers share.
 //!
-//! Each call has a connection of its own, which ends with it. Guards against corrupt, duplicated or foreign replies and against
-//! idle connections that the store has closed: none of them reaches another call.
+//! Each call uses a separate connection. Guards against corrupt, duplicate or misdirected replies and
+//! against idle connections that the store has closed: none of them affects another call.
 use std::cell::Cell;
 use std::future::pending;
 use std::io;
@@ -20,41 +20,43 @@
 use crate::decisions::CallOutcome;
 use crate::note;
 
-/// The store reports a call that ran out of time; this server gives it up so much later, for a store that reports nothing.
+/// Time after a call's timeout at which this server gives up the call. Until then it waits for the
+/// store's own report of the timeout, which a store that has failed doesn't send.
 const STORE_REPORT_MARGIN: Duration = Duration::from_millis(30);
-/// Bytes of the read buffer at first.
+/// Initial size of the read buffer.
 const READ_BUFFER_BYTES: usize = 2 * 1024;
-/// Bytes that the line before a request's body may take.
+/// Space reserved for the line before a request's body.
 const REQUEST_LINE_BYTES: usize = 64;
-/// Characters of a foreign reply's id that are logged.
+/// Maximum number of characters that are logged of the id in a misdirected reply.
 const MAX_LOGGED_ID: usize = 16;
 
-/// How a call ended.
+/// Result of a call.
 pub struct CallResult {
-    /// The outcome, as the scheduler is told it.
+    /// The outcome that is reported to the scheduler.
     pub outcome: CallOutcome,
-    /// The body of the reply, after [`CallOutcome::Ok`].
+    /// The body of the reply; `None` unless the outcome is [`CallOutcome::Ok`].
     pub reply: Option<Vec<u8>>,
-    /// From the start of the call to its end.
+    /// Duration of the call.
     pub elapsed: Duration,
 }
 
-/// The way to the store.
+/// Client of the store.
 pub struct StoreClient(pub Rc<Endpoints>);
 
-/// A call in flight; dropping it abandons the call.
+/// A call in flight; dropping it cancels the call.
 pub struct StoreCall {
     exchange: Pin<Box<dyn Future<Output = CallResult>>>,
 }
 
 impl StoreCall {
-    /// Waits for the end. The wait may be dropped and begun anew; the call goes on meanwhile.
+    /// Waits for the result. This future may be dropped and created again without affecting the
+    /// call.
     pub async fn result(&mut self) -> CallResult {
         self.exchange.as_mut().await
     }
 }
 
-/// Waits for the end of `call`, for ever where there is none.
+/// Waits for the result of `call`. Never completes if there is no call.
 pub async fn wait_for_result(call: &mut Option<StoreCall>) -> CallResult {
     match call {
         Some(call) => call.result().await,
@@ -63,7 +65,7 @@
 }
 
 impl StoreClient {
-    /// Starts a call for the RPC `id` that may take `timeout`.
+    /// Starts a call for the RPC `id` that may take up to `timeout`.
     pub fn call(&self, id: RequestId, timeout: Duration, body: &[u8]) -> StoreCall {
         let mut request = Vec::with_capacity(body.len() + REQUEST_LINE_BYTES);
         let timeout_ms = timeout.as_micros().div_ceil(1000);
@@ -81,12 +83,13 @@
     timeout: Duration,
     request: Vec<u8>,
 ) -> CallResult {
-    let began = Instant::now();
+    let started_at = Instant::now();
     // Whether any of the request may have reached the store.
     let sent = Cell::new(false);
     let timed_out = async {
-        Timer::at(began + timeout + STORE_REPORT_MARGIN).await;
-        // Guards against a pause of the process: the reply may have come and not been read yet.
+        Timer::at(started_at + timeout + STORE_REPORT_MARGIN).await;
+        // Guards against a timeout after a pause of the process, when the reply has arrived and is
+        // not read yet.
         yield_now().await;
         Err(io::ErrorKind::TimedOut.into())
     };
@@ -100,18 +103,18 @@
     CallResult {
         outcome,
         reply,
-        elapsed: began.elapsed(),
+        elapsed: started_at.elapsed(),
     }
 }
 
-/// The outcome of a call that ended without a reply.
+/// Returns the outcome of a call that ended without a reply.
 fn failed_outcome(error: &io::Error, sent: bool) -> CallOutcome {
     let timed_out = error.kind() == io::ErrorKind::TimedOut;
     if !timed_out {
         note!(%error, "store call failed");
     }
     match (sent, timed_out) {
-        // What never left this machine never ran.
+        // The store can't have received the call.
         (false, _) => CallOutcome::Unreachable,
         (true, true) => CallOutcome::TimedOut,
         (true, false) => CallOutcome::ConnectionLost,
@@ -133,7 +136,7 @@
     let address = endpoints
         .store
         .get()
-        .ok_or_else(|| io::Error::other("no address is configured"))?;
+        .ok_or_else(|| io::Error::other("no store address is configured"))?;
     let stream = endpoints.descriptors.dial(address).await?;
     let _ = stream.get_ref().set_nodelay(true);
     let mut rest = request;
@@ -145,13 +148,13 @@
     read_reply(&stream, &id.to_string()).await
 }
 
-/// The reply to the call for `id`; one for any other is ignored.
+/// Reads the reply to the call for `id` and ignores replies with another id.
 async fn read_reply(mut stream: &Async<TcpStream>, id: &str) -> io::Result<Reply> {
     let mut buffer = vec![0; READ_BUFFER_BYTES];
     let mut filled = 0;
     loop {
         if filled == buffer.len() {
-            // A message that is longer than allowed was refused before.
+            // `decode` rejects messages that exceed the length limit, which bounds the buffer.
             buffer.resize(2 * filled, 0);
         }
         match stream.read(&mut buffer[filled..]).await? {
@@ -161,7 +164,7 @@
         let mut used = 0;
         let has_body = |words: &[&str]| words.get(1) == Some(&"OK");
         while let Some(message) = line_codec::decode(&buffer[used..filled], has_body)
-            .map_err(|_| io::Error::other("a corrupt reply"))?
+            .map_err(|_| io::Error::other("corrupt reply"))?
         {
             used += message.encoded_len;
             if message.words[0] == id {
@@ -182,7 +185,7 @@
         [_, "ERR"] => CallOutcome::Error,
         [_, "LATE"] => CallOutcome::TimedOut,
         [_, "VOID"] => CallOutcome::NoLongerNeeded,
-        _ => return Err(io::Error::other("an unknown reply")),
+        _ => return Err(io::Error::other("unknown reply")),
     };
     let body = (outcome == CallOutcome::Ok).then(|| body.to_vec());
     Ok(Reply { outcome, body })
--- a/crates/coralstep-server/src/lifecycle/drain.rs
+++ b/crates/coralstep-server/src/lifecycle/drain.rs
@@ -11,40 +11,42 @@
 use crate::decisions::SchedulerHandle;
 use crate::note;
 
-/// New connections are refused so long before the stop. The scheduler gives its last answers earlier; what is read later is
-/// answered at once.
+/// Time before the stop at which listeners are closed. The scheduler answers all queued RPCs before
+/// that; an RPC that is read later is answered at once.
 const CLOSE_LISTENERS_BEFORE: Duration = Duration::from_millis(300);
-/// Connections that are still open are closed so long before the stop.
+/// Time before the stop at which the remaining connections are closed.
 const CLOSE_CONNECTIONS_BEFORE: Duration = Duration::from_millis(160);
-/// The process ends so long before the stop, whoever is still connected: a pause of the process fits in.
+/// Time before the stop at which the process exits, even with open connections. Leaves room for a
+/// pause of the process.
 const EXIT_BEFORE: Duration = Duration::from_millis(100);
 
-/// Catches SIGTERM and SIGINT from now on.
+/// Installs handlers for SIGTERM and SIGINT.
 ///
-/// Guards against a signal that ends the process while requests lie in the backlog: call it before a port opens.
+/// Guards against a signal that ends the process while requests are in the listen backlog: must be
+/// called before a port is opened.
 ///
 /// # Errors
-/// The system refuses to deliver the signals.
+/// Returns an error if the handlers can't be installed.
 pub fn signals() -> io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int])
 }
 
-/// What takes part in a graceful shutdown.
+/// Components that take part in a graceful shutdown.
 pub struct Shutdown<'a> {
-    /// Answers what has been read, and rejects what arrives after the grace period.
+    /// Answers the RPCs that were read, and rejects those that arrive after the grace period.
     pub scheduler: &'a SchedulerHandle,
     /// The callers' connections.
     pub connections: &'a Connections,
-    /// From the signal to the moment at which the platform kills the process.
+    /// Time from the signal until the platform kills the process.
     pub stop_after: Duration,
-    /// Set when the signal has come: this server reports to the control plane no more.
+    /// Set when the signal arrives; stops the heartbeats to the control plane.
     pub draining: &'a Cell<bool>,
-    /// Tells the other members of the fleet.
+    /// Announces the shutdown to the other members of the fleet.
     pub announce: &'a dyn Fn(),
 }
 
 impl Shutdown<'_> {
-    /// Waits for a signal, then ends when the process should.
+    /// Waits for a signal and shuts down. Returns when the process should exit.
     pub async fn run(&self, mut signals: Signals) {
         signals.next().await;
         let stop_at = Instant::now() + self.stop_after;
@@ -53,7 +55,7 @@
             "draining"
         );
         self.draining.set(true);
-        // The others hear of it before anything else changes.
+        // The other members must learn of the shutdown before anything else changes.
         (self.announce)();
         self.scheduler.begin_drain(self.stop_after);
         wait_until_before(stop_at, CLOSE_LISTENERS_BEFORE).await;
--- a/crates/coralstep-server/src/lifecycle/mod.rs
+++ b/crates/coralstep-server/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! The life of the process: reports, reload, drain, and what outlives it.
+//! Lifecycle of the process: registration, configuration reload, graceful shutdown and snapshots.
 pub mod drain;
 pub mod registration;
 pub mod reload;
--- a/crates/coralstep-server/src/lifecycle/registration.rs
+++ b/crates/coralstep-server/src/lifecycle/registration.rs
@@ -11,10 +11,11 @@
 use crate::decisions::SchedulerHandle;
 use crate::note;
 
-/// Between two heartbeats. A lease lapses after 3 s; guards against lost datagrams: one of ten is enough.
+/// Time between two heartbeats. A lease expires after 3 s, so one of ten datagrams is enough.
 const HEARTBEAT_PERIOD: Duration = Duration::from_millis(300);
 
-/// Sends heartbeats from when the scheduler is started until `draining`: before and after, nothing can be served here.
+/// Sends heartbeats from the start of the scheduler until `draining` is set. Before and after that,
+/// this server can't serve RPCs.
 pub async fn send_heartbeats(
     name: &str,
     endpoint: &Endpoint<Option<SocketAddr>>,
@@ -34,10 +35,11 @@
             moved.await;
             continue;
         };
-        // A socket a heartbeat: refusals stick to a socket, and nobody is to write to it in between.
-        // Guards against callers that take the last descriptor: one is reserved in between.
+        // Uses a new socket for each heartbeat, because a UDP socket reports an ICMP refusal on its
+        // next use, and no other process can send to it between heartbeats.
+        // Guards against callers that take the last descriptor: one is reserved between heartbeats.
         drop(reserved.take());
-        let sent = send(address, &heartbeat(name, scheduler));
+        let sent = send(address, &heartbeat_message(name, scheduler));
         reserved = reserve_descriptor();
         if let Err(error) = &sent
             && !failing
@@ -49,7 +51,7 @@
     }
 }
 
-fn heartbeat(name: &str, scheduler: &SchedulerHandle) -> String {
+fn heartbeat_message(name: &str, scheduler: &SchedulerHandle) -> String {
     let state = if scheduler.is_healthy() {
         "Ready"
     } else {
@@ -58,18 +60,18 @@
     format!("lease {name} {state}")
 }
 
-/// A descriptor that is used for nothing.
+/// Opens an unused descriptor, to be closed before a heartbeat.
 fn reserve_descriptor() -> Option<OwnedFd> {
     io::stderr().as_fd().try_clone_to_owned().ok()
 }
 
 fn send(address: SocketAddr, text: &str) -> io::Result<()> {
-    let any: SocketAddr = if address.is_ipv4() {
+    let unspecified: SocketAddr = if address.is_ipv4() {
         (Ipv4Addr::UNSPECIFIED, 0).into()
     } else {
         (Ipv6Addr::UNSPECIFIED, 0).into()
     };
-    let socket = UdpSocket::bind(any)?;
+    let socket = UdpSocket::bind(unspecified)?;
     socket.set_nonblocking(true)?;
     socket.send_to(text.as_bytes(), address)?;
     Ok(())
--- a/crates/coralstep-server/src/lifecycle/reload.rs
+++ b/crates/coralstep-server/src/lifecycle/reload.rs
@@ -1,4 +1,5 @@
-//! Reload: SIGHUP reads the files again, and a version of the fleet's settings takes the place of some sections.
+//! Configuration reload: SIGHUP reads the files again, and a version of the fleet's settings replaces
+//! some sections of the site file.
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -19,54 +20,56 @@
 use crate::note;
 use crate::runs::applications::Applications;
 
-/// Catches SIGHUP from now on.
+/// Installs a handler for SIGHUP.
 ///
-/// Guards against a reload that ends the process, also before the configuration was first read.
+/// Guards against a SIGHUP that ends the process, even before the configuration is read first.
 ///
 /// # Errors
-/// The system refuses to deliver the signal.
+/// Returns an error if the handler can't be installed.
 pub fn signals() -> io::Result<Signals> {
     Signals::new([Signal::Hup])
 }
 
-/// The parts of the server that take up new sections of the site file without a restart.
+/// The parts of the server that apply new sections of the site file without a restart.
 pub struct ReloadableParts {
-    /// Callers that speak SCGI.
+    /// The SCGI protocol for callers.
     pub scgi: Option<Rc<ScgiProtocol>>,
-    /// Applications that run the RPCs.
+    /// The pool of applications that run RPCs.
     pub applications: Option<Rc<Applications>>,
     /// Degradation levels.
     pub levels: Option<Rc<DegradationController>>,
-    /// Whether the sections are those of a version; the site file's are not taken then.
+    /// Whether a version of the fleet's settings is active, so that the sections of the site file
+    /// are ignored.
     pub version_active: Cell<bool>,
-    /// The site file with the version in its place.
-    pub version: RefCell<Option<SiteConfig>>,
+    /// The site file with the sections of the version.
+    pub versioned_site: RefCell<Option<SiteConfig>>,
 }
 
 /// Why a version of the fleet's settings is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum VersionError {
-    /// The version is faulty.
+    /// The version is invalid.
     #[error("{0}")]
     Config(String),
-    /// A part refused its section; the sections from before hold again.
+    /// A part rejected its section; the previous sections were restored.
     #[error("{0}")]
-    Refused(String),
-    /// A part refused its section, and another one that from before.
-    #[error("{refused}; and what was there before: {restored}")]
+    Rejected(String),
+    /// A part rejected its section, and restoring the previous sections failed.
+    #[error("{apply_error}; restoring the previous sections failed: {restore_error}")]
     NotRestored {
-        /// Why the new section was refused.
-        refused: String,
-        /// Why the old section was refused.
-        restored: String,
+        /// Why the new section was rejected.
+        apply_error: String,
+        /// Why the previous section was rejected.
+        restore_error: String,
     },
 }
 
 impl ReloadableParts {
-    /// Takes up a version of the fleet's settings on top of the site file `site`.
+    /// Applies a version of the fleet's settings on top of the site file `site`.
     ///
     /// # Errors
-    /// A faulty version, or a section that its part refuses; what was there before holds again.
+    /// Returns an error if the version is invalid or a part rejects its section. The previous
+    /// sections are then restored.
     pub fn apply_version(
         &self,
         content: &str,
@@ -79,21 +82,25 @@
             .map_err(|error| VersionError::Config(error.to_string()))?;
         starvation::check(&new, Some(site), names, config)
             .map_err(|error| VersionError::Config(error.to_string()))?;
-        let before = self.version.replace(Some(new.clone()));
-        let Err(refused) = self.apply(&new, names) else {
+        let previous = self.versioned_site.replace(Some(new.clone()));
+        let Err(apply_error) = self.apply(&new, names) else {
             self.version_active.set(true);
             return Ok(());
         };
-        // Guards against a version that is rejected and yet leaves some of its sections behind.
-        let old = before.clone().unwrap_or_else(|| site.clone());
-        self.version.replace(before);
+        // Guards against a rejected version of which some sections stay in effect.
+        let old = previous.clone().unwrap_or_else(|| site.clone());
+        self.versioned_site.replace(previous);
         match self.apply(&old, names) {
-            Ok(()) => Err(VersionError::Refused(refused)),
-            Err(restored) => Err(VersionError::NotRestored { refused, restored }),
+            Ok(()) => Err(VersionError::Rejected(apply_error)),
+            Err(restore_error) => Err(VersionError::NotRestored {
+                apply_error,
+                restore_error,
+            }),
         }
     }
 
-    /// Gives each part its section of `site`; ends with the first that refuses it.
+    /// Applies the sections of `site` to their parts. Stops at the first part that rejects its
+    /// section.
     fn apply(&self, site: &SiteConfig, names: &Names) -> Result<(), String> {
         if let (Some(levels), Some(section)) = (&self.levels, &site.levels) {
             levels.reload(section).map_err(|error| error.to_string())?;
@@ -108,12 +115,12 @@
         Ok(())
     }
 
-    /// Takes up the sections of a site file that was read again.
+    /// Applies the sections of a site file that was read again.
     fn apply_file(&self, new: &Config, start: &Config) {
         if self.version_active.get() {
-            // Guards against a server that reports a version as active and runs with the file's settings.
+            // Guards against a server that reports a version as active but uses the file's settings.
             return note!(
-                "reload: sections of the fleet's version stay, those of the file are ignored"
+                "reload: sections of the fleet's version stay active, those of the file are ignored"
             );
         }
         let site = &new.site;
@@ -138,7 +145,8 @@
     }
 }
 
-/// Takes up the files on each signal; files at fault change nothing. `start` is the configuration that the process began with.
+/// Reloads the files on each signal; invalid files change nothing. `start` is the configuration with
+/// which the process started.
 pub async fn run(
     mut signals: Signals,
     source: &ConfigFiles,
@@ -150,7 +158,7 @@
         match source.load() {
             Ok(new) => {
                 log_fixed_settings(&new, start);
-                move_endpoints(&new, endpoints);
+                replace_endpoints(&new, endpoints);
                 log_fixed_sections(&new.site, &start.site);
                 parts.apply_file(&new, start);
             }
@@ -169,7 +177,7 @@
     }
 }
 
-fn move_endpoints(new: &Config, endpoints: &Endpoints) {
+fn replace_endpoints(new: &Config, endpoints: &Endpoints) {
     endpoints.engine.set(new.engine);
     endpoints.store.set(new.store);
     endpoints.control_plane.set(new.control_plane);
--- a/crates/coralstep-server/src/lifecycle/snapshots.rs
+++ b/crates/coralstep-server/src/lifecycle/snapshots.rs
@@ -1,8 +1,8 @@
-//! Snapshots of what the scheduler learned, where the site file names a folder for them.
+//! Snapshots of the state that the scheduler has learned, if the site file names a folder for them.
 //!
-//! They are restored once at start, and written at intervals and at the end of a drain. A thread of
-//! its own writes: a disk that is slow, full or gone costs snapshots and a line in the log, never an
-//! RPC.
+//! A snapshot is restored at start, and snapshots are written at intervals and at the end of a drain.
+//! A separate thread writes them, so a slow, full or failed disk causes missing snapshots and a log
+//! line but delays no RPC.
 use std::cell::RefCell;
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::thread::JoinHandle;
@@ -22,17 +22,17 @@
 use crate::decisions::SchedulerHandle;
 use crate::note;
 
-/// Time between two looks at whether a snapshot is due.
+/// Interval at which the service checks whether a snapshot is due.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// The last snapshot, at the end of a drain, is waited for at most this long.
+/// Maximum time to wait for the final snapshot at the end of a drain.
 const MAX_FINAL_WAIT: Duration = Duration::from_millis(60);
-/// What a snapshot costs; its time is replaced by what it really took.
+/// Assumed cost of a snapshot. The time is replaced by the measured time of each snapshot.
 const ASSUMED_COST: StepCost = StepCost {
     time_ms: 20.0,
     cpu_ms: 1.0,
     bytes: 4_000.0,
 };
-/// Completions that may wait to be read.
+/// Maximum number of completions that wait to be read.
 const MAX_UNREAD_COMPLETIONS: usize = 4;
 
 const TASK: TaskConfig = TaskConfig {
@@ -40,28 +40,28 @@
     weight: 1.0,
 };
 
-/// Writes snapshots beside serving, and restored the last one at start.
+/// Restores the latest snapshot at start and writes snapshots in the background.
 pub struct SnapshotService {
-    /// Takes one snapshot at a time; `None` after the last.
+    /// Sends one snapshot at a time to the thread; `None` after the final one.
     requests: RefCell<Option<SyncSender<Box<LearnedState>>>>,
-    /// How long each snapshot took.
+    /// Receives the time that each snapshot took.
     completions: Receiver<Duration>,
     thread: RefCell<Option<JoinHandle<()>>>,
     interval: Duration,
 }
 
 impl SnapshotService {
-    /// Opens the folder, restores what is there and starts the thread.
+    /// Opens the folder, restores the latest snapshot and starts the thread.
     ///
-    /// Returns `None` if the folder or the thread is not to be had, which is logged: serving goes on
-    /// without.
+    /// Returns `None` and logs the error if the folder can't be opened or the thread can't be
+    /// started: the server then runs without snapshots.
     pub fn start(
-        terms: &StateConfig,
+        state_config: &StateConfig,
         config: &Config,
         scheduler: &SchedulerHandle,
     ) -> Option<SnapshotService> {
-        let folder = terms.folder.display();
-        let storage = DirStorage::open(&terms.folder)
+        let folder = state_config.folder.display();
+        let storage = DirStorage::open(&state_config.folder)
             .inspect_err(|error| {
                 note!(%folder, %error, "state folder unavailable, keeping no snapshots");
             })
@@ -83,17 +83,19 @@
         let thread = std::thread::Builder::new()
             .name("state".to_owned())
             .spawn(move || writer.run(&inbox, &outbox))
-            .inspect_err(|error| note!(%error, "no thread for snapshots, keeping none"))
+            .inspect_err(
+                |error| note!(%error, "snapshot thread could not be started, keeping no snapshots"),
+            )
             .ok()?;
         Some(SnapshotService {
             requests: RefCell::new(Some(requests)),
             completions,
             thread: RefCell::new(Some(thread)),
-            interval: Duration::from_secs(u64::from(terms.every_s)),
+            interval: Duration::from_secs(u64::from(state_config.every_s)),
         })
     }
 
-    /// Requests snapshots at their interval, as far as the budget beside serving allows.
+    /// Requests snapshots at their interval, if the budget for background work allows it.
     pub async fn run(&self, scheduler: &SchedulerHandle) {
         let mut background = BackgroundScheduler::new(Budget::default(), &[TASK]);
         let start = Instant::now();
@@ -112,20 +114,20 @@
                 .is_some();
             if may_request && self.request_snapshot(scheduler) {
                 last_requested = Instant::now();
-                // Its real cost follows with its completion.
+                // The completion reports the actual cost.
                 background.step_done(TASK.name, StepCost::default());
             }
         }
     }
 
-    /// Writes the last snapshot and waits for it for `MAX_FINAL_WAIT` at most: the process is about to end.
+    /// Writes the final snapshot before the process exits, waiting at most `MAX_FINAL_WAIT` for it.
     pub fn finish(&self, scheduler: &SchedulerHandle) {
         while self.completions.try_recv().is_ok() {}
         let is_requested = self.request_snapshot(scheduler);
         if is_requested && self.completions.recv_timeout(MAX_FINAL_WAIT).is_err() {
-            note!("last snapshot too slow, the one before it counts");
+            note!("final snapshot not written in time, the previous one will be restored");
         }
-        // Without a sender the thread ends; one that hangs in the disk is left to the system.
+        // Dropping the sender ends the thread. A thread that is blocked on the disk is not joined.
         self.requests.borrow_mut().take();
         let thread = self.thread.borrow_mut().take();
         if let Some(thread) = thread.filter(JoinHandle::is_finished) {
@@ -133,8 +135,8 @@
         }
     }
 
-    /// Hands a snapshot to the thread; `false` if one is still being written or there is nothing to
-    /// write.
+    /// Passes a snapshot to the thread. Returns `false` if one is still being written or the scheduler
+    /// is not started.
     fn request_snapshot(&self, scheduler: &SchedulerHandle) -> bool {
         let Some(learned) = scheduler.learned_state() else {
             return false;
@@ -146,7 +148,7 @@
     }
 }
 
-/// The part that runs on the thread.
+/// Writes the snapshots on the thread.
 struct SnapshotWriter {
     storage: DirStorage,
     fingerprint: Fingerprint,
@@ -175,7 +177,7 @@
         )
     }
 
-    /// Logs once that writing fails and once that it works again, not each attempt.
+    /// Logs the first failure to write and the first success after failures.
     fn log_change(&mut self, saved: Result<(), SaveError>) {
         let was_failing = std::mem::replace(&mut self.is_failing, saved.is_err());
         match saved {
--- a/crates/coralstep-server/src/runs/active_request.rs
+++ b/crates/coralstep-server/src/runs/active_request.rs
@@ -1,5 +1,5 @@
-//! An RPC in service, from the scheduler's first decision on it to its end: each event is carried
-//! out as it comes, by one function a kind of event.
+//! An RPC in progress, from the scheduler's first decision on it to its end. Each kind of event has
+//! its own handler function.
 use std::future::poll_fn;
 use std::ops::ControlFlow;
 use std::pin::Pin;
@@ -13,7 +13,7 @@
 use crate::runs::request_ids::IdClaim;
 use crate::runs::{Run, RunEvent, RunRequest};
 
-/// What an RPC in service waits for.
+/// Event of an RPC in progress.
 enum Event {
     Decision(Decision),
     Run(RunEvent),
@@ -21,47 +21,48 @@
     CallerDisconnected,
 }
 
-/// An RPC in service: admitted, and not yet finished. Fields are released in this order.
+/// An RPC that was submitted to the scheduler and is not finished. Fields are dropped in this order.
 pub(super) struct ActiveRequest<'a, R> {
     pub(super) store: &'a StoreClient,
     pub(super) run_request: RunRequest<'a>,
-    /// For so long after its start a run's id stays claimed, where a second run would do harm.
-    pub(super) claim_after_start: Option<Duration>,
-    /// What the run has asked the store; sent again should the call be repeated.
+    /// Time for which the id stays claimed after the run starts; `None` unless the method is
+    /// non-idempotent.
+    pub(super) claim_duration: Option<Duration>,
+    /// Body of the run's latest call to the store, kept for retries of the call.
     pub(super) call_body: Vec<u8>,
     pub(super) call: Option<StoreCall>,
     /// `None` once the RPC is answered.
     pub(super) reply: Option<R>,
     pub(super) ticket: RequestTicket,
-    /// Given back with the answer.
+    /// Released when the RPC is answered.
     pub(super) quota: Option<QuotaGuard>,
     pub(super) run: Box<dyn Run>,
     pub(super) claim: IdClaim,
 }
 
 impl<R: FnOnce(Reply<'_>)> ActiveRequest<'_, R> {
-    /// Serves the RPC until the scheduler is done with it. `caller_disconnected` ends when its caller has
-    /// left.
+    /// Serves the RPC until the scheduler is done with it. `caller_disconnected` completes when the
+    /// caller disconnects.
     pub(super) async fn serve(
         mut self,
         first_decision: Decision,
         mut caller_disconnected: Pin<&mut impl Future<Output = ()>>,
     ) {
-        let mut caller_present = true;
+        let mut caller_connected = true;
         let mut event = Event::Decision(first_decision);
         while self.apply(event).is_continue() {
-            let gone = async {
-                if !caller_present {
+            let disconnected = async {
+                if !caller_connected {
                     std::future::pending::<()>().await;
                 }
                 caller_disconnected.as_mut().await;
             };
-            event = self.next_event(gone).await;
-            caller_present &= !matches!(event, Event::CallerDisconnected);
+            event = self.next_event(disconnected).await;
+            caller_connected &= !matches!(event, Event::CallerDisconnected);
         }
     }
 
-    /// The next event; decisions come first where several are ready.
+    /// Waits for the next event. Decisions take precedence if several events are ready.
     async fn next_event(&mut self, caller_disconnected: impl Future<Output = ()>) -> Event {
         let (ticket, run) = (&self.ticket, &self.run);
         let call = &mut self.call;
@@ -82,7 +83,7 @@
     fn apply(&mut self, event: Event) -> ControlFlow<()> {
         match event {
             Event::Decision(Decision::Finished) => return ControlFlow::Break(()),
-            Event::Decision(decision) => self.carry_out(decision),
+            Event::Decision(decision) => self.execute(decision),
             Event::Run(RunEvent::CallNeeded(body)) => self.on_call_needed(body),
             Event::Run(RunEvent::Ended(outcome)) => self.on_run_ended(outcome),
             Event::CallEnded(result) => self.on_call_ended(result),
@@ -91,7 +92,7 @@
         ControlFlow::Continue(())
     }
 
-    fn carry_out(&mut self, decision: Decision) {
+    fn execute(&mut self, decision: Decision) {
         match decision {
             Decision::Run => self.start_run(),
             Decision::Call { timeout } => {
@@ -114,7 +115,7 @@
     }
 
     fn start_run(&mut self) {
-        if let Some(span) = self.claim_after_start {
+        if let Some(span) = self.claim_duration {
             self.claim.mark_started(Instant::now() + span);
         }
         self.run.start(&self.run_request);
@@ -137,7 +138,7 @@
     }
 
     fn on_run_ended(&mut self, outcome: RunOutcome) {
-        // Nobody waits for its call any more.
+        // The run no longer needs the result of its call.
         self.call = None;
         match &outcome {
             RunOutcome::Ok(result) => self.answer(Reply::Ok(result)),
@@ -153,7 +154,7 @@
         self.ticket.report(Progress::CallerDisconnected);
     }
 
-    /// The first answer is the only one; with it the RPC counts no longer against its quotas.
+    /// Sends the answer and releases the quota permit. Does nothing if the RPC is already answered.
     fn answer(&mut self, reply: Reply<'_>) {
         if let Some(send) = self.reply.take() {
             send(reply);
--- a/crates/coralstep-server/src/runs/applications/attempt.rs
+++ b/crates/coralstep-server/src/runs/applications/attempt.rs
@@ -1,12 +1,12 @@
 //! One attempt at one application.
 //!
-//! | seen | outcome | proves that it never ran |
+//! | event | outcome | known not to have run |
 //! | --- | --- | --- |
-//! | connection refused, unreachable, or none within the limit; closed before anything was written | never started | yes |
-//! | a whole answer of 2xx to 4xx | ok with the body (2xx), error | no |
-//! | a whole answer of 5xx | error | no |
-//! | anything else once a byte has left: reset, cut short, oversize, no status, headers without end, longer than its length | error | no |
-//! | the RPC's deadline passes | a failure of the application; the attempt goes on | no |
+//! | connection refused, application unreachable, or connect timeout; connection closed before anything was written | never started | yes |
+//! | complete response with status 2xx to 4xx | ok with the body (2xx), error (3xx, 4xx) | no |
+//! | complete response with status 5xx | error | no |
+//! | any other failure after a byte was sent: connection reset, response truncated, too large, without a status, with unterminated headers or longer than its stated length | error | no |
+//! | deadline of the RPC passes | failure of the application; the attempt continues | no |
 use std::cell::Cell;
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -18,29 +18,29 @@
 
 use crate::decisions::RunOutcome;
 use crate::note;
-use crate::runs::applications::{Applications, Job};
+use crate::runs::applications::{Applications, RunInput};
 
-/// Bytes read at once, at first.
+/// Initial size of the read buffer, in bytes.
 const READ_SIZE: usize = 4 * 1024;
-/// Bounds of the headers of one answer.
+/// Limits on the headers of a response.
 const MAX_HEADERS: usize = 64;
 const MAX_HEADER_BYTES: usize = 8 * 1024;
 
-/// What an attempt led to.
+/// Result of an attempt.
 pub(super) enum AttemptResult {
-    /// The run has ended; another attempt could not better that.
+    /// The run has ended, and no retry could improve its outcome.
     Outcome(RunOutcome),
-    /// The attempt ended so, without an outcome of the run.
+    /// The attempt ended without determining the run's outcome.
     Inconclusive(End),
 }
 
-/// A whole answer.
+/// A complete response.
 struct Response {
     status: u16,
     body: Vec<u8>,
 }
 
-/// Gives the pick of an attempt back, however that ends.
+/// Returns the pick of an attempt to the balancer when dropped.
 struct PickGuard<'a> {
     applications: &'a Applications,
     pick: Option<Pick>,
@@ -59,7 +59,7 @@
 }
 
 impl PickGuard<'_> {
-    /// The RPC's deadline has passed with the attempt still open.
+    /// Records that the RPC's deadline passed before the attempt ended.
     fn mark_overdue(&mut self) {
         let applications = self.applications;
         if let Some(pick) = &mut self.pick {
@@ -72,38 +72,38 @@
 
 impl Applications {
     /// Makes one attempt, at the application of `pick`.
-    pub(super) async fn attempt(&self, job: &Job, pick: Pick) -> AttemptResult {
+    pub(super) async fn attempt(&self, input: &RunInput, pick: Pick) -> AttemptResult {
         let address = *self.pool.borrow().key(&pick);
         let mut guard = PickGuard {
             applications: self,
             pick: Some(pick),
             end: End::GivenUp,
         };
-        let bytes_left = Cell::new(false);
-        let mut exchange = std::pin::pin!(self.exchange(address, job, &bytes_left));
+        let any_sent = Cell::new(false);
+        let mut exchange = std::pin::pin!(self.exchange(address, input, &any_sent));
         let overdue = async {
-            Timer::at(job.deadline).await;
+            Timer::at(input.deadline).await;
             None
         };
         let in_time = async { Some(exchange.as_mut().await) }.or(overdue).await;
         let exchanged = match in_time {
             Some(exchanged) => exchanged,
             None => {
-                // Its end is waited for all the same, for it may still be at work.
+                // Waits for the end of the attempt, because the application may still be running it.
                 guard.mark_overdue();
                 exchange.await
             }
         };
         let (end, result) = match exchanged {
-            Ok(response) => judge_response(response),
+            Ok(response) => classify_response(response),
             Err(error) => {
                 note!(
                     application = %address,
-                    rpc_id = %job.id,
+                    rpc_id = %input.id,
                     %error,
                     "application attempt failed"
                 );
-                let end = judge_failure(&error, bytes_left.get());
+                let end = classify_failure(&error, any_sent.get());
                 (end, AttemptResult::Inconclusive(end))
             }
         };
@@ -111,13 +111,13 @@
         result
     }
 
-    /// Sends the request and reads the answer. `bytes_left` is set once any byte may have reached
+    /// Sends the request and reads the response. `any_sent` is set once any byte may have reached
     /// the application.
     async fn exchange(
         &self,
         address: SocketAddr,
-        job: &Job,
-        bytes_left: &Cell<bool>,
+        input: &RunInput,
+        any_sent: &Cell<bool>,
     ) -> io::Result<Response> {
         let (connect_timeout, max_body_bytes) = {
             let config = self.config.borrow();
@@ -129,12 +129,12 @@
         };
         let stream = self.descriptors.dial(address).or(timeout).await?;
         let _ = stream.get_ref().set_nodelay(true);
-        write_request(&stream, &job.bytes, bytes_left).await?;
+        write_request(&stream, &input.bytes, any_sent).await?;
         read_response(&stream, max_body_bytes).await
     }
 }
 
-fn judge_response(Response { status, body }: Response) -> (End, AttemptResult) {
+fn classify_response(Response { status, body }: Response) -> (End, AttemptResult) {
     match status {
         ..300 => {
             let outcome = RunOutcome::Ok(body.into());
@@ -145,8 +145,8 @@
     }
 }
 
-fn judge_failure(error: &io::Error, bytes_left: bool) -> End {
-    if bytes_left {
+fn classify_failure(error: &io::Error, any_sent: bool) -> End {
+    if any_sent {
         End::Broken
     } else if error.kind() == io::ErrorKind::ConnectionRefused {
         End::Refused
@@ -158,7 +158,7 @@
 async fn write_request(
     mut stream: &Async<TcpStream>,
     bytes: &[u8],
-    bytes_left: &Cell<bool>,
+    any_sent: &Cell<bool>,
 ) -> io::Result<()> {
     let mut rest = bytes;
     while !rest.is_empty() {
@@ -166,7 +166,7 @@
         if count == 0 {
             return Err(io::ErrorKind::WriteZero.into());
         }
-        bytes_left.set(true);
+        any_sent.set(true);
         rest = &rest[count..];
     }
     Ok(())
@@ -184,7 +184,7 @@
     let (mut buffer, mut filled, mut ended) = (vec![0; READ_SIZE], 0, false);
     loop {
         if filled == buffer.len() {
-            // What is longer than any answer was found out before.
+            // `decode` rejects responses that exceed the limits, which bounds the buffer.
             buffer.resize(2 * filled, 0);
         }
         match stream.read(&mut buffer[filled..]).await? {
--- a/crates/coralstep-server/src/runs/applications/mod.rs
+++ b/crates/coralstep-server/src/runs/applications/mod.rs
@@ -1,11 +1,11 @@
-//! SCGI applications that run RPCs: one connection an attempt. Which application, and whether there
-//! is another attempt, is decided by the balancer (`coralstep-balancer`); what an attempt proves is
-//! found out here.
+//! Pool of SCGI applications that run RPCs, with one connection per attempt. The balancer
+//! (`coralstep-balancer`) selects the application and decides on retries; this module makes the
+//! attempts and determines their outcome.
 //!
-//! | file | job |
+//! | file | contents |
 //! | --- | --- |
-//! | `attempt.rs` | one attempt at one application, and what it proves |
-//! | `run.rs` | one RPC's run, as its lifecycle sees it; the SCGI request |
+//! | `attempt.rs` | one attempt at one application, and its outcome |
+//! | `run.rs` | the run of one RPC, and its SCGI request |
 mod attempt;
 mod run;
 
@@ -30,15 +30,15 @@
 use crate::runs::applications::run::ApplicationRun;
 use crate::runs::{Backend, Run, RunEvents};
 
-/// One run.
+/// State of one run.
 #[derive(Default)]
 struct RunState {
     events: RunEvents,
     task: Option<Task<()>>,
 }
 
-/// What the attempts of one run need.
-struct Job {
+/// Data that the attempts of one run share.
+struct RunInput {
     id: RequestId,
     /// The SCGI request.
     bytes: Vec<u8>,
@@ -46,7 +46,7 @@
     deadline: Instant,
 }
 
-/// All applications, and the runs at them.
+/// The pool of applications and the runs at them.
 pub struct Applications {
     executor: Rc<LocalExecutor<'static>>,
     descriptors: Rc<Descriptors>,
@@ -70,7 +70,8 @@
 }
 
 impl Applications {
-    /// The applications that `config` lists. `seed` is for the balancer's random choices.
+    /// Creates a pool of the applications that `config` lists. `seed` initializes the balancer's
+    /// random number generator.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         descriptors: Rc<Descriptors>,
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Takes up another list of applications, and all else that is stated of them; what is open
-    /// stays where it is.
+    /// Replaces the list of applications and their settings. Open attempts continue at their
+    /// application.
     pub fn reload(&self, config: &ApplicationsConfig) {
         let mut pool = self.pool.borrow_mut();
         pool.reload(pool_config(config));
@@ -99,14 +100,14 @@
         *self.config.borrow_mut() = config.clone();
     }
 
-    /// Sets how many processes send to the applications, as the fleet has it.
+    /// Sets the number of server processes in the fleet that send to the applications.
     pub fn set_process_count(&self, count: usize) {
         let count = u32::try_from(count).unwrap_or(u32::MAX);
         self.pool.borrow_mut().processes(count);
     }
 
-    /// Passes on what is seen of each application, and takes in what other servers saw: the
-    /// outcomes that its breaker needs, and when a cooldown ends.
+    /// Reports the breaker status of each application, and applies what other servers reported: the
+    /// number of outcomes after which its breaker may open, and the end of a cooldown.
     pub fn exchange_health(&self, exchange: ExchangeHealth<'_>) {
         let now = self.now();
         let views = self.pool.borrow().view(now);
@@ -128,7 +129,7 @@
         self.clock.now()
     }
 
-    /// Each change of an application's breaker is one event.
+    /// Logs each change of an application's breaker.
     fn log_breaker_changes(&self) {
         for (address, transition) in self.pool.borrow_mut().turns() {
             let dependency = address.to_string();
@@ -148,44 +149,46 @@
         }
     }
 
-    /// Makes attempts until there is an outcome, or no more may be made.
-    async fn run_to_outcome(&self, job: &Job) -> RunOutcome {
+    /// Makes attempts until one has an outcome or no retry is allowed.
+    async fn run_to_outcome(&self, input: &RunInput) -> RunOutcome {
         self.pool.borrow_mut().first_try();
         let mut attempts_made = 0;
         let mut last_slot = None;
-        let mut proven_unstarted = true;
+        let mut never_started = true;
         loop {
             let selection = self.pool.borrow_mut().choose(self.now(), last_slot);
             self.log_breaker_changes();
             let pick = match selection {
                 Ok(pick) => pick,
-                Err(back) => return no_outcome(proven_unstarted, clock::duration(back)),
+                Err(retry_after) => {
+                    return inconclusive_outcome(never_started, clock::duration(retry_after));
+                }
             };
             attempts_made += 1;
             last_slot = Some(pick.slot());
-            let end = match self.attempt(job, pick).await {
+            let end = match self.attempt(input, pick).await {
                 AttemptResult::Outcome(outcome) => return outcome,
                 AttemptResult::Inconclusive(end) => end,
             };
-            proven_unstarted &= end.is_unstarted();
-            let deadline = self.clock.at(job.deadline);
+            never_started &= end.is_unstarted();
+            let deadline = self.clock.at(input.deadline);
             let may_retry = self.pool.borrow_mut().repeats(
                 self.now(),
                 end,
-                job.idempotent,
+                input.idempotent,
                 attempts_made,
                 deadline,
             );
             if !may_retry {
-                return no_outcome(proven_unstarted, Duration::ZERO);
+                return inconclusive_outcome(never_started, Duration::ZERO);
             }
         }
     }
 }
 
-/// How a run ended none of whose attempts had an outcome.
-fn no_outcome(proven_unstarted: bool, retry_after: Duration) -> RunOutcome {
-    if proven_unstarted {
+/// Returns the outcome of a run whose attempts were all inconclusive.
+fn inconclusive_outcome(never_started: bool, retry_after: Duration) -> RunOutcome {
+    if never_started {
         RunOutcome::NeverStarted { retry_after }
     } else {
         RunOutcome::Error
--- a/crates/coralstep-server/src/runs/applications/run.rs
+++ b/crates/coralstep-server/src/runs/applications/run.rs
@@ -1,4 +1,4 @@
-//! One RPC's run at the applications, and the SCGI request that it sends.
+//! The run of one RPC at the applications, and its SCGI request.
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
@@ -7,16 +7,16 @@
 use crate::base::request_id::RequestId;
 use crate::decisions::RunOutcome;
 use crate::note;
-use crate::runs::applications::{Applications, Job};
+use crate::runs::applications::{Applications, RunInput};
 use crate::runs::{Run, RunEvent, RunRequest};
 
-/// What an application is told beside the body, each in a header of its own.
+/// Headers that carry the RPC's metadata.
 const ID_HEADER: &str = "CORALSTEP_ID";
 const METHOD_HEADER: &str = "CORALSTEP_METHOD";
 const TENANT_HEADER: &str = "CORALSTEP_TENANT";
 const IDEMPOTENCY_KEY_HEADER: &str = "HTTP_IDEMPOTENCY_KEY";
 
-/// One RPC's run at the applications; unregistered when dropped.
+/// The run of one RPC at the applications; unregistered when dropped.
 pub(super) struct ApplicationRun {
     pub(super) applications: Rc<Applications>,
     pub(super) id: RequestId,
@@ -24,8 +24,8 @@
 
 impl Drop for ApplicationRun {
     fn drop(&mut self) {
-        // With the task its connection ends, and its pick goes back: not while the table is
-        // borrowed.
+        // Dropping the task closes its connection and returns its pick, which must not happen
+        // while the table is borrowed.
         let state = self.applications.runs.borrow_mut().remove(&self.id);
         drop(state);
     }
@@ -45,7 +45,7 @@
         if let Some(tenant) = request.tenant {
             headers.push((TENANT_HEADER, tenant.as_bytes()));
         }
-        // A header can't hold a zero byte.
+        // SCGI headers can't contain a NUL byte.
         if let Some(key) = request.idempotency_key.filter(|key| !key.contains(&0)) {
             headers.push((IDEMPOTENCY_KEY_HEADER, key));
         }
@@ -65,7 +65,7 @@
 
 impl Run for ApplicationRun {
     fn start(&self, request: &RunRequest<'_>) {
-        let job = Job {
+        let input = RunInput {
             id: self.id,
             bytes: self.request_bytes(request),
             idempotent: request.idempotent,
@@ -73,8 +73,8 @@
         };
         let applications = self.applications.clone();
         let task = self.applications.executor.spawn(async move {
-            let outcome = applications.run_to_outcome(&job).await;
-            if let Some(state) = applications.runs.borrow_mut().get_mut(&job.id) {
+            let outcome = applications.run_to_outcome(&input).await;
+            if let Some(state) = applications.runs.borrow_mut().get_mut(&input.id) {
                 state.events.push(RunEvent::Ended(outcome));
             }
         });
@@ -83,12 +83,13 @@
         }
     }
 
-    /// An application calls what it needs by itself.
+    /// Does nothing: an application calls its dependencies itself.
     fn resume(&self, _call_result: &[u8]) {}
 
     fn mark_answered(&self) {}
 
-    /// Its connection is closed; only what may run twice is stopped, so nothing need be proven.
+    /// Closes the connection. Only idempotent runs are cancelled, so whether the run started
+    /// doesn't matter.
     fn cancel(&self) {
         if let Some(state) = self.applications.runs.borrow_mut().get_mut(&self.id)
             && state.task.take().is_some()
@@ -97,7 +98,7 @@
         }
     }
 
-    /// SCGI has no words for it.
+    /// Does nothing: SCGI has no status query.
     fn query_status(&self, _request: &RunRequest<'_>) {}
 
     fn poll_event(&self, cx: &mut Context<'_>) -> Poll<RunEvent> {
--- a/crates/coralstep-server/src/runs/engine/connection.rs
+++ b/crates/coralstep-server/src/runs/engine/connection.rs
@@ -1,5 +1,5 @@
-//! Keeps a link to the engine up: attached anew after a break, moved when the engine's address
-//! changes.
+//! Keeps a link to the engine up: reconnects after a loss, and moves the link when the engine's
+//! address changes.
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::panic::AssertUnwindSafe;
@@ -19,15 +19,15 @@
 use crate::runs::engine::link::Link;
 use crate::runs::engine::protocol::{self, Command};
 
-/// Bounds of the wait between two attempts to connect. What runs meanwhile can't be told anything,
-/// and the engine is on this machine: the waits stay short.
+/// Bounds of the delay between two attempts to connect. The delay is short because no command
+/// reaches current runs meanwhile, and the engine is on this machine.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(20);
 const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(200);
-/// The longest wait for a connection.
+/// Maximum time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The longest wait for an old link to have read all, before another replaces it.
+/// Maximum time until the engine has read everything on an old link, before a new one replaces it.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(300);
-/// Bytes read at once, and half of the longest run of messages that is held.
+/// Half of the read buffer's size, in bytes. A message must fit into the buffer.
 const READ_SIZE: usize = 64 * 1024;
 
 /// Why a link ended.
@@ -35,9 +35,9 @@
 enum LinkError {
     #[error(transparent)]
     Io(#[from] io::Error),
-    #[error("a message without end")]
+    #[error("message too long")]
     MessageTooLong,
-    #[error("garbled")]
+    #[error("corrupt message")]
     Corrupt,
 }
 
@@ -56,7 +56,7 @@
     Ok(Connection { address, stream })
 }
 
-/// Where the engine is; waits until that is known.
+/// Returns the engine's address, waiting until one is configured.
 async fn current_address(endpoint: &Endpoint<Option<SocketAddr>>) -> SocketAddr {
     loop {
         let moved = endpoint.replaced();
@@ -68,7 +68,7 @@
 }
 
 impl Engine {
-    /// Keeps a link for good, to wherever the engine is.
+    /// Keeps a link to the engine's current address. Never returns.
     pub async fn maintain_link(
         &self,
         endpoints: &Endpoints,
@@ -84,20 +84,19 @@
             };
             let opened = Instant::now();
             replacement = self.serve_link(connection, endpoints, scheduler).await;
-            // Guards against a peer that takes each link and ends it without a word: only a link on
-            // which the engine spoke is made anew at once.
-            let engine_spoke = self.close_link();
-            if engine_spoke {
+            // Guards against a peer that accepts connections and closes them at once: only a link on
+            // which a message was received is replaced without delay.
+            let message_received = self.close_link();
+            if message_received {
                 backoff.reset();
             }
-            if !engine_spoke || opened.elapsed() < MIN_RECONNECT_DELAY {
+            if !message_received || opened.elapsed() < MIN_RECONNECT_DELAY {
                 Timer::after(backoff.next_delay()).await;
             }
         }
     }
 
-    /// Serves one link to its end; where the engine has moved, with the connection to where it is
-    /// now.
+    /// Serves one link to its end. Returns a connection to the engine's new address if it has moved.
     async fn serve_link(
         &self,
         connection: Connection,
@@ -135,9 +134,9 @@
         let replace = async { Ok(self.replacement(endpoints, address).await) };
         let send = async {
             loop {
-                let command_waiting = self.command_waiting.listen();
-                self.send_waiting();
-                command_waiting.await;
+                let command_queued = self.command_queued.listen();
+                self.send_queued();
+                command_queued.await;
             }
         };
         write.or(read).or(replace).or(send).await
@@ -155,19 +154,19 @@
         outbox
     }
 
-    /// Whether the engine spoke on the link that ends.
+    /// Closes the link. Returns whether the engine sent a message on it.
     fn close_link(&self) -> bool {
         self.gauge_readings.borrow_mut().clear();
         let Some(link) = self.link.borrow_mut().take() else {
             return false;
         };
         self.runs.borrow_mut().handle_link_lost(&link);
-        link.engine_spoke
+        link.message_received
     }
 
-    fn send_waiting(&self) {
+    fn send_queued(&self) {
         if let Some(link) = self.link.borrow_mut().as_mut() {
-            self.runs.borrow_mut().send_waiting(link);
+            self.runs.borrow_mut().send_queued(link);
         }
     }
 
@@ -190,7 +189,7 @@
         }
     }
 
-    /// Dispatches all whole messages; the bytes that they take.
+    /// Dispatches all complete messages and returns their total length in bytes.
     fn dispatch_all(
         &self,
         bytes: &[u8],
@@ -204,8 +203,9 @@
         Ok(used)
     }
 
-    /// Ends when the engine has moved, with a connection to where it is now, after all that was
-    /// sent on the old link was read there: guards against commands that are lost with it.
+    /// Waits until the engine's address changes and returns a connection to the new address, after
+    /// the engine has read everything on the old link. Guards against commands lost with the old
+    /// link.
     async fn replacement(&self, endpoints: &Endpoints, from: SocketAddr) -> Connection {
         let endpoint = &endpoints.engine;
         loop {
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Sends no more commands, and waits until all that were sent are read.
+    /// Stops sending commands and waits until those already sent are read.
     async fn drain_link(&self) {
         let drained = self.drained.listen();
         {
@@ -245,7 +245,7 @@
     }
 }
 
-/// Connects to the engine, however long that takes. A series of failures is logged once.
+/// Connects to the engine, retrying until it succeeds. Logs only the first failure.
 async fn establish(endpoints: &Endpoints, backoff: &mut Backoff) -> Connection {
     let mut failed = false;
     loop {
--- a/crates/coralstep-server/src/runs/engine/dispatch.rs
+++ b/crates/coralstep-server/src/runs/engine/dispatch.rs
@@ -1,4 +1,4 @@
-//! What each of the engine's messages leads to.
+//! Handlers of the engine's messages.
 use std::time::{Duration, Instant};
 
 use crate::decisions::{RunOutcome, SchedulerHandle};
@@ -7,8 +7,8 @@
 use crate::runs::engine::Engine;
 use crate::runs::engine::protocol::{Command, Message, Notification, Parsed};
 
-/// The start of an engine is only known to a few milliseconds; one that moved by more is another
-/// engine.
+/// Maximum difference between two estimates of one engine's start time, which are accurate to a few
+/// milliseconds. A larger difference means that the engine was restarted.
 const MAX_START_JITTER: Duration = Duration::from_millis(500);
 
 impl Engine {
@@ -23,7 +23,7 @@
                 number,
                 notification,
             } => self.on_notification(number, notification, &words),
-            Message::Refused { command, id } => self.on_refused(command, id),
+            Message::Rejected { command, id } => self.on_rejected(command, id),
             Message::Unknown => log_unknown(&words),
         }
     }
@@ -31,20 +31,22 @@
     fn on_hello(&self, state: &str, uptime: Duration, scheduler: &SchedulerHandle) {
         let now = Instant::now();
         let up_since = now.checked_sub(uptime).unwrap_or(now);
-        let known = self.up_since.replace(Some(up_since));
+        let previous = self.up_since.replace(Some(up_since));
         note!(
             uptime_ms = uptime.as_millis() as u64,
             state,
             "engine attached"
         );
-        if known.is_some_and(|known| up_since.saturating_duration_since(known) > MAX_START_JITTER) {
+        if previous
+            .is_some_and(|previous| up_since.saturating_duration_since(previous) > MAX_START_JITTER)
+        {
             note!("engine restarted");
             self.last_notification.set(0);
             self.runs.borrow_mut().handle_engine_restart();
         }
         scheduler.start(Some(state == "new"), uptime);
         if let Some(link) = self.link.borrow_mut().as_mut() {
-            link.engine_spoke = true;
+            link.message_received = true;
             link.write(Command::ConfirmAttached);
         }
     }
@@ -55,8 +57,8 @@
             return;
         };
         link.ready = true;
-        self.runs.borrow_mut().send_again(link);
-        link.ask_gauges();
+        self.runs.borrow_mut().resend_unread(link);
+        link.request_gauges();
     }
 
     fn on_drained(&self) {
@@ -68,14 +70,14 @@
 
     fn on_gauges(&self, readings: Vec<Option<f64>>) {
         if let Some(link) = self.link.borrow_mut().as_mut() {
-            link.handle_answer();
-            self.command_waiting.notify(1);
+            link.handle_gauges_received();
+            self.command_queued.notify(1);
         }
         *self.gauge_readings.borrow_mut() = readings;
     }
 
-    /// One that was read before is nothing new: the engine sends again what a broken link may have
-    /// lost.
+    /// Ignores notifications that were read before: after a lost link, the engine resends those that
+    /// may have been lost.
     fn on_notification(&self, number: u64, notification: Notification<'_>, words: &[&str]) {
         if number <= self.last_notification.get() {
             return;
@@ -96,14 +98,14 @@
             Notification::CallNeeded { id, body } => {
                 self.deliver(id, RunEvent::CallNeeded(body.to_vec()));
             }
-            Notification::Note | Notification::Unknown => {}
+            Notification::Text | Notification::Unknown => {}
         }
     }
 
-    fn on_refused(&self, command: &str, id: &str) {
-        note!(rpc_id = id, command, "command refused by engine");
+    fn on_rejected(&self, command: &str, id: &str) {
+        note!(rpc_id = id, command, "engine rejected command");
         if command == Command::RUN {
-            // Guards against a run that is never to begin and counts as one for good.
+            // Guards against a rejected run that counts as in progress forever.
             self.deliver(id, RunEvent::Ended(RunOutcome::NoLongerNeeded));
         }
     }
--- a/crates/coralstep-server/src/runs/engine/in_flight.rs
+++ b/crates/coralstep-server/src/runs/engine/in_flight.rs
@@ -1,5 +1,5 @@
-//! The runs registered at the engine, and the last command of each until a notification proves that
-//! it was read.
+//! The runs registered at the engine. Each run's last command is kept until a notification proves
+//! that the engine read it.
 use std::collections::hash_map::{Entry, HashMap};
 use std::time::{Duration, Instant};
 
@@ -10,18 +10,18 @@
 use crate::runs::engine::protocol::Command;
 use crate::runs::{RunEvent, RunEvents};
 
-/// An answer has reached its gateway after so long, and the engine knows that the RPC is over.
-pub(super) const ANSWER_KNOWN_AFTER: Duration = Duration::from_secs(1);
+/// Time after which an answer has reached the gateway and the engine knows that the RPC is answered.
+pub(super) const ANSWER_PROPAGATION_TIME: Duration = Duration::from_secs(1);
 
 /// The last command of a run.
 pub(super) struct PendingCommand {
     pub(super) bytes: Vec<u8>,
-    /// It begins the run.
+    /// Whether it starts the run.
     pub(super) starts_run: bool,
-    /// It may be sent again though it may have been read.
+    /// Whether it may be resent even if the engine may have read it.
     pub(super) repeatable: bool,
     pub(super) sent: Option<Sent>,
-    /// The engine is known to have read it.
+    /// Whether the engine is known to have read it.
     pub(super) read: bool,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// One run.
+/// State of one run.
 #[derive(Default)]
 pub(super) struct RunState {
     pub(super) events: RunEvents,
@@ -53,10 +53,10 @@
 }
 
 impl RunState {
-    /// Whether the engine knows by now that the RPC is over, so that nothing can begin any more.
-    pub(super) fn is_known_answered(&self) -> bool {
+    /// Returns whether the engine knows that the RPC is answered, so that it starts no run for it.
+    pub(super) fn engine_knows_answer(&self) -> bool {
         self.answered_at
-            .is_some_and(|at| at.elapsed() >= ANSWER_KNOWN_AFTER)
+            .is_some_and(|at| at.elapsed() >= ANSWER_PROPAGATION_TIME)
     }
 
     fn push(&mut self, event: RunEvent) {
@@ -64,8 +64,8 @@
         self.events.push(event);
     }
 
-    /// Whether the engine may have begun it.
-    fn may_have_begun(&self) -> bool {
+    /// Returns whether the engine may have started the run.
+    fn may_have_started(&self) -> bool {
         let unsent = self
             .command
             .as_ref()
@@ -74,16 +74,16 @@
     }
 }
 
-/// All runs registered at the engine.
+/// Table of all runs registered at the engine.
 #[derive(Default)]
 pub(super) struct InFlightRuns {
     runs: HashMap<RequestId, RunState>,
-    /// Nobody knows whether these began.
+    /// Runs of which it is unknown whether they started.
     in_doubt: Vec<RequestId>,
 }
 
 impl InFlightRuns {
-    /// Registers a run; `false` where one of this id is registered.
+    /// Registers a run. Returns `false` if one with this id is already registered.
     pub(super) fn register(&mut self, id: RequestId) -> bool {
         match self.runs.entry(id) {
             Entry::Occupied(_) => false,
@@ -102,7 +102,7 @@
         self.runs.get_mut(&id)
     }
 
-    /// Sets the last command of a run; `false` where it is not registered.
+    /// Sets the last command of a run. Returns `false` if the run is not registered.
     pub(super) fn set_command(&mut self, id: RequestId, command: PendingCommand) -> bool {
         let Some(run) = self.runs.get_mut(&id) else {
             return false;
@@ -112,14 +112,14 @@
         true
     }
 
-    /// Sends all commands that wait, with a question behind them, once all that was sent before is
+    /// Sends all queued commands, followed by a request for the gauges, if everything sent before is
     /// known to be read.
-    pub(super) fn send_waiting(&mut self, link: &mut Link) {
+    pub(super) fn send_queued(&mut self, link: &mut Link) {
         if !link.may_send() {
             return;
         }
         let mut any_sent = false;
-        for id in std::mem::take(&mut link.waiting) {
+        for id in std::mem::take(&mut link.queued) {
             let command = self.runs.get_mut(&id).and_then(|run| run.command.as_mut());
             if let Some(command) = command.filter(|command| command.sent.is_none()) {
                 link.send(command);
@@ -127,30 +127,31 @@
             }
         }
         if any_sent {
-            link.ask_gauges();
+            link.request_gauges();
         }
     }
 
-    /// Guards against a run that never began but counts as one for good: once its RPC is over
-    /// nothing can begin any more, so the same command draws its end.
-    pub(super) fn resolve_doubts(&mut self, link: &Link) {
+    /// Resends the start command of runs in doubt whose RPC is answered: the engine no longer starts
+    /// them and reports their end. Guards against a run that never started but counts as in
+    /// progress forever.
+    pub(super) fn resolve_in_doubt(&mut self, link: &Link) {
         let runs = &mut self.runs;
         self.in_doubt.retain(|id| {
             let Some(run) = runs.get_mut(id) else {
                 return false;
             };
-            let known_answered = run.is_known_answered();
+            let engine_knows_answer = run.engine_knows_answer();
             let Some(command) = &mut run.command else {
                 return false;
             };
-            if known_answered {
+            if engine_knows_answer {
                 link.send(command);
             }
-            !known_answered
+            !engine_knows_answer
         });
     }
 
-    /// Notes what is known of all commands as `link` ends; the rest is in doubt until the
+    /// Updates the state of all commands when `link` ends. The other commands are in doubt until the
     /// notifications are replayed.
     pub(super) fn handle_link_lost(&mut self, link: &Link) {
         let commands = self
@@ -160,9 +161,9 @@
         commands.for_each(|command| link.resolve(command));
     }
 
-    /// All notifications since the last link were read: what is still without one is sent on
-    /// `link`, where that is safe.
-    pub(super) fn send_again(&mut self, link: &Link) {
+    /// Resends on `link` the commands that no notification has confirmed, if that is safe. Called
+    /// once all notifications missed since the last link were read.
+    pub(super) fn resend_unread(&mut self, link: &Link) {
         for (id, run) in &mut self.runs {
             if run.cancelled {
                 link.write(Command::Cancel { id: *id });
@@ -181,14 +182,14 @@
         }
     }
 
-    /// The engine was restarted: all that ran has ended with the one that ran it.
+    /// Ends all runs that may have started on the engine before it was restarted.
     pub(super) fn handle_engine_restart(&mut self) {
-        for run in self.runs.values_mut().filter(|run| run.may_have_begun()) {
+        for run in self.runs.values_mut().filter(|run| run.may_have_started()) {
             run.push(RunEvent::Ended(RunOutcome::Cancelled));
         }
     }
 
-    /// Passes an event on to its run; `false` where no such run has been started.
+    /// Delivers an event to its run. Returns `false` if no such run has been started.
     pub(super) fn deliver(&mut self, id: &str, event: RunEvent) -> bool {
         let run = RequestId::parse(id).and_then(|id| self.runs.get_mut(&id));
         let Some(run) = run.filter(|run| run.started) else {
--- a/crates/coralstep-server/src/runs/engine/link.rs
+++ b/crates/coralstep-server/src/runs/engine/link.rs
@@ -1,4 +1,4 @@
-//! One connection to the engine, and what is proven of the commands that were sent on it.
+//! One connection to the engine, which tracks which commands sent on it are known to be read.
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -7,11 +7,11 @@
 use crate::runs::engine::in_flight::PendingCommand;
 use crate::runs::engine::protocol::Command;
 
-/// A link whose question stays unanswered for so long is made anew; a pause of the machine costs no
-/// more than that.
-const MAX_ANSWER_DELAY: Duration = Duration::from_secs(2);
+/// Maximum time until the engine answers a request for the gauges; then the link is replaced. Limits
+/// the delay after a pause of the machine.
+const GAUGES_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Where a command is among what was sent.
+/// Position at which a command was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Sent {
     /// Number of the link.
@@ -20,27 +20,28 @@
     pub(super) position: u64,
 }
 
-struct OpenQuestion {
+/// A request for the gauges that is not answered yet.
+struct PendingQuery {
     /// Position in the outbox, in bytes.
     position: u64,
-    asked_at: Instant,
+    sent_at: Instant,
 }
 
 /// One connection to the engine.
 pub(super) struct Link {
     number: u64,
     outbox: Rc<Outbox>,
-    /// All older notifications were read; commands may be sent.
+    /// All missed notifications were read; commands may be sent.
     pub(super) ready: bool,
-    /// The engine has said something on it.
-    pub(super) engine_spoke: bool,
-    open_question: Option<OpenQuestion>,
-    /// The question was found to be open for too long at the last tick.
+    /// Whether the engine has sent a message on this link.
+    pub(super) message_received: bool,
+    pending_query: Option<PendingQuery>,
+    /// Whether the pending query was overdue at the last poll.
     overdue: bool,
-    /// What was sent before this position has been read: a later question was answered.
+    /// Commands sent before this position are known to be read, because a later query was answered.
     read_before: u64,
-    /// Runs whose commands wait until all that was sent is known to be read.
-    pub(super) waiting: Vec<RequestId>,
+    /// Runs whose commands wait until everything sent so far is known to be read.
+    pub(super) queued: Vec<RequestId>,
 }
 
 impl Link {
@@ -49,20 +50,20 @@
             number,
             outbox,
             ready: false,
-            engine_spoke: false,
-            open_question: None,
+            message_received: false,
+            pending_query: None,
             overdue: false,
             read_before: 0,
-            waiting: Vec::new(),
+            queued: Vec::new(),
         }
     }
 
-    /// Writes a command; its position in the outbox.
+    /// Writes a command and returns its position in the outbox.
     pub(super) fn write(&self, command: Command<'_>) -> u64 {
         self.outbox.put(|out| command.write(out))
     }
 
-    /// Sends a run's command and notes where it is.
+    /// Sends a run's command and records its position.
     pub(super) fn send(&self, command: &mut PendingCommand) {
         let position = self.outbox.put(|out| out.extend_from_slice(&command.bytes));
         command.sent = Some(Sent {
@@ -71,51 +72,50 @@
         });
     }
 
-    /// Whether a batch of commands may be sent: guards against commands lost with a link, for only
-    /// the last batch can be in doubt.
+    /// Returns whether a batch of commands may be sent. Only one batch may be unconfirmed: guards
+    /// against more commands in doubt when a link is lost.
     pub(super) fn may_send(&self) -> bool {
-        self.ready && self.open_question.is_none()
+        self.ready && self.pending_query.is_none()
     }
 
-    /// Asks for the gauges. The reply also proves that all commands sent before it were read.
-    pub(super) fn ask_gauges(&mut self) {
+    /// Requests the gauges. The response also proves that the engine has read all earlier commands.
+    pub(super) fn request_gauges(&mut self) {
         let position = self.write(Command::ReadGauges);
-        self.open_question = Some(OpenQuestion {
+        self.pending_query = Some(PendingQuery {
             position,
-            asked_at: Instant::now(),
+            sent_at: Instant::now(),
         });
     }
 
-    /// Asks for the gauges unless it is asked already; ends the link where the engine has stopped
-    /// to answer.
+    /// Requests the gauges unless a query is pending. Closes the link if the engine no longer
+    /// answers.
     pub(super) fn poll_gauges(&mut self) {
-        let Some(question) = &self.open_question else {
-            return self.ask_gauges();
+        let Some(query) = &self.pending_query else {
+            return self.request_gauges();
         };
-        // Guards against a link that looks alive and isn't read any more. At the second tick: after
-        // a pause of the process the answer lies unread at the first.
-        if question.asked_at.elapsed() > MAX_ANSWER_DELAY
-            && std::mem::replace(&mut self.overdue, true)
-        {
+        // Guards against a connection that stays open but is no longer read. The link is closed at
+        // the second overdue poll, because after a pause of the process the response may not have
+        // been read yet at the first.
+        if query.sent_at.elapsed() > GAUGES_TIMEOUT && std::mem::replace(&mut self.overdue, true) {
             self.outbox.close();
         }
     }
 
-    /// The open question was answered: all that was sent before it has been read.
-    pub(super) fn handle_answer(&mut self) {
+    /// Handles the response to the pending query, which proves that all earlier commands were read.
+    pub(super) fn handle_gauges_received(&mut self) {
         self.overdue = false;
-        if let Some(question) = self.open_question.take() {
-            self.read_before = question.position;
+        if let Some(query) = self.pending_query.take() {
+            self.read_before = query.position;
         }
     }
 
-    /// All that was sent has been read.
+    /// Records that the engine has read everything sent on this link.
     pub(super) fn mark_all_read(&mut self) {
         self.read_before = u64::MAX;
     }
 
-    /// Notes what is known of a command as the link ends: what never left is unread, what a later
-    /// answer proves is read.
+    /// Updates the state of a command when the link ends: unsent if no byte of it was sent, and read
+    /// if a later response proves it.
     pub(super) fn resolve(&self, command: &mut PendingCommand) {
         let Some(sent) = command.sent.filter(|sent| sent.link == self.number) else {
             return;
--- a/crates/coralstep-server/src/runs/engine/mod.rs
+++ b/crates/coralstep-server/src/runs/engine/mod.rs
@@ -1,13 +1,13 @@
-//! The engine that owns the cores, on one link at a time.
+//! Client of the engine, which owns the cores. Uses one link at a time.
 //!
-//! | file | job |
+//! | file | contents |
 //! | --- | --- |
-//! | `connection.rs` | keeps a link up, attaches anew after a break, moves to another address |
-//! | `link.rs` | one connection, and what is proven of the commands sent on it |
-//! | `protocol.rs` | the words of the protocol |
-//! | `dispatch.rs` | what each of the engine's messages leads to |
-//! | `in_flight.rs` | the runs, and the last command of each |
-//! | `run.rs` | one RPC's run, as its lifecycle sees it |
+//! | `connection.rs` | keeps a link up, reconnects, and moves to another address |
+//! | `link.rs` | one connection, and which commands sent on it are known to be read |
+//! | `protocol.rs` | encoding of commands and parsing of messages |
+//! | `dispatch.rs` | handlers of the engine's messages |
+//! | `in_flight.rs` | the registered runs, and the last command of each |
+//! | `run.rs` | the run of one RPC |
 mod connection;
 mod dispatch;
 mod in_flight;
@@ -28,32 +28,32 @@
 use crate::runs::engine::run::EngineRun;
 use crate::runs::{Backend, Run};
 
-/// The engine, as far as it is known here.
+/// Client of the engine: its link and the registered runs.
 #[derive(Default)]
 pub struct Engine {
     runs: RefCell<InFlightRuns>,
     link: RefCell<Option<Link>>,
     links_opened: Cell<u64>,
-    /// Number of the last notification read.
+    /// Sequence number of the last notification read.
     last_notification: Cell<u64>,
     gauge_readings: RefCell<Vec<Option<f64>>>,
-    command_waiting: Event,
-    /// The old link has read all that was sent on it.
+    command_queued: Event,
+    /// Notified when the engine has read everything that was sent on the old link.
     drained: Event,
     up_since: Cell<Option<Instant>>,
 }
 
 impl Engine {
-    /// Asks for the gauges, once at a time. The answer also proves that all commands before it were
-    /// read.
+    /// Requests the gauges unless a request is pending. The response also proves that the engine
+    /// has read all earlier commands.
     pub fn poll_gauges(&self) {
         if let Some(link) = self.link.borrow_mut().as_mut().filter(|link| link.ready) {
             link.poll_gauges();
-            self.runs.borrow_mut().resolve_doubts(link);
+            self.runs.borrow_mut().resolve_in_doubt(link);
         }
     }
 
-    /// The last gauges read, in the order of the settings; none while there is no link.
+    /// Returns the latest gauge readings in the order of the settings; empty while there is no link.
     pub fn gauge_readings(&self) -> Vec<Option<f64>> {
         self.gauge_readings.borrow().clone()
     }
@@ -63,8 +63,8 @@
             return;
         }
         if let Some(link) = self.link.borrow_mut().as_mut().filter(|link| link.ready) {
-            link.waiting.push(id);
-            self.command_waiting.notify(1);
+            link.queued.push(id);
+            self.command_queued.notify(1);
         }
     }
 
--- a/crates/coralstep-server/src/runs/engine/protocol.rs
+++ b/crates/coralstep-server/src/runs/engine/protocol.rs
@@ -1,42 +1,42 @@
-//! The engine's protocol: lines of words, some with a body behind them. Pure; the only place that
-//! knows its words.
+//! The engine's protocol: lines of words, some followed by a body. Encodes commands and parses
+//! messages without any I/O.
 use std::time::Duration;
 
 use crate::base::line_codec;
 use crate::base::request_id::RequestId;
 use crate::decisions::RunOutcome;
 
-/// These bytes are no message; what follows them can't be told apart.
+/// The bytes are not a valid message, so the boundaries of later messages are unknown.
 pub(super) use crate::base::line_codec::CorruptLine as Corrupt;
 
-/// What the server writes to the engine.
+/// A command that the server sends to the engine.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Command<'a> {
-    /// The first line of a link: sends all notifications after this number again.
+    /// First line of a link: requests all notifications after this number again.
     Attach { last_notification: u64 },
-    /// Asks for the gauges; [`Message::Gauges`] proves that all commands before it were read.
+    /// Requests the gauges; [`Message::Gauges`] proves that all earlier commands were read.
     ReadGauges,
-    /// Draws [`Message::Attached`], once all missed notifications were sent.
+    /// Requests [`Message::Attached`] once all missed notifications were sent.
     ConfirmAttached,
-    /// Draws [`Message::Drained`], once all commands before it were read.
+    /// Requests [`Message::Drained`] once all earlier commands were read.
     ConfirmDrained,
-    /// Begins a run.
+    /// Starts a run.
     Run {
         id: RequestId,
         method: &'a str,
         body: &'a [u8],
     },
-    /// Gives a run the result of its call.
+    /// Resumes a run with the result of its call.
     Resume {
         id: RequestId,
         call_result: &'a [u8],
     },
-    /// Stops a run.
+    /// Cancels a run.
     Cancel { id: RequestId },
 }
 
 impl Command<'_> {
-    /// The word of [`Command::Run`].
+    /// First word of [`Command::Run`].
     pub(super) const RUN: &'static str = "RUN";
 
     /// Appends the command to `out`.
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The command alone.
+    /// Returns the encoded command.
     pub(super) fn to_bytes(self) -> Vec<u8> {
         let mut bytes = Vec::new();
         self.write(&mut bytes);
@@ -68,53 +68,53 @@
     }
 }
 
-/// What the engine says.
+/// A message from the engine.
 #[derive(Debug)]
 pub(super) enum Message<'a> {
-    /// The first line of a link: the engine's state, and since when it is up.
+    /// First line of a link: the engine's state and the time since it started.
     Hello { state: &'a str, uptime: Duration },
-    /// Answers [`Command::ConfirmAttached`].
+    /// Response to [`Command::ConfirmAttached`].
     Attached,
-    /// Answers [`Command::ConfirmDrained`].
+    /// Response to [`Command::ConfirmDrained`].
     Drained,
-    /// Answers [`Command::ReadGauges`]; `None` for a reading that is no figure.
+    /// Response to [`Command::ReadGauges`]; `None` for a reading that is not a valid number.
     Gauges(Vec<Option<f64>>),
-    /// Something happened at the engine; numbered, and sent again after a broken link.
+    /// An event at the engine; numbered, and resent after a lost link.
     Notification {
         number: u64,
         notification: Notification<'a>,
     },
-    /// The engine would not carry out a command.
-    Refused { command: &'a str, id: &'a str },
-    /// Nothing that this protocol knows.
+    /// The engine rejected a command.
+    Rejected { command: &'a str, id: &'a str },
+    /// A message that this protocol doesn't define.
     Unknown,
 }
 
-/// What a numbered message tells.
+/// Content of a numbered message.
 #[derive(Debug)]
 pub(super) enum Notification<'a> {
-    /// A run has ended; without an outcome where its word is unknown.
+    /// A run has ended; `outcome` is `None` if the word is unknown.
     RunEnded {
         id: &'a str,
         word: &'a str,
         outcome: Option<RunOutcome>,
     },
-    /// A run waits for a call.
+    /// A run needs the result of a call.
     CallNeeded { id: &'a str, body: &'a [u8] },
-    /// For people alone.
-    Note,
-    /// A known word in a form that is not.
+    /// Text for operators, which the server ignores.
+    Text,
+    /// A known first word with unexpected arguments.
     Unknown,
 }
 
-/// A message, its words, and the bytes that it takes.
+/// A parsed message, its words, and its length in bytes.
 pub(super) struct Parsed<'a> {
     pub(super) message: Message<'a>,
     pub(super) words: Vec<&'a str>,
     pub(super) length: usize,
 }
 
-/// The first message of `bytes`; `None` while more must be read.
+/// Parses the first message of `bytes`. Returns `None` if it is incomplete.
 pub(super) fn parse(bytes: &[u8]) -> Result<Option<Parsed<'_>>, Corrupt> {
     let has_body = |words: &[&str]| matches!(words[0], "DONE" | "NEED");
     let Some(line) = line_codec::decode(bytes, has_body)? else {
@@ -143,9 +143,9 @@
             Message::Gauges(gauges.iter().map(|text| gauge(text)).collect())
         }
         ["NOTE", number, ..] => Message::Notification {
-            // No notification has the number 0, so it counts as one that was read.
+            // Notifications are numbered from 1, so 0 counts as already read.
             number: number.parse().unwrap_or(0),
-            notification: Notification::Note,
+            notification: Notification::Text,
         },
         ["DONE" | "NEED", number, ..] => {
             number
@@ -155,7 +155,7 @@
                     notification: notification(words, body),
                 })
         }
-        ["NO", command, id] => Message::Refused { command, id },
+        ["NO", command, id] => Message::Rejected { command, id },
         _ => Message::Unknown,
     }
 }
--- a/crates/coralstep-server/src/runs/engine/run.rs
+++ b/crates/coralstep-server/src/runs/engine/run.rs
@@ -1,4 +1,4 @@
-//! One RPC's run at the engine.
+//! The run of one RPC at the engine.
 use std::rc::Rc;
 use std::task::{Context, Poll};
 use std::time::Instant;
@@ -9,7 +9,7 @@
 use crate::runs::engine::protocol::Command;
 use crate::runs::{Run, RunEvent, RunRequest};
 
-/// One RPC's run at the engine; unregistered when dropped.
+/// The run of one RPC at the engine; unregistered when dropped.
 pub(super) struct EngineRun {
     pub(super) engine: Rc<Engine>,
     pub(super) id: RequestId,
@@ -41,8 +41,7 @@
         self.engine.queue_command(self.id, command);
     }
 
-    /// Never sent again: the run may have come to its next call, which another result would then
-    /// answer.
+    /// Not repeatable: the run may have reached its next call, which would then get this result.
     fn resume(&self, call_result: &[u8]) {
         let command = Command::Resume {
             id: self.id,
@@ -58,20 +57,20 @@
         }
     }
 
-    /// The RPC is over, so nothing can begin any more: the same command again draws the end of a
-    /// run that has ended, and nothing of one that goes on. Guards against ends that were never
-    /// told, which would keep their places.
+    /// Sends the run's command again. The RPC is answered, so the engine starts no run: it reports
+    /// the end of a run that has ended and ignores the command for one in progress. Guards against
+    /// a lost notification of the end, which would make the run count as in progress forever.
     fn query_status(&self, request: &RunRequest<'_>) {
         let mut runs = self.engine.runs.borrow_mut();
         if runs
             .get_mut(self.id)
-            .is_some_and(|run| run.is_known_answered())
+            .is_some_and(|run| run.engine_knows_answer())
         {
             self.engine.write_if_ready(self.command(request));
         }
     }
 
-    /// Sent again on a new link, as long as the run has not ended.
+    /// The command is resent on each new link until the run ends.
     fn cancel(&self) {
         if let Some(run) = self.engine.runs.borrow_mut().get_mut(self.id) {
             run.cancelled = true;
--- a/crates/coralstep-server/src/runs/mod.rs
+++ b/crates/coralstep-server/src/runs/mod.rs
@@ -1,6 +1,6 @@
-//! Where RPCs run. A [`Backend`] registers a [`Run`] for each RPC; there are two, the link to an
-//! engine and a pool of SCGI applications. [`request_handler`] leads an RPC through its life
-//! without knowing which of them it is on.
+//! Backends that run RPCs. A [`Backend`] registers a [`Run`] for each RPC. There are two backends:
+//! the link to an engine and a pool of SCGI applications. [`request_handler`] serves an RPC from
+//! arrival to end, independently of the backend.
 mod active_request;
 pub mod applications;
 pub mod engine;
@@ -16,60 +16,61 @@
 use crate::base::request_id::RequestId;
 use crate::decisions::RunOutcome;
 
-/// What a run has to say to its RPC.
+/// Event of a run, delivered to the task of its RPC.
 #[derive(Debug)]
 pub enum RunEvent {
-    /// It waits for the result of a call with this body.
+    /// The run needs the result of a call with this body.
     CallNeeded(Vec<u8>),
-    /// It has ended.
+    /// The run has ended.
     Ended(RunOutcome),
 }
 
-/// What a run is started with.
+/// Data with which a run is started.
 #[derive(Clone, Copy, Debug)]
 pub struct RunRequest<'a> {
     /// Name of the method.
     pub method: &'a str,
-    /// Name of the tenant, where one is known.
+    /// Name of the tenant, if known.
     pub tenant: Option<&'a str>,
-    /// The key by which a repeat is known.
+    /// The key that identifies repeats of the RPC.
     pub idempotency_key: Option<&'a [u8]>,
-    /// What the caller sent.
+    /// The request's body.
     pub body: &'a [u8],
-    /// A second run would do no harm.
+    /// Whether the method may run twice.
     pub idempotent: bool,
-    /// When nobody waits for the answer any more.
+    /// When the caller stops waiting for the answer.
     pub deadline: Instant,
 }
 
-/// One RPC's run at a backend; unregistered when dropped.
+/// The run of one RPC at a backend; unregistered when dropped.
 pub trait Run {
-    /// Begins the run.
+    /// Starts the run.
     fn start(&self, request: &RunRequest<'_>);
 
-    /// Gives the run the result of the call that it waits for.
+    /// Resumes the run with the result of the call that it needs.
     fn resume(&self, call_result: &[u8]);
 
-    /// Notes that the RPC has its answer.
+    /// Records that the RPC has been answered.
     fn mark_answered(&self);
 
-    /// Stops the run, where the backend can.
+    /// Cancels the run, if the backend supports it.
     fn cancel(&self);
 
-    /// Finds out whether a run goes on whose RPC was answered long ago, where the backend can.
+    /// Asks the backend whether the run of an RPC that was answered long ago is still in progress,
+    /// if the backend supports it.
     fn query_status(&self, request: &RunRequest<'_>);
 
-    /// The next event, each once.
+    /// Polls for the next event. Each event is returned once.
     fn poll_event(&self, cx: &mut Context<'_>) -> Poll<RunEvent>;
 }
 
-/// What runs RPCs.
+/// A backend that runs RPCs.
 pub trait Backend {
-    /// A run for the RPC `id`; `None` where one of this id is registered.
+    /// Registers a run for the RPC `id`. Returns `None` if one is registered already.
     fn register(self: Rc<Self>, id: RequestId) -> Option<Box<dyn Run>>;
 }
 
-/// Events of one run that its RPC has not taken yet.
+/// Queue of events of one run that its RPC has not received yet.
 #[derive(Default)]
 pub struct RunEvents {
     queue: VecDeque<RunEvent>,
@@ -83,7 +84,7 @@
         self.waker.take().inspect(Waker::wake_by_ref);
     }
 
-    /// The oldest event; wakes the task of `cx` at the next one where there is none.
+    /// Returns the oldest event. If there is none, wakes the task of `cx` when one is added.
     pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<RunEvent> {
         match self.queue.pop_front() {
             Some(event) => Poll::Ready(event),
--- a/crates/coralstep-server/src/runs/reply.rs
+++ b/crates/coralstep-server/src/runs/reply.rs
@@ -1,17 +1,17 @@
-//! The answer to an RPC, in no protocol's words.
+//! The answer to an RPC, independent of the caller's protocol.
 
 /// The final answer to an RPC.
 #[derive(Debug, PartialEq)]
 pub enum Reply<'a> {
     /// The result of its run.
     Ok(&'a [u8]),
-    /// Not served here.
+    /// The RPC was rejected.
     Rejected {
-        /// How long the caller is to wait before it asks this server again, in milliseconds.
+        /// Time after which the caller may retry on this server, in milliseconds.
         retry_after_ms: u64,
-        /// Another server would reject it as well.
+        /// Whether another server would reject it as well.
         is_final: bool,
     },
-    /// It failed, or must not run.
+    /// The RPC failed or must not run.
     Failed,
 }
--- a/crates/coralstep-server/src/runs/request_handler.rs
+++ b/crates/coralstep-server/src/runs/request_handler.rs
@@ -1,9 +1,9 @@
 //! The lifecycle of one RPC, from the moment it is read to its end.
 //!
-//! An RPC passes four stages before anything runs, each a function of [`RequestHandler`]: its id is
-//! claimed, its run is registered at the backend, its quota is reserved, and the scheduler admits
-//! it. From then on an `ActiveRequest` carries out the scheduler's decisions, one event at a
-//! time. No gateway protocol shows here, so any front can use it.
+//! An RPC passes four stages before it runs, each a function of [`RequestHandler`]: its id is
+//! claimed, its run is registered at the backend, its quota permit is acquired, and the scheduler
+//! decides on it. From then on an `ActiveRequest` executes the scheduler's decisions, one event at a
+//! time. The handler is independent of the callers' protocols.
 use std::hash::{BuildHasher, RandomState};
 use std::pin::pin;
 use std::rc::Rc;
@@ -25,14 +25,14 @@
 use crate::runs::request_ids::{ClaimError, IdClaim, RequestIds};
 use crate::runs::{Backend, Run, RunRequest};
 
-/// Why an RPC was answered before the scheduler decided anything about it.
+/// Why an RPC was answered before it was submitted to the scheduler.
 #[derive(Debug, thiserror::Error)]
 enum NotAdmitted {
     #[error("the id is in use, or its RPC may have run")]
     DuplicateId,
     #[error("the table of request ids is full")]
     RequestIdsFull,
-    #[error("a run of this id is registered")]
+    #[error("a run with this id is already registered")]
     RunRegistered,
     #[error(transparent)]
     Quota(#[from] QuotaExhausted),
@@ -70,17 +70,17 @@
     }
 }
 
-/// Handles the RPCs of all fronts.
+/// Handles RPCs of all protocols.
 pub struct RequestHandler {
     scheduler: Rc<SchedulerHandle>,
     backend: Rc<dyn Backend>,
     store: StoreClient,
     request_ids: Rc<RequestIds>,
-    /// Keyed, so that nobody can foresee the digest of a body.
+    /// Random keys, so that the digest of a body is unpredictable.
     digest_keys: RandomState,
 }
 
-/// An RPC that the scheduler has taken in. Fields are released in this order.
+/// An RPC that was submitted to the scheduler. Fields are dropped in this order.
 struct Admitted {
     ticket: RequestTicket,
     quota: QuotaGuard,
@@ -90,7 +90,7 @@
 }
 
 impl RequestHandler {
-    /// A handler that runs RPCs on `backend` and makes their calls to `store`.
+    /// Creates a handler that runs RPCs on `backend` and makes their calls to `store`.
     pub fn new(
         scheduler: Rc<SchedulerHandle>,
         backend: Rc<dyn Backend>,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The id that a caller's text stands for; without a text, one that no other RPC has.
+    /// Returns the id for a caller's text, or a new unique id without one.
     pub fn request_id(&self, text: Option<&str>) -> RequestId {
         text.map_or_else(
             || self.request_ids.generate(),
@@ -114,8 +114,8 @@
         )
     }
 
-    /// Serves one RPC to its end. `reply` is called at most once, with the answer; `caller_disconnected`
-    /// ends when the caller has left.
+    /// Serves one RPC to its end. `reply` is called at most once, with the answer.
+    /// `caller_disconnected` completes when the caller disconnects.
     pub async fn handle(
         &self,
         request: RpcRequest,
@@ -126,7 +126,7 @@
     ) {
         let (method, tenant) = (request.method, request.tenant);
         let idempotency_key = request.idempotency_key.clone();
-        let deadline = Instant::now() + self.time_left(&request);
+        let deadline = Instant::now() + self.remaining_time(&request);
         let idempotency = self.scheduler.idempotency(method);
         let admitted = match self.admit(request, id, &body).await {
             Ok(admitted) => admitted,
@@ -143,7 +143,7 @@
         let active = ActiveRequest {
             store: &self.store,
             run_request,
-            claim_after_start: (idempotency == Idempotency::NonIdempotent)
+            claim_duration: (idempotency == Idempotency::NonIdempotent)
                 .then(|| self.scheduler.deadline(method)),
             call_body: Vec::new(),
             call: None,
@@ -158,8 +158,8 @@
             .await;
     }
 
-    /// How long the caller of `request` still waits.
-    fn time_left(&self, request: &RpcRequest) -> Duration {
+    /// Returns the time for which the caller of `request` still waits.
+    fn remaining_time(&self, request: &RpcRequest) -> Duration {
         let method_deadline = self.scheduler.deadline(request.method);
         let timeout = request.timeout.map_or(method_deadline, |timeout| {
             clock::duration(timeout).min(method_deadline)
@@ -192,15 +192,15 @@
         })
     }
 
-    /// Guards against a second run under one id, by whichever front it comes.
+    /// Guards against a second run with the same id, even if it arrives by another protocol.
     fn claim_id(&self, request: &RpcRequest, id: RequestId) -> Result<IdClaim, NotAdmitted> {
         let now = Instant::now();
         let mut claim = self.request_ids.claim(now, id);
-        // Such a front keeps an id over its attempts: the idempotency key, not the id, tells
-        // whether it has run.
-        let may_take_another = request.accepts_new_id
+        // Callers of such a protocol use one id for all attempts: the idempotency key, not the id,
+        // identifies a repeat.
+        let may_assign_new_id = request.accepts_new_id
             && self.scheduler.idempotency(request.method) != Idempotency::NonIdempotent;
-        if may_take_another && matches!(claim, Err(ClaimError::Duplicate)) {
+        if may_assign_new_id && matches!(claim, Err(ClaimError::Duplicate)) {
             claim = self.request_ids.claim(now, self.request_ids.generate());
         }
         claim.map_err(|error| match error {
@@ -214,8 +214,8 @@
         backend.register(id).ok_or(NotAdmitted::RunRegistered)
     }
 
-    /// Comes before the scheduler: an RPC beyond the fleet's quotas is not the scheduler's to
-    /// weigh.
+    /// Acquires the quota permit before the RPC is submitted, so that the scheduler never sees an
+    /// RPC that exceeds the fleet-wide quotas.
     fn reserve_quota(&self, request: &RpcRequest) -> Result<QuotaGuard, NotAdmitted> {
         Ok(self.scheduler.reserve_quota(request)?)
     }
--- a/crates/coralstep-server/src/runs/request_ids.rs
+++ b/crates/coralstep-server/src/runs/request_ids.rs
@@ -1,7 +1,7 @@
-//! The ids of RPCs, one table for all fronts: the same id is the same RPC, whichever way it comes.
+//! Table of the ids of RPCs, shared by all protocols: an id identifies the same RPC on each of them.
 //!
-//! Guards against a second run of what must not run twice: a non-idempotent RPC's id stays claimed
-//! until its deadline has passed. Reads no clock; the caller passes the time in.
+//! Guards against a second run of a non-idempotent RPC: its id stays claimed until its deadline has
+//! passed. Reads no clock; the caller passes the time.
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -13,33 +13,33 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Entry {
-    /// Its RPC is in the server, and no run of it need be remembered.
+    /// The RPC is in progress; its id is free again when it ends.
     Active,
-    /// Its RPC is in the server and may have run: it must not run again before this.
+    /// The RPC is in progress and may have run. It must not run again before this time.
     Started(Instant),
-    /// Its RPC has left and may have run: it must not run again before this.
-    Left(Instant),
+    /// The RPC has ended and may have run. It must not run again before this time.
+    Ended(Instant),
 }
 
-/// Why an id could not be claimed.
+/// Error returned by [`RequestIds::claim`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClaimError {
-    /// An RPC of this id is in the server, or may have run.
+    /// An RPC with this id is in progress or may have run.
     #[error("the id is in use, or its RPC may have run")]
     Duplicate,
-    /// The table holds as many ids as it may.
+    /// The table is full.
     #[error("the table of request ids is full")]
     Full,
 }
 
-/// The ids of all RPCs in the server, and of those that must not run again.
+/// Table of the ids of all RPCs in progress, and of those that must not run again.
 #[derive(Default)]
 pub struct RequestIds {
-    /// For ids that nobody else can foresee.
+    /// Random keys, so that generated ids are unpredictable.
     hash_keys: RandomState,
     generated: Cell<u64>,
     entries: RefCell<HashMap<RequestId, Entry>>,
-    /// Ids whose RPC has left, by when they may be forgotten.
+    /// Ids whose RPC has ended, ordered by the time at which they may be forgotten.
     expiries: RefCell<BinaryHeap<Reverse<(Instant, RequestId)>>>,
     max_ids: usize,
 }
@@ -51,7 +51,7 @@
 }
 
 impl RequestIds {
-    /// A table of at most `max_ids` ids.
+    /// Creates a table of at most `max_ids` ids.
     pub fn new(max_ids: usize) -> RequestIds {
         RequestIds {
             max_ids,
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     ///
-    /// The id is in use or its RPC may have run, or the table is full.
+    /// Returns an error if the id is in use, if its RPC may have run, or if the table is full.
     pub fn claim(self: &Rc<Self>, now: Instant, id: RequestId) -> Result<IdClaim, ClaimError> {
         self.forget_expired(now);
         let mut entries = self.entries.borrow_mut();
@@ -88,19 +88,19 @@
                 break;
             }
             expiries.pop();
-            if entries.get(&id) == Some(&Entry::Left(expiry)) {
+            if entries.get(&id) == Some(&Entry::Ended(expiry)) {
                 entries.remove(&id);
             }
         }
     }
 
-    /// An id that no other RPC has, but for a collision of 64-bit hashes.
+    /// Generates an id that is unique except for collisions of 64-bit hashes.
     pub fn generate(&self) -> RequestId {
         self.generated.set(self.generated.get() + 1);
         RequestId::from_number(self.hash_keys.hash_one(self.generated.get()))
     }
 
-    /// The id that a text stands for, the same each time; a text that is an id stands for itself.
+    /// Returns the id for a text: the id itself if the text is one, otherwise a hash of the text.
     pub fn id_of(&self, text: &str) -> RequestId {
         RequestId::parse(text)
             .unwrap_or_else(|| RequestId::from_number(self.hash_keys.hash_one(text)))
@@ -117,17 +117,17 @@
 }
 
 impl IdClaim {
-    /// The claimed id.
+    /// Returns the claimed id.
     pub fn id(&self) -> RequestId {
         self.id
     }
 
-    /// The RPC may have run from now on, and must not run again before `until`.
+    /// Records that the RPC may have run and must not run again before `until`.
     pub fn mark_started(&self, until: Instant) {
         self.table.set(self.id, Entry::Started(until));
     }
 
-    /// The RPC provably never ran.
+    /// Records that the RPC is known not to have run.
     pub fn mark_never_started(&self) {
         self.table.set(self.id, Entry::Active);
     }
@@ -140,7 +140,7 @@
             entries.remove(&self.id);
             return;
         };
-        entries.insert(self.id, Entry::Left(until));
+        entries.insert(self.id, Entry::Ended(until));
         let mut expiries = self.table.expiries.borrow_mut();
         expiries.push(Reverse((until, self.id)));
     }
