--- a/crates/coralstep-server/src/decisions/breaker.rs
+++ b/crates/coralstep-server/src/decisions/breaker.rs
@@ -5,7 +5,7 @@
 use crate::base::clock;
 use crate::decisions::handle::SchedulerHandle;
 
-/// Age up to which calls are reported to other servers.
+/// Maximum age of the calls that are reported to other servers.
 const RECENT_CALLS_SPAN: Duration = Duration::from_secs(2);
 const MAX_RECENT_CALLS: usize = 64;
 
--- a/crates/coralstep-server/src/decisions/exclusion.rs
+++ b/crates/coralstep-server/src/decisions/exclusion.rs
@@ -32,8 +32,7 @@
                 retry_after,
                 ..DegradationLevel::default()
             },
-            // Guards against admitting every RPC until the current degradation level is applied
-            // again.
+            // Guards against admitting every RPC until the degradation level is applied again.
             None => self.degradation_level(),
         };
         self.drive(|scheduler, now, actions| scheduler.set_degradation(now, level, actions));
--- a/crates/coralstep-server/src/decisions/handle.rs
+++ b/crates/coralstep-server/src/decisions/handle.rs
@@ -24,7 +24,7 @@
 use crate::decisions::rpc_table::{CompletedRepeat, RpcTable};
 use crate::note;
 
-/// Request ids that the server may track per idempotency key remembered after its release.
+/// Ratio of the maximum number of request ids to that of released idempotency keys.
 const REQUEST_IDS_PER_RELEASED_KEY: usize = 4;
 
 pub(super) struct Inner {
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Starts the scheduler unless it is started already. `uptime` is the time since the engine
-    /// started; `cold` tells whether the engine is still warming up, and defaults to the settings.
+    /// Starts the scheduler unless it is already started. `uptime` is the time since the engine
+    /// started. `cold` states whether the engine is still warming up; `None` uses the settings.
     pub fn start(&self, cold: Option<bool>, uptime: Duration) {
         let mut inner = self.inner.borrow_mut();
         let Inner { scheduler, actions } = &mut *inner;
@@ -149,8 +149,7 @@
         if let Some(restored) = self.restored.take() {
             started.restore(&restored.learned, restored.confidence);
         }
-        // Guards against the time between the engine's start and now being taken for a stall of
-        // the cores.
+        // Guards against an early start of the engine that is mistaken for a stall of the cores.
         started.handle_timeout(self.clock.now(), Gauges::default(), actions);
         *scheduler = Some(started);
         self.earlier_timeout.notify(usize::MAX);
@@ -176,8 +175,7 @@
         inner.scheduler.as_ref().map(Scheduler::learned_state)
     }
 
-    /// Returns the number of current runs as a fraction of the concurrency limit, or 0 before the
-    /// scheduler is started.
+    /// Returns the number of current runs as a fraction of the concurrency limit, or 0 if unknown.
     pub fn utilization(&self) -> f64 {
         let inner = self.inner.borrow();
         let scheduler = inner.scheduler.as_ref();
@@ -233,8 +231,9 @@
         gauges
     }
 
-    /// Guards against a panic in the degradation levels that ends the timer task: the last level
-    /// stays in effect.
+    /// Updates the degradation level.
+    ///
+    /// Guards against a panic in the levels that aborts the timeout handler; the last level stays.
     fn update_degradation(&self) {
         let Some(degradation) = &self.degradation else {
             return;
@@ -274,7 +273,7 @@
         self.drive(|scheduler, _, _| scheduler.begin_config_version());
     }
 
-    /// Returns the answer to a health check.
+    /// Returns whether the server answers health checks as healthy.
     pub fn is_healthy(&self) -> bool {
         self.inner.borrow().actions.healthy && !self.excluded.get()
     }
@@ -322,12 +321,12 @@
         self.names.tenants.get(tenant).map(String::as_str)
     }
 
-    /// Returns whether an RPC of `method` may run twice.
+    /// Returns the idempotency of `method`, which determines whether an RPC may run twice.
     pub fn idempotency(&self, method: usize) -> Idempotency {
         self.method(method).idempotency
     }
 
-    /// Returns the maximum time in which an RPC of `method` is answered.
+    /// Returns the maximum time until an RPC of `method` is answered.
     pub fn deadline(&self, method: usize) -> Duration {
         clock::duration(self.method(method).deadline)
     }
--- a/crates/coralstep-server/src/decisions/idempotency_keys.rs
+++ b/crates/coralstep-server/src/decisions/idempotency_keys.rs
@@ -89,16 +89,15 @@
         arrived: Time,
     ) -> Lookup {
         if let Some(retained) = self.retained.get(key) {
-            // Guards against another client that has learned a key: it must neither receive the
-            // result nor run its own request in place of the original.
+            // Guards against a client that learned another's key: it may neither get the result nor run.
             return if retained.fingerprint.matches(fingerprint) {
                 Lookup::RepeatOf(retained.rpc)
             } else {
                 Lookup::Conflict
             };
         }
-        // Guards against a second run of an attempt that arrived within the retry window and was
-        // read after it, because the process was paused or the socket's buffer was full.
+        // Guards against a second run of an attempt that arrived within the retry window but is read
+        // after it, because the process was paused or the socket's buffer was full.
         if self
             .released
             .get(key)
--- a/crates/coralstep-server/src/decisions/quota.rs
+++ b/crates/coralstep-server/src/decisions/quota.rs
@@ -22,17 +22,18 @@
     fn release(&self, permit: Permit);
 }
 
-struct Reservation {
+/// A permit and the limiter that granted it.
+struct AcquiredPermit {
     limiter: Rc<dyn QuotaLimiter>,
     permit: Permit,
 }
 
 /// The quota permit of an RPC, if it needs one; released when dropped.
-pub struct QuotaGuard(Option<Reservation>);
+pub struct QuotaGuard(Option<AcquiredPermit>);
 
 impl Drop for QuotaGuard {
     fn drop(&mut self) {
-        if let Some(Reservation { limiter, permit }) = self.0.take() {
+        if let Some(AcquiredPermit { limiter, permit }) = self.0.take() {
             limiter.release(permit);
         }
     }
@@ -50,7 +51,7 @@
     /// # Errors
     ///
     /// Returns an error if a quota is exhausted.
-    pub fn reserve_quota(&self, request: &RpcRequest) -> Result<QuotaGuard, QuotaExhausted> {
+    pub fn acquire_quota(&self, request: &RpcRequest) -> Result<QuotaGuard, QuotaExhausted> {
         let limiter = self.quota_limiter.borrow().clone();
         let Some(limiter) = limiter.filter(|_| !self.excluded.get()) else {
             return Ok(QuotaGuard(None));
@@ -69,7 +70,7 @@
             .map_or(method.deadline, |timeout| timeout.min(method.deadline));
         let timeout_ms = (timeout.0.saturating_sub(request.age.0)).div_ceil(10);
         match limiter.acquire(key, timeout_ms) {
-            Ok(permit) => Ok(QuotaGuard(Some(Reservation { limiter, permit }))),
+            Ok(permit) => Ok(QuotaGuard(Some(AcquiredPermit { limiter, permit }))),
             Err(error) => {
                 self.submitted.set(self.submitted.get() + 1);
                 Err(error)
--- a/crates/coralstep-server/src/dependency/store.rs
+++ b/crates/coralstep-server/src/dependency/store.rs
@@ -1,7 +1,8 @@
 //! Calls to the store that all servers share.
 //!
-//! Each call uses a separate connection. Guards against corrupt, duplicate or misdirected replies and
-//! against idle connections that the store has closed: none of them affects another call.
+//! Each call uses a separate connection.
+//! Guards against corrupt, duplicate or misdirected replies and idle connections closed by the store,
+//! so that none of them affects another call.
 use std::cell::Cell;
 use std::future::pending;
 use std::io;
@@ -88,8 +89,7 @@
     let sent = Cell::new(false);
     let timed_out = async {
         Timer::at(started_at + timeout + STORE_REPORT_MARGIN).await;
-        // Guards against a timeout after a pause of the process, when the reply has arrived and is
-        // not read yet.
+        // Guards against a timeout after a pause of the process, when the reply is not read yet.
         yield_now().await;
         Err(io::ErrorKind::TimedOut.into())
     };
--- a/crates/coralstep-server/src/lib.rs
+++ b/crates/coralstep-server/src/lib.rs
@@ -41,8 +41,8 @@
 pub fn serve(source: ConfigFiles) -> Result<(), ServeError> {
     let system = |error: std::io::Error| ServeError::System(error.to_string());
     // Before the files are read, so that a signal in between ends nobody and is not missed.
-    let stop = drain::signals().map_err(system)?;
-    let reload = reload::signals().map_err(system)?;
+    let stop = drain::catch_signals().map_err(system)?;
+    let reload = reload::catch_signals().map_err(system)?;
     let config = source
         .load()
         .map_err(|error| ServeError::Config(error.to_string()))?;
--- a/crates/coralstep-server/src/lifecycle/drain.rs
+++ b/crates/coralstep-server/src/lifecycle/drain.rs
@@ -22,12 +22,12 @@
 
 /// Installs handlers for SIGTERM and SIGINT.
 ///
-/// Guards against a signal that ends the process while requests are in the listen backlog: must be
-/// called before a port is opened.
+/// Must be called before a port is opened.
+/// Guards against a signal that ends the process while requests are in the listen backlog.
 ///
 /// # Errors
 /// Returns an error if the handlers can't be installed.
-pub fn signals() -> io::Result<Signals> {
+pub fn catch_signals() -> io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int])
 }
 
--- a/crates/coralstep-server/src/lifecycle/registration.rs
+++ b/crates/coralstep-server/src/lifecycle/registration.rs
@@ -11,7 +11,8 @@
 use crate::decisions::SchedulerHandle;
 use crate::note;
 
-/// Time between two heartbeats. A lease expires after 3 s, so one of ten datagrams is enough.
+/// Time between two heartbeats. Guards against lost datagrams: a lease expires only after 3 s, so one
+/// heartbeat of ten is enough.
 const HEARTBEAT_PERIOD: Duration = Duration::from_millis(300);
 
 /// Sends heartbeats from the start of the scheduler until `draining` is set. Before and after that,
@@ -60,7 +61,7 @@
     format!("lease {name} {state}")
 }
 
-/// Opens an unused descriptor, to be closed before a heartbeat.
+/// Reserves a descriptor, which is closed to make room for the socket of the next heartbeat.
 fn reserve_descriptor() -> Option<OwnedFd> {
     io::stderr().as_fd().try_clone_to_owned().ok()
 }
--- a/crates/coralstep-server/src/lifecycle/reload.rs
+++ b/crates/coralstep-server/src/lifecycle/reload.rs
@@ -22,11 +22,11 @@
 
 /// Installs a handler for SIGHUP.
 ///
-/// Guards against a SIGHUP that ends the process, even before the configuration is read first.
+/// Guards against a SIGHUP that ends the process, even before the configuration is first read.
 ///
 /// # Errors
 /// Returns an error if the handler can't be installed.
-pub fn signals() -> io::Result<Signals> {
+pub fn catch_signals() -> io::Result<Signals> {
     Signals::new([Signal::Hup])
 }
 
@@ -116,7 +116,7 @@
     }
 
     /// Applies the sections of a site file that was read again.
-    fn apply_file(&self, new: &Config, start: &Config) {
+    fn apply_site_file(&self, new: &Config, initial: &Config) {
         if self.version_active.get() {
             // Guards against a server that reports a version as active but uses the file's settings.
             return note!(
@@ -130,7 +130,7 @@
             note!(%error, "reload: scgi refused");
         }
         if let (Some(levels), Some(section)) = (&self.levels, &site.levels)
-            && start.site.levels.as_ref() != Some(section)
+            && initial.site.levels.as_ref() != Some(section)
             && let Err(error) = levels.reload(section)
         {
             note!(%error, "reload: levels refused");
@@ -145,30 +145,30 @@
     }
 }
 
-/// Reloads the files on each signal; invalid files change nothing. `start` is the configuration with
-/// which the process started.
+/// Reloads the files on each signal. Invalid files change nothing. `initial` is the configuration
+/// with which the process started.
 pub async fn run(
     mut signals: Signals,
     source: &ConfigFiles,
-    start: &Config,
+    initial: &Config,
     endpoints: &Endpoints,
     parts: &ReloadableParts,
 ) {
     while signals.next().await.is_some() {
         match source.load() {
             Ok(new) => {
-                log_fixed_settings(&new, start);
+                log_restart_only_settings(&new, initial);
                 replace_endpoints(&new, endpoints);
-                log_fixed_sections(&new.site, &start.site);
-                parts.apply_file(&new, start);
+                log_restart_only_sections(&new.site, &initial.site);
+                parts.apply_site_file(&new, initial);
             }
             Err(error) => note!(%error, "reload failed, nothing changed"),
         }
     }
 }
 
-fn log_fixed_settings(new: &Config, start: &Config) {
-    let settings = new.restart_only.iter().zip(&start.restart_only);
+fn log_restart_only_settings(new: &Config, initial: &Config) {
+    let settings = new.restart_only.iter().zip(&initial.restart_only);
     for (setting, _) in settings.filter(|(new, old)| new != old) {
         note!(
             key = setting.key,
@@ -181,18 +181,18 @@
     endpoints.engine.set(new.engine);
     endpoints.store.set(new.store);
     endpoints.control_plane.set(new.control_plane);
-    let text = |address: Option<SocketAddr>| {
+    let format_address = |address: Option<SocketAddr>| {
         address.map_or_else(|| "nowhere".to_owned(), |address| address.to_string())
     };
     note!(
-        engine = text(new.engine),
-        store = text(new.store),
-        control_plane = text(new.control_plane),
+        engine = format_address(new.engine),
+        store = format_address(new.store),
+        control_plane = format_address(new.control_plane),
         "reload: endpoints replaced"
     );
 }
 
-fn log_fixed_sections(new: &SiteConfig, old: &SiteConfig) {
+fn log_restart_only_sections(new: &SiteConfig, old: &SiteConfig) {
     let listeners = |site: &SiteConfig| site.scgi.as_ref().map(|scgi| scgi.listen.clone());
     let sections = [
         ("scgi.listen", listeners(new) != listeners(old)),
--- a/crates/coralstep-server/src/lifecycle/snapshots.rs
+++ b/crates/coralstep-server/src/lifecycle/snapshots.rs
@@ -72,8 +72,8 @@
         let last_sequence_number = loaded.last_sequence_number;
         restore(loaded, scheduler);
 
-        let (requests, inbox) = sync_channel(1);
-        let (outbox, completions) = sync_channel(MAX_UNREAD_COMPLETIONS);
+        let (requests, request_receiver) = sync_channel(1);
+        let (completion_sender, completions) = sync_channel(MAX_UNREAD_COMPLETIONS);
         let writer = SnapshotWriter {
             storage,
             fingerprint,
@@ -82,7 +82,7 @@
         };
         let thread = std::thread::Builder::new()
             .name("state".to_owned())
-            .spawn(move || writer.run(&inbox, &outbox))
+            .spawn(move || writer.run(&request_receiver, &completion_sender))
             .inspect_err(
                 |error| note!(%error, "snapshot thread could not be started, keeping no snapshots"),
             )
@@ -125,7 +125,7 @@
         while self.completions.try_recv().is_ok() {}
         let is_requested = self.request_snapshot(scheduler);
         if is_requested && self.completions.recv_timeout(MAX_FINAL_WAIT).is_err() {
-            note!("final snapshot not written in time, the previous one will be restored");
+            note!("final snapshot not confirmed in time, the previous one may be restored");
         }
         // Dropping the sender ends the thread. A thread that is blocked on the disk is not joined.
         self.requests.borrow_mut().take();
@@ -161,7 +161,7 @@
         while let Ok(learned) = requests.recv() {
             let started = Instant::now();
             let saved = self.save(&learned);
-            self.log_change(saved);
+            self.log_state_change(saved);
             let _ = completions.try_send(started.elapsed());
         }
     }
@@ -178,7 +178,7 @@
     }
 
     /// Logs the first failure to write and the first success after failures.
-    fn log_change(&mut self, saved: Result<(), SaveError>) {
+    fn log_state_change(&mut self, saved: Result<(), SaveError>) {
         let was_failing = std::mem::replace(&mut self.is_failing, saved.is_err());
         match saved {
             Err(error) if !was_failing => {
--- a/crates/coralstep-server/src/runs/applications/mod.rs
+++ b/crates/coralstep-server/src/runs/applications/mod.rs
@@ -37,7 +37,7 @@
     task: Option<Task<()>>,
 }
 
-/// Data that the attempts of one run share.
+/// Data that all attempts of one run use.
 struct RunInput {
     id: RequestId,
     /// The SCGI request.
@@ -150,7 +150,7 @@
     }
 
     /// Makes attempts until one has an outcome or no retry is allowed.
-    async fn run_to_outcome(&self, input: &RunInput) -> RunOutcome {
+    async fn run_until_outcome(&self, input: &RunInput) -> RunOutcome {
         self.pool.borrow_mut().first_try();
         let mut attempts_made = 0;
         let mut last_slot = None;
--- a/crates/coralstep-server/src/runs/applications/run.rs
+++ b/crates/coralstep-server/src/runs/applications/run.rs
@@ -73,7 +73,7 @@
         };
         let applications = self.applications.clone();
         let task = self.applications.executor.spawn(async move {
-            let outcome = applications.run_to_outcome(&input).await;
+            let outcome = applications.run_until_outcome(&input).await;
             if let Some(state) = applications.runs.borrow_mut().get_mut(&input.id) {
                 state.events.push(RunEvent::Ended(outcome));
             }
--- a/crates/coralstep-server/src/runs/engine/connection.rs
+++ b/crates/coralstep-server/src/runs/engine/connection.rs
@@ -84,8 +84,7 @@
             };
             let opened = Instant::now();
             replacement = self.serve_link(connection, endpoints, scheduler).await;
-            // Guards against a peer that accepts connections and closes them at once: only a link on
-            // which a message was received is replaced without delay.
+            // Guards against a peer that accepts connections and closes them without a message.
             let message_received = self.close_link();
             if message_received {
                 backoff.reset();
@@ -194,7 +193,7 @@
         &self,
         bytes: &[u8],
         scheduler: &SchedulerHandle,
-    ) -> Result<usize, protocol::Corrupt> {
+    ) -> Result<usize, protocol::CorruptMessage> {
         let mut used = 0;
         while let Some(parsed) = protocol::parse(&bytes[used..])? {
             used += parsed.length;
@@ -204,8 +203,9 @@
     }
 
     /// Waits until the engine's address changes and returns a connection to the new address, after
-    /// the engine has read everything on the old link. Guards against commands lost with the old
-    /// link.
+    /// the engine has read everything on the old link.
+    ///
+    /// Guards against commands that are lost with the old link.
     async fn replacement(&self, endpoints: &Endpoints, from: SocketAddr) -> Connection {
         let endpoint = &endpoints.engine;
         loop {
--- a/crates/coralstep-server/src/runs/engine/dispatch.rs
+++ b/crates/coralstep-server/src/runs/engine/dispatch.rs
@@ -5,15 +5,15 @@
 use crate::note;
 use crate::runs::RunEvent;
 use crate::runs::engine::Engine;
-use crate::runs::engine::protocol::{Command, Message, Notification, Parsed};
+use crate::runs::engine::protocol::{Command, Message, Notification, ParsedMessage};
 
 /// Maximum difference between two estimates of one engine's start time, which are accurate to a few
 /// milliseconds. A larger difference means that the engine was restarted.
 const MAX_START_JITTER: Duration = Duration::from_millis(500);
 
 impl Engine {
-    pub(super) fn dispatch(&self, parsed: Parsed<'_>, scheduler: &SchedulerHandle) {
-        let Parsed { message, words, .. } = parsed;
+    pub(super) fn dispatch(&self, parsed: ParsedMessage<'_>, scheduler: &SchedulerHandle) {
+        let ParsedMessage { message, words, .. } = parsed;
         match message {
             Message::Hello { state, uptime } => self.on_hello(state, uptime, scheduler),
             Message::Attached => self.on_attached(),
--- a/crates/coralstep-server/src/runs/engine/in_flight.rs
+++ b/crates/coralstep-server/src/runs/engine/in_flight.rs
@@ -6,7 +6,7 @@
 use crate::base::request_id::RequestId;
 use crate::decisions::RunOutcome;
 use crate::note;
-use crate::runs::engine::link::{Link, Sent};
+use crate::runs::engine::link::{Link, SendPosition};
 use crate::runs::engine::protocol::Command;
 use crate::runs::{RunEvent, RunEvents};
 
@@ -20,7 +20,7 @@
     pub(super) starts_run: bool,
     /// Whether it may be resent even if the engine may have read it.
     pub(super) repeatable: bool,
-    pub(super) sent: Option<Sent>,
+    pub(super) sent: Option<SendPosition>,
     /// Whether the engine is known to have read it.
     pub(super) read: bool,
 }
@@ -132,8 +132,9 @@
     }
 
     /// Resends the start command of runs in doubt whose RPC is answered: the engine no longer starts
-    /// them and reports their end. Guards against a run that never started but counts as in
-    /// progress forever.
+    /// them and reports their end.
+    ///
+    /// Guards against a run that never started but counts as in progress forever.
     pub(super) fn resolve_in_doubt(&mut self, link: &Link) {
         let runs = &mut self.runs;
         self.in_doubt.retain(|id| {
--- a/crates/coralstep-server/src/runs/engine/link.rs
+++ b/crates/coralstep-server/src/runs/engine/link.rs
@@ -7,13 +7,13 @@
 use crate::runs::engine::in_flight::PendingCommand;
 use crate::runs::engine::protocol::Command;
 
-/// Maximum time until the engine answers a request for the gauges; then the link is replaced. Limits
-/// the delay after a pause of the machine.
+/// Time after which a link is replaced if the engine doesn't answer a request for the gauges. It also
+/// bounds the delay after a pause of the machine.
 const GAUGES_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Position at which a command was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Sent {
+pub(super) struct SendPosition {
     /// Number of the link.
     pub(super) link: u64,
     /// Position in the link's outbox, in bytes.
@@ -66,14 +66,15 @@
     /// Sends a run's command and records its position.
     pub(super) fn send(&self, command: &mut PendingCommand) {
         let position = self.outbox.put(|out| out.extend_from_slice(&command.bytes));
-        command.sent = Some(Sent {
+        command.sent = Some(SendPosition {
             link: self.number,
             position,
         });
     }
 
-    /// Returns whether a batch of commands may be sent. Only one batch may be unconfirmed: guards
-    /// against more commands in doubt when a link is lost.
+    /// Returns whether a batch of commands may be sent.
+    ///
+    /// Guards against many commands lost with a link: only the last batch can be in doubt.
     pub(super) fn may_send(&self) -> bool {
         self.ready && self.pending_query.is_none()
     }
@@ -93,9 +94,9 @@
         let Some(query) = &self.pending_query else {
             return self.request_gauges();
         };
-        // Guards against a connection that stays open but is no longer read. The link is closed at
-        // the second overdue poll, because after a pause of the process the response may not have
-        // been read yet at the first.
+        // Guards against a connection that stays open but is no longer read by the engine.
+        // Closes the link at the second overdue poll: at the first one after a pause of the process,
+        // the response may have arrived without being read.
         if query.sent_at.elapsed() > GAUGES_TIMEOUT && std::mem::replace(&mut self.overdue, true) {
             self.outbox.close();
         }
--- a/crates/coralstep-server/src/runs/engine/protocol.rs
+++ b/crates/coralstep-server/src/runs/engine/protocol.rs
@@ -7,7 +7,7 @@
 use crate::decisions::RunOutcome;
 
 /// The bytes are not a valid message, so the boundaries of later messages are unknown.
-pub(super) use crate::base::line_codec::CorruptLine as Corrupt;
+pub(super) use crate::base::line_codec::CorruptLine as CorruptMessage;
 
 /// A command that the server sends to the engine.
 #[derive(Clone, Copy, Debug)]
@@ -108,26 +108,26 @@
 }
 
 /// A parsed message, its words, and its length in bytes.
-pub(super) struct Parsed<'a> {
+pub(super) struct ParsedMessage<'a> {
     pub(super) message: Message<'a>,
     pub(super) words: Vec<&'a str>,
     pub(super) length: usize,
 }
 
 /// Parses the first message of `bytes`. Returns `None` if it is incomplete.
-pub(super) fn parse(bytes: &[u8]) -> Result<Option<Parsed<'_>>, Corrupt> {
+pub(super) fn parse(bytes: &[u8]) -> Result<Option<ParsedMessage<'_>>, CorruptMessage> {
     let has_body = |words: &[&str]| matches!(words[0], "DONE" | "NEED");
     let Some(line) = line_codec::decode(bytes, has_body)? else {
         return Ok(None);
     };
-    Ok(Some(Parsed {
-        message: message(&line.words, line.body),
+    Ok(Some(ParsedMessage {
+        message: parse_message(&line.words, line.body),
         words: line.words,
         length: line.encoded_len,
     }))
 }
 
-fn message<'a>(words: &[&'a str], body: &'a [u8]) -> Message<'a> {
+fn parse_message<'a>(words: &[&'a str], body: &'a [u8]) -> Message<'a> {
     match *words {
         ["HELLO", state, uptime_ms] => {
             uptime_ms
@@ -140,7 +140,7 @@
         ["STATS", "attached", ..] => Message::Attached,
         ["STATS", "settled", ..] => Message::Drained,
         ["STATS", _, ref gauges @ ..] => {
-            Message::Gauges(gauges.iter().map(|text| gauge(text)).collect())
+            Message::Gauges(gauges.iter().map(|text| parse_gauge(text)).collect())
         }
         ["NOTE", number, ..] => Message::Notification {
             // Notifications are numbered from 1, so 0 counts as already read.
@@ -152,7 +152,7 @@
                 .parse()
                 .map_or(Message::Unknown, |number| Message::Notification {
                     number,
-                    notification: notification(words, body),
+                    notification: parse_notification(words, body),
                 })
         }
         ["NO", command, id] => Message::Rejected { command, id },
@@ -160,24 +160,24 @@
     }
 }
 
-fn gauge(text: &str) -> Option<f64> {
+fn parse_gauge(text: &str) -> Option<f64> {
     let value: f64 = text.parse().ok()?;
     (value.is_finite() && value >= 0.0).then_some(value)
 }
 
-fn notification<'a>(words: &[&'a str], body: &'a [u8]) -> Notification<'a> {
+fn parse_notification<'a>(words: &[&'a str], body: &'a [u8]) -> Notification<'a> {
     match *words {
         ["DONE", _, id, word, _, _] => Notification::RunEnded {
             id,
             word,
-            outcome: run_outcome(word, body),
+            outcome: parse_run_outcome(word, body),
         },
         ["NEED", _, id, _] => Notification::CallNeeded { id, body },
         _ => Notification::Unknown,
     }
 }
 
-fn run_outcome(word: &str, body: &[u8]) -> Option<RunOutcome> {
+fn parse_run_outcome(word: &str, body: &[u8]) -> Option<RunOutcome> {
     match word {
         "good" => Some(RunOutcome::Ok(body.into())),
         "bad" => Some(RunOutcome::Error),
--- a/crates/coralstep-server/src/runs/engine/run.rs
+++ b/crates/coralstep-server/src/runs/engine/run.rs
@@ -58,8 +58,9 @@
     }
 
     /// Sends the run's command again. The RPC is answered, so the engine starts no run: it reports
-    /// the end of a run that has ended and ignores the command for one in progress. Guards against
-    /// a lost notification of the end, which would make the run count as in progress forever.
+    /// the end of a run that has ended and ignores the command for one in progress.
+    ///
+    /// Guards against a run whose end was never reported and that counts as in progress forever.
     fn query_status(&self, request: &RunRequest<'_>) {
         let mut runs = self.engine.runs.borrow_mut();
         if runs
--- a/crates/coralstep-server/src/runs/request_handler.rs
+++ b/crates/coralstep-server/src/runs/request_handler.rs
@@ -25,9 +25,9 @@
 use crate::runs::request_ids::{ClaimError, IdClaim, RequestIds};
 use crate::runs::{Backend, Run, RunRequest};
 
-/// Why an RPC was answered before it was submitted to the scheduler.
+/// Error for which an RPC is answered without a decision by the scheduler.
 #[derive(Debug, thiserror::Error)]
-enum NotAdmitted {
+enum RequestError {
     #[error("the id is in use, or its RPC may have run")]
     DuplicateId,
     #[error("the table of request ids is full")]
@@ -40,14 +40,14 @@
     Admission(#[from] AdmissionError),
 }
 
-impl NotAdmitted {
+impl RequestError {
     fn reply(&self) -> Reply<'static> {
         let retry_after_ms = match self {
-            NotAdmitted::DuplicateId
-            | NotAdmitted::RunRegistered
-            | NotAdmitted::Admission(AdmissionError::KeyConflict) => return Reply::Failed,
-            NotAdmitted::RequestIdsFull | NotAdmitted::Admission(AdmissionError::TableFull) => 0,
-            NotAdmitted::Quota(QuotaExhausted { retry_after_ms }) => *retry_after_ms,
+            RequestError::DuplicateId
+            | RequestError::RunRegistered
+            | RequestError::Admission(AdmissionError::KeyConflict) => return Reply::Failed,
+            RequestError::RequestIdsFull | RequestError::Admission(AdmissionError::TableFull) => 0,
+            RequestError::Quota(QuotaExhausted { retry_after_ms }) => *retry_after_ms,
         };
         Reply::Rejected {
             retry_after_ms,
@@ -57,15 +57,15 @@
 
     fn log(&self, id: RequestId) {
         match self {
-            NotAdmitted::DuplicateId => note!(client: rpc_id = %id, "duplicate request id"),
-            NotAdmitted::RequestIdsFull => note!(rpc_id = %id, "request id table full"),
-            NotAdmitted::Admission(AdmissionError::TableFull) => {
+            RequestError::DuplicateId => note!(client: rpc_id = %id, "duplicate request id"),
+            RequestError::RequestIdsFull => note!(rpc_id = %id, "request id table full"),
+            RequestError::Admission(AdmissionError::TableFull) => {
                 note!(rpc_id = %id, "request table full");
             }
-            NotAdmitted::Admission(AdmissionError::KeyConflict) => {
+            RequestError::Admission(AdmissionError::KeyConflict) => {
                 note!(client: rpc_id = %id, "idempotency key conflict");
             }
-            NotAdmitted::RunRegistered | NotAdmitted::Quota(_) => {}
+            RequestError::RunRegistered | RequestError::Quota(_) => {}
         }
     }
 }
@@ -81,7 +81,7 @@
 }
 
 /// An RPC that was submitted to the scheduler. Fields are dropped in this order.
-struct Admitted {
+struct SubmittedRpc {
     ticket: RequestTicket,
     quota: QuotaGuard,
     run: Box<dyn Run>,
@@ -128,8 +128,8 @@
         let idempotency_key = request.idempotency_key.clone();
         let deadline = Instant::now() + self.remaining_time(&request);
         let idempotency = self.scheduler.idempotency(method);
-        let admitted = match self.admit(request, id, &body).await {
-            Ok(admitted) => admitted,
+        let submitted = match self.admit(request, id, &body).await {
+            Ok(submitted) => submitted,
             Err(error) => return reply(error.reply()),
         };
         let run_request = RunRequest {
@@ -148,13 +148,13 @@
             call_body: Vec::new(),
             call: None,
             reply: Some(reply),
-            ticket: admitted.ticket,
-            quota: Some(admitted.quota),
-            run: admitted.run,
-            claim: admitted.claim,
+            ticket: submitted.ticket,
+            quota: Some(submitted.quota),
+            run: submitted.run,
+            claim: submitted.claim,
         };
         active
-            .serve(admitted.first_decision, pin!(caller_disconnected))
+            .serve(submitted.first_decision, pin!(caller_disconnected))
             .await;
     }
 
@@ -172,18 +172,18 @@
         request: RpcRequest,
         id: RequestId,
         body: &[u8],
-    ) -> Result<Admitted, NotAdmitted> {
+    ) -> Result<SubmittedRpc, RequestError> {
         let claim = self
             .claim_id(&request, id)
             .inspect_err(|error| error.log(id))?;
         let id = claim.id();
         let run = self.register_run(id)?;
-        let quota = self.reserve_quota(&request)?;
+        let quota = self.acquire_quota(&request)?;
         let (ticket, first_decision) = self
             .submit(request, body)
             .await
             .inspect_err(|error| error.log(id))?;
-        Ok(Admitted {
+        Ok(SubmittedRpc {
             ticket,
             quota,
             run,
@@ -193,38 +193,38 @@
     }
 
     /// Guards against a second run with the same id, even if it arrives by another protocol.
-    fn claim_id(&self, request: &RpcRequest, id: RequestId) -> Result<IdClaim, NotAdmitted> {
+    fn claim_id(&self, request: &RpcRequest, id: RequestId) -> Result<IdClaim, RequestError> {
         let now = Instant::now();
         let mut claim = self.request_ids.claim(now, id);
-        // Callers of such a protocol use one id for all attempts: the idempotency key, not the id,
-        // identifies a repeat.
+        // With `accepts_new_id`, callers use one id for all attempts: the idempotency key, not the
+        // id, identifies a repeat.
         let may_assign_new_id = request.accepts_new_id
             && self.scheduler.idempotency(request.method) != Idempotency::NonIdempotent;
         if may_assign_new_id && matches!(claim, Err(ClaimError::Duplicate)) {
             claim = self.request_ids.claim(now, self.request_ids.generate());
         }
         claim.map_err(|error| match error {
-            ClaimError::Duplicate => NotAdmitted::DuplicateId,
-            ClaimError::Full => NotAdmitted::RequestIdsFull,
+            ClaimError::Duplicate => RequestError::DuplicateId,
+            ClaimError::Full => RequestError::RequestIdsFull,
         })
     }
 
-    fn register_run(&self, id: RequestId) -> Result<Box<dyn Run>, NotAdmitted> {
+    fn register_run(&self, id: RequestId) -> Result<Box<dyn Run>, RequestError> {
         let backend = self.backend.clone();
-        backend.register(id).ok_or(NotAdmitted::RunRegistered)
+        backend.register(id).ok_or(RequestError::RunRegistered)
     }
 
     /// Acquires the quota permit before the RPC is submitted, so that the scheduler never sees an
     /// RPC that exceeds the fleet-wide quotas.
-    fn reserve_quota(&self, request: &RpcRequest) -> Result<QuotaGuard, NotAdmitted> {
-        Ok(self.scheduler.reserve_quota(request)?)
+    fn acquire_quota(&self, request: &RpcRequest) -> Result<QuotaGuard, RequestError> {
+        Ok(self.scheduler.acquire_quota(request)?)
     }
 
     async fn submit(
         &self,
         mut request: RpcRequest,
         body: &[u8],
-    ) -> Result<(RequestTicket, Decision), NotAdmitted> {
+    ) -> Result<(RequestTicket, Decision), RequestError> {
         if request.idempotency_key.is_some() {
             request.body_digest = self.digest_keys.hash_one(body);
         }
--- a/crates/coralstep-server/src/runs/request_ids.rs
+++ b/crates/coralstep-server/src/runs/request_ids.rs
@@ -1,7 +1,7 @@
 //! Table of the ids of RPCs, shared by all protocols: an id identifies the same RPC on each of them.
 //!
-//! Guards against a second run of a non-idempotent RPC: its id stays claimed until its deadline has
-//! passed. Reads no clock; the caller passes the time.
+//! Guards against a second run of a non-idempotent RPC: its id stays claimed until its deadline.
+//! Reads no clock; the caller passes the time.
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
