--- a/crates/coralstep-server/src/decisions/admission.rs
+++ b/crates/coralstep-server/src/decisions/admission.rs
@@ -95,8 +95,8 @@
         id: RpcId,
         repeat_of: Option<RpcId>,
     ) -> Request {
-        // A client's timeout can only shorten the method's deadline: state of the RPC may no longer
-        // be kept after it.
+        // A client's timeout can only shorten the method's deadline, because state about the RPC may
+        // be discarded after that deadline.
         let deadline = request.timeout.map(|timeout| {
             let timeout = timeout.min(self.method(request.method).deadline);
             self.clock.now() - request.age + timeout
--- a/crates/coralstep-server/src/decisions/idempotency_keys.rs
+++ b/crates/coralstep-server/src/decisions/idempotency_keys.rs
@@ -62,7 +62,7 @@
     /// End of the retry window of released keys that ran. An attempt that arrived by then must not
     /// run.
     released: HashMap<IdempotencyKey, Time>,
-    /// When released keys may be forgotten, in order of their release.
+    /// Expiry times of released keys, in order of their release.
     expiries: VecDeque<Expiry>,
     max_released: usize,
 }
--- a/crates/coralstep-server/src/lifecycle/reload.rs
+++ b/crates/coralstep-server/src/lifecycle/reload.rs
@@ -120,7 +120,7 @@
         if self.version_active.get() {
             // Guards against a server that reports a version as active but uses the file's settings.
             return note!(
-                "reload: sections of the fleet's version stay active, those of the file are ignored"
+                "reload: sections of the fleet's version stay, those of the file are ignored"
             );
         }
         let site = &new.site;
--- a/crates/coralstep-server/src/runs/engine/connection.rs
+++ b/crates/coralstep-server/src/runs/engine/connection.rs
@@ -84,7 +84,7 @@
             };
             let opened = Instant::now();
             replacement = self.serve_link(connection, endpoints, scheduler).await;
-            // Guards against a peer that accepts connections and closes them without a message.
+            // Guards against a peer that closes each link without a message: reconnects with backoff.
             let message_received = self.close_link();
             if message_received {
                 backoff.reset();
--- a/crates/coralstep-server/src/runs/engine/protocol.rs
+++ b/crates/coralstep-server/src/runs/engine/protocol.rs
@@ -1,5 +1,5 @@
 //! The engine's protocol: lines of words, some followed by a body. Encodes commands and parses
-//! messages without any I/O.
+//! messages without any I/O. No other module uses the protocol's words.
 use std::time::Duration;
 
 use crate::base::line_codec;
