--- a/crates/coralstep-server/src/app.rs
+++ b/crates/coralstep-server/src/app.rs
@@ -106,8 +106,8 @@
             scgi,
             applications,
             levels: scheduler.degradation().cloned(),
-            versioned: Cell::new(false),
-            version: RefCell::default(),
+            version_active: Cell::new(false),
+            versioned_site: RefCell::default(),
         });
         let mut app = App {
             config,
@@ -377,8 +377,8 @@
 /// Runs the scheduler's timer with the latest gauge readings of the engine, whenever it is due.
 async fn drive_scheduler(scheduler: &SchedulerHandle, engine: &Engine) {
     loop {
-        let sooner = scheduler.earlier_tick();
-        let next = scheduler.next_tick();
+        let sooner = scheduler.earlier_timeout();
+        let next = scheduler.next_timeout();
         let is_started = !next.is_zero();
         let wait = if is_started {
             next
@@ -393,7 +393,7 @@
             // Guards against a panic in the scheduler that ends the process and all its RPCs.
             let tick = AssertUnwindSafe(|| {
                 engine.poll_gauges();
-                scheduler.tick(&engine.gauge_readings());
+                scheduler.handle_timeout(&engine.gauge_readings());
             });
             if catch_unwind(tick).is_err() {
                 note!("scheduler tick panicked");
--- a/crates/coralstep-server/src/decisions/mod.rs
+++ b/crates/coralstep-server/src/decisions/mod.rs
@@ -1,20 +1,21 @@
-//! The way to the decisions. Only here do the scheduler's ids, times and actions show; the rest of
-//! the server submits an [`RpcRequest`], carries out each [`Decision`] and reports [`Progress`].
+//! Connects the server to the scheduler. The scheduler's ids, times and actions are used only in
+//! this module; the rest of the server submits an [`RpcRequest`], executes each [`Decision`] and
+//! reports [`Progress`].
 pub mod degradation;
 pub mod idempotency_keys;
 
 mod actions;
 mod admission;
 mod breaker;
-mod fence;
+mod exclusion;
 mod handle;
 mod quota;
 mod request;
-mod request_table;
+mod rpc_table;
 
-pub use admission::{MAX_UNREAD_SPAN, RequestTicket};
+pub use admission::{MAX_READ_DELAY, RequestTicket};
 pub use breaker::BreakerStatus;
-pub use fence::FenceCheck;
+pub use exclusion::ExclusionCheck;
 pub use handle::{RequestCounts, SchedulerHandle};
 pub use quota::{QuotaGuard, QuotaLimiter};
 pub use request::{
--- a/crates/coralstep-server/src/fleet/service.rs
+++ b/crates/coralstep-server/src/fleet/service.rs
@@ -138,7 +138,7 @@
     /// Makes the scheduler check each RPC against this server's exclusion and the fleet-wide limits.
     pub fn attach_to(self: &Rc<Self>, scheduler: &SchedulerHandle) {
         let service = self.clone();
-        scheduler.set_fence_check(Rc::new(move || service.retry_after()));
+        scheduler.set_exclusion_check(Rc::new(move || service.retry_after()));
         if self.quota.is_some() {
             scheduler.set_quota_limiter(self.clone());
         }
@@ -230,7 +230,7 @@
         self.update_limits(now);
         self.exchange_health(now, scheduler, health_sources);
         self.save_changes();
-        scheduler.update_fence();
+        scheduler.update_exclusion();
     }
 
     fn apply_pending_version(
