--- a/crates/coralstep-server/src/app.rs
+++ b/crates/coralstep-server/src/app.rs
@@ -28,7 +28,7 @@
 use crate::lifecycle::snapshots::SnapshotService;
 use crate::lifecycle::{registration, reload};
 use crate::note;
-use crate::operators::listener::OperatorListener;
+use crate::operators::ops::OperatorListener;
 use crate::runs::Backend;
 use crate::runs::applications::Applications;
 use crate::runs::engine::Engine;
--- a/crates/coralstep-server/src/cli/fleet.rs
+++ b/crates/coralstep-server/src/cli/fleet.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use coralstep_config::site::Listen;
-use coralstep_server::operators::listener::OperatorRequest;
+use coralstep_server::operators::ops::OperatorRequest;
 use lexopt::Arg::{Long, Short, Value};
 use lexopt::ValueExt;
 use serde_json::Value as Json;
--- a/crates/coralstep-server/src/cli/levels.rs
+++ b/crates/coralstep-server/src/cli/levels.rs
@@ -10,7 +10,7 @@
 
 use coralstep_config::site::{Listen, SiteConfig};
 use coralstep_degradation::{DegradationConfig, replay};
-use coralstep_server::operators::listener::OperatorRequest;
+use coralstep_server::operators::ops::OperatorRequest;
 use lexopt::Arg::{Long, Short, Value};
 use lexopt::ValueExt;
 use serde_json::Value as Json;
--- a/crates/coralstep-server/src/operators/mod.rs
+++ b/crates/coralstep-server/src/operators/mod.rs
@@ -1,2 +1,2 @@
 //! Operator interface: requests for status and commands.
-pub mod listener;
+pub mod ops;
