--- a/crates/coralstep-degradation/benches/observe.rs
+++ b/crates/coralstep-degradation/benches/observe.rs
@@ -16,20 +16,20 @@
     let mut levels = LevelStateMachine::new(&config, Time(0)).expect("valid config");
     let mut now = Time(0);
     let mut group = criterion.benchmark_group("levels");
-    group.bench_function("a beat", |b| {
+    group.bench_function("observe", |b| {
         b.iter(|| {
             now = now + Span::ms(100);
             levels.observe(now, black_box(&signals)).is_some()
         });
     });
-    group.bench_function("baseline: one threshold a figure", |b| {
+    group.bench_function("baseline: one threshold per signal", |b| {
         b.iter(|| {
             Signal::ALL
                 .iter()
                 .filter(|signal| {
                     signal
-                        .figure(black_box(&signals))
-                        .is_some_and(|figure| figure > 0.9)
+                        .value_in(black_box(&signals))
+                        .is_some_and(|value| value > 0.9)
                 })
                 .count()
         });
--- a/crates/coralstep-degradation/src/change.rs
+++ b/crates/coralstep-degradation/src/change.rs
@@ -12,7 +12,8 @@
     /// The signal.
     pub signal: Signal,
     /// Its smoothed figure.
-    pub figure: f64,
+    #[serde(rename = "figure")]
+    pub value: f64,
     /// The threshold of the condition.
     pub threshold: f64,
 }
@@ -27,7 +28,8 @@
     /// The conditions that are met, or that are cleared.
     pub causes: Vec<Cause>,
     /// Whether an operator changed it, or the settings.
-    pub by_hand: bool,
+    #[serde(rename = "by_hand")]
+    pub is_manual: bool,
     /// Milliseconds that the level before lasted.
     pub lasted_ms: u64,
     /// What the level does now.
@@ -38,16 +40,16 @@
 impl fmt::Display for LevelChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "level {} -> {}", self.from, self.to)?;
-        if self.by_hand {
+        if self.is_manual {
             write!(f, ", by hand")?;
         }
         for cause in &self.causes {
             let Cause {
                 signal,
-                figure,
+                value,
                 threshold,
             } = cause;
-            write!(f, ", {signal} {figure:.2} of {threshold:.2}")?;
+            write!(f, ", {signal} {value:.2} of {threshold:.2}")?;
         }
         let (lasted_ms, actions) = (self.lasted_ms, &self.actions);
         write!(f, ", after {lasted_ms} ms; now {actions}")
--- a/crates/coralstep-degradation/src/config/validation.rs
+++ b/crates/coralstep-degradation/src/config/validation.rs
@@ -138,7 +138,7 @@
         leave,
         ..
     } = *condition;
-    let max = signal.max_figure();
+    let max = signal.max_value();
     if !enter.is_finite() || enter <= 0.0 || enter >= max {
         return Err(DegradationConfigError::NeverMet {
             path,
--- a/crates/coralstep-degradation/src/replay.rs
+++ b/crates/coralstep-degradation/src/replay.rs
@@ -10,7 +10,7 @@
 
 /// Figures are observed this often at the least, in milliseconds. Between two samples further apart the earlier one is
 /// taken to have held.
-const TICK_MS: u64 = 100;
+const OBSERVATION_INTERVAL_MS: u64 = 100;
 /// Between samples further apart than this, in milliseconds, nothing is made up.
 const MAX_GAP_MS: u64 = 5_000;
 
@@ -148,12 +148,12 @@
     if until_ms.saturating_sub(last.at_ms) > MAX_GAP_MS {
         return;
     }
-    let mut at_ms = last.at_ms + TICK_MS;
+    let mut at_ms = last.at_ms + OBSERVATION_INTERVAL_MS;
     while at_ms < until_ms {
         if let Some(change) = levels.observe(time_at(at_ms), &last.signals()) {
             report(at_ms, change);
         }
-        at_ms += TICK_MS;
+        at_ms += OBSERVATION_INTERVAL_MS;
     }
 }
 
--- a/crates/coralstep-degradation/src/signal.rs
+++ b/crates/coralstep-degradation/src/signal.rs
@@ -73,7 +73,7 @@
     }
 
     /// Its figure among `signals`; none where it was not observed.
-    pub fn figure(self, signals: &Signals) -> Option<f64> {
+    pub fn value_in(self, signals: &Signals) -> Option<f64> {
         match self {
             Signal::QueueWait => signals.queue_wait,
             Signal::Rejected => signals.rejected,
@@ -87,7 +87,7 @@
     }
 
     /// The greatest figure that a threshold may be under; one at or beyond it is never exceeded.
-    pub fn max_figure(self) -> f64 {
+    pub fn max_value(self) -> f64 {
         match self {
             Signal::Rejected | Signal::BreakerOpen | Signal::WarmingUp | Signal::Memory => 1.0,
             Signal::QueueWait | Signal::Concurrency => 4.0,
--- a/crates/coralstep-degradation/src/smoothing.rs
+++ b/crates/coralstep-degradation/src/smoothing.rs
@@ -5,21 +5,21 @@
 /// seconds that would count as if the next figure had held all the while.
 pub(crate) const MAX_STEP: Span = Span::ms(500);
 /// A figure that is missing for this long is forgotten. Guards against a level that is kept for a cause nobody sees.
-const FORGOTTEN_AFTER: Span = Span::ms(10_000);
+const VALUE_EXPIRY: Span = Span::ms(10_000);
 
 /// An exponentially weighted mean: half of its weight came within the last half-life.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct SmoothedFigure {
+pub(crate) struct SmoothedValue {
     value: Option<f64>,
     missing: Span,
 }
 
-impl SmoothedFigure {
+impl SmoothedValue {
     /// Adds a figure that stands for `span`. None, or nonsense, changes nothing until it is forgotten.
     pub(crate) fn add(&mut self, figure: Option<f64>, span: Span, half_life: Span) {
         let Some(figure) = figure.filter(|figure| figure.is_finite() && *figure >= 0.0) else {
             self.missing = self.missing + span;
-            if self.missing >= FORGOTTEN_AFTER {
+            if self.missing >= VALUE_EXPIRY {
                 self.value = None;
             }
             return;
--- a/crates/coralstep-degradation/src/smoothing/tests.rs
+++ b/crates/coralstep-degradation/src/smoothing/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn half_the_weight_is_within_the_half_life_and_nonsense_is_passed_over() {
-    let mut figure = SmoothedFigure::default();
+    let mut figure = SmoothedValue::default();
     figure.add(Some(1.0), Span::ms(1_000), Span::ms(1_000));
     assert!((figure.value().unwrap() - 0.5).abs() < 1e-9);
     for bad in [None, Some(f64::NAN), Some(f64::INFINITY), Some(-1.0)] {
--- a/crates/coralstep-degradation/src/state_machine.rs
+++ b/crates/coralstep-degradation/src/state_machine.rs
@@ -6,30 +6,34 @@
 use crate::config::{
     Condition, DegradationConfig, DegradationConfigError, LevelActions, LevelConfig,
 };
-use crate::smoothing::{ObservedClock, SmoothedFigure};
+use crate::smoothing::{ObservedClock, SmoothedValue};
 use crate::status::{ConditionStatus, LevelStatus};
 
 /// Figures are observed for this long before any level changes. Guards against the first few RPCs of a fresh server.
-const MIN_OBSERVED: Span = Span::ms(3_000);
+const MIN_OBSERVED_TIME: Span = Span::ms(3_000);
 /// A level that is set by hand holds for this long at the most.
-const MAX_OVERRIDE: Span = Span::ms(24 * 3_600_000);
+const MAX_OVERRIDE_DURATION: Span = Span::ms(24 * 3_600_000);
 
 /// For how long a condition has been met, and cleared, in time that was observed.
 #[derive(Clone, Copy, Debug, Default)]
 struct ConditionTimer {
-    met: Span,
-    cleared: Span,
+    met_for: Span,
+    cleared_for: Span,
 }
 
 impl ConditionTimer {
     /// A figure that was never observed meets nothing; one that is no longer observed stays what it was until it is
     /// forgotten.
-    fn advance(&mut self, condition: &Condition, figure: Option<f64>, step: Span) {
-        let is_met = figure.is_some_and(|figure| figure > condition.enter);
-        let is_cleared = figure.is_none_or(|figure| figure <= condition.leave);
-        self.met = if is_met { self.met + step } else { Span::ZERO };
-        self.cleared = if is_cleared {
-            self.cleared + step
+    fn advance(&mut self, condition: &Condition, value: Option<f64>, step: Span) {
+        let is_met = value.is_some_and(|value| value > condition.enter);
+        let is_cleared = value.is_none_or(|value| value <= condition.leave);
+        self.met_for = if is_met {
+            self.met_for + step
+        } else {
+            Span::ZERO
+        };
+        self.cleared_for = if is_cleared {
+            self.cleared_for + step
         } else {
             Span::ZERO
         };
@@ -44,7 +48,7 @@
 }
 
 /// A level to change to, and why.
-struct Transition {
+struct LevelTransition {
     level: usize,
     causes: Vec<Cause>,
 }
@@ -60,24 +64,24 @@
     },
     /// The time is none, or longer than 24 hours.
     #[error("a hold lasts from a moment to 24 hours")]
-    Duration,
+    InvalidDuration,
 }
 
 /// Decides which degradation level holds, by figures that the scheduler observes of itself.
 pub struct LevelStateMachine {
     config: DegradationConfig,
     /// By signal, in the order of [`Signal::ALL`].
-    figures: [SmoothedFigure; Signal::ALL.len()],
+    smoothed_values: [SmoothedValue; Signal::ALL.len()],
     /// By level, then by condition.
     timers: Vec<Vec<ConditionTimer>>,
     clock: ObservedClock,
     /// Time that was observed since the start, and since the last change.
-    observed: Span,
-    stayed: Span,
-    current: usize,
-    since: Time,
+    observed_time: Span,
+    time_in_level: Span,
+    current_index: usize,
+    entered_at: Time,
     causes: Vec<Cause>,
-    manual: Option<Override>,
+    level_override: Option<Override>,
 }
 
 impl LevelStateMachine {
@@ -93,15 +97,15 @@
         config.validate()?;
         Ok(LevelStateMachine {
             config: config.clone(),
-            figures: Default::default(),
+            smoothed_values: Default::default(),
             timers: new_timers(config),
             clock: ObservedClock::default(),
-            observed: Span::ZERO,
-            stayed: Span(u64::MAX),
-            current: 0,
-            since: now,
+            observed_time: Span::ZERO,
+            time_in_level: Span(u64::MAX),
+            current_index: 0,
+            entered_at: now,
             causes: Vec::new(),
-            manual: None,
+            level_override: None,
         })
     }
 
@@ -117,57 +121,57 @@
         now: Time,
     ) -> Result<Option<LevelChange>, DegradationConfigError> {
         config.validate()?;
-        let name = self.name().to_owned();
+        let name = self.level_name().to_owned();
         let actions = self.actions();
         self.timers = new_timers(config);
         self.config = config.clone();
-        self.manual = None;
-        let same_level = self.position(&name);
-        self.current = same_level.unwrap_or(0);
+        self.level_override = None;
+        let same_level = self.level_index(&name);
+        self.current_index = same_level.unwrap_or(0);
         if same_level.is_some() && self.actions() == actions {
             return Ok(None);
         }
-        let transition = Transition {
-            level: self.current,
+        let transition = LevelTransition {
+            level: self.current_index,
             causes: Vec::new(),
         };
         Ok(Some(self.change_from(name, now, transition, true)))
     }
 
-    fn position(&self, name: &str) -> Option<usize> {
+    fn level_index(&self, name: &str) -> Option<usize> {
         let mut levels = self.config.levels.iter();
         levels.position(|level| level.name == name)
     }
 
-    fn level(&self) -> &LevelConfig {
-        &self.config.levels[self.current]
+    fn current_level(&self) -> &LevelConfig {
+        &self.config.levels[self.current_index]
     }
 
     /// Name of the level that holds.
-    pub fn name(&self) -> &str {
-        &self.level().name
+    pub fn level_name(&self) -> &str {
+        &self.current_level().name
     }
 
     /// What the level that holds does.
     pub fn actions(&self) -> LevelActions {
-        self.level().actions
+        self.current_level().actions
     }
 
     fn min_stay(&self) -> Span {
         Span::ms(u64::from(self.config.min_stay_ms))
     }
 
-    fn figure(&self, signal: Signal) -> Option<f64> {
-        self.figures[signal as usize].value()
+    fn smoothed_value(&self, signal: Signal) -> Option<f64> {
+        self.smoothed_values[signal as usize].value()
     }
 
     /// What the scheduler is to do at the level that holds. RPCs that it rejects may retry once the level can change.
-    pub fn degradation(&self) -> DegradationLevel {
+    pub fn degradation_level(&self) -> DegradationLevel {
         let actions = self.actions();
-        let retry_after = if self.current == 0 {
+        let retry_after = if self.current_index == 0 {
             Span::ZERO
         } else {
-            self.min_stay() - self.stayed
+            self.min_stay() - self.time_in_level
         };
         DegradationLevel {
             min_priority_weight: actions.min_priority_weight,
@@ -186,76 +190,78 @@
     /// A level that is set by hand holds until its time is over. Else the level changes no sooner than its least stay.
     pub fn observe(&mut self, now: Time, signals: &Signals) -> Option<LevelChange> {
         let step = self.clock.advance(now);
-        self.smooth_figures(signals, step);
+        self.smooth_signals(signals, step);
         self.advance_timers(step);
-        if let Some(manual) = self.manual.filter(|manual| now < manual.until) {
-            return self.change_to_override(manual, now);
+        if let Some(active) = self.level_override.filter(|active| now < active.until) {
+            return self.change_to_override(active, now);
         }
-        self.manual = None;
-        if self.observed < MIN_OBSERVED || self.stayed < self.min_stay() {
+        self.level_override = None;
+        if self.observed_time < MIN_OBSERVED_TIME || self.time_in_level < self.min_stay() {
             return None;
         }
         let transition = self.worse_level().or_else(|| self.better_level())?;
         Some(self.change(now, transition, false))
     }
 
-    fn smooth_figures(&mut self, signals: &Signals, step: Span) {
+    fn smooth_signals(&mut self, signals: &Signals, step: Span) {
         let half_life = Span::ms(u64::from(self.config.half_life_ms));
         for signal in Signal::ALL {
-            let figure = signal.figure(signals);
-            self.figures[signal as usize].add(figure, step, half_life);
+            let value = signal.value_in(signals);
+            self.smoothed_values[signal as usize].add(value, step, half_life);
         }
     }
 
     fn advance_timers(&mut self, step: Span) {
-        self.observed = self.observed + step;
-        self.stayed = self.stayed + step;
+        self.observed_time = self.observed_time + step;
+        self.time_in_level = self.time_in_level + step;
         for (level, timers) in self.config.levels.iter().zip(&mut self.timers) {
             for (condition, timer) in level.conditions.iter().zip(timers) {
-                let figure = self.figures[condition.signal as usize].value();
-                timer.advance(condition, figure, step);
+                let value = self.smoothed_values[condition.signal as usize].value();
+                timer.advance(condition, value, step);
             }
         }
     }
 
-    fn change_to_override(&mut self, manual: Override, now: Time) -> Option<LevelChange> {
-        if manual.level == self.current {
+    fn change_to_override(&mut self, level_override: Override, now: Time) -> Option<LevelChange> {
+        if level_override.level == self.current_index {
             return None;
         }
-        let transition = Transition {
-            level: manual.level,
+        let transition = LevelTransition {
+            level: level_override.level,
             causes: Vec::new(),
         };
         Some(self.change(now, transition, true))
     }
 
     /// Straight to the worst level one of whose conditions has been met for its time.
-    fn worse_level(&self) -> Option<Transition> {
-        let worse = self.current + 1..self.config.levels.len();
+    fn worse_level(&self) -> Option<LevelTransition> {
+        let worse = self.current_index + 1..self.config.levels.len();
         worse.rev().find_map(|level| {
             let causes: Vec<Cause> = self
                 .conditions(level)
-                .filter(|(condition, timer)| timer.met >= Span::ms(u64::from(condition.enter_ms)))
+                .filter(|(condition, timer)| {
+                    timer.met_for >= Span::ms(u64::from(condition.enter_ms))
+                })
                 .map(|(condition, _)| self.cause(condition, condition.enter))
                 .collect();
-            (!causes.is_empty()).then_some(Transition { level, causes })
+            (!causes.is_empty()).then_some(LevelTransition { level, causes })
         })
     }
 
     /// Back by one level, once all conditions of the one that holds have been cleared for their time.
-    fn better_level(&self) -> Option<Transition> {
-        let level = self.current.checked_sub(1)?;
+    fn better_level(&self) -> Option<LevelTransition> {
+        let level = self.current_index.checked_sub(1)?;
         let all_cleared = self
-            .conditions(self.current)
-            .all(|(condition, timer)| timer.cleared >= Span::ms(u64::from(condition.leave_ms)));
+            .conditions(self.current_index)
+            .all(|(condition, timer)| timer.cleared_for >= Span::ms(u64::from(condition.leave_ms)));
         if !all_cleared {
             return None;
         }
-        let conditions = self.conditions(self.current);
+        let conditions = self.conditions(self.current_index);
         let causes = conditions
             .map(|(condition, _)| self.cause(condition, condition.leave))
             .collect();
-        Some(Transition { level, causes })
+        Some(LevelTransition { level, causes })
     }
 
     fn conditions(&self, level: usize) -> impl Iterator<Item = (&Condition, &ConditionTimer)> {
@@ -266,33 +272,33 @@
     fn cause(&self, condition: &Condition, threshold: f64) -> Cause {
         Cause {
             signal: condition.signal,
-            figure: self.figure(condition.signal).unwrap_or(0.0),
+            value: self.smoothed_value(condition.signal).unwrap_or(0.0),
             threshold,
         }
     }
 
-    fn change(&mut self, now: Time, transition: Transition, by_hand: bool) -> LevelChange {
-        let from = self.name().to_owned();
-        self.change_from(from, now, transition, by_hand)
+    fn change(&mut self, now: Time, transition: LevelTransition, is_manual: bool) -> LevelChange {
+        let from = self.level_name().to_owned();
+        self.change_from(from, now, transition, is_manual)
     }
 
     fn change_from(
         &mut self,
         from: String,
         now: Time,
-        transition: Transition,
-        by_hand: bool,
+        transition: LevelTransition,
+        is_manual: bool,
     ) -> LevelChange {
-        let lasted_ms = millis(now - self.since);
-        self.current = transition.level;
-        self.since = now;
-        self.stayed = Span::ZERO;
+        let lasted_ms = millis(now - self.entered_at);
+        self.current_index = transition.level;
+        self.entered_at = now;
+        self.time_in_level = Span::ZERO;
         self.causes.clone_from(&transition.causes);
         LevelChange {
             from,
-            to: self.name().to_owned(),
+            to: self.level_name().to_owned(),
             causes: transition.causes,
-            by_hand,
+            is_manual,
             lasted_ms,
             actions: self.actions(),
         }
@@ -309,15 +315,15 @@
         name: &str,
         duration: Span,
     ) -> Result<(), OverrideError> {
-        let Some(level) = self.position(name) else {
+        let Some(level) = self.level_index(name) else {
             return Err(OverrideError::UnknownLevel {
                 name: name.to_owned(),
             });
         };
-        if duration == Span::ZERO || duration > MAX_OVERRIDE {
-            return Err(OverrideError::Duration);
+        if duration == Span::ZERO || duration > MAX_OVERRIDE_DURATION {
+            return Err(OverrideError::InvalidDuration);
         }
-        self.manual = Some(Override {
+        self.level_override = Some(Override {
             level,
             until: now + duration,
         });
@@ -326,17 +332,17 @@
 
     /// Ends a level set by hand; false where there was none. The figures decide from then on, after the least stay.
     pub fn clear_override(&mut self) -> bool {
-        self.manual.take().is_some()
+        self.level_override.take().is_some()
     }
 
     /// The level that holds, and all conditions, for operators.
     pub fn status(&self, now: Time) -> LevelStatus {
-        let active_override = self.manual.filter(|manual| now < manual.until);
+        let active_override = self.level_override.filter(|active| now < active.until);
         LevelStatus {
-            level: self.name().to_owned(),
-            since_ms: millis(now - self.since),
-            min_stay_left_ms: millis(self.min_stay() - self.stayed),
-            override_left_ms: active_override.map(|manual| millis(manual.until - now)),
+            level: self.level_name().to_owned(),
+            since_ms: millis(now - self.entered_at),
+            min_stay_left_ms: millis(self.min_stay() - self.time_in_level),
+            override_left_ms: active_override.map(|active| millis(active.until - now)),
             causes: self.causes.clone(),
             actions: self.actions(),
             conditions: self.condition_statuses(),
@@ -350,11 +356,11 @@
                 statuses.push(ConditionStatus {
                     level: level.name.clone(),
                     signal: condition.signal,
-                    figure: self.figure(condition.signal),
+                    value: self.smoothed_value(condition.signal),
                     enter: condition.enter,
                     leave: condition.leave,
-                    met_ms: millis(timer.met),
-                    cleared_ms: millis(timer.cleared),
+                    met_ms: millis(timer.met_for),
+                    cleared_ms: millis(timer.cleared_for),
                     enter_ms: condition.enter_ms,
                     leave_ms: condition.leave_ms,
                 });
--- a/crates/coralstep-degradation/src/status.rs
+++ b/crates/coralstep-degradation/src/status.rs
@@ -13,7 +13,8 @@
     /// The signal that it is about.
     pub signal: Signal,
     /// The smoothed figure; none where it was never observed, or is forgotten.
-    pub figure: Option<f64>,
+    #[serde(rename = "figure")]
+    pub value: Option<f64>,
     /// Threshold for entering the level.
     pub enter: f64,
     /// Threshold for leaving it.
--- a/crates/coralstep-degradation/tests/fleet.rs
+++ b/crates/coralstep-degradation/tests/fleet.rs
@@ -258,7 +258,7 @@
         if let Some(change) = self.levels.observe(at(ms), &self.server.signals()) {
             self.changes.push((ms, change.to));
         }
-        let level: DegradationLevel = self.levels.degradation();
+        let level: DegradationLevel = self.levels.degradation_level();
         self.server.set_degradation(at(ms), level, &mut self.out);
     }
 }
@@ -358,7 +358,7 @@
         assert!(
             day.nodes[4..]
                 .iter()
-                .all(|node| node.levels.name() == "full"),
+                .all(|node| node.levels.level_name() == "full"),
             "seed {seed}"
         );
     }
--- a/crates/coralstep-degradation/tests/golden.rs
+++ b/crates/coralstep-degradation/tests/golden.rs
@@ -8,7 +8,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-const TICK_MS: u64 = 100;
+const OBSERVATION_INTERVAL_MS: u64 = 100;
 const HISTORY_MS: u64 = 3_600_000;
 /// The figures are drawn anew this often.
 const PHASE_MS: u64 = 20_000;
@@ -53,7 +53,7 @@
     let mut levels = LevelStateMachine::new(&DegradationConfig::default(), at(0)).unwrap();
     let mut signals = Signals::default();
     let mut text = String::new();
-    for ms in (0..HISTORY_MS).step_by(TICK_MS as usize) {
+    for ms in (0..HISTORY_MS).step_by(OBSERVATION_INTERVAL_MS as usize) {
         if ms % PHASE_MS == 0 {
             signals = drawn(&mut rng);
         }
@@ -66,7 +66,7 @@
         }
         if let Some(change) = levels.observe(at(ms), &signals) {
             let json = serde_json::to_string(&change).unwrap();
-            let retry_after = levels.degradation().retry_after.0;
+            let retry_after = levels.degradation_level().retry_after.0;
             text += &format!("{ms} {change}\n{json} {retry_after}\n");
         }
     }
--- a/crates/coralstep-degradation/tests/levels.rs
+++ b/crates/coralstep-degradation/tests/levels.rs
@@ -8,7 +8,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-const TICK_MS: u64 = 100;
+const OBSERVATION_INTERVAL_MS: u64 = 100;
 
 fn at(ms: u64) -> Time {
     Time(1_000_000) + Span::ms(ms)
@@ -55,7 +55,7 @@
     ms: u64,
     mut figures: impl FnMut(u64) -> Signals,
 ) -> Vec<(u64, LevelChange)> {
-    let ticks = (from..from + ms).step_by(TICK_MS as usize);
+    let ticks = (from..from + ms).step_by(OBSERVATION_INTERVAL_MS as usize);
     ticks
         .filter_map(|ms| Some((ms, levels.observe(at(ms), &figures(ms))?)))
         .collect()
@@ -125,7 +125,7 @@
             back_ms(&DegradationConfig::default()),
             |_| calm(),
         );
-        assert_eq!(levels.name(), "full", "seed {seed}");
+        assert_eq!(levels.level_name(), "full", "seed {seed}");
     }
     // It was no test of levels that never move.
     assert!(changes > 1_000, "{changes}");
@@ -188,7 +188,7 @@
 fn the_first_few_figures_of_a_fresh_server_change_nothing() {
     let mut levels = levels();
     assert!(play(&mut levels, 0, 2_900, |_| only(Signal::Memory, 1.0)).is_empty());
-    assert_eq!(levels.name(), "full");
+    assert_eq!(levels.level_name(), "full");
 }
 
 #[test]
@@ -238,9 +238,9 @@
     play(&mut levels, 120_000, 40_000, |_| {
         only(Signal::CallSlowness, 9.0)
     });
-    assert_eq!(levels.name(), "no-extras");
+    assert_eq!(levels.level_name(), "no-extras");
     play(&mut levels, 160_000, 90_000, |_| Signals::default());
-    assert_eq!(levels.name(), "full");
+    assert_eq!(levels.level_name(), "full");
 }
 
 #[test]
@@ -266,7 +266,7 @@
         .set_override(at(140_000), "essentials", Span::ms(60_000))
         .unwrap();
     let held = play(&mut levels, 140_000, 1_000, |_| calm());
-    assert!(held[0].1.by_hand && held[0].1.to == "essentials");
+    assert!(held[0].1.is_manual && held[0].1.to == "essentials");
     assert!(levels.clear_override() && !levels.clear_override());
 }
 
@@ -277,16 +277,16 @@
     let mut config = DegradationConfig::default();
     config.levels.remove(2);
     assert_eq!(levels.reload(&config, at(40_000)), Ok(None));
-    assert_eq!(levels.name(), "no-extras");
+    assert_eq!(levels.level_name(), "no-extras");
     config.levels[1].name = "lean".to_owned();
     let change = levels.reload(&config, at(41_000)).unwrap().unwrap();
     assert_eq!(
-        (change.from.as_str(), change.to.as_str(), change.by_hand),
+        (change.from.as_str(), change.to.as_str(), change.is_manual),
         ("no-extras", "full", true)
     );
     config.levels[1].conditions.clear();
     assert!(levels.reload(&config, at(42_000)).is_err());
-    assert_eq!(levels.name(), "full");
+    assert_eq!(levels.level_name(), "full");
 }
 
 #[test]
@@ -304,8 +304,8 @@
         .iter()
         .find(|condition| condition.signal == Signal::CallSlowness)
         .unwrap();
-    assert!(slow.met_ms > 30_000 && slow.cleared_ms == 0 && slow.figure.unwrap() > slow.enter);
-    assert!(levels.degradation().retry_after <= Span::ms(30_000));
+    assert!(slow.met_ms > 30_000 && slow.cleared_ms == 0 && slow.value.unwrap() > slow.enter);
+    assert!(levels.degradation_level().retry_after <= Span::ms(30_000));
     serde_json::to_string(&status).unwrap();
 }
 
@@ -370,7 +370,7 @@
                 2 => now += ms,
                 _ => {
                     for (when, change) in play(&mut levels, now, ms, |_| only(Signal::ALL[signal], figure)) {
-                        prop_assert!(change.by_hand || last.is_none_or(|last| when - last >= 30_000), "{} {:?}", when, change);
+                        prop_assert!(change.is_manual || last.is_none_or(|last| when - last >= 30_000), "{} {:?}", when, change);
                         last = Some(when);
                     }
                     now += ms;
@@ -379,6 +379,6 @@
         }
         levels.clear_override();
         play(&mut levels, now, back_ms(&DegradationConfig::default()), |_| calm());
-        prop_assert_eq!(levels.name(), "full");
+        prop_assert_eq!(levels.level_name(), "full");
     }
 }
--- a/crates/coralstep-lab/src/simulate/server.rs
+++ b/crates/coralstep-lab/src/simulate/server.rs
@@ -92,7 +92,7 @@
             return;
         };
         if levels.observe(now, &signals).is_some() {
-            let effect = levels.degradation();
+            let effect = levels.degradation_level();
             let reduced = effect != coralstep::DegradationLevel::default();
             self.reduced -= u32::from(node.reduced);
             self.reduced += u32::from(reduced);
--- a/crates/coralstep-server/src/decisions/degradation.rs
+++ b/crates/coralstep-server/src/decisions/degradation.rs
@@ -99,12 +99,12 @@
 
     /// What the level that holds asks of the scheduler.
     pub fn effect(&self) -> DegradationLevel {
-        self.levels.borrow().degradation()
+        self.levels.borrow().degradation_level()
     }
 
     /// Name of the level that holds.
     pub fn name(&self) -> String {
-        self.levels.borrow().name().to_owned()
+        self.levels.borrow().level_name().to_owned()
     }
 
     /// The level that holds, and how far the others are.
@@ -175,7 +175,7 @@
         target: "level",
         from = change.from,
         to = change.to,
-        by_hand = change.by_hand,
+        by_hand = change.is_manual,
         lasted_ms = change.lasted_ms,
         causes,
         does,
