--- a/crates/coralstep-degradation/benches/observe.rs
+++ b/crates/coralstep-degradation/benches/observe.rs
@@ -1,4 +1,4 @@
-//! What one tick of the levels costs, beside a plain comparison of the same figures with one threshold each.
+//! Cost of one observation by the level state machine, compared with one threshold check per signal.
 use std::hint::black_box;
 
 use coralstep::{Signals, Span, Time};
--- a/crates/coralstep-degradation/src/change.rs
+++ b/crates/coralstep-degradation/src/change.rs
@@ -1,4 +1,4 @@
-//! A change of level, as it is logged and remembered.
+//! The event of a change of level, as logged and kept in the history.
 use std::fmt;
 
 use serde::Serialize;
@@ -6,33 +6,33 @@
 use crate::Signal;
 use crate::config::LevelActions;
 
-/// A figure beside the threshold that it crossed.
+/// Signal that caused a change of level, with the threshold that it crossed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Cause {
-    /// The signal.
+    /// Signal that crossed the threshold.
     pub signal: Signal,
-    /// Its smoothed figure.
+    /// Smoothed value of the signal.
     #[serde(rename = "figure")]
     pub value: f64,
-    /// The threshold of the condition.
+    /// Threshold for entering or leaving the level.
     pub threshold: f64,
 }
 
-/// A change of level: one event.
+/// Event of a change of level.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LevelChange {
-    /// Name of the level before.
+    /// Name of the previous level.
     pub from: String,
-    /// Name of the level from now on.
+    /// Name of the new level.
     pub to: String,
-    /// The conditions that are met, or that are cleared.
+    /// Conditions that are met, when the level gets worse, or cleared, when it gets better; empty for a manual change.
     pub causes: Vec<Cause>,
-    /// Whether an operator changed it, or the settings.
+    /// Whether an operator or a reload of the configuration caused the change, not the signals.
     #[serde(rename = "by_hand")]
     pub is_manual: bool,
-    /// Milliseconds that the level before lasted.
+    /// Time spent in the previous level, in milliseconds.
     pub lasted_ms: u64,
-    /// What the level does now.
+    /// Actions of the new level.
     #[serde(rename = "does")]
     pub actions: LevelActions,
 }
--- a/crates/coralstep-degradation/src/config/built_in.rs
+++ b/crates/coralstep-degradation/src/config/built_in.rs
@@ -1,9 +1,9 @@
-//! The levels that need no settings.
+//! Built-in levels, used unless the configuration lists others.
 use super::{Condition, DegradationConfig, LevelActions, LevelConfig, default_leave_ms};
 use crate::Signal;
 
 impl Default for DegradationConfig {
-    /// Full, no-extras, essentials, effects-only, closed.
+    /// The levels full, no-extras, essentials, effects-only and closed.
     fn default() -> DegradationConfig {
         DegradationConfig {
             min_stay_ms: 30_000,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Answers without what only adds to them.
+/// Skips calls of the dependency that an answer can do without.
 fn no_extras() -> LevelConfig {
     LevelConfig {
         name: "no-extras".to_owned(),
@@ -49,7 +49,7 @@
     }
 }
 
-/// Only methods of usual priority and above.
+/// Admits only methods of normal or higher priority.
 fn essentials() -> LevelConfig {
     LevelConfig {
         name: "essentials".to_owned(),
@@ -67,7 +67,7 @@
     }
 }
 
-/// Only methods that change something.
+/// Admits only non-idempotent methods and those with an idempotency key.
 fn effects_only() -> LevelConfig {
     LevelConfig {
         name: "effects-only".to_owned(),
--- a/crates/coralstep-degradation/src/config/error.rs
+++ b/crates/coralstep-degradation/src/config/error.rs
@@ -1,15 +1,15 @@
-//! Why the settings of degradation levels are refused.
+//! Errors in the configuration of degradation levels.
 use std::fmt;
 
 use super::validation::{MAX_CONDITIONS, MAX_LEVELS};
 use crate::Signal;
 
-/// Where a condition stands in the settings.
+/// Path of a condition in the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConditionPath {
-    /// Position of its level.
+    /// Index of the level.
     pub level: usize,
-    /// Its position among the level's conditions.
+    /// Index of the condition within the level.
     pub condition: usize,
 }
 
@@ -19,112 +19,112 @@
     }
 }
 
-/// A fault in the settings of levels; the message begins with the path of the setting.
+/// Error in the configuration of levels; the message starts with the path of the setting.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum DegradationConfigError {
-    /// A figure out of its range.
+    /// A value is out of range.
     #[error("{setting}: {value} is not from {min} to {max}")]
     OutOfRange {
         /// Path of the setting.
         setting: String,
-        /// The figure as stated, in the setting's unit.
+        /// The configured value, in the unit of the setting.
         value: f64,
-        /// Least figure that is accepted.
+        /// Minimum value.
         min: f64,
-        /// Greatest figure that is accepted.
+        /// Maximum value.
         max: f64,
     },
-    /// No level, or too many.
+    /// There are no levels or too many.
     #[error("levels.list: {count} levels are not from 1 to {MAX_LEVELS}")]
     LevelCount {
-        /// Levels that were stated.
+        /// Number of configured levels.
         count: usize,
     },
-    /// A name that is empty or has other than printable ASCII characters.
+    /// A name is empty or has characters other than printable ASCII without spaces.
     #[error("levels.list[{level}].name: {name:?} is no name")]
     InvalidName {
-        /// Position of the level.
+        /// Index of the level.
         level: usize,
-        /// The name as stated.
+        /// The configured name.
         name: String,
     },
-    /// Two levels of one name.
+    /// Two levels have the same name.
     #[error("levels.list[{level}].name: {name} comes twice")]
     DuplicateName {
-        /// Position of the second level.
+        /// Index of the second level.
         level: usize,
-        /// The name of both.
+        /// The common name.
         name: String,
     },
-    /// A condition of the first level.
+    /// The first level has a condition.
     #[error("levels.list[0].when: the first level is where no condition is met, so it has none")]
     ConditionOfFirstLevel,
-    /// A level that can't be entered.
+    /// A level other than the first has no condition, so it can't be entered.
     #[error("levels.list[{level}].when: no way in, for it has no condition")]
     NoCondition {
-        /// Position of the level.
+        /// Index of the level.
         level: usize,
     },
-    /// More conditions than are supported.
+    /// A level has too many conditions.
     #[error("levels.list[{level}].when: more than {MAX_CONDITIONS} conditions")]
     TooManyConditions {
-        /// Position of the level.
+        /// Index of the level.
         level: usize,
     },
-    /// Two conditions of one level on one signal.
+    /// Two conditions of a level refer to the same signal.
     #[error("{path}.signal: two conditions on {signal} overlap")]
     DuplicateSignal {
-        /// The second condition.
+        /// Path of the second condition.
         path: ConditionPath,
-        /// The signal of both.
+        /// The common signal.
         signal: Signal,
     },
-    /// A threshold for entering that no figure exceeds, or that is none.
+    /// A threshold for entering is never exceeded, is not positive or is not a finite number.
     #[error("{path}.enter: {enter} is never met, for {signal} runs from 0 to {max}")]
     NeverMet {
-        /// The condition.
+        /// Path of the condition.
         path: ConditionPath,
-        /// The threshold as stated.
+        /// The configured threshold.
         enter: f64,
-        /// The signal.
+        /// Signal of the condition.
         signal: Signal,
-        /// Its greatest figure.
+        /// Upper bound of thresholds for the signal.
         max: f64,
     },
-    /// A threshold for leaving that no figure reaches.
+    /// A threshold for leaving is negative or not a finite number, so the level can't be left.
     #[error("{path}.leave: {leave} leaves no way back, for {signal} is never under 0")]
     NeverCleared {
-        /// The condition.
+        /// Path of the condition.
         path: ConditionPath,
-        /// The threshold as stated.
+        /// The configured threshold.
         leave: f64,
-        /// The signal.
+        /// Signal of the condition.
         signal: Signal,
     },
-    /// Thresholds so close that noise crosses both.
+    /// The thresholds are so close that noise crosses both.
     #[error("{path}.leave: {leave} would flap, for it is not a tenth under {enter} (enter)")]
     WouldFlap {
-        /// The condition.
+        /// Path of the condition.
         path: ConditionPath,
-        /// The threshold for leaving.
+        /// Threshold for leaving.
         leave: f64,
-        /// The threshold for entering.
+        /// Threshold for entering.
         enter: f64,
     },
-    /// A worse level that takes no more of a signal than a better one.
+    /// A worse level has no higher threshold for a signal than a better level.
     #[error(
-        "{path}.enter: {enter} overlaps levels.list[{better}], which takes {better_enter} of {signal} and is better"
+        "{path}.enter: {enter} overlaps levels.list[{better_level}], which takes {better_enter} of {signal} and is better"
     )]
     Overlaps {
-        /// The condition.
+        /// Path of the condition.
         path: ConditionPath,
-        /// Its threshold for entering.
+        /// Threshold for entering.
         enter: f64,
-        /// Position of the better level.
-        better: usize,
-        /// The threshold of that one.
+        /// Index of the better level.
+        better_level: usize,
+        /// Threshold for entering the better level.
         better_enter: f64,
-        /// The signal of both.
+        /// The common signal.
         signal: Signal,
     },
 }
--- a/crates/coralstep-degradation/src/config/validation.rs
+++ b/crates/coralstep-degradation/src/config/validation.rs
@@ -1,30 +1,29 @@
-//! Finds what makes levels unusable before they are used: conditions that overlap, can't be met, or would flap, and
-//! levels without a way in or back.
+//! Rejects configurations with conditions that overlap, can't be met or would flap, and with levels that can't be
+//! entered or left.
 use std::collections::HashSet;
 use std::ops::RangeInclusive;
 
 use super::{Condition, ConditionPath, DegradationConfig, DegradationConfigError, LevelConfig};
 
-/// Levels that settings may have.
+/// Maximum number of levels.
 pub(super) const MAX_LEVELS: usize = 16;
-/// Conditions that a level may have.
+/// Maximum number of conditions of a level.
 pub(super) const MAX_CONDITIONS: usize = 16;
-/// The threshold for leaving is this part under the one for entering, at the least. Guards against a level that is
-/// entered and left by the same noise.
+/// Minimum gap between the thresholds for entering and leaving, as a fraction of the one for entering.
+/// Guards against noise that enters and leaves a level again and again.
 const MIN_THRESHOLD_GAP: f64 = 0.1;
-/// Greatest priority weight.
+/// Maximum priority weight.
 const MAX_PRIORITY_WEIGHT: f64 = 1e9;
-/// Ranges of times, in milliseconds.
 const MIN_STAY_RANGE_MS: RangeInclusive<u32> = 1_000..=3_600_000;
 const HALF_LIFE_RANGE_MS: RangeInclusive<u32> = 100..=60_000;
 const CONDITION_TIME_RANGE_MS: RangeInclusive<u32> = 100..=600_000;
 
 impl DegradationConfig {
-    /// Checks that every level can be entered and left, and by its own cause.
+    /// Checks that every level can be entered and left, and that its conditions don't overlap those of better levels.
     ///
     /// # Errors
     ///
-    /// The first fault found, by the path of the setting.
+    /// Returns the first error found, with the path of the setting.
     pub fn validate(&self) -> Result<(), DegradationConfigError> {
         check_time("levels.stay_ms", self.min_stay_ms, &MIN_STAY_RANGE_MS)?;
         check_time("levels.smooth_ms", self.half_life_ms, &HALF_LIFE_RANGE_MS)?;
@@ -54,10 +53,10 @@
         config: &LevelConfig,
     ) -> Result<(), DegradationConfigError> {
         let mut signals = HashSet::new();
-        for (position, condition) in config.conditions.iter().enumerate() {
+        for (index, condition) in config.conditions.iter().enumerate() {
             let path = ConditionPath {
                 level,
-                condition: position,
+                condition: index,
             };
             if !signals.insert(condition.signal) {
                 return Err(DegradationConfigError::DuplicateSignal {
@@ -77,25 +76,25 @@
                     &CONDITION_TIME_RANGE_MS,
                 )?;
             }
-            self.check_better_levels(path, condition)?;
+            self.check_overlap(path, condition)?;
         }
         Ok(())
     }
 
-    /// Guards against levels that are passed by: a worse one has to take more of the same signal.
-    fn check_better_levels(
+    /// Guards against levels that are always skipped: a worse level needs a higher threshold for the same signal.
+    fn check_overlap(
         &self,
         path: ConditionPath,
         condition: &Condition,
     ) -> Result<(), DegradationConfigError> {
         let overlaps =
             |other: &&Condition| other.signal == condition.signal && other.enter >= condition.enter;
-        for (better, config) in self.levels[..path.level].iter().enumerate() {
+        for (better_level, config) in self.levels[..path.level].iter().enumerate() {
             if let Some(other) = config.conditions.iter().find(overlaps) {
                 return Err(DegradationConfigError::Overlaps {
                     path,
                     enter: condition.enter,
-                    better,
+                    better_level,
                     better_enter: other.enter,
                     signal: condition.signal,
                 });
@@ -162,7 +161,7 @@
 
 fn check_actions(level: usize, config: &LevelConfig) -> Result<(), DegradationConfigError> {
     let actions = &config.actions;
-    let parts = [
+    let factors = [
         (
             "least_criticality",
             actions.min_priority_weight,
@@ -171,7 +170,7 @@
         ("hold", actions.queue_limit_factor, 1.0),
         ("value", actions.load_report_factor, 1.0),
     ];
-    for (setting, value, max) in parts {
+    for (setting, value, max) in factors {
         check_range(
             &format!("levels.list[{level}].does.{setting}"),
             value,
--- a/crates/coralstep-degradation/src/config/validation/tests.rs
+++ b/crates/coralstep-degradation/src/config/validation/tests.rs
@@ -3,17 +3,20 @@
 
 type Edit = fn(&mut DegradationConfig);
 
-/// Each edit of the built-in levels has to be refused with a message that begins so.
-fn assert_refused(cases: &[(Edit, &str)]) {
+/// Asserts that each edit of the built-in levels is rejected with a message that starts with the given text.
+fn assert_rejected(cases: &[(Edit, &str)]) {
     for (edit, message) in cases {
         let mut config = DegradationConfig::default();
         edit(&mut config);
         let error = config.validate().unwrap_err().to_string();
-        assert!(error.starts_with(message), "{error} instead of {message}");
+        assert!(
+            error.starts_with(message),
+            "expected {message:?}, got {error:?}"
+        );
     }
 }
 
-fn queue_wait() -> Condition {
+fn queue_wait_condition() -> Condition {
     Condition {
         signal: Signal::QueueWait,
         enter: 0.5,
@@ -24,81 +27,84 @@
 }
 
 #[test]
-fn the_built_in_levels_are_valid() {
+fn accepts_built_in_levels() {
     DegradationConfig::default().validate().unwrap();
 }
 
 #[test]
-fn unusable_levels_are_refused_by_their_setting() {
-    assert_refused(&[
-        (|t| t.levels.clear(), "levels.list: 0 levels"),
-        (|t| t.min_stay_ms = 0, "levels.stay_ms: 0 is not from 1000"),
+fn rejects_unusable_levels_with_setting_path() {
+    assert_rejected(&[
+        (|config| config.levels.clear(), "levels.list: 0 levels"),
         (
-            |t| t.levels[1].name = "full".to_owned(),
+            |config| config.min_stay_ms = 0,
+            "levels.stay_ms: 0 is not from 1000",
+        ),
+        (
+            |config| config.levels[1].name = "full".to_owned(),
             "levels.list[1].name: full comes twice",
         ),
         (
-            |t| t.levels[1].name = String::new(),
+            |config| config.levels[1].name = String::new(),
             "levels.list[1].name: \"\" is no name",
         ),
         (
-            |t| t.levels[0].conditions.push(queue_wait()),
+            |config| config.levels[0].conditions.push(queue_wait_condition()),
             "levels.list[0].when: the first level",
         ),
         (
-            |t| t.levels[2].conditions.clear(),
+            |config| config.levels[2].conditions.clear(),
             "levels.list[2].when: no way in",
         ),
         (
-            |t| t.levels[1].actions.queue_limit_factor = 1.5,
+            |config| config.levels[1].actions.queue_limit_factor = 1.5,
             "levels.list[1].does.hold: 1.5 is not",
         ),
     ]);
 }
 
 #[test]
-fn thresholds_that_never_work_are_refused_by_their_setting() {
-    assert_refused(&[
+fn rejects_ineffective_thresholds_with_setting_path() {
+    assert_rejected(&[
         (
-            |t| t.levels[1].conditions[0].leave = 0.9,
+            |config| config.levels[1].conditions[0].leave = 0.9,
             "levels.list[1].when[0].leave: 0.9 would flap",
         ),
         (
-            |t| t.levels[1].conditions[0].leave = 2.0,
+            |config| config.levels[1].conditions[0].leave = 2.0,
             "levels.list[1].when[0].leave: 2 would flap",
         ),
         (
-            |t| t.levels[1].conditions[0].leave = -0.1,
+            |config| config.levels[1].conditions[0].leave = -0.1,
             "levels.list[1].when[0].leave: -0.1 leaves no way back",
         ),
         (
-            |t| t.levels[1].conditions[0].leave = f64::NAN,
+            |config| config.levels[1].conditions[0].leave = f64::NAN,
             "levels.list[1].when[0].leave: NaN leaves no way back",
         ),
         (
-            |t| t.levels[1].conditions[1].enter = 1.0,
+            |config| config.levels[1].conditions[1].enter = 1.0,
             "levels.list[1].when[1].enter: 1 is never met",
         ),
         (
-            |t| t.levels[1].conditions[1].enter = f64::NAN,
+            |config| config.levels[1].conditions[1].enter = f64::NAN,
             "levels.list[1].when[1].enter: NaN is never met",
         ),
         (
-            |t| t.levels[1].conditions[0].enter_ms = 0,
+            |config| config.levels[1].conditions[0].enter_ms = 0,
             "levels.list[1].when[0].enter_ms: 0 is not",
         ),
     ]);
 }
 
 #[test]
-fn conditions_that_overlap_are_refused_by_their_setting() {
-    assert_refused(&[
+fn rejects_overlapping_conditions_with_setting_path() {
+    assert_rejected(&[
         (
-            |t| t.levels[1].conditions.push(queue_wait()),
+            |config| config.levels[1].conditions.push(queue_wait_condition()),
             "levels.list[1].when[4].signal: two conditions on hold",
         ),
         (
-            |t| t.levels[2].conditions.push(queue_wait()),
+            |config| config.levels[2].conditions.push(queue_wait_condition()),
             "levels.list[2].when[2].enter: 0.5 overlaps levels.list[1]",
         ),
     ]);
--- a/crates/coralstep-degradation/src/lib.rs
+++ b/crates/coralstep-degradation/src/lib.rs
@@ -1,6 +1,8 @@
-//! Named levels of reduced service. Each level but the first has conditions for entering and leaving it, over figures
-//! that the scheduler observes of itself ([`coralstep::Signals`]); what it does is carried out by the scheduler
-//! ([`coralstep::DegradationLevel`]). No I/O and no clock: the caller passes the time in.
+//! Degradation levels: named levels of reduced service.
+//!
+//! Each level except the first has conditions for entering and leaving it. They compare signals that the scheduler
+//! measures about itself ([`coralstep::Signals`]) with thresholds. The scheduler carries out the actions of the current
+//! level ([`coralstep::DegradationLevel`]). No I/O and no clock: the caller passes the time in.
 //!
 //! ```
 //! use coralstep::{Signals, Span, Time};
@@ -8,11 +10,11 @@
 //!
 //! let config = DegradationConfig::default();
 //! let mut levels = LevelStateMachine::new(&config, Time(0)).unwrap();
-//! let crowded = Signals { queue_wait: Some(1.0), ..Signals::default() };
+//! let overloaded = Signals { queue_wait: Some(1.0), ..Signals::default() };
 //! let mut change = None;
-//! for tick in 1..100 {
-//!     let now = Time(0) + Span::ms(100) * tick;
-//!     change = change.or(levels.observe(now, &crowded));
+//! for step in 1..100 {
+//!     let now = Time(0) + Span::ms(100) * step;
+//!     change = change.or(levels.observe(now, &overloaded));
 //! }
 //! let change = change.unwrap();
 //! assert_eq!((change.from.as_str(), change.to.as_str()), ("full", "no-extras"));
--- a/crates/coralstep-degradation/src/replay.rs
+++ b/crates/coralstep-degradation/src/replay.rs
@@ -1,4 +1,4 @@
-//! Plays recorded figures through other settings: what would have happened.
+//! Replays recorded signals with another configuration to show which changes of level it would have made.
 use std::io::{self, BufRead};
 
 use coralstep::{Signals, Span, Time};
@@ -8,16 +8,16 @@
 use crate::config::{DegradationConfig, DegradationConfigError};
 use crate::state_machine::LevelStateMachine;
 
-/// Figures are observed this often at the least, in milliseconds. Between two samples further apart the earlier one is
-/// taken to have held.
+/// Maximum interval between observations in milliseconds. If two samples are further apart, the earlier one is repeated
+/// in between.
 const OBSERVATION_INTERVAL_MS: u64 = 100;
-/// Between samples further apart than this, in milliseconds, nothing is made up.
+/// Maximum gap between two samples, in milliseconds, that is filled by repeating the earlier one.
 const MAX_GAP_MS: u64 = 5_000;
 
-/// One line of a record, as the server logs it.
+/// One recorded observation, as the server logs it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
-    /// Milliseconds since any moment that is the same for the whole record.
+    /// Time of the observation in milliseconds since an arbitrary origin, the same for the whole recording.
     pub at_ms: u64,
     /// See [`Signals::queue_wait`].
     #[serde(default, rename = "hold")]
@@ -46,7 +46,7 @@
 }
 
 impl Sample {
-    /// The line for `signals` at `at_ms` milliseconds.
+    /// Creates the sample for `signals` at `at_ms` milliseconds.
     pub fn new(at_ms: u64, signals: &Signals) -> Sample {
         Sample {
             at_ms,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The figures of the line.
+    /// Returns the recorded signals.
     pub fn signals(&self) -> Signals {
         Signals {
             queue_wait: self.queue_wait,
@@ -76,44 +76,44 @@
     }
 }
 
-/// Why a record can't be replayed.
+/// Error of a replay.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplayError {
-    /// The settings are at fault.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] DegradationConfigError),
-    /// A line can't be read.
+    /// A line could not be read.
     #[error("line {line}: {source}")]
     Read {
-        /// Number of the line, from 1.
+        /// Line number, starting at 1.
         line: usize,
-        /// What went wrong.
+        /// The I/O error.
         source: io::Error,
     },
-    /// No line is a sample.
+    /// The recording contains no sample.
     #[error("no line holds signals")]
     NoSample,
 }
 
-/// Reports the changes that `config` would have made, each with its time in the record in milliseconds, and returns how
-/// many samples there are.
+/// Reports the changes of level that `config` would have made and returns the number of samples.
 ///
-/// Lines that are no sample are passed over. They are read as they come, so memory doesn't grow with the record.
+/// Each change is reported with its time in the recording, in milliseconds. Lines that aren't samples are skipped. Lines
+/// are processed one at a time, so memory use doesn't grow with the recording.
 ///
 /// # Errors
 ///
-/// Where the settings are at fault, a line can't be read, or none is a sample.
+/// Returns an error if the configuration is invalid, a line can't be read or there is no sample.
 pub fn replay(
     config: &DegradationConfig,
-    record: impl BufRead,
+    recording: impl BufRead,
     mut report: impl FnMut(u64, LevelChange),
 ) -> Result<u64, ReplayError> {
     let mut levels: Option<LevelStateMachine> = None;
     let mut last = None;
     let mut count = 0;
-    for (number, line) in record.lines().enumerate() {
+    for (index, line) in recording.lines().enumerate() {
         let line = line.map_err(|source| ReplayError::Read {
-            line: number + 1,
+            line: index + 1,
             source,
         })?;
         let Ok(sample) = serde_json::from_str::<Sample>(&line) else {
@@ -138,7 +138,7 @@
     Ok(count)
 }
 
-/// Observes the last sample for as long as it is taken to have held.
+/// Repeats the last sample up to `until_ms`, unless the gap is longer than [`MAX_GAP_MS`].
 fn fill_gap(
     levels: &mut LevelStateMachine,
     last: &Sample,
--- a/crates/coralstep-degradation/src/signal.rs
+++ b/crates/coralstep-degradation/src/signal.rs
@@ -1,52 +1,52 @@
-//! The figures that conditions are about.
+//! Signals that the conditions of a level refer to.
 use std::fmt;
 
 use coralstep::Signals;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// A figure that the scheduler observes of itself; more is worse.
+/// Load signal that the scheduler measures about itself; a higher value is worse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize, Serialize, JsonSchema)]
 #[schemars(
     description = "A figure that a condition is about. Parts run from 0 to 1 and beyond, where more is worse."
 )]
 pub enum Signal {
-    /// Longest wait in the admission queue, as a part of its limit.
+    /// Longest wait in the admission queue, as a fraction of the queue limit.
     #[serde(rename = "hold")]
     #[schemars(description = "The longest wait in the hold, as a part of its limit.")]
     QueueWait,
-    /// Part of the RPCs that are rejected.
+    /// Fraction of RPCs that are rejected.
     #[serde(rename = "pushed_back")]
     #[schemars(description = "Part of the RPCs that got a pushback.")]
     Rejected,
-    /// RPCs that run, as a part of the concurrency limit.
+    /// Number of running RPCs, as a fraction of the concurrency limit.
     #[serde(rename = "running")]
     #[schemars(description = "What runs, as a part of the running limit.")]
     Concurrency,
-    /// 1 while a circuit breaker is open or half-open, else 0.
+    /// 1 while a circuit breaker is open or half-open, otherwise 0.
     #[serde(rename = "breaker")]
     #[schemars(description = "1 while a breaker is open or half-open.")]
     BreakerOpen,
-    /// Usual time of a call to the dependency, as a multiple of its best.
+    /// Typical duration of a call of the dependency, as a multiple of its best typical duration.
     #[serde(rename = "slowness")]
     #[schemars(description = "The usual time of a call, as a multiple of the best that was usual.")]
     CallSlowness,
-    /// Memory that is reserved, as a part of all.
+    /// Reserved memory, as a fraction of the total.
     #[serde(rename = "memory")]
     #[schemars(description = "Memory booked, as a part of all.")]
     Memory,
-    /// Longest wait before a request is read, as a part of the queue's limit.
+    /// Longest read delay of a request, as a fraction of the queue limit.
     #[serde(rename = "unread")]
     #[schemars(description = "The wait unread, as a part of the hold limit.")]
     ReadDelay,
-    /// 1 while the server is warming up, else 0.
+    /// 1 while the server is warming up, otherwise 0.
     #[serde(rename = "cold")]
     #[schemars(description = "1 while the server is cold.")]
     WarmingUp,
 }
 
 impl Signal {
-    /// All signals, in the order of their declaration.
+    /// All signals in declaration order.
     pub const ALL: [Signal; 8] = [
         Signal::QueueWait,
         Signal::Rejected,
@@ -58,7 +58,7 @@
         Signal::WarmingUp,
     ];
 
-    /// Its name in settings, records and messages.
+    /// Returns the name used in the configuration, in recorded samples and in messages.
     pub fn name(self) -> &'static str {
         match self {
             Signal::QueueWait => "hold",
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Its figure among `signals`; none where it was not observed.
+    /// Returns the value of this signal in `signals`, or `None` if it was not observed.
     pub fn value_in(self, signals: &Signals) -> Option<f64> {
         match self {
             Signal::QueueWait => signals.queue_wait,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The greatest figure that a threshold may be under; one at or beyond it is never exceeded.
+    /// Returns the upper bound of thresholds: a threshold at or above it is never exceeded.
     pub fn max_value(self) -> f64 {
         match self {
             Signal::Rejected | Signal::BreakerOpen | Signal::WarmingUp | Signal::Memory => 1.0,
--- a/crates/coralstep-degradation/src/state_machine.rs
+++ b/crates/coralstep-degradation/src/state_machine.rs
@@ -1,4 +1,4 @@
-//! The level that holds now, and the rules by which it changes.
+//! State machine that decides the current degradation level.
 use coralstep::{DegradationLevel, Signals, Span, Time};
 
 use crate::Signal;
@@ -9,12 +9,13 @@
 use crate::smoothing::{ObservedClock, SmoothedValue};
 use crate::status::{ConditionStatus, LevelStatus};
 
-/// Figures are observed for this long before any level changes. Guards against the first few RPCs of a fresh server.
+/// Time for which signals are observed before the first change of level.
+/// Guards against a change of level caused by the first few RPCs of a new server.
 const MIN_OBSERVED_TIME: Span = Span::ms(3_000);
-/// A level that is set by hand holds for this long at the most.
+/// Maximum duration of a manual override.
 const MAX_OVERRIDE_DURATION: Span = Span::ms(24 * 3_600_000);
 
-/// For how long a condition has been met, and cleared, in time that was observed.
+/// Observed time for which a condition has been met or cleared without interruption.
 #[derive(Clone, Copy, Debug, Default)]
 struct ConditionTimer {
     met_for: Span,
@@ -22,8 +23,8 @@
 }
 
 impl ConditionTimer {
-    /// A figure that was never observed meets nothing; one that is no longer observed stays what it was until it is
-    /// forgotten.
+    /// Adds `step` to the time met or cleared, or resets it. Without a value, because it was never observed or has
+    /// expired, the condition counts as cleared.
     fn advance(&mut self, condition: &Condition, value: Option<f64>, step: Span) {
         let is_met = value.is_some_and(|value| value > condition.enter);
         let is_cleared = value.is_none_or(|value| value <= condition.leave);
@@ -40,43 +41,44 @@
     }
 }
 
-/// A level that an operator set.
+/// Level set by an operator.
 #[derive(Clone, Copy, Debug)]
 struct Override {
     level: usize,
     until: Time,
 }
 
-/// A level to change to, and why.
+/// Change to another level, with its causes.
 struct LevelTransition {
     level: usize,
     causes: Vec<Cause>,
 }
 
-/// Why a level can't be set by hand.
+/// Error of a manual override.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OverrideError {
-    /// No level has this name.
+    /// There is no level of this name.
     #[error("no level {name:?}")]
     UnknownLevel {
-        /// The name.
+        /// The requested name.
         name: String,
     },
-    /// The time is none, or longer than 24 hours.
+    /// The duration is zero or longer than 24 hours.
     #[error("a hold lasts from a moment to 24 hours")]
     InvalidDuration,
 }
 
-/// Decides which degradation level holds, by figures that the scheduler observes of itself.
+/// Chooses the degradation level according to the signals of the scheduler.
 pub struct LevelStateMachine {
     config: DegradationConfig,
-    /// By signal, in the order of [`Signal::ALL`].
+    /// One per signal, in the order of [`Signal::ALL`].
     smoothed_values: [SmoothedValue; Signal::ALL.len()],
-    /// By level, then by condition.
+    /// Indexed by level, then by condition.
     timers: Vec<Vec<ConditionTimer>>,
     clock: ObservedClock,
-    /// Time that was observed since the start, and since the last change.
+    /// Observed time since the start.
     observed_time: Span,
+    /// Observed time since the last change of level.
     time_in_level: Span,
     current_index: usize,
     entered_at: Time,
@@ -85,11 +87,12 @@
 }
 
 impl LevelStateMachine {
-    /// Begins at the first level, as nothing was observed yet: a fresh server takes over nobody's state.
+    /// Starts at the first level, since nothing has been observed yet. A new server does not take over the level of
+    /// another one.
     ///
     /// # Errors
     ///
-    /// Where the settings are at fault.
+    /// Returns an error if the configuration is invalid.
     pub fn new(
         config: &DegradationConfig,
         now: Time,
@@ -109,12 +112,12 @@
         })
     }
 
-    /// Takes other settings. The level of the same name goes on, else the first does; the figures are kept. Returns the
-    /// change, where the level or what it does is another.
+    /// Replaces the configuration and ends a manual override. The level of the same name stays current, or else the
+    /// first level becomes current. Smoothed values are kept. Returns the change if the level or its actions differ.
     ///
     /// # Errors
     ///
-    /// Where the settings are at fault; nothing changes then.
+    /// Returns an error and changes nothing if the configuration is invalid.
     pub fn reload(
         &mut self,
         config: &DegradationConfig,
@@ -135,7 +138,7 @@
             level: self.current_index,
             causes: Vec::new(),
         };
-        Ok(Some(self.change_from(name, now, transition, true)))
+        Ok(Some(self.enter_level_from(name, now, transition, true)))
     }
 
     fn level_index(&self, name: &str) -> Option<usize> {
@@ -147,12 +150,12 @@
         &self.config.levels[self.current_index]
     }
 
-    /// Name of the level that holds.
+    /// Returns the name of the current level.
     pub fn level_name(&self) -> &str {
         &self.current_level().name
     }
 
-    /// What the level that holds does.
+    /// Returns the actions of the current level.
     pub fn actions(&self) -> LevelActions {
         self.current_level().actions
     }
@@ -165,7 +168,8 @@
         self.smoothed_values[signal as usize].value()
     }
 
-    /// What the scheduler is to do at the level that holds. RPCs that it rejects may retry once the level can change.
+    /// Returns the current level in the form that the scheduler applies. Its Retry-After is the time until the level may
+    /// change.
     pub fn degradation_level(&self) -> DegradationLevel {
         let actions = self.actions();
         let retry_after = if self.current_index == 0 {
@@ -185,22 +189,22 @@
         }
     }
 
-    /// Takes the figures of one tick, some ten a second; returns the change of level, where there is one.
+    /// Processes one observation of the signals, about ten per second, and returns the change of level, if any.
     ///
-    /// A level that is set by hand holds until its time is over. Else the level changes no sooner than its least stay.
+    /// A manual override applies until it expires. Otherwise the level changes only after its minimum time.
     pub fn observe(&mut self, now: Time, signals: &Signals) -> Option<LevelChange> {
         let step = self.clock.advance(now);
         self.smooth_signals(signals, step);
         self.advance_timers(step);
         if let Some(active) = self.level_override.filter(|active| now < active.until) {
-            return self.change_to_override(active, now);
+            return self.apply_override(active, now);
         }
         self.level_override = None;
         if self.observed_time < MIN_OBSERVED_TIME || self.time_in_level < self.min_stay() {
             return None;
         }
         let transition = self.worse_level().or_else(|| self.better_level())?;
-        Some(self.change(now, transition, false))
+        Some(self.enter_level(now, transition, false))
     }
 
     fn smooth_signals(&mut self, signals: &Signals, step: Span) {
@@ -222,7 +226,7 @@
         }
     }
 
-    fn change_to_override(&mut self, level_override: Override, now: Time) -> Option<LevelChange> {
+    fn apply_override(&mut self, level_override: Override, now: Time) -> Option<LevelChange> {
         if level_override.level == self.current_index {
             return None;
         }
@@ -230,13 +234,14 @@
             level: level_override.level,
             causes: Vec::new(),
         };
-        Some(self.change(now, transition, true))
+        Some(self.enter_level(now, transition, true))
     }
 
-    /// Straight to the worst level one of whose conditions has been met for its time.
+    /// Returns the worst level with a condition that has been met for its `enter_ms`, if it is worse than the current
+    /// one. Levels in between are skipped.
     fn worse_level(&self) -> Option<LevelTransition> {
-        let worse = self.current_index + 1..self.config.levels.len();
-        worse.rev().find_map(|level| {
+        let worse_levels = self.current_index + 1..self.config.levels.len();
+        worse_levels.rev().find_map(|level| {
             let causes: Vec<Cause> = self
                 .conditions(level)
                 .filter(|(condition, timer)| {
@@ -248,7 +253,7 @@
         })
     }
 
-    /// Back by one level, once all conditions of the one that holds have been cleared for their time.
+    /// Returns the next better level if all conditions of the current one have been cleared for their `leave_ms`.
     fn better_level(&self) -> Option<LevelTransition> {
         let level = self.current_index.checked_sub(1)?;
         let all_cleared = self
@@ -277,12 +282,17 @@
         }
     }
 
-    fn change(&mut self, now: Time, transition: LevelTransition, is_manual: bool) -> LevelChange {
+    fn enter_level(
+        &mut self,
+        now: Time,
+        transition: LevelTransition,
+        is_manual: bool,
+    ) -> LevelChange {
         let from = self.level_name().to_owned();
-        self.change_from(from, now, transition, is_manual)
+        self.enter_level_from(from, now, transition, is_manual)
     }
 
-    fn change_from(
+    fn enter_level_from(
         &mut self,
         from: String,
         now: Time,
@@ -304,11 +314,11 @@
         }
     }
 
-    /// Sets a level by hand until `duration` has passed, 24 hours at the most; the change comes with the next tick.
+    /// Overrides the level for `duration`, at most 24 hours. The next [`observe`](Self::observe) makes the change.
     ///
     /// # Errors
     ///
-    /// Where no level has this name, or the duration is zero or too long.
+    /// Returns an error if there is no level of this name or the duration is zero or too long.
     pub fn set_override(
         &mut self,
         now: Time,
@@ -330,12 +340,13 @@
         Ok(())
     }
 
-    /// Ends a level set by hand; false where there was none. The figures decide from then on, after the least stay.
+    /// Ends a manual override; returns `false` if there was none. The signals then decide the level, after its minimum
+    /// time.
     pub fn clear_override(&mut self) -> bool {
         self.level_override.take().is_some()
     }
 
-    /// The level that holds, and all conditions, for operators.
+    /// Returns the current level and the state of all conditions, for operators.
     pub fn status(&self, now: Time) -> LevelStatus {
         let active_override = self.level_override.filter(|active| now < active.until);
         LevelStatus {
@@ -375,7 +386,7 @@
     config.levels.iter().map(timers).collect()
 }
 
-/// A span in whole milliseconds; its unit is a tenth of one.
+/// Converts a span from ticks of 0.1 ms to whole milliseconds.
 fn millis(span: Span) -> u64 {
     span.0 / 10
 }
--- a/crates/coralstep-degradation/src/status.rs
+++ b/crates/coralstep-degradation/src/status.rs
@@ -1,54 +1,54 @@
-//! What operators see of the levels: the one that holds, why, and what would change it.
+//! Status for operators: the current level, its causes and the conditions that would change it.
 use serde::Serialize;
 
 use crate::Signal;
 use crate::change::Cause;
 use crate::config::LevelActions;
 
-/// How a condition stands.
+/// Status of a condition.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ConditionStatus {
-    /// Name of its level.
+    /// Name of the level that the condition belongs to.
     pub level: String,
-    /// The signal that it is about.
+    /// Signal that is compared with the thresholds.
     pub signal: Signal,
-    /// The smoothed figure; none where it was never observed, or is forgotten.
+    /// Smoothed value of the signal; `None` if it was never observed or has expired.
     #[serde(rename = "figure")]
     pub value: Option<f64>,
     /// Threshold for entering the level.
     pub enter: f64,
-    /// Threshold for leaving it.
+    /// Threshold for leaving the level.
     pub leave: f64,
-    /// Milliseconds for which it has been met.
+    /// Time for which the condition has been met, in milliseconds.
     pub met_ms: u64,
-    /// Milliseconds for which it has been cleared.
+    /// Time for which the condition has been cleared, in milliseconds.
     #[serde(rename = "gone_ms")]
     pub cleared_ms: u64,
-    /// Milliseconds for which it has to be met.
+    /// Time for which the condition has to be met to enter the level, in milliseconds.
     pub enter_ms: u32,
-    /// Milliseconds for which it has to be cleared.
+    /// Time for which the condition has to be cleared to leave the level, in milliseconds.
     pub leave_ms: u32,
 }
 
-/// The level that holds, and all conditions.
+/// Status of the current level and of all conditions.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LevelStatus {
-    /// Name of the level.
+    /// Name of the current level.
     pub level: String,
-    /// Milliseconds since it was entered.
+    /// Time since the level was entered, in milliseconds.
     pub since_ms: u64,
-    /// Milliseconds until it may change, by its least stay.
+    /// Remaining minimum time in the level, in milliseconds.
     #[serde(rename = "stays_ms")]
     pub min_stay_left_ms: u64,
-    /// Milliseconds that a level set by hand still holds; none where there is none.
+    /// Remaining time of the manual override, in milliseconds; `None` if there is none.
     #[serde(rename = "held_ms")]
     pub override_left_ms: Option<u64>,
-    /// Why it was entered.
+    /// Causes of the change to this level.
     #[serde(rename = "why")]
     pub causes: Vec<Cause>,
-    /// What it does.
+    /// Actions of the level.
     #[serde(rename = "does")]
     pub actions: LevelActions,
-    /// The conditions of all levels, in their order.
+    /// Conditions of all levels, in configuration order.
     pub conditions: Vec<ConditionStatus>,
 }
