--- a/crates/coralstep-degradation/src/config.rs
+++ b/crates/coralstep-degradation/src/config.rs
@@ -136,7 +136,7 @@
 )]
 #[schemars(description = "Levels from full service to the worst.")]
 pub struct DegradationConfig {
-    /// Minimum time between two changes of level, in milliseconds, 1,000 to 3,600,000.
+    /// Minimum stay in a level before the next change, in milliseconds, 1,000 to 3,600,000.
     #[serde(rename = "stay_ms")]
     #[schemars(description = "Between two changes, in milliseconds.")]
     pub min_stay_ms: u32,
--- a/crates/coralstep-degradation/src/state_machine.rs
+++ b/crates/coralstep-degradation/src/state_machine.rs
@@ -191,7 +191,7 @@
 
     /// Processes one observation of the signals, about ten per second, and returns the change of level, if any.
     ///
-    /// A manual override applies until it expires. Otherwise the level changes only after its minimum time.
+    /// A manual override applies until it expires. Otherwise the level changes only after the minimum stay.
     pub fn observe(&mut self, now: Time, signals: &Signals) -> Option<LevelChange> {
         let step = self.clock.advance(now);
         self.smooth_signals(signals, step);
@@ -340,8 +340,8 @@
         Ok(())
     }
 
-    /// Ends a manual override; returns `false` if there was none. The signals then decide the level, after its minimum
-    /// time.
+    /// Ends a manual override; returns `false` if there was none. The signals then decide the level, after the
+    /// minimum stay.
     pub fn clear_override(&mut self) -> bool {
         self.level_override.take().is_some()
     }
--- a/crates/coralstep-degradation/src/status.rs
+++ b/crates/coralstep-degradation/src/status.rs
@@ -37,7 +37,7 @@
     pub level: String,
     /// Time since the level was entered, in milliseconds.
     pub since_ms: u64,
-    /// Remaining minimum time in the level, in milliseconds.
+    /// Remaining minimum stay in the level, in milliseconds.
     #[serde(rename = "stays_ms")]
     pub min_stay_left_ms: u64,
     /// Remaining time of the manual override, in milliseconds; `None` if there is none.
--- a/crates/coralstep-degradation/tests/fleet.rs
+++ b/crates/coralstep-degradation/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Degradation levels on the real scheduler, in virtual time: four servers at 120% through a rolling deploy whose
-//! successors start cold, each with its own levels and nobody's state but its own.
+//! Degradation levels with the real scheduler in virtual time: four servers at 120% of their capacity during a rolling
+//! deploy. The successors start cold, and each server decides on its level from its own state only.
 use coralstep::{
     Actions, DegradationLevel, Dependency, Gauges, Idempotency, Method, Outcome, Request, RpcId,
     Scheduler, SchedulerConfig, Span, Time,
@@ -10,37 +10,39 @@
 
 const STEP_MS: u64 = 10;
 const CORES: usize = 2;
-/// Work of a run on a core, and the runs a second that a warm server gets done.
+/// CPU time of a run.
 const WORK_MS: f64 = 100.0;
+/// Runs per second that a warm server completes.
 const CAPACITY: f64 = CORES as f64 * 1000.0 / WORK_MS;
-const WARMING_MS: u64 = 10_000;
+const WARM_UP_MS: u64 = 10_000;
 const COLD_SPEED: f64 = 0.3;
 const TARGET_MS: u64 = 2_000;
-/// What an answer without its call earns, and how long a call takes.
-const SKIP: f64 = 0.5;
+/// Value of an answer without its call, as a fraction of the full value.
+const SKIP_VALUE: f64 = 0.5;
+/// Duration of a call.
 const CALL_MS: u64 = 20;
 
 #[derive(Default)]
-struct Answers {
+struct RecordedActions {
     admitted: Vec<RpcId>,
     called: Vec<(RpcId, Span)>,
     skipped: Vec<RpcId>,
     released: Vec<RpcId>,
-    pushed_back: u64,
+    rejected: u64,
 }
 
-impl Actions for Answers {
+impl Actions for RecordedActions {
     fn admit(&mut self, rpc: RpcId) {
         self.admitted.push(rpc);
     }
-    fn call(&mut self, rpc: RpcId, patience: Span) {
-        self.called.push((rpc, patience));
+    fn call(&mut self, rpc: RpcId, timeout: Span) {
+        self.called.push((rpc, timeout));
     }
     fn skip_call(&mut self, rpc: RpcId) {
         self.skipped.push(rpc);
     }
     fn reject(&mut self, _rpc: RpcId, _after: Span, _last: bool) {
-        self.pushed_back += 1;
+        self.rejected += 1;
     }
     fn release_id(&mut self, rpc: RpcId) {
         self.released.push(rpc);
@@ -48,32 +50,35 @@
 }
 
 struct Node {
-    server: Scheduler,
+    scheduler: Scheduler,
     levels: LevelStateMachine,
-    out: Answers,
-    /// Since when and how long each index's run still takes.
+    actions: RecordedActions,
+    /// Arrival time in milliseconds and method of each RPC, indexed by its id.
     rpcs: Vec<(u64, usize)>,
-    free: Vec<RpcId>,
+    /// Ids that can be reused.
+    free_ids: Vec<RpcId>,
+    /// Running RPCs with their remaining work in milliseconds.
     running: Vec<(RpcId, f64)>,
-    /// Those at their call, until when it lasts, and whether it then goes well.
+    /// RPCs in a call: id, start and end of the call in milliseconds, and whether it succeeds.
     calling: Vec<(RpcId, u64, u64, bool)>,
-    /// Who came to its call.
-    halfway: Vec<RpcId>,
-    /// Whose call was left out.
-    bare: Vec<RpcId>,
-    began: u64,
+    /// RPCs that have requested their call.
+    call_requested: Vec<RpcId>,
+    /// RPCs whose call was skipped.
+    call_skipped: Vec<RpcId>,
+    started_ms: u64,
     cold: bool,
+    /// Changes of level: time in milliseconds and name of the new level.
     changes: Vec<(u64, String)>,
 }
 
-fn at(ms: u64) -> Time {
+fn time_at(ms: u64) -> Time {
     Time(1 << 30) + Span::ms(ms)
 }
 
 fn config(cold: bool) -> SchedulerConfig {
-    let method = |effect, criticality| Method {
-        idempotency: effect,
-        priority_weight: criticality,
+    let method = |idempotency, priority_weight| Method {
+        idempotency,
+        priority_weight,
         latency_objective: Span::ms(TARGET_MS),
         deadline: Span::ms(4 * TARGET_MS),
         late_value: 0.2,
@@ -83,7 +88,7 @@
         methods: vec![
             Method {
                 calls: true,
-                skip_value: SKIP,
+                skip_value: SKIP_VALUE,
                 ..method(Idempotency::Idempotent, 0.5)
             },
             method(Idempotency::Idempotent, 1.0),
@@ -96,88 +101,90 @@
         max_started_per_core: 6.0,
         warming_up: cold,
         cold_speed: COLD_SPEED,
-        warm_up_time: Span::ms(WARMING_MS),
+        warm_up_time: Span::ms(WARM_UP_MS),
         ..SchedulerConfig::default()
     }
 }
 
 impl Node {
     fn new(ms: u64, cold: bool) -> Node {
-        let mut out = Answers::default();
+        let mut actions = RecordedActions::default();
         Node {
-            server: Scheduler::start(&config(cold), ms + 1, at(ms), &mut out),
-            levels: LevelStateMachine::new(&DegradationConfig::default(), at(ms)).unwrap(),
-            out,
+            scheduler: Scheduler::start(&config(cold), ms + 1, time_at(ms), &mut actions),
+            levels: LevelStateMachine::new(&DegradationConfig::default(), time_at(ms)).unwrap(),
+            actions,
             rpcs: Vec::new(),
-            free: Vec::new(),
+            free_ids: Vec::new(),
             running: Vec::new(),
             calling: Vec::new(),
-            halfway: Vec::new(),
-            bare: Vec::new(),
-            began: ms,
+            call_requested: Vec::new(),
+            call_skipped: Vec::new(),
+            started_ms: ms,
             cold,
             changes: Vec::new(),
         }
     }
 
     fn arrive(&mut self, ms: u64, method: usize, call_ms: u64) {
-        let id = self.free.pop().unwrap_or_else(|| {
+        let id = self.free_ids.pop().unwrap_or_else(|| {
             self.rpcs.push((0, 0));
             RpcId(self.rpcs.len() as u32 - 1)
         });
         self.rpcs[id.0 as usize] = (ms, method);
-        self.server.handle_request(
-            at(ms),
+        self.scheduler.handle_request(
+            time_at(ms),
             Request {
                 id,
                 method,
                 queued_kb: 20.0,
                 ..Request::default()
             },
-            &mut self.out,
+            &mut self.actions,
         );
-        self.settle(ms, call_ms);
+        self.apply_actions(ms, call_ms);
     }
 
-    fn settle(&mut self, ms: u64, call_ms: u64) {
+    fn apply_actions(&mut self, ms: u64, call_ms: u64) {
         self.running
-            .extend(self.out.admitted.drain(..).map(|id| (id, WORK_MS)));
-        for (id, patience) in self.out.called.drain(..) {
-            let patience = patience.0 / 10;
+            .extend(self.actions.admitted.drain(..).map(|id| (id, WORK_MS)));
+        for (id, timeout) in self.actions.called.drain(..) {
+            let timeout_ms = timeout.0 / 10;
             self.calling
-                .push((id, ms, ms + call_ms.min(patience), call_ms <= patience));
+                .push((id, ms, ms + call_ms.min(timeout_ms), call_ms <= timeout_ms));
         }
-        for id in self.out.skipped.drain(..) {
-            self.bare.push(id);
+        for id in self.actions.skipped.drain(..) {
+            self.call_skipped.push(id);
             self.running.push((id, WORK_MS / 2.0));
         }
-        self.free.append(&mut self.out.released);
+        self.free_ids.append(&mut self.actions.released);
     }
 
-    /// One step; the priority weight answered in time.
+    /// Simulates one step and returns the total priority weight answered in time.
     fn step(&mut self, ms: u64, with_levels: bool, call_ms: u64) -> f64 {
-        self.work(ms);
+        self.run(ms);
         self.end_calls(ms);
         self.begin_calls(ms);
         let answered = self.complete(ms);
-        self.tick(ms);
+        self.handle_timeout(ms);
         if with_levels && ms.is_multiple_of(100) {
             self.observe_levels(ms);
         }
-        self.settle(ms, call_ms);
+        self.apply_actions(ms, call_ms);
         answered
     }
 
-    fn work(&mut self, ms: u64) {
-        let warmth = (ms - self.began) as f64 / WARMING_MS as f64;
+    fn run(&mut self, ms: u64) {
+        let warm_up_progress = (ms - self.started_ms) as f64 / WARM_UP_MS as f64;
         let speed = if self.cold {
-            (COLD_SPEED + (1.0 - COLD_SPEED) * warmth).min(1.0)
+            (COLD_SPEED + (1.0 - COLD_SPEED) * warm_up_progress).min(1.0)
         } else {
             1.0
         };
-        let each =
+        let work_done =
             STEP_MS as f64 * speed * (CORES as f64 / self.running.len().max(1) as f64).min(1.0);
-        self.running.iter_mut().for_each(|(_, left)| *left -= each);
+        self.running
+            .iter_mut()
+            .for_each(|(_, remaining)| *remaining -= work_done);
     }
 
     fn end_calls(&mut self, ms: u64) {
@@ -188,154 +195,166 @@
             .copied()
             .collect();
         self.calling.retain(|(_, _, end, _)| *end > ms);
-        for (id, began, _, good) in ended {
-            let outcome = if good { Outcome::Ok } else { Outcome::TimedOut };
-            self.server.handle_call_result(
-                at(ms),
+        for (id, started_ms, _, succeeded) in ended {
+            let outcome = if succeeded {
+                Outcome::Ok
+            } else {
+                Outcome::TimedOut
+            };
+            self.scheduler.handle_call_result(
+                time_at(ms),
                 id,
                 outcome,
-                Span::ms(ms - began),
-                &mut self.out,
+                Span::ms(ms - started_ms),
+                &mut self.actions,
             );
-            if good {
+            if succeeded {
                 self.running.push((id, WORK_MS / 2.0));
             }
         }
     }
 
-    /// The first method calls halfway.
+    /// RPCs of the first method make their call after half of their work.
     fn begin_calls(&mut self, ms: u64) {
-        let calls = |id: &RpcId| self.rpcs[id.0 as usize].1 == 0;
-        let half = |(id, left): &&(RpcId, f64)| {
-            *left <= WORK_MS / 2.0 && calls(id) && !self.halfway.contains(id)
+        let makes_call = |id: &RpcId| self.rpcs[id.0 as usize].1 == 0;
+        let needs_call = |(id, remaining): &&(RpcId, f64)| {
+            *remaining <= WORK_MS / 2.0 && makes_call(id) && !self.call_requested.contains(id)
         };
-        let need: Vec<RpcId> = self
+        let callers: Vec<RpcId> = self
             .running
             .iter()
-            .filter(half)
+            .filter(needs_call)
             .map(|(id, _)| *id)
             .collect();
-        for id in need {
-            self.halfway.push(id);
+        for id in callers {
+            self.call_requested.push(id);
             self.running.retain(|(other, _)| *other != id);
-            self.server.handle_call_needed(at(ms), id, &mut self.out);
+            self.scheduler
+                .handle_call_needed(time_at(ms), id, &mut self.actions);
         }
     }
 
     fn complete(&mut self, ms: u64) -> f64 {
-        let over: Vec<RpcId> = self
+        let completed: Vec<RpcId> = self
             .running
             .iter()
-            .filter(|(_, left)| *left <= 0.0)
+            .filter(|(_, remaining)| *remaining <= 0.0)
             .map(|(id, _)| *id)
             .collect();
-        self.running.retain(|(_, left)| *left > 0.0);
+        self.running.retain(|(_, remaining)| *remaining > 0.0);
         let mut answered = 0.0;
-        for id in over {
-            let (since, method) = self.rpcs[id.0 as usize];
-            if ms - since <= TARGET_MS {
-                let part = if self.bare.contains(&id) { SKIP } else { 1.0 };
-                answered += [0.5, 1.0, 3.0][method] * part;
+        for id in completed {
+            let (arrived_ms, method) = self.rpcs[id.0 as usize];
+            if ms - arrived_ms <= TARGET_MS {
+                let value = if self.call_skipped.contains(&id) {
+                    SKIP_VALUE
+                } else {
+                    1.0
+                };
+                answered += [0.5, 1.0, 3.0][method] * value;
             }
-            self.halfway.retain(|other| *other != id);
-            self.bare.retain(|other| *other != id);
-            self.server
-                .handle_completion(at(ms), id, Outcome::Ok, &mut self.out);
+            self.call_requested.retain(|other| *other != id);
+            self.call_skipped.retain(|other| *other != id);
+            self.scheduler
+                .handle_completion(time_at(ms), id, Outcome::Ok, &mut self.actions);
         }
         answered
     }
 
-    fn tick(&mut self, ms: u64) {
+    fn handle_timeout(&mut self, ms: u64) {
         let busy = (self.running.len() as f64 / CORES as f64).min(1.0);
         let gauges = Gauges {
             cpu_busy: Some(busy),
             open_connections: None,
         };
-        self.server.handle_timeout(at(ms), gauges, &mut self.out);
+        self.scheduler
+            .handle_timeout(time_at(ms), gauges, &mut self.actions);
     }
 
     fn observe_levels(&mut self, ms: u64) {
-        if let Some(change) = self.levels.observe(at(ms), &self.server.signals()) {
+        if let Some(change) = self.levels.observe(time_at(ms), &self.scheduler.signals()) {
             self.changes.push((ms, change.to));
         }
         let level: DegradationLevel = self.levels.degradation_level();
-        self.server.set_degradation(at(ms), level, &mut self.out);
+        self.scheduler
+            .set_degradation(time_at(ms), level, &mut self.actions);
     }
 }
 
-struct Day {
-    /// Part of the criticality asked for that was answered in time.
-    kept: f64,
-    /// All servers there were, with their changes.
+struct SimulationResult {
+    /// Fraction of the requested priority weight that was answered in time.
+    answered_fraction: f64,
+    /// All servers: the replaced ones first, then those running at the end.
     nodes: Vec<Node>,
 }
 
-/// `load` by the millisecond, of what the warm fleet gets done; one server is replaced each `deploy` ms.
-fn play(
+/// Simulates a fleet for `ms` milliseconds. `load` returns the load at a time as a fraction of the capacity of the warm
+/// fleet; one server is replaced every `deploy_interval_ms`.
+fn simulate(
     seed: u64,
     ms: u64,
     load: impl Fn(u64) -> f64,
-    deploy: Option<u64>,
+    deploy_interval_ms: Option<u64>,
     with_levels: bool,
-) -> Day {
-    play_slow(seed, ms, load, deploy, with_levels, |_| CALL_MS)
+) -> SimulationResult {
+    simulate_with_calls(seed, ms, load, deploy_interval_ms, with_levels, |_| CALL_MS)
 }
 
-/// The same with calls that take as long as `calls` says, by the millisecond.
-fn play_slow(
+/// Like [`simulate`], with calls whose duration at a time is given by `call_ms`.
+fn simulate_with_calls(
     seed: u64,
     ms: u64,
     load: impl Fn(u64) -> f64,
-    deploy: Option<u64>,
+    deploy_interval_ms: Option<u64>,
     with_levels: bool,
-    calls: impl Fn(u64) -> u64,
-) -> Day {
+    call_ms: impl Fn(u64) -> u64,
+) -> SimulationResult {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut nodes: Vec<Node> = (0..4).map(|_| Node::new(0, false)).collect();
-    let (mut asked, mut good, mut gone) = (0.0, 0.0, Vec::new());
+    let (mut requested, mut answered, mut replaced) = (0.0, 0.0, Vec::new());
     for now in (STEP_MS..ms).step_by(STEP_MS as usize) {
-        if let Some(every) = deploy
-            && now.is_multiple_of(every)
-            && now / every <= 4
+        if let Some(interval_ms) = deploy_interval_ms
+            && now.is_multiple_of(interval_ms)
+            && now / interval_ms <= 4
         {
-            let at = (now / every - 1) as usize;
-            gone.push(std::mem::replace(&mut nodes[at], Node::new(now, true)));
+            let index = (now / interval_ms - 1) as usize;
+            replaced.push(std::mem::replace(&mut nodes[index], Node::new(now, true)));
         }
         let rate = load(now) * CAPACITY * nodes.len() as f64 * STEP_MS as f64 / 1000.0;
         let count = rate as u64 + u64::from(rng.random_range(0.0..1.0) < rate.fract());
         for _ in 0..count {
             let method = [0, 1, 1, 2][rng.random_range(0..4)];
-            asked += [0.5, 1.0, 3.0][method];
-            let to = rng.random_range(0..nodes.len());
-            nodes[to].arrive(now, method, calls(now));
+            requested += [0.5, 1.0, 3.0][method];
+            let target = rng.random_range(0..nodes.len());
+            nodes[target].arrive(now, method, call_ms(now));
         }
-        good += nodes
+        answered += nodes
             .iter_mut()
-            .map(|node| node.step(now, with_levels, calls(now)))
+            .map(|node| node.step(now, with_levels, call_ms(now)))
             .sum::<f64>();
     }
-    gone.append(&mut nodes);
-    Day {
-        kept: good / asked,
-        nodes: gone,
+    replaced.append(&mut nodes);
+    SimulationResult {
+        answered_fraction: answered / requested,
+        nodes: replaced,
     }
 }
 
 #[test]
-fn cold_successors_neither_start_closed_nor_reopen_what_their_peers_cannot_carry() {
+fn cold_successors_start_at_full_service_and_never_reach_closed_level() {
     for seed in 0..6 {
-        let day = play(
+        let result = simulate(
             seed,
             240_000,
             |ms| if ms < 100_000 { 1.2 } else { 0.5 },
             Some(12_000),
             true,
         );
-        let mut moved = 0;
-        for node in &day.nodes {
+        let mut change_count = 0;
+        for node in &result.nodes {
             let first = node.changes.first();
             assert!(
-                first.is_none_or(|(ms, _)| *ms >= node.began + 3_000),
+                first.is_none_or(|(ms, _)| *ms >= node.started_ms + 3_000),
                 "seed {seed}: {:?}",
                 node.changes
             );
@@ -351,12 +370,12 @@
                 "{:?}",
                 node.changes
             );
-            moved += node.changes.len();
+            change_count += node.changes.len();
         }
-        assert!(moved > 0, "120% moved no level");
-        // Once the load has fallen, full service is back everywhere.
+        assert!(change_count > 0, "no change of level at 120% load");
+        // After the load has dropped, every server returns to full service.
         assert!(
-            day.nodes[4..]
+            result.nodes[4..]
                 .iter()
                 .all(|node| node.levels.level_name() == "full"),
             "seed {seed}"
@@ -365,24 +384,28 @@
 }
 
 #[test]
-fn a_calm_day_changes_nothing() {
-    let day = play(3, 120_000, |_| 0.7, None, true);
-    assert!(day.nodes.iter().all(|node| node.changes.is_empty()));
-    assert!(day.kept > 0.95, "{}", day.kept);
+fn level_never_changes_below_capacity() {
+    let result = simulate(3, 120_000, |_| 0.7, None, true);
+    assert!(result.nodes.iter().all(|node| node.changes.is_empty()));
+    assert!(
+        result.answered_fraction > 0.95,
+        "{}",
+        result.answered_fraction
+    );
 }
 
-/// Criticality answered in time with and without the built-in levels.
+/// Prints the priority weight answered in time with and without the built-in levels.
 #[test]
-#[ignore = "half a minute; figures for docs/levels.md"]
-fn by_hand_with_and_without() {
+#[ignore = "takes half a minute; prints the figures for docs/levels.md"]
+fn print_answered_fraction_with_and_without_levels() {
     println!(
-        "load  deploy  without   with  (criticality answered in time, mean of 8 seeds, virtual time)"
+        "load  deploy  without   with  (fraction of priority weight answered in time, mean of 8 seeds, virtual time)"
     );
     for load in [0.83, 1.0, 1.2, 1.5] {
         for deploy in [None, Some(12_000)] {
             let mean = |with: bool| {
                 (0..8)
-                    .map(|seed| play(seed, 120_000, |_| load, deploy, with).kept)
+                    .map(|seed| simulate(seed, 120_000, |_| load, deploy, with).answered_fraction)
                     .sum::<f64>()
                     / 8.0
             };
@@ -396,17 +419,23 @@
     }
     println!("load  calls from 40 to 80 s  without   with");
     for load in [0.83, 1.0, 1.2, 1.5] {
-        for slow in [200, 700, 1_500] {
-            let calls = |ms: u64| {
+        for slow_ms in [200, 700, 1_500] {
+            let call_ms = |ms: u64| {
                 if (40_000..80_000).contains(&ms) {
-                    slow
+                    slow_ms
                 } else {
                     CALL_MS
                 }
             };
-            let play = |seed, with| play_slow(seed, 120_000, |_| load, None, with, calls).kept;
-            let mean = |with: bool| (0..8).map(|seed| play(seed, with)).sum::<f64>() / 8.0;
-            println!("{load}\t{slow} ms\t{:.3}\t{:.3}", mean(false), mean(true));
+            let run = |seed, with| {
+                simulate_with_calls(seed, 120_000, |_| load, None, with, call_ms).answered_fraction
+            };
+            let mean = |with: bool| (0..8).map(|seed| run(seed, with)).sum::<f64>() / 8.0;
+            println!(
+                "{load}\t{slow_ms} ms\t{:.3}\t{:.3}",
+                mean(false),
+                mean(true)
+            );
         }
     }
 }
--- a/crates/coralstep-degradation/tests/golden.rs
+++ b/crates/coralstep-degradation/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What operators and tools read of degradation levels, and each change of a drawn history, held still by the files under
-//! `tests/golden`. `GOLDEN_WRITE=1` writes these anew.
+//! Compares the output that operators and tools read, and the changes of level in a random history, with the files under
+//! `tests/golden`. `GOLDEN_WRITE=1` regenerates the files.
 use coralstep::{Signals, Span, Time};
 use coralstep_degradation::{
     Condition, DegradationConfig, LevelActions, LevelConfig, LevelStateMachine, Sample, Signal,
@@ -10,11 +10,11 @@
 
 const OBSERVATION_INTERVAL_MS: u64 = 100;
 const HISTORY_MS: u64 = 3_600_000;
-/// The figures are drawn anew this often.
-const PHASE_MS: u64 = 20_000;
+/// Interval at which new random signals are drawn.
+const REDRAW_INTERVAL_MS: u64 = 20_000;
 
-/// `text` has to be what the golden file holds.
-fn same_text(name: &str, text: &str) {
+/// Asserts that `text` equals the content of the golden file.
+fn assert_matches_golden(name: &str, text: &str) {
     let path = format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR"));
     if std::env::var_os("GOLDEN_WRITE").is_some() {
         std::fs::write(&path, text).unwrap();
@@ -22,132 +22,140 @@
     assert_eq!(std::fs::read_to_string(&path).unwrap(), text, "{name}");
 }
 
-fn at(ms: u64) -> Time {
+fn time_at(ms: u64) -> Time {
     Time(1_000_000) + Span::ms(ms)
 }
 
-fn drawn(rng: &mut SmallRng) -> Signals {
-    let mut figure = |max: f64| {
-        let seen = rng.random_range(0..8) > 0;
-        let bad = rng.random_range(0..3) == 0;
-        let figure = rng.random_range(0.0..if bad { max } else { max / 10.0 });
-        seen.then_some(figure)
+fn random_signals(rng: &mut SmallRng) -> Signals {
+    let mut random_value = |max: f64| {
+        let is_observed = rng.random_range(0..8) > 0;
+        let is_high = rng.random_range(0..3) == 0;
+        let value = rng.random_range(0.0..if is_high { max } else { max / 10.0 });
+        is_observed.then_some(value)
     };
     Signals {
-        queue_wait: figure(1.5),
-        rejected: figure(1.0),
-        concurrency: figure(1.2),
-        breaker_open: figure(1.0),
-        call_slowness: figure(8.0),
-        memory: figure(1.0),
-        read_delay: figure(10.0),
-        warming_up: figure(1.0),
+        queue_wait: random_value(1.5),
+        rejected: random_value(1.0),
+        concurrency: random_value(1.2),
+        breaker_open: random_value(1.0),
+        call_slowness: random_value(8.0),
+        memory: random_value(1.0),
+        read_delay: random_value(10.0),
+        warming_up: random_value(1.0),
     }
 }
 
-/// Guards against a change of level that comes earlier, later or for another cause, and against JSON keys that are renamed
-/// with the fields.
+/// Guards against changes of level at another time or with other causes, and against renamed JSON keys.
 #[test]
-fn a_drawn_history_stays_the_same() {
+fn level_changes_of_random_history_match_golden_file() {
     let mut rng = SmallRng::seed_from_u64(17);
-    let mut levels = LevelStateMachine::new(&DegradationConfig::default(), at(0)).unwrap();
+    let mut levels = LevelStateMachine::new(&DegradationConfig::default(), time_at(0)).unwrap();
     let mut signals = Signals::default();
     let mut text = String::new();
     for ms in (0..HISTORY_MS).step_by(OBSERVATION_INTERVAL_MS as usize) {
-        if ms % PHASE_MS == 0 {
-            signals = drawn(&mut rng);
+        if ms % REDRAW_INTERVAL_MS == 0 {
+            signals = random_signals(&mut rng);
         }
         if ms == HISTORY_MS / 2 {
             levels
-                .set_override(at(ms), "essentials", Span::ms(60_000))
+                .set_override(time_at(ms), "essentials", Span::ms(60_000))
                 .unwrap();
-            text += &serde_json::to_string(&levels.status(at(ms))).unwrap();
+            text += &serde_json::to_string(&levels.status(time_at(ms))).unwrap();
             text.push('\n');
         }
-        if let Some(change) = levels.observe(at(ms), &signals) {
+        if let Some(change) = levels.observe(time_at(ms), &signals) {
             let json = serde_json::to_string(&change).unwrap();
             let retry_after = levels.degradation_level().retry_after.0;
             text += &format!("{ms} {change}\n{json} {retry_after}\n");
         }
     }
-    let status = levels.status(at(HISTORY_MS));
+    let status = levels.status(time_at(HISTORY_MS));
     text += &serde_json::to_string_pretty(&status).unwrap();
-    same_text("history.txt", &text);
+    assert_matches_golden("history.txt", &text);
 }
 
-/// Guards against records that another release can't replay.
+/// Guards against recordings that another release can't replay.
 #[test]
-fn a_record_keeps_its_keys() {
-    let signals = drawn(&mut SmallRng::seed_from_u64(3));
+fn sample_keeps_json_keys() {
+    let signals = random_signals(&mut SmallRng::seed_from_u64(3));
     let line = serde_json::to_string(&Sample::new(1_234, &signals)).unwrap();
-    same_text("sample.json", &line);
+    assert_matches_golden("sample.json", &line);
     let read: Sample = serde_json::from_str(&line).unwrap();
     assert_eq!(read.signals(), signals);
 }
 
-/// Guards against settings that are read or written by other keys.
+/// Guards against renamed keys of the configuration.
 #[test]
-fn the_built_in_settings_keep_their_keys() {
+fn built_in_config_keeps_json_keys() {
     let text = serde_json::to_string_pretty(&DegradationConfig::default()).unwrap();
-    same_text("settings.json", &text);
+    assert_matches_golden("settings.json", &text);
     let read: DegradationConfig = serde_json::from_str(&text).unwrap();
     assert_eq!(read, DegradationConfig::default());
 }
 
-/// Guards against messages that operators know changing with the types of errors.
+/// Guards against changed messages of errors that operators know.
 #[test]
-fn faults_keep_their_messages() {
-    let hold = Condition {
+fn errors_keep_their_messages() {
+    let queue_wait = Condition {
         signal: Signal::QueueWait,
         enter: 0.5,
         leave: 0.3,
         enter_ms: 1_000,
         leave_ms: 1_000,
     };
-    let changes: [&dyn Fn(&mut DegradationConfig); 18] = [
-        &|t| t.levels.clear(),
-        &|t| t.min_stay_ms = 0,
-        &|t| t.half_life_ms = 70_000,
-        &|t| t.levels[1].name = "full".to_owned(),
-        &|t| t.levels[1].name = "two words".to_owned(),
-        &|t| t.levels[0].conditions.push(hold),
-        &|t| t.levels[2].conditions.clear(),
-        &|t| t.levels[1].conditions = vec![hold; 17],
-        &|t| t.levels[1].conditions[0].leave = 0.9,
-        &|t| t.levels[1].conditions[0].leave = -0.1,
-        &|t| t.levels[1].conditions[1].enter = 1.0,
-        &|t| t.levels[1].conditions.push(hold),
-        &|t| t.levels[2].conditions.push(hold),
-        &|t| t.levels[1].conditions[0].enter_ms = 0,
-        &|t| t.levels[1].conditions[0].leave_ms = 700_000,
-        &|t| t.levels[1].actions.queue_limit_factor = 1.5,
-        &|t| t.levels[1].actions.load_report_factor = f64::NAN,
-        &|t| t.levels[1].actions.min_priority_weight = -1.0,
+    let edits: [&dyn Fn(&mut DegradationConfig); 18] = [
+        &|config| config.levels.clear(),
+        &|config| config.min_stay_ms = 0,
+        &|config| config.half_life_ms = 70_000,
+        &|config| config.levels[1].name = "full".to_owned(),
+        &|config| config.levels[1].name = "two words".to_owned(),
+        &|config| config.levels[0].conditions.push(queue_wait),
+        &|config| config.levels[2].conditions.clear(),
+        &|config| config.levels[1].conditions = vec![queue_wait; 17],
+        &|config| config.levels[1].conditions[0].leave = 0.9,
+        &|config| config.levels[1].conditions[0].leave = -0.1,
+        &|config| config.levels[1].conditions[1].enter = 1.0,
+        &|config| config.levels[1].conditions.push(queue_wait),
+        &|config| config.levels[2].conditions.push(queue_wait),
+        &|config| config.levels[1].conditions[0].enter_ms = 0,
+        &|config| config.levels[1].conditions[0].leave_ms = 700_000,
+        &|config| config.levels[1].actions.queue_limit_factor = 1.5,
+        &|config| config.levels[1].actions.load_report_factor = f64::NAN,
+        &|config| config.levels[1].actions.min_priority_weight = -1.0,
     ];
     let mut text = String::new();
-    for change in changes {
+    for edit in edits {
         let mut config = DegradationConfig::default();
-        change(&mut config);
+        edit(&mut config);
         text += &format!("{}\n", config.validate().unwrap_err());
     }
-    let mut levels = LevelStateMachine::new(&DegradationConfig::default(), at(0)).unwrap();
-    for (level, span) in [
+    let mut levels = LevelStateMachine::new(&DegradationConfig::default(), time_at(0)).unwrap();
+    for (level, duration) in [
         ("none", Span::ms(1)),
         ("full", Span::ZERO),
         ("full", Span::ms(90_000_000)),
     ] {
-        text += &format!("{}\n", levels.set_override(at(0), level, span).unwrap_err());
+        text += &format!(
+            "{}\n",
+            levels
+                .set_override(time_at(0), level, duration)
+                .unwrap_err()
+        );
     }
     let config = DegradationConfig::default();
-    let nothing = replay(&config, &b"nothing\n"[..], |_, _| {});
-    let no_text = replay(&config, &b"\xff\n"[..], |_, _| {});
-    text += &format!("{}\n{}\n", nothing.unwrap_err(), no_text.unwrap_err());
-    same_text("messages.txt", &text);
+    let no_sample = replay(&config, &b"nothing\n"[..], |_, _| {});
+    let invalid_utf8 = replay(&config, &b"\xff\n"[..], |_, _| {});
+    text += &format!(
+        "{}\n{}\n",
+        no_sample.unwrap_err(),
+        invalid_utf8.unwrap_err()
+    );
+    assert_matches_golden("messages.txt", &text);
 }
 
-/// Guards against messages of faulty settings changing with the names of types.
+/// Guards against changed error messages of the configuration when a type is renamed.
 #[test]
-fn settings_of_a_wrong_type_keep_their_message() {
+fn config_of_wrong_type_keeps_error_message() {
     let errors = [
         serde_json::from_str::<DegradationConfig>("3").unwrap_err(),
         serde_json::from_str::<LevelConfig>("3").unwrap_err(),
