--- a/crates/coralstep-degradation/src/config.rs
+++ b/crates/coralstep-degradation/src/config.rs
@@ -13,7 +13,7 @@
 use crate::Signal;
 
 /// Condition of a level: met while a signal is above one threshold, cleared while it is at or below a lower one.
-/// It takes effect only after a given time.
+/// The level changes only after the condition has been met or cleared for a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(
--- a/crates/coralstep-degradation/src/config/error.rs
+++ b/crates/coralstep-degradation/src/config/error.rs
@@ -40,7 +40,7 @@
         /// Number of configured levels.
         count: usize,
     },
-    /// A name is empty or has characters other than printable ASCII without spaces.
+    /// A name is empty, or contains a space or a character that isn't printable ASCII.
     #[error("levels.list[{level}].name: {name:?} is no name")]
     InvalidName {
         /// Index of the level.
--- a/crates/coralstep-degradation/src/replay.rs
+++ b/crates/coralstep-degradation/src/replay.rs
@@ -97,8 +97,8 @@
 
 /// Reports the changes of level that `config` would have made and returns the number of samples.
 ///
-/// Each change is reported with its time in the recording, in milliseconds. Lines that aren't samples are skipped. Lines
-/// are processed one at a time, so memory use doesn't grow with the recording.
+/// Each change is reported with its time in the recording, in milliseconds. Lines that aren't samples are skipped.
+/// Lines are processed one at a time, so memory use doesn't grow with the recording.
 ///
 /// # Errors
 ///
--- a/crates/coralstep-degradation/src/state_machine.rs
+++ b/crates/coralstep-degradation/src/state_machine.rs
@@ -168,8 +168,8 @@
         self.smoothed_values[signal as usize].value()
     }
 
-    /// Returns the current level in the form that the scheduler applies. Its Retry-After is the time until the level may
-    /// change.
+    /// Returns the current level in the form that the scheduler applies. Its Retry-After is the time until the level
+    /// may change.
     pub fn degradation_level(&self) -> DegradationLevel {
         let actions = self.actions();
         let retry_after = if self.current_index == 0 {
@@ -203,7 +203,9 @@
         if self.observed_time < MIN_OBSERVED_TIME || self.time_in_level < self.min_stay() {
             return None;
         }
-        let transition = self.worse_level().or_else(|| self.better_level())?;
+        let transition = self
+            .find_worse_level()
+            .or_else(|| self.find_better_level())?;
         Some(self.enter_level(now, transition, false))
     }
 
@@ -239,7 +241,7 @@
 
     /// Returns the worst level with a condition that has been met for its `enter_ms`, if it is worse than the current
     /// one. Levels in between are skipped.
-    fn worse_level(&self) -> Option<LevelTransition> {
+    fn find_worse_level(&self) -> Option<LevelTransition> {
         let worse_levels = self.current_index + 1..self.config.levels.len();
         worse_levels.rev().find_map(|level| {
             let causes: Vec<Cause> = self
@@ -254,7 +256,7 @@
     }
 
     /// Returns the next better level if all conditions of the current one have been cleared for their `leave_ms`.
-    fn better_level(&self) -> Option<LevelTransition> {
+    fn find_better_level(&self) -> Option<LevelTransition> {
         let level = self.current_index.checked_sub(1)?;
         let all_cleared = self
             .conditions(self.current_index)
@@ -299,7 +301,7 @@
         transition: LevelTransition,
         is_manual: bool,
     ) -> LevelChange {
-        let lasted_ms = millis(now - self.entered_at);
+        let lasted_ms = whole_millis(now - self.entered_at);
         self.current_index = transition.level;
         self.entered_at = now;
         self.time_in_level = Span::ZERO;
@@ -351,9 +353,9 @@
         let active_override = self.level_override.filter(|active| now < active.until);
         LevelStatus {
             level: self.level_name().to_owned(),
-            since_ms: millis(now - self.entered_at),
-            min_stay_left_ms: millis(self.min_stay() - self.time_in_level),
-            override_left_ms: active_override.map(|active| millis(active.until - now)),
+            since_ms: whole_millis(now - self.entered_at),
+            min_stay_left_ms: whole_millis(self.min_stay() - self.time_in_level),
+            override_left_ms: active_override.map(|active| whole_millis(active.until - now)),
             causes: self.causes.clone(),
             actions: self.actions(),
             conditions: self.condition_statuses(),
@@ -370,8 +372,8 @@
                     value: self.smoothed_value(condition.signal),
                     enter: condition.enter,
                     leave: condition.leave,
-                    met_ms: millis(timer.met_for),
-                    cleared_ms: millis(timer.cleared_for),
+                    met_ms: whole_millis(timer.met_for),
+                    cleared_ms: whole_millis(timer.cleared_for),
                     enter_ms: condition.enter_ms,
                     leave_ms: condition.leave_ms,
                 });
@@ -387,6 +389,6 @@
 }
 
 /// Converts a span from ticks of 0.1 ms to whole milliseconds.
-fn millis(span: Span) -> u64 {
+fn whole_millis(span: Span) -> u64 {
     span.0 / 10
 }
--- a/crates/coralstep-degradation/tests/fleet.rs
+++ b/crates/coralstep-degradation/tests/fleet.rs
@@ -340,6 +340,7 @@
     }
 }
 
+/// Guards against cold successors that change level on their first signals, close, or flap during a rolling deploy.
 #[test]
 fn cold_successors_start_at_full_service_and_never_reach_closed_level() {
     for seed in 0..6 {
--- a/crates/coralstep-degradation/tests/golden.rs
+++ b/crates/coralstep-degradation/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Compares the output that operators and tools read, and the changes of level in a random history, with the files under
-//! `tests/golden`. `GOLDEN_WRITE=1` regenerates the files.
+//! Compares the output that operators and tools read, and the changes of level in a random history, with the files
+//! under `tests/golden`. `GOLDEN_WRITE=1` regenerates the files.
 use coralstep::{Signals, Span, Time};
 use coralstep_degradation::{
     Condition, DegradationConfig, LevelActions, LevelConfig, LevelStateMachine, Sample, Signal,
@@ -130,26 +130,18 @@
         text += &format!("{}\n", config.validate().unwrap_err());
     }
     let mut levels = LevelStateMachine::new(&DegradationConfig::default(), time_at(0)).unwrap();
-    for (level, duration) in [
+    for (level, span) in [
         ("none", Span::ms(1)),
         ("full", Span::ZERO),
         ("full", Span::ms(90_000_000)),
     ] {
-        text += &format!(
-            "{}\n",
-            levels
-                .set_override(time_at(0), level, duration)
-                .unwrap_err()
-        );
+        let error = levels.set_override(time_at(0), level, span).unwrap_err();
+        text += &format!("{error}\n");
     }
     let config = DegradationConfig::default();
     let no_sample = replay(&config, &b"nothing\n"[..], |_, _| {});
-    let invalid_utf8 = replay(&config, &b"\xff\n"[..], |_, _| {});
-    text += &format!(
-        "{}\n{}\n",
-        no_sample.unwrap_err(),
-        invalid_utf8.unwrap_err()
-    );
+    let not_utf8 = replay(&config, &b"\xff\n"[..], |_, _| {});
+    text += &format!("{}\n{}\n", no_sample.unwrap_err(), not_utf8.unwrap_err());
     assert_matches_golden("messages.txt", &text);
 }
 
--- a/crates/coralstep-degradation/tests/levels.rs
+++ b/crates/coralstep-degradation/tests/levels.rs
@@ -1,5 +1,5 @@
-//! Degradation levels in virtual time: load that oscillates around each threshold, causes that appear and disappear, and
-//! missing or invalid signals.
+//! Degradation levels in virtual time: load that oscillates around each threshold, causes that appear and disappear,
+//! and missing or invalid signals.
 use coralstep::{Signals, Span, Time};
 use coralstep_degradation::{
     DegradationConfig, LevelChange, LevelStateMachine, Sample, Signal, replay,
