--- a/crates/coralstep-server/src/decisions/degradation.rs
+++ b/crates/coralstep-server/src/decisions/degradation.rs
@@ -102,12 +102,12 @@
 
     /// Returns the current level in the form that the scheduler applies.
     pub fn degradation_level(&self) -> DegradationLevel {
-        self.levels.borrow().degradation()
+        self.levels.borrow().degradation_level()
     }
 
     /// Returns the name of the current level.
     pub fn level_name(&self) -> String {
-        self.levels.borrow().name().to_owned()
+        self.levels.borrow().level_name().to_owned()
     }
 
     /// Returns the current level and the state of each level's conditions.
@@ -178,7 +178,7 @@
         target: "level",
         from = change.from,
         to = change.to,
-        by_hand = change.by_hand,
+        by_hand = change.is_manual,
         lasted_ms = change.lasted_ms,
         causes,
         does,
