--- a/crates/coralstep/src/bulkhead.rs
+++ b/crates/coralstep/src/bulkhead.rs
@@ -22,8 +22,8 @@
 const MIN_SHARE_FRACTION: f64 = 0.25;
 /// Maximum permits, as a fraction of the share; the rest covers calls of servers that crashed.
 const MAX_SHARE_FRACTION: f64 = 0.75;
-/// Minimum permits toward a tier for servers with fewer cores than this: one lost call must not occupy half
-/// of them.
+/// Lower bound of the minimum permits toward a tier, which otherwise equal the number of cores: one lost call
+/// must not occupy half of the permits.
 const MIN_TIER_PERMITS: f64 = 4.0;
 /// Maximum permits toward a tier, as a multiple of the minimum.
 const MAX_TIER_PERMITS_FACTOR: f64 = 3.0;
@@ -36,9 +36,9 @@
 /// Number of call time samples beyond which the counts are halved, so that they follow a change within
 /// seconds.
 const MAX_CALL_SAMPLES: u64 = 40;
-/// Maximum fraction of the started requests that are before or at their call; the rest is for requests that
-/// do not call.
-const MAX_FRACTION_AT_CALLS: f64 = 0.75;
+/// Maximum fraction of the started requests that still have to call or are calling; the rest is for requests
+/// that do not call.
+const MAX_PENDING_CALL_FRACTION: f64 = 0.75;
 
 /// Bounds of the number of permits.
 #[derive(Clone, Copy, Debug, Default)]
@@ -133,7 +133,8 @@
         (self.best_call_time > 0).then_some(self.best_call_time)
     }
 
-    /// Returns whether another call may be made now.
+    /// Returns whether another call may be made now: within the whole permits or, until the credit of unused
+    /// permit time is used up, within this server's share.
     pub(crate) fn has_permit(&mut self, shared: &SharedState) -> bool {
         let calls = self.in_flight.count(shared, self.permits) + 1.0;
         let max_by_share = self.share.unwrap_or(0.0).ceil();
@@ -237,32 +238,32 @@
         .count()
 }
 
-/// Returns the number of started requests that must call and are before or at their call.
-fn requests_at_calls(shared: &SharedState) -> usize {
-    let is_at_call = |request: &TrackedRequest| match request.phase {
+/// Returns the number of started requests that must call and whose call has not succeeded yet.
+fn requests_with_pending_call(shared: &SharedState) -> usize {
+    let has_pending_call = |request: &TrackedRequest| match request.phase {
         Phase::Running => request.call_attempts == 0,
         phase => matches!(phase, Phase::AwaitingCall | Phase::Calling),
     };
     shared
         .requests
         .iter()
-        .filter(|(_, request)| shared.must_call(request) && is_at_call(request))
+        .filter(|(_, request)| shared.must_call(request) && has_pending_call(request))
         .count()
 }
 
 /// Returns whether no further request that must call may start, given `max_started`.
 ///
-/// Guards against unresponsive calls that occupy every place among the started requests. Once the maximum
+/// Guards against unresponsive calls that use up the maximum number of started requests. Once the maximum
 /// number of runs is orphaned at calls, only one further request at a time is started, to test the
 /// dependency.
 pub(crate) fn is_call_start_limit_reached(shared: &SharedState, max_started: usize) -> bool {
     let orphaned = shared.requests.count(Phase::OrphanedAtCall);
-    let max_at_calls = if orphaned < orphans::max_orphans(max_started) {
-        (max_started as f64 * MAX_FRACTION_AT_CALLS).max(1.0)
+    let max_pending = if orphaned < orphans::max_orphans(max_started) {
+        (max_started as f64 * MAX_PENDING_CALL_FRACTION).max(1.0)
     } else if memory_limit::may_risk_orphan(shared) {
         1.0
     } else {
         0.0
     };
-    requests_at_calls(shared) as f64 >= max_at_calls
+    requests_with_pending_call(shared) as f64 >= max_pending
 }
--- a/crates/coralstep/src/call_timeout.rs
+++ b/crates/coralstep/src/call_timeout.rs
@@ -14,7 +14,7 @@
 /// Returns the timeout of a request's call.
 ///
 /// Guards against lost calls that occupy all permits until the deadlines of their requests. A call that may
-/// have had an effect is awaited for as long as the response can meet the latency objective.
+/// have had an effect is awaited at least as long as the response can meet the latency objective.
 pub(crate) fn call_timeout(shared: &SharedState, request: &TrackedRequest) -> Span {
     let method = shared.method(request);
     let until_deadline = (request.deadline - shared.now) - RESPONSE_MARGIN;
--- a/crates/coralstep/src/circuit_breaker.rs
+++ b/crates/coralstep/src/circuit_breaker.rs
@@ -7,7 +7,7 @@
 use crate::request::RpcId;
 use crate::time::{Span, Time};
 
-/// Number of recent outcomes that are evaluated.
+/// Maximum number of recent outcomes that the failure rate covers.
 const WINDOW_OUTCOMES: u32 = 20;
 /// Failure rate that opens the breaker.
 const MIN_FAILURE_RATE: f64 = 0.5;
@@ -121,7 +121,8 @@
     outcomes: u32,
     cooldown: Span,
     state_since: Time,
-    /// Number of recent outcomes that are evaluated; lower if most peers report that their calls fail.
+    /// Number of outcomes that are needed to open the breaker, and of the latest ones that the failure rate
+    /// covers; lower if most peers report that their calls fail.
     min_outcomes: u32,
 }
 
--- a/crates/coralstep/src/concurrency_limit.rs
+++ b/crates/coralstep/src/concurrency_limit.rs
@@ -4,7 +4,8 @@
 use crate::shared_state::SharedState;
 use crate::time::{Span, Time};
 
-/// Fraction of the sustainable started requests that is used; returning calls and reading need the rest.
+/// Fraction of the sustainable number of started requests that is used; runs that return from their calls
+/// and the reading of requests need the rest.
 const MAX_STARTED_FRACTION: f64 = 0.6;
 /// CPU utilization below which the limit may grow.
 const MAX_UTILIZATION_TO_GROW: f64 = 0.9;
--- a/crates/coralstep/src/connection_limit.rs
+++ b/crates/coralstep/src/connection_limit.rs
@@ -4,10 +4,11 @@
 use crate::measurements::ServiceRatio;
 use crate::time::Span;
 
-/// Open connections per request that may be started, beyond which idle ones are closed sooner: one active,
-/// one for the next request.
+/// Number of open connections, as a multiple of the maximum number of started requests, beyond which idle
+/// connections are closed sooner: one in use and one for the next request.
 const MAX_CONNECTIONS_PER_REQUEST: f64 = 2.0;
-/// Fraction of the read attempts that is started, below which more connections only cause more rejections.
+/// Fraction of the read attempts that is started, below which there is a retry storm: more connections would
+/// only cause more rejections.
 const RETRY_STORM_STARTED_FRACTION: f64 = 0.2;
 /// Factor applied to the counted attempts at each adjustment.
 const ATTEMPTS_DECAY: f64 = 0.9;
@@ -37,8 +38,8 @@
 
     /// Shortens the idle timeout while too many connections are open, and returns it if it changed.
     ///
-    /// In a retry storm the connection table may fill up: attempts that it keeps out cost neither a new
-    /// connection nor reading.
+    /// In a retry storm the timeout grows, so that the connection table may fill up: attempts that find it
+    /// full cost neither a new connection nor reading.
     pub(crate) fn adjust(
         &mut self,
         open_connections: f64,
--- a/crates/coralstep/src/event.rs
+++ b/crates/coralstep/src/event.rs
@@ -29,7 +29,7 @@
     BreakerChanged(BreakerTransition),
     /// A run was marked as orphaned and no longer counts against the concurrency limit (`orphans.rs`).
     RunOrphaned(OrphanedRun),
-    /// A run was marked as orphaned after its call ended (`orphans.rs`).
+    /// An answered run that awaits a call was marked as orphaned (`orphans.rs`).
     RunOrphanedAtCall(OrphanedRun),
     /// The number of orphaned runs reached its limit or fell below it (`health.rs`).
     OrphanLimit {
--- a/crates/coralstep/src/health.rs
+++ b/crates/coralstep/src/health.rs
@@ -12,8 +12,8 @@
 /// Maximum time without a completion while all cores are in use; several times the duration of any
 /// ordinary run.
 const MAX_TIME_WITHOUT_PROGRESS: Span = Span::ms(1_500);
-/// Read delay, in latency objectives, beyond which a read backlog begins. It ends once the read delay is
-/// within the queue limit.
+/// Read delay, as a multiple of the latency objective, beyond which a read backlog begins. It ends once the
+/// read delay is within the queue limit.
 const MAX_READ_DELAY_OBJECTIVES: f64 = 2.0;
 /// Factor applied to the maximum read delay at each adjustment.
 const READ_DELAY_DECAY: f64 = 0.8;
--- a/crates/coralstep/src/orphans.rs
+++ b/crates/coralstep/src/orphans.rs
@@ -2,8 +2,9 @@
 //!
 //! An answered run without an end is queried for its status, then counted as orphaned, up to a limit. An
 //! orphaned run no longer counts against the concurrency limit, but its memory and its idempotency key stay
-//! reserved and it still counts as started. If it ends later, it is only removed. A run whose call has
-//! ended is orphaned at its call: it cannot return to the cores, and does not count as started.
+//! reserved and it still counts as started. If it ends later, it is only removed. An answered run that awaits
+//! a call is orphaned at its call instead: it gets no call any more, so it cannot use the cores again and
+//! does not count as started.
 use crate::actions::Actions;
 use crate::event::{Event, OrphanedRun};
 use crate::request::RpcId;
@@ -15,8 +16,8 @@
 const QUERY_PERIOD: Span = Span::ms(2_000);
 /// Time after its answer at which a run counts as orphaned; longer than most pauses of a machine.
 const ORPHANED_AFTER: Span = Span::ms(10_000);
-/// Time after its answer at which a run whose call has ended counts as orphaned; long enough for two
-/// status queries.
+/// Time after its answer at which a run that awaits a call counts as orphaned; long enough for two status
+/// queries.
 const ORPHANED_AT_CALL_AFTER: Span = Span::ms(4_500);
 /// Maximum fraction of the started requests that may be orphaned; further runs still count against the
 /// concurrency limit.
--- a/crates/coralstep/src/priority.rs
+++ b/crates/coralstep/src/priority.rs
@@ -5,12 +5,13 @@
 
 /// Weight of a retry relative to a first attempt: its client has already waited for an unknown time.
 const RETRY_WEIGHT: f64 = 0.25;
-/// Difference in service ratio to the worst-served method within which a method still gets part of the
-/// boost.
+/// A method gets part of the boost if its service ratio exceeds that of the worst-served method by less than
+/// this.
 const BOOST_BAND: f64 = 0.1;
-/// Minimum fraction of all requests assumed for a boosted method.
+/// Minimum fraction of all requests that a boosted method is assumed to receive. Limits the boost of a method
+/// with few requests.
 const MIN_REQUESTED_FRACTION: f64 = 0.02;
-/// Added to the requests of each method, so that one without requests has a weight.
+/// Added to the requests of each method, so that a method without requests has a weight, too.
 const REQUESTED_OFFSET: f64 = 0.1;
 /// Minimum time over which a tenant's rate is measured, in seconds.
 const MIN_RATE_SECONDS: f64 = 2.0;
--- a/crates/coralstep/src/request_table.rs
+++ b/crates/coralstep/src/request_table.rs
@@ -16,7 +16,8 @@
     /// Started and answered, but without an end for too long: no longer counts against the concurrency
     /// limit.
     Orphaned,
-    /// Started and answered, but without an end after its call ended: it cannot return to the cores.
+    /// Started and answered, but awaiting a call for too long: it gets none any more, so it cannot use the
+    /// cores again.
     OrphanedAtCall,
     Finished,
 }
--- a/crates/coralstep/src/scheduler.rs
+++ b/crates/coralstep/src/scheduler.rs
@@ -137,10 +137,10 @@
         self.dispatch(out);
     }
 
-    /// Handles a run that ended during its call, whose outcome stays unknown.
+    /// Handles a call whose run ended first, so that the outcome of the call stays unknown.
     ///
     /// Guards against a dependency that hangs until the deadlines: a call that was cut short by the deadline
-    /// of its request counts as failed.
+    /// of its request counts as failed, if it was the probe call or lasted for the minimum call timeout.
     fn abandon_call(&mut self, id: RpcId, out: &mut dyn Actions) {
         self.bulkhead.record_end(&self.shared, true);
         let Some(request) = self.shared.get(id) else {
