--- a/crates/coralstep-adapter/src/error.rs
+++ b/crates/coralstep-adapter/src/error.rs
@@ -10,7 +10,7 @@
     MissingField(&'static str),
     /// The value of a field or a setting is invalid.
     #[error(transparent)]
-    Value(#[from] SettingError),
+    InvalidValue(#[from] SettingError),
     /// The timestamp is earlier than that of the previous batch.
     #[error("the clock went back from {from_ns} to {to_ns}")]
     ClockWentBack { from_ns: u64, to_ns: u64 },
@@ -25,7 +25,7 @@
     UnknownMessage(String),
     /// The server's name is not `server/` followed by a number.
     #[error("no server of the name {0}")]
-    ServerName(String),
+    InvalidServerName(String),
     /// The server is not running.
     #[error("{0} was never booted")]
     NotBooted(String),
--- a/crates/coralstep-adapter/src/handles.rs
+++ b/crates/coralstep-adapter/src/handles.rs
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub(crate) struct HandleMap {
     ids: HashMap<u64, RpcId>,
-    /// HandleMap, indexed by id.
+    /// Handles, indexed by id.
     handles: Vec<u64>,
     /// Released ids, oldest first.
     released: VecDeque<Released>,
--- a/crates/coralstep-adapter/src/host.rs
+++ b/crates/coralstep-adapter/src/host.rs
@@ -59,7 +59,7 @@
         let number: u64 = server
             .strip_prefix(SERVER_PREFIX)
             .and_then(|number| number.parse().ok())
-            .ok_or_else(|| LineError::ServerName(server.to_owned()))?;
+            .ok_or_else(|| LineError::InvalidServerName(server.to_owned()))?;
         let mut context = Context {
             now_ns: self.now_ns,
             reply: &mut self.reply,
