--- a/crates/coralstep-fleet/src/fleet/dissemination.rs
+++ b/crates/coralstep-fleet/src/fleet/dissemination.rs
@@ -1,5 +1,5 @@
-//! Sending: membership messages, whose datagrams are filled up with gossip, messages of versions and
-//! extensions, and this server's status.
+//! Sending of membership messages, version messages, extension messages and this server's status. Gossip fills
+//! up the datagrams of membership messages.
 use std::net::SocketAddr;
 
 use super::extensions::OutgoingMessages;
--- a/crates/coralstep-quota/src/client/share.rs
+++ b/crates/coralstep-quota/src/client/share.rs
@@ -41,7 +41,7 @@
     pub(super) draining: bool,
 }
 
-/// What entitles an RPC to be admitted.
+/// The reason why an RPC may be admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
     /// A unit that the server holds.
--- a/crates/coralstep-quota/src/extension/leader_contact.rs
+++ b/crates/coralstep-quota/src/extension/leader_contact.rs
@@ -54,7 +54,8 @@
             .is_some_and(|since| now.saturating_sub(since) > span)
     }
 
-    /// Returns the known leader if it answers, otherwise a random candidate, which knows or names the leader.
+    /// Returns the known leader if it answers, otherwise a random candidate, which leads or names the leader if it
+    /// knows it.
     pub(super) fn choose_target(&mut self, now: Millis) -> Option<Member> {
         let is_silent = self.is_unanswered_for(now, LEADER_RESPONSE_TIMEOUT_MS);
         if let Some(leader) = &self.known_leader
--- a/crates/coralstep-quota/src/leader.rs
+++ b/crates/coralstep-quota/src/leader.rs
@@ -24,7 +24,7 @@
 /// Grants units during one term of this server as leader. Times are milliseconds of its monotonic clock.
 #[derive(Debug)]
 pub struct QuotaLeader {
-    /// Lease of RPCs in flight.
+    /// Lease of units for RPCs in flight.
     lease: Millis,
     /// Until then servers may hold units for RPCs in flight that the previous leader granted.
     recovery_ends: Millis,
--- a/crates/coralstep-quota/src/leader/limit_allocator.rs
+++ b/crates/coralstep-quota/src/leader/limit_allocator.rs
@@ -19,7 +19,8 @@
 /// Minimum interval between grants of tokens to one server, in milliseconds.
 const MIN_TOKEN_INTERVAL_MS: Millis = MIN_ROUND_MS * 3 / 4;
 
-/// Upper bound of the units that one server holds, as the leader has to assume.
+/// The units that the leader counts as held by one server, at least as many as it really holds, and the
+/// server's last request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Allocation {
     units: u32,
@@ -293,11 +294,11 @@
         decision: &Decision,
         lease: Millis,
     ) {
-        let has_any = decision.counted > 0 || validated.wanted > 0;
-        let retention = if has_any {
+        let holds_or_wants = decision.counted > 0 || validated.wanted > 0;
+        let retention = if holds_or_wants {
             lengthen_by_drift(lease)
         } else {
-            // Only the sequence number is needed.
+            // Only the sequence number is needed, to detect delayed messages.
             TOKEN_LIFETIME_MS
         };
         let allocation = Allocation {
