--- a/crates/coralstep-quota/src/extension/event.rs
+++ b/crates/coralstep-quota/src/extension/event.rs
@@ -19,9 +19,9 @@
 impl fmt::Display for QuotaEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            QuotaEvent::TermBegan => f.write_str("this server gives shares"),
+            QuotaEvent::TermBegan => f.write_str("this server became the quota leader"),
             QuotaEvent::TermEnded => f.write_str(
-                "this server gives no shares any more: too few of the keepers answer, or it leaves",
+                "this server is no longer the quota leader: too few of fleet.keepers answer, or it leaves",
             ),
             QuotaEvent::CutOff => {
                 f.write_str("cut off from the quota leader: the units held expire with their lease")
--- a/crates/coralstep-server/tests/limits.rs
+++ b/crates/coralstep-server/tests/limits.rs
@@ -42,7 +42,8 @@
     let met =
         |fleet: &Fleet| (0..count).all(|at| fleet.alive(at).is_ok_and(|alive| alive == count));
     assert!(fleet.until(LIMIT, met).is_some(), "they don't meet");
-    let given = |fleet: &Fleet| (0..3).any(|at| fleet.logged(at, "this server gives shares"));
+    let given =
+        |fleet: &Fleet| (0..3).any(|at| fleet.logged(at, "this server became the quota leader"));
     assert!(
         fleet.until(LIMIT, given).is_some(),
         "nobody gives: {:?}",
@@ -62,7 +63,7 @@
     (0..3).find(|at| {
         let log = fleet.log(*at);
         let last = |text: &str| log.iter().rposition(|line| line.contains(text));
-        last("this server gives shares") > last("gives no shares any more")
+        last("this server became the quota leader") > last("is no longer the quota leader")
     })
 }
 
