--- a/crates/coralstep-fleet/src/exclusion.rs
+++ b/crates/coralstep-fleet/src/exclusion.rs
@@ -282,7 +282,8 @@
             .map(|lag| ExclusionReason::Lagging(lag.target))
     }
 
-    /// Guards against a faulty version or network that excludes the whole fleet.
+    /// Returns whether a server that wants to be excluded because of a version is excluded. Guards against a
+    /// faulty version or network that excludes the whole fleet.
     ///
     /// Only a limited number of the servers that want to be excluded are: those that are already
     /// excluded first, then by name. All servers compute the same order.
--- a/crates/coralstep-quota/src/config/consistency.rs
+++ b/crates/coralstep-quota/src/config/consistency.rs
@@ -71,7 +71,8 @@
     })
 }
 
-/// Only parts without common RPCs are added up: those for one tenant each, and those for one method each.
+/// Checks that the limit is not less than the sum of its parts. Only parts without common RPCs are added up: those for
+/// one tenant each, and those for one method each.
 fn check_sum_of_parts(
     whole: &LimitEntry<'_>,
     parts: &[LimitEntry<'_>],
