--- a/crates/coralstep-balancer/benches/choice.rs
+++ b/crates/coralstep-balancer/benches/choice.rs
@@ -1,20 +1,20 @@
 //! What a choice costs, by the number of applications, beside a scan for the least loaded and plain round robin.
 use coralstep::Time;
-use coralstep_balancer::{End, Pool, PoolTerms};
+use coralstep_balancer::{AttemptOutcome, Pool, PoolConfig};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 
 fn choice(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("choice");
     for count in [1usize, 10, 300, 3_000] {
         let keys: Vec<usize> = (0..count).collect();
-        let mut pool = Pool::new(PoolTerms::default(), 1);
-        pool.set(Time(0), &keys);
+        let mut pool = Pool::new(PoolConfig::default(), 1);
+        pool.set_applications(Time(0), &keys);
         let mut now = 0;
         group.bench_function(BenchmarkId::new("two by chance, and its end", count), |b| {
             b.iter(|| {
                 now += 1;
-                let pick = pool.choose(Time(now), None).expect("one is ready");
-                pool.ended(Time(now + 5), pick, End::Answered);
+                let pick = pool.start_attempt(Time(now), None).expect("one is ready");
+                pool.finish_attempt(Time(now + 5), pick, AttemptOutcome::Answered);
             })
         });
         let mut load = vec![0u32; count];
--- a/crates/coralstep-balancer/examples/spread.rs
+++ b/crates/coralstep-balancer/examples/spread.rs
@@ -6,7 +6,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 
 use coralstep::Time;
-use coralstep_balancer::{End, Pick, Pool, PoolTerms};
+use coralstep_balancer::{Attempt, AttemptOutcome, Pool, PoolConfig};
 use hdrhistogram::Histogram;
 use lexopt::Arg::Long;
 use rand::rngs::SmallRng;
@@ -43,14 +43,14 @@
     let (work, gap) = (LogNormal::new(4.0, 0.6)?, Exp::new(count as f64 * 0.01)?);
     let keys: Vec<usize> = (0..count).collect();
     let mut pool = Pool::new(
-        PoolTerms {
-            each_most: 1 << 20,
-            ..PoolTerms::default()
+        PoolConfig {
+            max_in_flight: 1 << 20,
+            ..PoolConfig::default()
         },
         seed,
     );
-    pool.set(Time(0), &keys);
-    let mut lines: Vec<VecDeque<(u64, f64, Option<Pick>)>> =
+    pool.set_applications(Time(0), &keys);
+    let mut lines: Vec<VecDeque<(u64, f64, Option<Attempt>)>> =
         (0..count).map(|_| VecDeque::new()).collect();
     let (mut got, mut served, mut failed, mut longest, mut next) =
         (vec![0u64; count], 0u64, 0u64, 0, 0);
@@ -72,7 +72,7 @@
                 took.record((at - since).max(1))?;
                 served += 1;
                 if let Some(pick) = pick {
-                    pool.ended(Time(at), pick, End::Answered);
+                    pool.finish_attempt(Time(at), pick, AttemptOutcome::Answered);
                 }
             }
             if let Some((_, work, _)) = lines[app].front() {
@@ -83,7 +83,7 @@
             break;
         }
         let pick = if way == Way::Pool {
-            pool.choose(Time(now), None).ok()
+            pool.start_attempt(Time(now), None).ok()
         } else {
             None
         };
@@ -103,7 +103,7 @@
         if broken(app, now) {
             failed += 1;
             if let Some(pick) = pick {
-                pool.ended(Time(now), pick, End::Unstarted);
+                pool.finish_attempt(Time(now), pick, AttemptOutcome::NotSent);
             }
             continue;
         }
--- a/crates/coralstep-balancer/src/lib.rs
+++ b/crates/coralstep-balancer/src/lib.rs
@@ -1,17 +1,20 @@
-//! A pool of applications that do the same work: which of them gets the next attempt of an RPC ([`Pool::choose`]), and
-//! whether an RPC whose attempt failed gets another one ([`Pool::repeats`]). Each application has the breaker of the
-//! design (`coralstep::CircuitBreaker`). No I/O and no clock: the caller passes the time in; the same calls from the same seed
-//! lead to the same choices.
+//! Load balancing over a pool of interchangeable applications.
+//!
+//! [`Pool::start_attempt`] selects the application for the next attempt of an RPC, [`Pool::try_retry`] decides whether a
+//! failed attempt is retried. Each application has a [`CircuitBreaker`].
+//!
+//! The pool does no I/O and reads no clock: the caller passes the time in. The same calls with the same seed give the same
+//! results.
 //!
 //! ```
 //! use coralstep::Time;
-//! use coralstep_balancer::{End, Pool, PoolTerms};
+//! use coralstep_balancer::{AttemptOutcome, Pool, PoolConfig};
 //!
-//! let mut pool = Pool::new(PoolTerms::default(), 7);
-//! pool.set(Time(0), &["10.0.0.1:4000", "10.0.0.2:4000"]);
-//! let pick = pool.choose(Time(10), None).unwrap();
-//! assert!(pool.key(&pick).starts_with("10.0.0."));
-//! pool.ended(Time(60), pick, End::Answered);
+//! let mut pool = Pool::new(PoolConfig::default(), 7);
+//! pool.set_applications(Time(0), &["10.0.0.1:4000", "10.0.0.2:4000"]);
+//! let attempt = pool.start_attempt(Time(10), None).unwrap();
+//! assert!(pool.key(&attempt).starts_with("10.0.0."));
+//! pool.finish_attempt(Time(60), attempt, AttemptOutcome::Answered);
 //! ```
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -19,585 +22,663 @@
 use coralstep::{BreakerTransition, CircuitBreaker, Flow, RpcId, Span, Time};
 use nanorand::{Rng, WyRand};
 
-mod budget;
-mod ramp;
-pub use budget::Budget;
-pub use ramp::RampTerms;
-use ramp::{Ramp, drawn};
-
-/// The usual time of an answer before any came, and the wait advised where all are only full.
-const GUESS: Span = Span::ms(250);
-/// So long after its last answer an application is taken to be as quick as the others: who was slow once is tried again.
-const STALE: Span = Span::ms(10_000);
-/// Part that the last answer has in an application's usual time: some ten answers are remembered.
-const LAST: f64 = 0.2;
-/// A trial that the cold rate does not leave to this process is due again after so long.
-const TRIAL_AGAIN: Span = Span::ms(50);
-/// Draws for one of the warm applications before they are looked through in order.
-const DRAWS: u32 = 8;
-
-/// Attempts of so long are told to others, the last ones.
-pub const RECENT: Span = Span::ms(2_000);
-const RECENT_MOST: usize = 32;
-
-/// What is agreed at start.
+mod retry_budget;
+mod slow_start;
+pub use retry_budget::RetryBudget;
+pub use slow_start::SlowStartConfig;
+use slow_start::{SlowStart, draw};
+
+/// Assumed latency before the first response, and the wait advised when all applications are at their in-flight limit.
+const DEFAULT_LATENCY: Span = Span::ms(250);
+/// Age at which a measured latency no longer counts, so that an application that was slow once is tried again.
+const LATENCY_MAX_AGE: Span = Span::ms(10_000);
+/// Weight of the newest response in the moving average of latency, which covers about ten responses.
+const LATENCY_WEIGHT: f64 = 0.2;
+/// Delay before a probe call that exceeded the initial rate is tried again.
+const PROBE_RETRY_DELAY: Span = Span::ms(50);
+/// Random draws for a warm application before a linear scan.
+const MAX_WARM_DRAWS: u32 = 8;
+
+/// Period over which [`ApplicationStatus`] counts recent attempts.
+pub const RECENT_WINDOW: Span = Span::ms(2_000);
+const MAX_RECENT_ATTEMPTS: usize = 32;
+
+/// Configuration of a [`Pool`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PoolTerms {
-    /// How an application that has come back is led up to its share.
-    pub ramp: RampTerms,
-    /// Attempts in hand at one application at the most.
-    pub each_most: u32,
-    /// Repeats as a part of first tries.
-    pub repeats: f64,
-    /// Attempts of one RPC at the most.
-    pub attempts: u32,
+pub struct PoolConfig {
+    /// Slow start of an application that has returned.
+    pub slow_start: SlowStartConfig,
+    /// Maximum number of attempts in flight at one application.
+    pub max_in_flight: u32,
+    /// Retries allowed per request, from 0 to 1.
+    pub retry_ratio: f64,
+    /// Maximum number of attempts of one RPC.
+    pub max_attempts: u32,
 }
 
-impl Default for PoolTerms {
-    /// Ten seconds of slow start by one process, 64 in hand, a tenth of repeats, three attempts.
-    fn default() -> PoolTerms {
-        let ramp = RampTerms {
-            slow_start: Span::ms(10_000),
-            cold_rate: 0.0,
+impl Default for PoolConfig {
+    /// 10 s of slow start for one process, 64 attempts in flight, a retry ratio of 0.1 and three attempts.
+    fn default() -> PoolConfig {
+        let slow_start = SlowStartConfig {
+            duration: Span::ms(10_000),
+            initial_rate: 0.0,
             processes: 1,
         };
-        PoolTerms {
-            ramp,
-            each_most: 64,
-            repeats: 0.1,
-            attempts: 3,
+        PoolConfig {
+            slow_start,
+            max_in_flight: 64,
+            retry_ratio: 0.1,
+            max_attempts: 3,
         }
     }
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// With an answer of the application that tells of no trouble of its own.
+pub enum AttemptOutcome {
+    /// The application answered and reported no failure of its own.
     Answered,
-    /// The application says that it failed.
+    /// The application reported that it failed.
     Failed,
-    /// Nothing of it ever left: it provably never ran.
-    Unstarted,
-    /// The same, for nobody listens there: the application is not up, and will be cold when it is.
-    Refused,
-    /// Some of it left, and no whole answer came.
-    Broken,
-    /// Nobody waits for it any more, and that tells nothing of the application.
-    GivenUp,
+    /// No byte of the request was sent, so it never ran.
+    NotSent,
+    /// The connection was refused, so the request never ran. The application is down and will be cold once it is up.
+    ConnectionRefused,
+    /// Part of the request was sent and no complete response arrived.
+    Interrupted,
+    /// The attempt is no longer needed; this says nothing about the application.
+    Abandoned,
 }
 
-impl End {
-    /// Whether it never ran.
-    pub fn is_unstarted(self) -> bool {
-        matches!(self, End::Unstarted | End::Refused)
+impl AttemptOutcome {
+    /// Whether the attempt provably never ran.
+    pub fn never_ran(self) -> bool {
+        matches!(
+            self,
+            AttemptOutcome::NotSent | AttemptOutcome::ConnectionRefused
+        )
     }
 }
 
-/// An attempt at one application; to be given back to [`Pool::ended`].
+/// An attempt in flight at one application. Must be passed to [`Pool::finish_attempt`].
 #[derive(Debug)]
-pub struct Pick {
+pub struct Attempt {
     slot: u32,
-    began: Time,
-    attempt: RpcId,
-    /// Its failure is already counted.
-    judged: bool,
+    started_at: Time,
+    id: RpcId,
+    /// Whether its failure is already recorded.
+    is_recorded: bool,
 }
 
-impl Pick {
-    /// Names the application as long as the pick is out.
+impl Attempt {
+    /// Index of the application, valid while the attempt is in flight.
     pub fn slot(&self) -> u32 {
         self.slot
     }
 }
 
-struct App<K> {
+struct Application<K> {
     key: K,
-    in_hand: u32,
-    /// The usual time of an answer, in ticks, and when the last one came; 0 before the first.
-    time: f64,
-    last: Time,
+    in_flight: u32,
+    /// Moving average of latency in ticks; 0 before the first response.
+    latency: f64,
+    last_response_at: Time,
     breaker: CircuitBreaker,
-    /// While it is led up to its share; those that were there from the start are not.
-    ramp: Option<Ramp>,
-    /// Nobody listened there at the last attempt.
-    down: bool,
-    /// Its place among the ready ones.
-    ready: Option<usize>,
-    /// No longer part of the pool; goes with its last attempt.
-    leaving: bool,
-    /// When its last attempts ended, and whether they failed.
+    /// Slow start in progress. Applications present when the pool was first filled have none.
+    slow_start: Option<SlowStart>,
+    /// Whether a connection was refused since the last response.
+    connection_refused: bool,
+    /// Index in `Pool::ready`, if it is there.
+    ready_index: Option<usize>,
+    /// Removed from the pool; dropped when its last attempt ends.
+    draining: bool,
+    /// End time of each recent attempt, and whether it failed.
     recent: VecDeque<(Time, bool)>,
 }
 
-/// What is seen of an application from outside.
+/// Status of one application.
 #[derive(Clone, Debug, PartialEq)]
-pub struct View<K> {
+pub struct ApplicationStatus<K> {
     pub key: K,
-    pub in_hand: u32,
+    /// Number of attempts in flight.
+    pub in_flight: u32,
+    /// State of the breaker.
     pub state: &'static str,
-    /// The usual time of an answer, where one came.
-    pub time: Option<Span>,
-    pub leaving: bool,
-    /// Attempts that ended within [`RECENT`], and of these those that failed.
-    pub recent: u32,
-    pub failures: u32,
+    /// Moving average of latency; `None` before the first response.
+    pub latency: Option<Span>,
+    /// Whether it was removed and still has attempts in flight.
+    pub draining: bool,
+    /// Number of attempts that ended within [`RECENT_WINDOW`].
+    pub recent_attempts: u32,
+    /// Number of those that failed.
+    pub recent_failures: u32,
 }
 
-/// Applications by key. A choice costs the same for any number of them: those that may be chosen stand in one dense
-/// list, those that are shut in a heap by the end of their cooldown.
+/// A pool of applications, each identified by a key.
+///
+/// The cost of a selection does not depend on the number of applications: selectable ones are in one dense list, those with
+/// an open breaker in a heap ordered by the end of their cooldown.
 pub struct Pool<K> {
-    terms: PoolTerms,
-    /// Processes that send, as the terms state it and as they were last counted.
-    stated: u32,
-    counted: u32,
-    apps: Vec<Option<App<K>>>,
-    free: Vec<u32>,
-    /// Slots that may be chosen.
+    config: PoolConfig,
+    /// Number of sending processes according to the configuration.
+    configured_processes: u32,
+    /// Number of sending processes last counted.
+    counted_processes: u32,
+    applications: Vec<Option<Application<K>>>,
+    free_slots: Vec<u32>,
+    /// Slots of selectable applications.
     ready: Vec<u32>,
-    /// Slots that are shut, by when a trial is due; what no longer holds is passed over when it is met.
-    shut: BinaryHeap<Reverse<(Time, u32)>>,
-    budget: Budget,
-    attempts: u32,
-    /// The usual time of an answer of any of them, in ticks.
-    usual: f64,
-    chance: WyRand,
-    /// Changes of breakers since they were last taken.
-    turns: Vec<(K, BreakerTransition)>,
+    /// Slots with an open breaker, by the time their probe call is due. Stale entries are skipped when popped.
+    cooldowns: BinaryHeap<Reverse<(Time, u32)>>,
+    retry_budget: RetryBudget,
+    last_attempt_id: u32,
+    /// Moving average of latency over all applications, in ticks.
+    mean_latency: f64,
+    rng: WyRand,
+    /// Breaker transitions since they were last taken.
+    breaker_transitions: Vec<(K, BreakerTransition)>,
 }
 
 impl<K: Clone + PartialEq> Pool<K> {
-    pub fn new(terms: PoolTerms, seed: u64) -> Pool<K> {
+    /// Creates an empty pool; `seed` determines its random choices.
+    pub fn new(config: PoolConfig, seed: u64) -> Pool<K> {
         Pool {
-            terms,
-            stated: terms.ramp.processes,
-            counted: 0,
-            apps: Vec::new(),
-            free: Vec::new(),
+            config,
+            configured_processes: config.slow_start.processes,
+            counted_processes: 0,
+            applications: Vec::new(),
+            free_slots: Vec::new(),
             ready: Vec::new(),
-            shut: BinaryHeap::new(),
-            budget: Budget::new(terms.repeats),
-            attempts: 0,
-            usual: 0.0,
-            chance: WyRand::new_seed(seed),
-            turns: Vec::new(),
+            cooldowns: BinaryHeap::new(),
+            retry_budget: RetryBudget::new(config.retry_ratio),
+            last_attempt_id: 0,
+            mean_latency: 0.0,
+            rng: WyRand::new_seed(seed),
+            breaker_transitions: Vec::new(),
         }
     }
 
-    /// The pool is made of `keys` from now on. Who stays keeps all that is known of it; who goes gets nothing new and is
-    /// forgotten with its last attempt; who comes to a pool that serves already starts slowly.
-    pub fn set(&mut self, now: Time, keys: &[K]) {
-        let first = self.apps.iter().all(Option::is_none);
-        for slot in 0..self.apps.len() as u32 {
-            let Some(app) = self.apps[slot as usize].as_mut() else {
+    /// Replaces the applications of the pool.
+    ///
+    /// Applications that stay keep their state. Removed ones receive no new attempts and are dropped when their last attempt
+    /// ends. Applications added to a pool that is not empty go through slow start.
+    pub fn set_applications(&mut self, now: Time, keys: &[K]) {
+        let was_empty = self.applications.iter().all(Option::is_none);
+        for slot in 0..self.applications.len() as u32 {
+            let Some(app) = self.applications[slot as usize].as_mut() else {
                 continue;
             };
             let stays = keys.contains(&app.key);
-            if !stays && !app.leaving {
-                app.leaving = true;
-                self.settle(slot);
-            } else if stays && app.leaving {
-                app.leaving = false;
-                self.settle(slot);
+            if !stays && !app.draining {
+                app.draining = true;
+                self.reindex(slot);
+            } else if stays && app.draining {
+                app.draining = false;
+                self.reindex(slot);
             }
         }
         for key in keys {
-            if self.apps.iter().flatten().any(|app| app.key == *key) {
+            if self
+                .applications
+                .iter()
+                .flatten()
+                .any(|app| app.key == *key)
+            {
                 continue;
             }
-            let app = App {
+            let app = Application {
                 key: key.clone(),
-                in_hand: 0,
-                time: 0.0,
-                last: now,
+                in_flight: 0,
+                latency: 0.0,
+                last_response_at: now,
                 breaker: CircuitBreaker::new(now),
                 recent: VecDeque::new(),
-                ramp: (!first).then(|| Ramp::new(now)),
-                down: false,
-                ready: None,
-                leaving: false,
+                slow_start: (!was_empty).then(|| SlowStart::new(now)),
+                connection_refused: false,
+                ready_index: None,
+                draining: false,
             };
-            let slot = self.free.pop().unwrap_or(self.apps.len() as u32);
-            match self.apps.get_mut(slot as usize) {
-                Some(place) => *place = Some(app),
-                None => self.apps.push(Some(app)),
+            let slot = self
+                .free_slots
+                .pop()
+                .unwrap_or(self.applications.len() as u32);
+            match self.applications.get_mut(slot as usize) {
+                Some(entry) => *entry = Some(app),
+                None => self.applications.push(Some(app)),
             }
-            self.settle(slot);
+            self.reindex(slot);
         }
     }
 
-    pub fn key(&self, pick: &Pick) -> &K {
-        // A pick keeps its application in its slot.
-        &self.apps[pick.slot as usize]
+    /// Returns the key of the application that `attempt` was sent to.
+    pub fn key(&self, attempt: &Attempt) -> &K {
+        // An attempt in flight keeps its application in its slot.
+        &self.applications[attempt.slot as usize]
             .as_ref()
-            .expect("a pick's application")
+            .expect("application of an attempt in flight")
             .key
     }
 
-    /// Puts a slot into the list or the heap that it belongs to, or frees it.
-    fn settle(&mut self, slot: u32) {
-        let Some(app) = self.apps[slot as usize].as_mut() else {
+    /// Adds the slot to the ready list or removes it, and frees the slot of a drained application.
+    fn reindex(&mut self, slot: u32) {
+        let Some(app) = self.applications[slot as usize].as_mut() else {
             return;
         };
-        let closed = app.breaker.is_closed() && !app.leaving && app.in_hand < self.terms.each_most;
-        match (closed, app.ready) {
+        let is_ready =
+            app.breaker.is_closed() && !app.draining && app.in_flight < self.config.max_in_flight;
+        match (is_ready, app.ready_index) {
             (true, None) => {
-                app.ready = Some(self.ready.len());
+                app.ready_index = Some(self.ready.len());
                 self.ready.push(slot);
             }
             (false, Some(at)) => {
-                app.ready = None;
+                app.ready_index = None;
                 self.ready.swap_remove(at);
                 if let Some(moved) = self.ready.get(at)
-                    && let Some(moved) = self.apps[*moved as usize].as_mut()
+                    && let Some(moved) = self.applications[*moved as usize].as_mut()
                 {
-                    moved.ready = Some(at);
+                    moved.ready_index = Some(at);
                 }
             }
             _ => {}
         }
-        let gone = self.apps[slot as usize]
+        let is_removable = self.applications[slot as usize]
             .as_ref()
-            .is_some_and(|app| app.leaving && app.in_hand == 0);
-        if gone {
-            self.apps[slot as usize] = None;
-            self.free.push(slot);
+            .is_some_and(|app| app.draining && app.in_flight == 0);
+        if is_removable {
+            self.applications[slot as usize] = None;
+            self.free_slots.push(slot);
         }
     }
 
-    /// How loaded an application is: what is in hand, by how long it usually takes.
+    /// Expected load of an application after one more attempt: attempts in flight times latency.
     fn load(&self, now: Time, slot: u32) -> f64 {
-        let Some(app) = self.apps[slot as usize].as_ref() else {
+        let Some(app) = self.applications[slot as usize].as_ref() else {
             return f64::MAX;
         };
-        let usual = if self.usual > 0.0 {
-            self.usual
+        let mean_latency = if self.mean_latency > 0.0 {
+            self.mean_latency
         } else {
-            GUESS.0 as f64
+            DEFAULT_LATENCY.0 as f64
         };
-        let known = 1.0 - ((now - app.last).0 as f64 / STALE.0 as f64).min(1.0);
-        let time = if app.time > 0.0 {
-            usual + (app.time - usual) * known
+        let confidence =
+            1.0 - ((now - app.last_response_at).0 as f64 / LATENCY_MAX_AGE.0 as f64).min(1.0);
+        let latency = if app.latency > 0.0 {
+            mean_latency + (app.latency - mean_latency) * confidence
         } else {
-            usual
+            mean_latency
         };
-        f64::from(app.in_hand + 1) * time
+        f64::from(app.in_flight + 1) * latency
     }
 
-    /// Whose cooldown is over gets its one trial.
-    fn trial(&mut self, now: Time) -> Option<u32> {
-        while let Some(Reverse((until, slot))) = self.shut.peek().copied() {
+    /// Returns an application whose cooldown is over and that may receive its probe call.
+    fn next_probe(&mut self, now: Time) -> Option<u32> {
+        while let Some(Reverse((until, slot))) = self.cooldowns.peek().copied() {
             if until > now {
                 return None;
             }
-            self.shut.pop();
-            let (terms, chance) = (&self.terms.ramp, &mut self.chance);
-            let app = self.apps[slot as usize].as_mut();
-            let Some(app) = app.filter(|app| !app.leaving && app.breaker.awaits_probe(now)) else {
+            self.cooldowns.pop();
+            let (config, rng) = (&self.config.slow_start, &mut self.rng);
+            let app = self.applications[slot as usize].as_mut();
+            let Some(app) = app.filter(|app| !app.draining && app.breaker.awaits_probe(now)) else {
                 continue;
             };
-            // Guards against the trials of many processes, each one alone and all at once.
-            let ramp = app.ramp.get_or_insert_with(|| Ramp::new(now));
-            if ramp.lets(now, terms, chance) {
+            // Guards against many processes sending their probe calls at the same time.
+            let slow_start = app.slow_start.get_or_insert_with(|| SlowStart::new(now));
+            if slow_start.try_admit(now, config, rng) {
                 return Some(slot);
             }
-            self.shut.push(Reverse((now + TRIAL_AGAIN, slot)));
+            self.cooldowns
+                .push(Reverse((now + PROBE_RETRY_DELAY, slot)));
         }
         None
     }
 
-    /// The application for the next attempt: one whose trial is due, else the less loaded of two by chance, not the one of
-    /// `but` where there is another. Without any, the time after which one may be there.
-    pub fn choose(&mut self, now: Time, but: Option<u32>) -> Result<Pick, Span> {
-        let slot = match self.trial(now) {
+    /// Selects an application and starts an attempt at it: one whose probe call is due, else the less loaded of two random
+    /// ones. The application in slot `avoid` is selected only if there is no other.
+    ///
+    /// # Errors
+    /// The time after which an application may be available, if none is now.
+    pub fn start_attempt(&mut self, now: Time, avoid: Option<u32>) -> Result<Attempt, Span> {
+        let slot = match self.next_probe(now) {
             Some(slot) => slot,
             None => self
-                .less_loaded(now, but)
-                .ok_or_else(|| self.back_in(now))?,
+                .select(now, avoid)
+                .ok_or_else(|| self.retry_after(now))?,
         };
-        self.attempts = self.attempts.wrapping_add(1);
-        let attempt = RpcId(self.attempts);
-        let Some(app) = self.apps[slot as usize].as_mut() else {
-            return Err(GUESS);
+        self.last_attempt_id = self.last_attempt_id.wrapping_add(1);
+        let id = RpcId(self.last_attempt_id);
+        let Some(app) = self.applications[slot as usize].as_mut() else {
+            return Err(DEFAULT_LATENCY);
         };
-        let decision = app.breaker.admit_call(now, attempt);
+        let decision = app.breaker.admit_call(now, id);
         debug_assert!(matches!(decision.flow, Flow::Continue));
-        app.in_hand += 1;
+        app.in_flight += 1;
         let key = app.key.clone();
-        self.turns
-            .extend(decision.transition.map(|turn| (key, turn)));
-        self.settle(slot);
-        Ok(Pick {
+        self.breaker_transitions
+            .extend(decision.transition.map(|transition| (key, transition)));
+        self.reindex(slot);
+        Ok(Attempt {
             slot,
-            began: now,
-            attempt,
-            judged: false,
+            started_at: now,
+            id,
+            is_recorded: false,
         })
     }
 
-    /// Whether a ready application is still led up to its share.
+    /// Whether an application is in slow start. Clears a slow start that is complete.
     fn is_cold(&mut self, now: Time, slot: u32) -> bool {
-        let (terms, app) = (&self.terms.ramp, self.apps[slot as usize].as_mut());
+        let (config, app) = (
+            &self.config.slow_start,
+            self.applications[slot as usize].as_mut(),
+        );
         let Some(app) = app else { return false };
-        app.ramp = app.ramp.take().filter(|ramp| !ramp.is_over(now, terms));
-        app.ramp.is_some()
+        app.slow_start = app
+            .slow_start
+            .take()
+            .filter(|slow_start| !slow_start.is_complete(now, config));
+        app.slow_start.is_some()
     }
 
-    /// A warm one by chance, not that of `but`; `None` where there is none.
-    fn warm(&mut self, now: Time, but: Option<u32>) -> Option<u32> {
+    /// Returns a random warm application other than `avoid`.
+    fn random_warm(&mut self, now: Time, avoid: Option<u32>) -> Option<u32> {
         let count = self.ready.len();
-        for _ in 0..DRAWS {
-            let at = self.index(count)?;
+        for _ in 0..MAX_WARM_DRAWS {
+            let at = self.random_index(count)?;
             let slot = self.ready[at];
-            if Some(slot) != but && !self.is_cold(now, slot) {
+            if Some(slot) != avoid && !self.is_cold(now, slot) {
                 return Some(slot);
             }
         }
-        let from = self.index(count)?;
-        let slots = (0..count).map(|at| self.ready[(from + at) % count]);
-        let slots: Vec<u32> = slots.filter(|slot| Some(*slot) != but).collect();
+        let start = self.random_index(count)?;
+        let slots = (0..count).map(|offset| self.ready[(start + offset) % count]);
+        let slots: Vec<u32> = slots.filter(|slot| Some(*slot) != avoid).collect();
         slots.into_iter().find(|slot| !self.is_cold(now, *slot))
     }
 
-    /// A cold one gets its part of what falls to it by chance, and no more for standing idle; the others share the rest, each
-    /// attempt going to the less loaded of two.
-    fn less_loaded(&mut self, now: Time, but: Option<u32>) -> Option<u32> {
+    /// Selects a ready application. A cold one that is drawn at random accepts a fraction of these attempts, and no more than
+    /// that while idle; the others go to the less loaded of two random warm applications.
+    fn select(&mut self, now: Time, avoid: Option<u32>) -> Option<u32> {
         let count = self.ready.len();
-        let at = self.index(count)?;
+        let at = self.random_index(count)?;
         let first = self.ready[at];
-        if Some(first) != but && self.is_cold(now, first) && self.takes(now, first) {
+        if Some(first) != avoid && self.is_cold(now, first) && self.admits_cold(now, first) {
             return Some(first);
         }
-        let one = match self.warm(now, but) {
-            Some(one) => one,
-            // The one that it comes from is better than none, unless all others are cold: then they share it.
-            None => return self.cold(now, but),
+        let warm = match self.random_warm(now, avoid) {
+            Some(warm) => warm,
+            // With no other warm application, cold ones are preferred to `avoid`.
+            None => return self.select_cold(now, avoid),
         };
-        let other = self
-            .warm(now, Some(one))
-            .filter(|other| Some(*other) != but);
+        let second = self
+            .random_warm(now, Some(warm))
+            .filter(|second| Some(*second) != avoid);
         Some(
-            other
-                .filter(|other| self.load(now, *other) < self.load(now, one))
-                .unwrap_or(one),
+            second
+                .filter(|second| self.load(now, *second) < self.load(now, warm))
+                .unwrap_or(warm),
         )
     }
 
-    /// Whether a cold application takes this attempt: by its part, by the cold rate, and not where it is more loaded than a warm one.
-    fn takes(&mut self, now: Time, slot: u32) -> bool {
-        let part = self.apps[slot as usize]
-            .as_ref()
-            .and_then(|app| Some(app.ramp.as_ref()?.part(now, &self.terms.ramp)));
-        if !drawn(part.unwrap_or(1.0), &mut self.chance) {
+    /// Whether a cold application accepts this attempt: within its fraction and the initial rate, and only while it has no
+    /// more attempts in flight than a random warm application.
+    fn admits_cold(&mut self, now: Time, slot: u32) -> bool {
+        let fraction = self.applications[slot as usize].as_ref().and_then(|app| {
+            Some(
+                app.slow_start
+                    .as_ref()?
+                    .fraction(now, &self.config.slow_start),
+            )
+        });
+        if !draw(fraction.unwrap_or(1.0), &mut self.rng) {
             return false;
         }
-        let warm = self.warm(now, None);
-        // By what is in hand alone: it is slower while it is cold, and would get nothing where little is in hand.
-        let in_hand = |slot: u32| {
-            self.apps[slot as usize]
+        let warm = self.random_warm(now, None);
+        // Compares attempts in flight without latency: a cold application is slower and would get nothing under low load.
+        let in_flight = |slot: u32| {
+            self.applications[slot as usize]
                 .as_ref()
-                .map_or(0, |app| app.in_hand)
+                .map_or(0, |app| app.in_flight)
         };
-        warm.is_none_or(|warm| in_hand(slot) <= in_hand(warm)) && self.lets(now, slot)
+        warm.is_none_or(|warm| in_flight(slot) <= in_flight(warm)) && self.may_send_cold(now, slot)
     }
 
-    fn lets(&mut self, now: Time, slot: u32) -> bool {
-        let (terms, chance) = (&self.terms.ramp, &mut self.chance);
-        let ramp = self.apps[slot as usize]
+    /// Whether the initial rate of a slow start allows an attempt now.
+    fn may_send_cold(&mut self, now: Time, slot: u32) -> bool {
+        let (config, rng) = (&self.config.slow_start, &mut self.rng);
+        let slow_start = self.applications[slot as usize]
             .as_mut()
-            .and_then(|app| app.ramp.as_mut());
-        ramp.is_none_or(|ramp| ramp.lets(now, terms, chance))
+            .and_then(|app| app.slow_start.as_mut());
+        slow_start.is_none_or(|slow_start| slow_start.try_admit(now, config, rng))
     }
 
-    /// Where none is warm: the less loaded of two, as far as the cold rate lets it; the one of `but` where there is no other.
-    fn cold(&mut self, now: Time, but: Option<u32>) -> Option<u32> {
+    /// Selects the less loaded of two applications when no other is warm, if the initial rate allows it. Falls back to
+    /// `avoid` if it is the only one.
+    fn select_cold(&mut self, now: Time, avoid: Option<u32>) -> Option<u32> {
         let others: Vec<u32> = self
             .ready
             .iter()
             .copied()
-            .filter(|slot| Some(*slot) != but)
+            .filter(|slot| Some(*slot) != avoid)
             .collect();
-        let Some(at) = self.index(others.len()) else {
+        let Some(first) = self.random_index(others.len()) else {
             return self
                 .ready
                 .first()
                 .copied()
-                .filter(|slot| !self.is_cold(now, *slot) || self.lets(now, *slot));
+                .filter(|slot| !self.is_cold(now, *slot) || self.may_send_cold(now, *slot));
         };
-        let second = others[(at + 1) % others.len()];
-        let slot = if self.load(now, second) < self.load(now, others[at]) {
+        let second = others[(first + 1) % others.len()];
+        let slot = if self.load(now, second) < self.load(now, others[first]) {
             second
         } else {
-            others[at]
+            others[first]
         };
-        self.lets(now, slot).then_some(slot)
+        self.may_send_cold(now, slot).then_some(slot)
     }
 
-    fn index(&mut self, count: usize) -> Option<usize> {
-        (count > 0).then(|| self.chance.generate_range(0..count))
+    fn random_index(&mut self, count: usize) -> Option<usize> {
+        (count > 0).then(|| self.rng.generate_range(0..count))
     }
 
-    /// When the next trial is due, from now; a moment where all are only full.
-    fn back_in(&self, now: Time) -> Span {
-        let next = self.shut.peek().map(|Reverse((until, _))| *until - now);
-        next.unwrap_or(GUESS).max(Span::ms(1))
+    /// Returns the time until the next probe call is due, or [`DEFAULT_LATENCY`] if no breaker is open.
+    fn retry_after(&self, now: Time) -> Span {
+        let next = self
+            .cooldowns
+            .peek()
+            .map(|Reverse((until, _))| *until - now);
+        next.unwrap_or(DEFAULT_LATENCY).max(Span::ms(1))
     }
 
-    /// The time that an attempt's RPC had is over. Guards against applications that take work and say nothing: the attempt
-    /// has failed, though it stays in their hands.
-    pub fn overran(&mut self, now: Time, pick: &mut Pick) {
-        if !std::mem::replace(&mut pick.judged, true) {
-            self.judge(now, pick.slot, pick.attempt, pick.began, true);
+    /// Records an attempt as failed because the deadline of its RPC has passed; it stays in flight. Guards against
+    /// applications that accept requests and never answer.
+    pub fn time_out_attempt(&mut self, now: Time, attempt: &mut Attempt) {
+        if !std::mem::replace(&mut attempt.is_recorded, true) {
+            self.record_result(now, attempt.slot, attempt.id, attempt.started_at, true);
         }
     }
 
-    fn judge(&mut self, now: Time, slot: u32, attempt: RpcId, began: Time, failed: bool) {
-        let Some(app) = self.apps[slot as usize].as_mut() else {
+    fn record_result(&mut self, now: Time, slot: u32, id: RpcId, started_at: Time, failed: bool) {
+        let Some(app) = self.applications[slot as usize].as_mut() else {
             return;
         };
-        if app.recent.len() >= RECENT_MOST {
+        if app.recent.len() >= MAX_RECENT_ATTEMPTS {
             app.recent.pop_front();
         }
         app.recent.push_back((now, failed));
-        let Some(turn) = app
+        let Some(transition) = app
             .breaker
-            .record_call(now, attempt, began, failed, &mut self.chance)
+            .record_call(now, id, started_at, failed, &mut self.rng)
         else {
             return;
         };
         if app.breaker.is_closed() {
-            // What it did before it was shut is no measure of it now.
-            (app.ramp, app.time) = (Some(Ramp::new(now)), 0.0);
+            // Latency from before the breaker opened no longer applies.
+            (app.slow_start, app.latency) = (Some(SlowStart::new(now)), 0.0);
         }
         if let Some(until) = app.breaker.open_until() {
-            app.ramp = None;
-            self.shut.push(Reverse((until, slot)));
+            app.slow_start = None;
+            self.cooldowns.push(Reverse((until, slot)));
         }
         let key = app.key.clone();
-        self.turns.push((key, turn));
-        self.settle(slot);
+        self.breaker_transitions.push((key, transition));
+        self.reindex(slot);
     }
 
-    /// An attempt is out of the application's hands.
-    pub fn ended(&mut self, now: Time, pick: Pick, end: End) {
-        let Pick {
+    /// Ends an attempt and records its outcome.
+    pub fn finish_attempt(&mut self, now: Time, attempt: Attempt, outcome: AttemptOutcome) {
+        let Attempt {
             slot,
-            began,
-            attempt,
-            judged,
-        } = pick;
-        if let Some(app) = self.apps[slot as usize].as_mut() {
-            app.in_hand -= 1;
-            let took = (now - began).0.max(1) as f64;
-            if end == End::Refused {
-                app.down = true;
-            } else if end == End::Answered && std::mem::take(&mut app.down) {
-                // Guards against an application that was restarted too quickly for its breaker to open, and is as cold.
-                app.ramp = Some(Ramp::new(now));
+            started_at,
+            id,
+            is_recorded,
+        } = attempt;
+        if let Some(app) = self.applications[slot as usize].as_mut() {
+            app.in_flight -= 1;
+            let latency = (now - started_at).0.max(1) as f64;
+            if outcome == AttemptOutcome::ConnectionRefused {
+                app.connection_refused = true;
+            } else if outcome == AttemptOutcome::Answered
+                && std::mem::take(&mut app.connection_refused)
+            {
+                // Guards against a cold application whose restart was too short for its breaker to open.
+                app.slow_start = Some(SlowStart::new(now));
             }
-            if matches!(end, End::Answered | End::Failed) {
-                app.time = if app.time > 0.0 {
-                    app.time + (took - app.time) * LAST
+            if matches!(outcome, AttemptOutcome::Answered | AttemptOutcome::Failed) {
+                app.latency = if app.latency > 0.0 {
+                    app.latency + (latency - app.latency) * LATENCY_WEIGHT
                 } else {
-                    took
+                    latency
                 };
-                app.last = now;
-                self.usual = if self.usual > 0.0 {
-                    self.usual + (took - self.usual) * LAST
+                app.last_response_at = now;
+                self.mean_latency = if self.mean_latency > 0.0 {
+                    self.mean_latency + (latency - self.mean_latency) * LATENCY_WEIGHT
                 } else {
-                    took
+                    latency
                 };
             }
         }
-        match end {
-            _ if judged => {}
-            End::GivenUp => {
-                let app = self.apps[slot as usize].as_mut();
-                // The next one is its trial, at once.
-                if app.is_some_and(|app| app.breaker.abandon_probe(attempt)) {
-                    self.shut.push(Reverse((now, slot)));
+        match outcome {
+            _ if is_recorded => {}
+            AttemptOutcome::Abandoned => {
+                let app = self.applications[slot as usize].as_mut();
+                // The next attempt becomes the probe call, without another cooldown.
+                if app.is_some_and(|app| app.breaker.abandon_probe(id)) {
+                    self.cooldowns.push(Reverse((now, slot)));
                 }
             }
-            _ => self.judge(now, slot, attempt, began, end != End::Answered),
+            _ => self.record_result(
+                now,
+                slot,
+                id,
+                started_at,
+                outcome != AttemptOutcome::Answered,
+            ),
         }
-        self.settle(slot);
+        self.reindex(slot);
     }
 
-    /// A first try came: it earns a part of a repeat.
-    pub fn first_try(&mut self) {
-        self.budget.earn();
+    /// Records a new request, which adds to the retry budget.
+    pub fn record_request(&mut self) {
+        self.retry_budget.deposit();
     }
 
-    /// Whether an RPC whose attempt ended so is tried once more. Only what provably never ran or may run twice, never past its
-    /// due time, and within the budget.
-    pub fn repeats(&mut self, now: Time, end: End, idempotent: bool, made: u32, due: Time) -> bool {
-        let allowed =
-            end.is_unstarted() || (idempotent && matches!(end, End::Failed | End::Broken));
-        allowed && made < self.terms.attempts && now < due && self.budget.spend()
+    /// Whether an RPC whose last attempt had `outcome` is retried; takes the retry from the budget.
+    ///
+    /// Only an attempt that never ran or that is idempotent is retried, only before the deadline and within the retry budget.
+    pub fn try_retry(
+        &mut self,
+        now: Time,
+        outcome: AttemptOutcome,
+        idempotent: bool,
+        attempts_made: u32,
+        deadline: Time,
+    ) -> bool {
+        let is_safe = outcome.never_ran()
+            || (idempotent
+                && matches!(
+                    outcome,
+                    AttemptOutcome::Failed | AttemptOutcome::Interrupted
+                ));
+        is_safe
+            && attempts_made < self.config.max_attempts
+            && now < deadline
+            && self.retry_budget.try_withdraw()
     }
 
-    /// Other terms hold from now on; what is known of each application and what is in hand stay. A ramp under way goes on from
-    /// the same return.
-    pub fn reload(&mut self, terms: PoolTerms) {
-        if terms.repeats != self.terms.repeats {
-            self.budget = Budget::new(terms.repeats);
+    /// Replaces the configuration. The state of each application and the attempts in flight stay; a slow start in progress
+    /// keeps its start time.
+    pub fn set_config(&mut self, config: PoolConfig) {
+        if config.retry_ratio != self.config.retry_ratio {
+            self.retry_budget = RetryBudget::new(config.retry_ratio);
         }
-        (self.terms, self.stated) = (terms, terms.ramp.processes);
-        self.processes(self.counted);
-        // One that was full may have room, or the other way round.
-        (0..self.apps.len() as u32).for_each(|slot| self.settle(slot));
+        (self.config, self.configured_processes) = (config, config.slow_start.processes);
+        self.set_process_count(self.counted_processes);
+        // A new in-flight limit changes which applications are ready.
+        (0..self.applications.len() as u32).for_each(|slot| self.reindex(slot));
     }
 
-    /// So many processes send, as they were counted; what the terms state is the least. Guards against a part that hears no
-    /// other and takes itself for the whole, and against a ramp of one process alone after a reload.
-    pub fn processes(&mut self, count: u32) {
-        self.counted = count;
-        self.terms.ramp.processes = self.stated.max(count).max(1);
+    /// Sets the number of sending processes; the configured number is the minimum. Guards against a network partition that
+    /// counts only itself, and against a slow start sized for one process after a reload.
+    pub fn set_process_count(&mut self, count: u32) {
+        self.counted_processes = count;
+        self.config.slow_start.processes = self.configured_processes.max(count).max(1);
     }
 
-    /// Attempts in hand of all.
-    pub fn in_hand(&self) -> u32 {
-        self.apps.iter().flatten().map(|app| app.in_hand).sum()
+    /// Number of attempts in flight at all applications.
+    pub fn in_flight(&self) -> u32 {
+        self.applications
+            .iter()
+            .flatten()
+            .map(|app| app.in_flight)
+            .sum()
     }
 
-    /// Changes of breakers since the last look: each is to be logged.
-    pub fn turns(&mut self) -> Vec<(K, BreakerTransition)> {
-        std::mem::take(&mut self.turns)
+    /// Takes the breaker transitions since the last call, for logging.
+    pub fn take_breaker_transitions(&mut self) -> Vec<(K, BreakerTransition)> {
+        std::mem::take(&mut self.breaker_transitions)
     }
 
-    /// What others saw of an application: so much evidence of one's own does, and its cooldown ends by then, where that is sooner.
-    pub fn hear(&mut self, key: &K, need: u32, by: Option<Time>) {
+    /// Applies what peers reported about an application: `min_outcomes` local outcomes suffice for its breaker to decide, and
+    /// its cooldown ends at `cooldown_end` if that is earlier.
+    pub fn apply_peer_reports(&mut self, key: &K, min_outcomes: u32, cooldown_end: Option<Time>) {
         let slot = self
-            .apps
+            .applications
             .iter()
             .position(|app| app.as_ref().is_some_and(|app| app.key == *key));
-        let Some((slot, app)) = slot.and_then(|slot| Some((slot, self.apps[slot].as_mut()?)))
+        let Some((slot, app)) =
+            slot.and_then(|slot| Some((slot, self.applications[slot].as_mut()?)))
         else {
             return;
         };
-        let sooner = by.filter(|by| app.breaker.open_until().is_some_and(|until| *by < until));
-        app.breaker.apply_peer_reports(need, sooner);
-        if let Some(by) = sooner {
-            self.shut.push(Reverse((by, slot as u32)));
+        let earlier =
+            cooldown_end.filter(|end| app.breaker.open_until().is_some_and(|until| *end < until));
+        app.breaker.apply_peer_reports(min_outcomes, earlier);
+        if let Some(end) = earlier {
+            self.cooldowns.push(Reverse((end, slot as u32)));
         }
     }
 
-    pub fn view(&self, now: Time) -> Vec<View<K>> {
-        let recent = |app: &App<K>| {
-            let ends = app.recent.iter().filter(|(at, _)| *at + RECENT >= now);
+    /// Returns the status of each application.
+    pub fn status(&self, now: Time) -> Vec<ApplicationStatus<K>> {
+        let recent = |app: &Application<K>| {
+            let ends = app
+                .recent
+                .iter()
+                .filter(|(at, _)| *at + RECENT_WINDOW >= now);
             ends.fold((0, 0), |sum, (_, failed)| {
                 (sum.0 + 1, sum.1 + u32::from(*failed))
             })
         };
-        let one = |app: &App<K>| View {
+        let status = |app: &Application<K>| ApplicationStatus {
             key: app.key.clone(),
-            in_hand: app.in_hand,
+            in_flight: app.in_flight,
             state: app.breaker.state().as_str(),
-            time: (app.time > 0.0).then_some(Span(app.time as u64)),
-            leaving: app.leaving,
-            recent: recent(app).0,
-            failures: recent(app).1,
+            latency: (app.latency > 0.0).then_some(Span(app.latency as u64)),
+            draining: app.draining,
+            recent_attempts: recent(app).0,
+            recent_failures: recent(app).1,
         };
-        self.apps.iter().flatten().map(one).collect()
+        self.applications.iter().flatten().map(status).collect()
     }
 }
--- a/crates/coralstep-balancer/tests/ramp.rs
+++ b/crates/coralstep-balancer/tests/slow_start.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 
 use coralstep::{Span, Time};
-use coralstep_balancer::{End, Pick, Pool, PoolTerms, RampTerms};
+use coralstep_balancer::{Attempt, AttemptOutcome, Pool, PoolConfig, SlowStartConfig};
 use nanorand::{Rng, WyRand};
 
 const KEYS: [&str; 4] = ["a", "b", "c", "back"];
@@ -14,15 +14,15 @@
 /// The windows in which attempts are counted.
 const WINDOW: u64 = 2 * SECOND;
 
-fn terms(cold_rate: f64, processes: u32) -> PoolTerms {
-    let ramp = RampTerms {
-        slow_start: Span(10 * SECOND),
-        cold_rate,
+fn terms(initial_rate: f64, processes: u32) -> PoolConfig {
+    let slow_start = SlowStartConfig {
+        duration: Span(10 * SECOND),
+        initial_rate,
         processes,
     };
-    PoolTerms {
-        ramp,
-        ..PoolTerms::default()
+    PoolConfig {
+        slow_start,
+        ..PoolConfig::default()
     }
 }
 
@@ -72,7 +72,8 @@
     let mut next: BinaryHeap<Reverse<(u64, usize)>> =
         (0..pools.len()).map(|at| Reverse((gap(), at))).collect();
     let mut open: BinaryHeap<Reverse<(u64, u64)>> = BinaryHeap::new();
-    let mut picks: std::collections::HashMap<u64, (usize, Pick)> = std::collections::HashMap::new();
+    let mut picks: std::collections::HashMap<u64, (usize, Attempt)> =
+        std::collections::HashMap::new();
     let (mut sum, mut number) = (Sum::new(), 0);
     while let Some(Reverse((at, process))) = next.pop().filter(|Reverse((at, _))| *at < 10 * SECOND)
     {
@@ -82,11 +83,11 @@
         {
             open.pop();
             let (process, pick) = picks.remove(&id).unwrap();
-            pools[process].ended(Time(from + end), pick, End::Answered);
+            pools[process].finish_attempt(Time(from + end), pick, AttemptOutcome::Answered);
         }
         let window = (at / WINDOW) as usize;
         sum.meant[window] += budget(at);
-        let Ok(pick) = pools[process].choose(Time(from + at), None) else {
+        let Ok(pick) = pools[process].start_attempt(Time(from + at), None) else {
             continue;
         };
         sum.came[window] += f64::from(u8::from(*pools[process].key(&pick) == "back"));
@@ -98,12 +99,12 @@
 }
 
 /// Pools that have served for an hour, to whom the last application comes back.
-fn served(count: usize, terms: PoolTerms, seed: u64) -> (Vec<Pool<&'static str>>, u64) {
+fn served(count: usize, terms: PoolConfig, seed: u64) -> (Vec<Pool<&'static str>>, u64) {
     let from = 1_000_000 + 3_600 * SECOND;
     let one = |at: usize| {
         let mut pool = Pool::new(terms, seed * 1_000 + at as u64);
-        pool.set(Time(1_000_000), &KEYS[..3]);
-        pool.set(Time(from), &KEYS);
+        pool.set_applications(Time(1_000_000), &KEYS[..3]);
+        pool.set_applications(Time(from), &KEYS);
         pool
     };
     ((0..count).map(one).collect(), from)
@@ -144,10 +145,14 @@
     // Nothing is in hand at any of them when the next attempt comes.
     for at in 0..2_000 {
         let now = Time(from + 5 * SECOND + at * 10);
-        let pick = pools[0].choose(now, None).unwrap();
+        let pick = pools[0].start_attempt(now, None).unwrap();
         let back = *pools[0].key(&pick) == "back";
         came += u32::from(back);
-        pools[0].ended(now + Span(if back { 9 } else { 1 }), pick, End::Answered);
+        pools[0].finish_attempt(
+            now + Span(if back { 9 } else { 1 }),
+            pick,
+            AttemptOutcome::Answered,
+        );
     }
     // Half of a quarter at first, three quarters of it at the end.
     assert!((200..=450).contains(&came), "{came}");
@@ -167,8 +172,8 @@
                 };
                 let (mut pools, from) = served(processes, first, seed);
                 for pool in pools.iter_mut().filter(|_| reloaded) {
-                    pool.processes(processes as u32);
-                    pool.reload(terms(8.0, 1));
+                    pool.set_process_count(processes as u32);
+                    pool.set_config(terms(8.0, 1));
                 }
                 let sum = play(&mut pools, all_s / processes as f64, from, |_| 0.0, seed);
                 // What the rate allows in each window: 8 a second at first, and in proportion to its part later on.
@@ -196,14 +201,14 @@
         for pool in &mut pools {
             let mut failed = 0;
             while failed < 20 {
-                let pick = pool.choose(Time(from + 11 * SECOND), None).unwrap();
+                let pick = pool.start_attempt(Time(from + 11 * SECOND), None).unwrap();
                 let end = if *pool.key(&pick) == "back" {
-                    End::Broken
+                    AttemptOutcome::Interrupted
                 } else {
-                    End::Answered
+                    AttemptOutcome::Answered
                 };
-                failed += u32::from(end == End::Broken);
-                pool.ended(Time(from + 11 * SECOND), pick, end);
+                failed += u32::from(end == AttemptOutcome::Interrupted);
+                pool.finish_attempt(Time(from + 11 * SECOND), pick, end);
             }
         }
         let sum = play(&mut pools, 20.0, from + 11 * SECOND, |_| 0.0, 7);
@@ -233,11 +238,11 @@
     for at in 0..10 {
         for pool in &mut pools {
             let now = Time(from + 5 * SECOND + at * 50);
-            let Ok(pick) = pool.choose(now, None) else {
+            let Ok(pick) = pool.start_attempt(now, None) else {
                 continue;
             };
             came += u32::from(*pool.key(&pick) == "back");
-            pool.ended(now + Span(10), pick, End::Answered);
+            pool.finish_attempt(now + Span(10), pick, AttemptOutcome::Answered);
         }
     }
     // Of 50 ms, and of the quarter of a second that is saved at the most.
@@ -251,15 +256,15 @@
 #[test]
 fn where_all_have_come_back_the_cold_rate_turns_attempts_away_and_says_when() {
     let mut pool = Pool::new(terms(8.0, 4), 1);
-    pool.set(Time(0), &["old"]);
-    pool.set(Time(10), &KEYS);
-    pool.set(Time(20), &KEYS[..3]);
+    pool.set_applications(Time(0), &["old"]);
+    pool.set_applications(Time(10), &KEYS);
+    pool.set_applications(Time(20), &KEYS[..3]);
     let (mut made, mut away) = (0, 0);
     for at in 0..1_000 {
-        match pool.choose(Time(SECOND + at * 10), None) {
+        match pool.start_attempt(Time(SECOND + at * 10), None) {
             Ok(pick) => {
                 made += 1;
-                pool.ended(Time(SECOND + at * 10 + 1), pick, End::Answered);
+                pool.finish_attempt(Time(SECOND + at * 10 + 1), pick, AttemptOutcome::Answered);
             }
             Err(back) => {
                 assert!(back > Span::ZERO);
@@ -277,27 +282,30 @@
 #[test]
 fn one_that_was_refused_and_answers_again_is_cold() {
     let mut pool: Pool<&'static str> = Pool::new(terms(0.0, 1), 3);
-    pool.set(Time(0), &KEYS);
-    let mut share = |from: u64, end: End| {
+    pool.set_applications(Time(0), &KEYS);
+    let mut share = |from: u64, end: AttemptOutcome| {
         let mut count = 0;
         for at in 0..400 {
-            let pick = pool.choose(Time(from + at * 5), None).unwrap();
+            let pick = pool.start_attempt(Time(from + at * 5), None).unwrap();
             let back = *pool.key(&pick) == "back";
             count += u32::from(back);
             // It is down for a few attempts, too few for its breaker.
-            pool.ended(
+            pool.finish_attempt(
                 Time(from + at * 5 + 2),
                 pick,
                 if back && count <= 4 {
                     end
                 } else {
-                    End::Answered
+                    AttemptOutcome::Answered
                 },
             );
         }
         count
     };
-    let (before, cold) = (share(10, End::Answered), share(20_000, End::Refused));
+    let (before, cold) = (
+        share(10, AttemptOutcome::Answered),
+        share(20_000, AttemptOutcome::ConnectionRefused),
+    );
     assert!(
         cold < before / 2,
         "{before} before, {cold} after it was down"
--- a/crates/coralstep-config/src/site/fleet.rs
+++ b/crates/coralstep-config/src/site/fleet.rs
@@ -17,7 +17,7 @@
     expecting = "struct FleetTerms"
 )]
 #[schemars(description = "")]
-pub struct FleetConfig {
+pub struct FleetSection {
     /// The fleet's name: servers of another one are not heard.
     pub name: String,
     /// Where datagrams come in (UDP). Changes with a restart, as all of this section.
@@ -42,7 +42,7 @@
     pub silent_s: u32,
     /// What it does where it hears nobody.
     #[serde(default)]
-    pub silent: Silent,
+    pub silent: IsolationPolicy,
     /// Names of the servers that may give shares of the limits, one at a time: one, three or five, the same list on all servers.
     #[serde(default)]
     pub keepers: Vec<String>,
@@ -59,13 +59,17 @@
 
 /// What a server does while it hears no other member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, JsonSchema)]
-#[serde(rename_all = "snake_case")]
+#[serde(
+    rename_all = "snake_case",
+    rename = "Silent",
+    expecting = "enum Silent"
+)]
 #[schemars(description = "")]
 #[allow(
     missing_docs,
     reason = "doc comments of variants would change the schema"
 )]
-pub enum Silent {
+pub enum IsolationPolicy {
     // It goes on serving.
     #[default]
     Serve,
@@ -104,7 +108,7 @@
 /// Bytes of a fleet's or a server's name at most.
 const MAX_NAME_BYTES: usize = 64;
 
-impl FleetConfig {
+impl FleetSection {
     pub(super) fn check(&self) -> Result<(), SiteError> {
         check_range("fleet.name", self.name.len(), 1, MAX_NAME_BYTES)?;
         check_range("fleet.peers", self.peers.len(), 0, MAX_PEERS)?;
--- a/crates/coralstep-config/src/site/limits.rs
+++ b/crates/coralstep-config/src/site/limits.rs
@@ -5,7 +5,7 @@
 
 use super::error::SiteError;
 use super::fleet::renewal_time_ms;
-use super::{FleetConfig, SiteConfig};
+use super::{FleetSection, SiteConfig};
 use crate::Names;
 
 /// The one dependency that a limit may name.
@@ -47,7 +47,7 @@
 fn check_lease(
     index: usize,
     limit: &Limit,
-    fleet: &FleetConfig,
+    fleet: &FleetSection,
     names: &Names,
 ) -> Result<(), SiteError> {
     if limit.kind.is_rate() {
--- a/crates/coralstep-config/src/site/mod.rs
+++ b/crates/coralstep-config/src/site/mod.rs
@@ -19,9 +19,9 @@
 
 pub use applications::ApplicationsConfig;
 pub use error::SiteError;
-pub use fleet::{FleetConfig, Silent};
+pub use fleet::{FleetSection, IsolationPolicy};
 pub use log::{LogConfig, LogFormat};
-pub use operator::{Listen, ListenError, OperatorConfig};
+pub use operator::{ListenAddress, ListenAddressError, OperatorConfig};
 pub use scgi::{HeaderNames, RouteConfig, RouteTarget, ScgiConfig};
 pub use state::StateConfig;
 
@@ -57,7 +57,7 @@
     pub state: Option<StateConfig>,
     /// How this server hears the others of its fleet; without it nothing is opened.
     #[serde(default)]
-    pub fleet: Option<FleetConfig>,
+    pub fleet: Option<FleetSection>,
     /// Limits that hold for the whole fleet; without a `fleet` there are none.
     #[serde(default)]
     pub limits: Option<Vec<LimitConfig>>,
--- a/crates/coralstep-config/src/site/operator.rs
+++ b/crates/coralstep-config/src/site/operator.rs
@@ -18,58 +18,58 @@
 pub struct OperatorConfig {
     /// A loopback address and port, or `unix:` and a path. Changes with a restart.
     #[schemars(with = "String")]
-    pub listen: Listen,
+    pub listen: ListenAddress,
 }
 
 /// A loopback address, or the path of a Unix socket.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "String")]
-pub enum Listen {
+pub enum ListenAddress {
     /// A TCP listener on loopback.
     Address(SocketAddr),
     /// A Unix socket.
     Path(PathBuf),
 }
 
-impl FromStr for Listen {
-    type Err = ListenError;
+impl FromStr for ListenAddress {
+    type Err = ListenAddressError;
 
-    fn from_str(text: &str) -> Result<Listen, ListenError> {
+    fn from_str(text: &str) -> Result<ListenAddress, ListenAddressError> {
         if let Some(path) = text.strip_prefix("unix:").filter(|path| !path.is_empty()) {
-            return Ok(Listen::Path(path.into()));
+            return Ok(ListenAddress::Path(path.into()));
         }
         let address: SocketAddr = text
             .parse()
-            .map_err(|_| ListenError::Malformed(text.to_owned()))?;
+            .map_err(|_| ListenAddressError::Malformed(text.to_owned()))?;
         // Guards against a listener for operators that other machines reach.
         if address.ip().is_loopback() {
-            Ok(Listen::Address(address))
+            Ok(ListenAddress::Address(address))
         } else {
-            Err(ListenError::NotLoopback(address))
+            Err(ListenAddressError::NotLoopback(address))
         }
     }
 }
 
-impl TryFrom<String> for Listen {
-    type Error = ListenError;
+impl TryFrom<String> for ListenAddress {
+    type Error = ListenAddressError;
 
-    fn try_from(text: String) -> Result<Listen, ListenError> {
+    fn try_from(text: String) -> Result<ListenAddress, ListenAddressError> {
         text.parse()
     }
 }
 
-impl std::fmt::Display for Listen {
+impl std::fmt::Display for ListenAddress {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Listen::Address(address) => address.fmt(f),
-            Listen::Path(path) => write!(f, "unix:{}", path.display()),
+            ListenAddress::Address(address) => address.fmt(f),
+            ListenAddress::Path(path) => write!(f, "unix:{}", path.display()),
         }
     }
 }
 
 /// Why a text is no address of an operators' listener.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum ListenError {
+pub enum ListenAddressError {
     /// Neither an address and port nor `unix:` and a path.
     #[error("{0:?} is neither an address and port nor unix:PATH")]
     Malformed(String),
--- a/crates/coralstep-lab/src/explore/pool.rs
+++ b/crates/coralstep-lab/src/explore/pool.rs
@@ -1,7 +1,7 @@
 //! The pool of applications in a small scope: two applications, attempts that end in each way or not at all, applications that go and
 //! come. Checked: no attempt at one that is shut but its trial, no more in hand than allowed, and coming free.
 use coralstep::{Span, Time};
-use coralstep_balancer::{End, Pick, Pool as Real, PoolTerms, RampTerms};
+use coralstep_balancer::{Attempt, AttemptOutcome, Pool as Real, PoolConfig, SlowStartConfig};
 
 use super::Play;
 
@@ -30,7 +30,7 @@
 
 /// An attempt that is out.
 struct Out {
-    pick: Pick,
+    pick: Attempt,
     /// When the time of its RPC is over, and whether it is.
     due: u64,
     judged: bool,
@@ -48,14 +48,14 @@
 
 impl Pool {
     fn choose(&mut self) -> bool {
-        let before = self.real.view(Time(u64::MAX / 2));
-        let Ok(pick) = self.real.choose(Time(self.now), None) else {
+        let before = self.real.status(Time(u64::MAX / 2));
+        let Ok(pick) = self.real.start_attempt(Time(self.now), None) else {
             return false;
         };
         let key = *self.real.key(&pick);
-        if let Some(view) = before.iter().find(|view| view.key == key && !view.leaving) {
-            if view.state == "closed" && view.in_hand >= EACH_MOST {
-                self.broken = Some(format!("{} in hand and one more", view.in_hand));
+        if let Some(view) = before.iter().find(|view| view.key == key && !view.draining) {
+            if view.state == "closed" && view.in_flight >= EACH_MOST {
+                self.broken = Some(format!("{} in hand and one more", view.in_flight));
             }
             let trial = view.state != "closed";
             if trial
@@ -90,15 +90,15 @@
             .iter_mut()
             .filter(|out| out.due <= self.now && !out.judged)
         {
-            self.real.overran(Time(self.now), &mut out.pick);
+            self.real.time_out_attempt(Time(self.now), &mut out.pick);
             out.judged = true;
         }
     }
 
-    fn end(&mut self, at: usize, end: End) {
+    fn end(&mut self, at: usize, end: AttemptOutcome) {
         if at < self.out.len() {
             let out = self.out.remove(at);
-            self.real.ended(Time(self.now), out.pick, end);
+            self.real.finish_attempt(Time(self.now), out.pick, end);
         }
     }
 }
@@ -107,16 +107,16 @@
     type Scope = Scope;
 
     fn start(scope: &Scope) -> Pool {
-        let terms = PoolTerms {
-            each_most: EACH_MOST,
-            ramp: RampTerms {
-                slow_start: Span::ms(1_000),
-                ..PoolTerms::default().ramp
+        let terms = PoolConfig {
+            max_in_flight: EACH_MOST,
+            slow_start: SlowStartConfig {
+                duration: Span::ms(1_000),
+                ..PoolConfig::default().slow_start
             },
-            ..PoolTerms::default()
+            ..PoolConfig::default()
         };
         let mut real = Real::new(terms, 7);
-        real.set(Time(START), &[1, 2]);
+        real.set_applications(Time(START), &[1, 2]);
         let mut pool = Pool {
             real,
             now: START,
@@ -130,7 +130,7 @@
                 if !pool.choose() {
                     break;
                 }
-                pool.end(0, End::Failed);
+                pool.end(0, AttemptOutcome::Failed);
             }
         }
         pool
@@ -155,21 +155,21 @@
                 self.chosen += 1;
                 self.choose();
             }
-            ANSWERED => self.end(0, End::Answered),
-            2 => self.end(0, End::Failed),
-            3 => self.end(0, End::Broken),
-            4 => self.end(0, End::GivenUp),
+            ANSWERED => self.end(0, AttemptOutcome::Answered),
+            2 => self.end(0, AttemptOutcome::Failed),
+            3 => self.end(0, AttemptOutcome::Interrupted),
+            4 => self.end(0, AttemptOutcome::Abandoned),
             OVERRAN => {
                 let now = Time(self.now);
                 if let Some(out) = self.out.iter_mut().find(|out| !out.judged) {
-                    self.real.overran(now, &mut out.pick);
+                    self.real.time_out_attempt(now, &mut out.pick);
                     out.judged = true;
                 }
             }
             OTHER => {
                 self.both = !self.both;
                 let keys: &[u8] = if self.both { &[1, 2] } else { &[1] };
-                self.real.set(Time(self.now), keys);
+                self.real.set_applications(Time(self.now), keys);
             }
             _ => self.passes(
                 WAITS
@@ -178,7 +178,7 @@
                     .unwrap_or(0),
             ),
         }
-        let in_hand = self.real.in_hand() as usize;
+        let in_hand = self.real.in_flight() as usize;
         if in_hand != self.out.len() {
             self.broken = Some(format!("{in_hand} in hand, {} are out", self.out.len()));
         }
@@ -193,7 +193,7 @@
             .map(|out| (*self.real.key(&out.pick), out.judged))
             .collect();
         (self.now, self.chosen, self.both, out).hash(&mut hasher);
-        format!("{:?}", self.real.view(Time(u64::MAX / 2))).hash(&mut hasher);
+        format!("{:?}", self.real.status(Time(u64::MAX / 2))).hash(&mut hasher);
         hasher.finish()
     }
 
@@ -210,15 +210,15 @@
             let last = self.out.len().wrapping_sub(1);
             if served {
                 self.passes(100);
-                self.end(last, End::Answered);
+                self.end(last, AttemptOutcome::Answered);
             }
             // Both are full of what hangs for good: nothing can prove that it ended.
             let full = self
                 .real
-                .view(Time(u64::MAX / 2))
+                .status(Time(u64::MAX / 2))
                 .iter()
-                .filter(|view| !view.leaving)
-                .all(|view| view.in_hand >= EACH_MOST);
+                .filter(|view| !view.draining)
+                .all(|view| view.in_flight >= EACH_MOST);
             row = if served { row + 1 } else { 0 };
             if row >= 20 || full {
                 return None;
--- a/crates/coralstep-lab/src/simulate/clockwork.rs
+++ b/crates/coralstep-lab/src/simulate/clockwork.rs
@@ -1,6 +1,6 @@
 //! What happens when: events in their order, what is looked at ten times a second, the end of the day.
 use coralstep::Time;
-use coralstep_balancer::End;
+use coralstep_balancer::AttemptOutcome;
 use rand::Rng;
 
 use super::{Day, Event, LOOK, ORIGIN, Sim, ticks};
@@ -74,7 +74,7 @@
                 if let Some(pool) = node.pool.as_mut().filter(|_| node.life == life) {
                     let app = *pool.key(&pick);
                     node.apps[app].0 = node.apps[app].0.saturating_sub(1);
-                    pool.ended(Time(self.now), pick, End::Broken);
+                    pool.finish_attempt(Time(self.now), pick, AttemptOutcome::Interrupted);
                 }
             }
             Event::Trouble(at, begins) => self.trouble(at, begins),
--- a/crates/coralstep-lab/src/simulate/engine.rs
+++ b/crates/coralstep-lab/src/simulate/engine.rs
@@ -1,6 +1,6 @@
 //! What runs the RPCs: cores that they share, applications, the calls to the dependency.
 use coralstep::{Outcome, RpcId, Span, Time};
-use coralstep_balancer::End;
+use coralstep_balancer::AttemptOutcome;
 use rand::Rng;
 
 use super::{Event, STUCK, Sim, ticks};
@@ -18,8 +18,8 @@
         let Some(pool) = node.pool.as_mut() else {
             return;
         };
-        pool.first_try();
-        let Ok(pick) = pool.choose(Time(now), None) else {
+        pool.record_request();
+        let Ok(pick) = pool.start_attempt(Time(now), None) else {
             // None may run it: it never ran, and says so.
             return self.settle(at, id, Outcome::Rejected);
         };
@@ -46,7 +46,7 @@
     }
 
     /// An application is done with it, or given up.
-    pub(super) fn let_go(&mut self, at: usize, id: RpcId, end: End) {
+    pub(super) fn let_go(&mut self, at: usize, id: RpcId, end: AttemptOutcome) {
         let now = self.now;
         let Some(pick) = self.rpc(at, id).and_then(|rpc| rpc.pick.take()) else {
             return;
@@ -55,7 +55,7 @@
         if let Some(pool) = node.pool.as_mut() {
             let app = *pool.key(&pick);
             node.apps[app].0 = node.apps[app].0.saturating_sub(1);
-            pool.ended(Time(now), pick, end);
+            pool.finish_attempt(Time(now), pick, end);
         }
     }
 
@@ -73,7 +73,7 @@
         };
         let app = *pool.key(&pick);
         if node.apps[app].1 {
-            pool.overran(Time(now), &mut pick);
+            pool.time_out_attempt(Time(now), &mut pick);
             return self.push(
                 now + STUCK,
                 Event::LetGo {
@@ -84,14 +84,22 @@
             );
         }
         node.apps[app].0 = node.apps[app].0.saturating_sub(1);
-        pool.ended(Time(now), pick, End::GivenUp);
+        pool.finish_attempt(Time(now), pick, AttemptOutcome::Abandoned);
     }
 
     pub(super) fn ran(&mut self, at: usize, id: RpcId, good: bool) {
         if self.rpc(at, id).is_none_or(|rpc| rpc.pick.is_none()) {
             return;
         }
-        self.let_go(at, id, if good { End::Answered } else { End::Failed });
+        self.let_go(
+            at,
+            id,
+            if good {
+                AttemptOutcome::Answered
+            } else {
+                AttemptOutcome::Failed
+            },
+        );
         // The application's own word, good or bad, is the answer.
         let answered = self.rpc(at, id).is_some_and(|rpc| rpc.answered);
         if good || !answered {
--- a/crates/coralstep-lab/src/simulate/mod.rs
+++ b/crates/coralstep-lab/src/simulate/mod.rs
@@ -4,7 +4,7 @@
 use coralstep::{
     Dependency, GoalWeights, Idempotency, Method, Outcome, RpcId, SchedulerConfig, Span,
 };
-use coralstep_balancer::{Pick, Pool};
+use coralstep_balancer::{Attempt, Pool};
 use coralstep_degradation::LevelStateMachine;
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
@@ -118,7 +118,7 @@
     /// Its call came to no good end.
     call_failed: bool,
     /// At which application it runs.
-    pick: Option<Pick>,
+    pick: Option<Attempt>,
 }
 
 struct Node {
@@ -194,7 +194,7 @@
     LetGo {
         node: usize,
         life: u64,
-        pick: Pick,
+        pick: Attempt,
     },
     Trouble(usize, bool),
     Look,
--- a/crates/coralstep-lab/src/simulate/server.rs
+++ b/crates/coralstep-lab/src/simulate/server.rs
@@ -2,7 +2,7 @@
 use std::collections::HashMap;
 
 use coralstep::{Gauges, Outcome, RpcId, Span, Time};
-use coralstep_balancer::{Pool, PoolTerms};
+use coralstep_balancer::{Pool, PoolConfig};
 use coralstep_degradation::LevelStateMachine;
 use rand::Rng;
 
@@ -33,13 +33,13 @@
             .and_then(|levels| LevelStateMachine::new(levels, Time(now)).ok());
         let pool = self.world.applications.as_ref().map(|of| {
             let mut pool = Pool::new(
-                PoolTerms {
-                    each_most: of.each_most,
-                    ..PoolTerms::default()
+                PoolConfig {
+                    max_in_flight: of.each_most,
+                    ..PoolConfig::default()
                 },
                 seed ^ 1,
             );
-            pool.set(Time(now), &(0..of.count).collect::<Vec<_>>());
+            pool.set_applications(Time(now), &(0..of.count).collect::<Vec<_>>());
             pool
         });
         let hangs = |at: usize| {
--- a/crates/coralstep-server/src/cli/fleet.rs
+++ b/crates/coralstep-server/src/cli/fleet.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::PathBuf;
 
-use coralstep_config::site::Listen;
+use coralstep_config::site::ListenAddress;
 use coralstep_server::operators::ops::Question;
 use lexopt::Arg::{Long, Short, Value};
 use lexopt::ValueExt;
@@ -45,7 +45,7 @@
 pub(crate) struct Request {
     question: Question,
     /// Where the server answers operators.
-    at: Listen,
+    at: ListenAddress,
     json: bool,
 }
 
@@ -56,7 +56,7 @@
     /// Cumulative fractions of the fleet, 0 to 1; none for all servers at once.
     stages: Vec<f32>,
     stage_pause_ms: u64,
-    at: Listen,
+    at: ListenAddress,
     json: bool,
 }
 
@@ -71,7 +71,10 @@
         source: serde_json::Error,
     },
     #[error("{at}: {source}")]
-    Connection { at: Listen, source: io::Error },
+    Connection {
+        at: ListenAddress,
+        source: io::Error,
+    },
     /// The server's own words.
     #[error("{0}")]
     Refused(String),
@@ -80,7 +83,7 @@
 /// The options of the command line as they are read.
 struct Options {
     words: Vec<OsString>,
-    at: Option<Listen>,
+    at: Option<ListenAddress>,
     json: bool,
     mandatory: bool,
     stages: Vec<f32>,
@@ -174,12 +177,12 @@
     }
 }
 
-fn parse_address(text: &str) -> Result<Listen, lexopt::Error> {
+fn parse_address(text: &str) -> Result<ListenAddress, lexopt::Error> {
     text.parse()
         .map_err(|error| lexopt::Error::from(format!("--at: {error}")))
 }
 
-fn required_address(at: Option<Listen>) -> Result<Listen, lexopt::Error> {
+fn required_address(at: Option<ListenAddress>) -> Result<ListenAddress, lexopt::Error> {
     at.ok_or_else(|| lexopt::Error::from("--at: missing"))
 }
 
--- a/crates/coralstep-server/src/cli/levels.rs
+++ b/crates/coralstep-server/src/cli/levels.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use coralstep_config::site::{Listen, SiteConfig};
+use coralstep_config::site::{ListenAddress, SiteConfig};
 use coralstep_degradation::{DegradationConfig, replay};
 use coralstep_server::operators::ops::Question;
 use lexopt::Arg::{Long, Short, Value};
@@ -34,7 +34,7 @@
     Help,
     Ask {
         question: Question,
-        at: Listen,
+        at: ListenAddress,
         json: bool,
     },
     Replay {
@@ -56,7 +56,7 @@
                     parser
                         .value()?
                         .string()?
-                        .parse::<Listen>()
+                        .parse::<ListenAddress>()
                         .map_err(|why| format!("--at: {why}"))?,
                 )
             }
@@ -130,7 +130,7 @@
     Ok(())
 }
 
-pub fn ask(at: &Listen, question: &Question) -> io::Result<Json> {
+pub fn ask(at: &ListenAddress, question: &Question) -> io::Result<Json> {
     fn talk(mut stream: impl Read + Write, question: &Question) -> io::Result<String> {
         stream.write_all(format!("{}\n", serde_json::to_string(question)?).as_bytes())?;
         let mut said = String::new();
@@ -138,12 +138,12 @@
         Ok(said)
     }
     let said = match at {
-        Listen::Address(address) => {
+        ListenAddress::Address(address) => {
             let stream = TcpStream::connect_timeout(address, PATIENCE)?;
             stream.set_read_timeout(Some(PATIENCE))?;
             talk(stream, question)?
         }
-        Listen::Path(path) => {
+        ListenAddress::Path(path) => {
             let stream = UnixStream::connect(path)?;
             stream.set_read_timeout(Some(PATIENCE))?;
             talk(stream, question)?
--- a/crates/coralstep-server/src/fleet/service.rs
+++ b/crates/coralstep-server/src/fleet/service.rs
@@ -10,7 +10,7 @@
 
 use async_io::Timer;
 use coralstep::Span;
-use coralstep_config::site::{FleetConfig, Silent};
+use coralstep_config::site::{FleetSection, IsolationPolicy};
 use coralstep_fleet::datagram::MAX_RECEIVED_BYTES;
 use coralstep_fleet::extension::{ExtensionId, Registration};
 use coralstep_fleet::fleet::Snapshot;
@@ -90,7 +90,7 @@
     ///
     /// Why the fleet can't be joined.
     pub fn bind(
-        config: &FleetConfig,
+        config: &FleetSection,
         name: &str,
         seed: u64,
         state_dir: Option<&Path>,
@@ -299,14 +299,14 @@
     }
 }
 
-fn fleet_config(config: &FleetConfig, own: Member, seed: u64) -> coralstep_fleet::FleetConfig {
+fn fleet_config(config: &FleetSection, own: Member, seed: u64) -> coralstep_fleet::FleetConfig {
     coralstep_fleet::FleetConfig {
         name: config.name.clone(),
         own,
         peers: config.peers.clone(),
         max_lag: u64::from(config.behind_s) * 1_000,
         max_silence: u64::from(config.silent_s) * 1_000,
-        exclude_when_isolated: config.silent == Silent::ShutOut,
+        exclude_when_isolated: config.silent == IsolationPolicy::ShutOut,
         seed,
     }
 }
@@ -314,7 +314,7 @@
 /// Registers the fleet's limits, where servers are named that may grant shares of them.
 fn register_quota(
     fleet: &mut Fleet,
-    config: &FleetConfig,
+    config: &FleetSection,
     seed: u64,
 ) -> Option<Rc<RefCell<QuotaExtension>>> {
     if config.keepers.is_empty() {
@@ -331,7 +331,7 @@
 /// Registers the shared health of dependencies, where it is configured.
 fn register_shared_health(
     fleet: &mut Fleet,
-    config: &FleetConfig,
+    config: &FleetSection,
     seed: u64,
 ) -> Option<Rc<RefCell<SharedHealth>>> {
     let sharing = config.verdicts?;
--- a/crates/coralstep-server/src/operators/ops.rs
+++ b/crates/coralstep-server/src/operators/ops.rs
@@ -9,7 +9,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use coralstep_config::site::Listen;
+use coralstep_config::site::ListenAddress;
 use coralstep_fleet::audit::AuditFilter;
 use coralstep_fleet::fleet::Publication;
 use coralstep_fleet::versions::ParseVersionIdError;
@@ -100,10 +100,10 @@
 }
 
 impl Operator {
-    pub fn bind(at: &Listen) -> Result<Operator, String> {
+    pub fn bind(at: &ListenAddress) -> Result<Operator, String> {
         let listener = match at {
-            Listen::Address(address) => bind(*address)?,
-            Listen::Path(path) => {
+            ListenAddress::Address(address) => bind(*address)?,
+            ListenAddress::Path(path) => {
                 if left_behind(path) {
                     let _ = std::fs::remove_file(path);
                 }
--- a/crates/coralstep-server/src/runs/applications/attempt.rs
+++ b/crates/coralstep-server/src/runs/applications/attempt.rs
@@ -12,7 +12,7 @@
 use std::net::{SocketAddr, TcpStream};
 
 use async_io::{Async, Timer};
-use coralstep_balancer::{End, Pick};
+use coralstep_balancer::{Attempt, AttemptOutcome};
 use coralstep_scgi::{Limits, response};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 
@@ -31,7 +31,7 @@
     /// The run has ended; another attempt could not better that.
     Outcome(RunOutcome),
     /// The attempt ended so, without an outcome of the run.
-    Inconclusive(End),
+    Inconclusive(AttemptOutcome),
 }
 
 /// A whole answer.
@@ -43,8 +43,8 @@
 /// Gives the pick of an attempt back, however that ends.
 struct PickGuard<'a> {
     applications: &'a Applications,
-    pick: Option<Pick>,
-    end: End,
+    pick: Option<Attempt>,
+    end: AttemptOutcome,
 }
 
 impl Drop for PickGuard<'_> {
@@ -52,7 +52,10 @@
         if let Some(pick) = self.pick.take() {
             let applications = self.applications;
             let now = applications.now();
-            applications.pool.borrow_mut().ended(now, pick, self.end);
+            applications
+                .pool
+                .borrow_mut()
+                .finish_attempt(now, pick, self.end);
             applications.log_breaker_changes();
         }
     }
@@ -64,7 +67,7 @@
         let applications = self.applications;
         if let Some(pick) = &mut self.pick {
             let now = applications.now();
-            applications.pool.borrow_mut().overran(now, pick);
+            applications.pool.borrow_mut().time_out_attempt(now, pick);
         }
         applications.log_breaker_changes();
     }
@@ -72,12 +75,12 @@
 
 impl Applications {
     /// Makes one attempt, at the application of `pick`.
-    pub(super) async fn attempt(&self, job: &Job, pick: Pick) -> AttemptResult {
+    pub(super) async fn attempt(&self, job: &Job, pick: Attempt) -> AttemptResult {
         let address = *self.pool.borrow().key(&pick);
         let mut guard = PickGuard {
             applications: self,
             pick: Some(pick),
-            end: End::GivenUp,
+            end: AttemptOutcome::Abandoned,
         };
         let bytes_left = Cell::new(false);
         let mut exchange = std::pin::pin!(self.exchange(address, job, &bytes_left));
@@ -134,24 +137,30 @@
     }
 }
 
-fn judge_response(Response { status, body }: Response) -> (End, AttemptResult) {
+fn judge_response(Response { status, body }: Response) -> (AttemptOutcome, AttemptResult) {
     match status {
         ..300 => {
             let outcome = RunOutcome::Ok(body.into());
-            (End::Answered, AttemptResult::Outcome(outcome))
+            (AttemptOutcome::Answered, AttemptResult::Outcome(outcome))
         }
-        300..500 => (End::Answered, AttemptResult::Outcome(RunOutcome::Error)),
-        _ => (End::Failed, AttemptResult::Inconclusive(End::Failed)),
+        300..500 => (
+            AttemptOutcome::Answered,
+            AttemptResult::Outcome(RunOutcome::Error),
+        ),
+        _ => (
+            AttemptOutcome::Failed,
+            AttemptResult::Inconclusive(AttemptOutcome::Failed),
+        ),
     }
 }
 
-fn judge_failure(error: &io::Error, bytes_left: bool) -> End {
+fn judge_failure(error: &io::Error, bytes_left: bool) -> AttemptOutcome {
     if bytes_left {
-        End::Broken
+        AttemptOutcome::Interrupted
     } else if error.kind() == io::ErrorKind::ConnectionRefused {
-        End::Refused
+        AttemptOutcome::ConnectionRefused
     } else {
-        End::Unstarted
+        AttemptOutcome::NotSent
     }
 }
 
--- a/crates/coralstep-server/src/runs/applications/mod.rs
+++ b/crates/coralstep-server/src/runs/applications/mod.rs
@@ -18,7 +18,7 @@
 
 use async_executor::{LocalExecutor, Task};
 use coralstep::{BreakerTransition, Time};
-use coralstep_balancer::{Pool, PoolTerms, RampTerms};
+use coralstep_balancer::{Pool, PoolConfig, SlowStartConfig};
 use coralstep_config::site::ApplicationsConfig;
 
 use crate::base::clock::{self, Clock};
@@ -56,16 +56,16 @@
     config: RefCell<ApplicationsConfig>,
 }
 
-fn pool_config(config: &ApplicationsConfig) -> PoolTerms {
-    PoolTerms {
-        ramp: RampTerms {
-            slow_start: clock::span(Duration::from_millis(u64::from(config.slow_start_ms))),
-            cold_rate: config.cold_rate,
+fn pool_config(config: &ApplicationsConfig) -> PoolConfig {
+    PoolConfig {
+        slow_start: SlowStartConfig {
+            duration: clock::span(Duration::from_millis(u64::from(config.slow_start_ms))),
+            initial_rate: config.cold_rate,
             processes: config.processes,
         },
-        each_most: config.each_most,
-        repeats: config.repeats,
-        attempts: config.attempts,
+        max_in_flight: config.each_most,
+        retry_ratio: config.repeats,
+        max_attempts: config.attempts,
     }
 }
 
@@ -79,7 +79,7 @@
     ) -> Applications {
         let clock = Clock::start();
         let mut pool = Pool::new(pool_config(config), seed);
-        pool.set(clock.now(), &config.addresses);
+        pool.set_applications(clock.now(), &config.addresses);
         Applications {
             executor,
             descriptors,
@@ -94,33 +94,33 @@
     /// stays where it is.
     pub fn reload(&self, config: &ApplicationsConfig) {
         let mut pool = self.pool.borrow_mut();
-        pool.reload(pool_config(config));
-        pool.set(self.now(), &config.addresses);
+        pool.set_config(pool_config(config));
+        pool.set_applications(self.now(), &config.addresses);
         *self.config.borrow_mut() = config.clone();
     }
 
     /// Sets how many processes send to the applications, as the fleet has it.
     pub fn set_process_count(&self, count: usize) {
         let count = u32::try_from(count).unwrap_or(u32::MAX);
-        self.pool.borrow_mut().processes(count);
+        self.pool.borrow_mut().set_process_count(count);
     }
 
     /// Passes on what is seen of each application, and takes in what other servers saw: the
     /// outcomes that its breaker needs, and when a cooldown ends.
     pub fn exchange_health(&self, exchange: ExchangeHealth<'_>) {
         let now = self.now();
-        let views = self.pool.borrow().view(now);
-        for view in views.into_iter().filter(|view| !view.leaving) {
+        let views = self.pool.borrow().status(now);
+        for view in views.into_iter().filter(|view| !view.draining) {
             let address = view.key.to_string();
             let status = BreakerStatus {
                 state: view.state,
-                failures: view.failures,
-                calls: view.recent,
+                failures: view.recent_failures,
+                calls: view.recent_attempts,
             };
             let advice = exchange(&address, status);
             let cooldown_end = advice.cooldown_left.map(|left| now + clock::span(left));
             let mut pool = self.pool.borrow_mut();
-            pool.hear(&view.key, advice.min_outcomes, cooldown_end);
+            pool.apply_peer_reports(&view.key, advice.min_outcomes, cooldown_end);
         }
     }
 
@@ -130,7 +130,7 @@
 
     /// Each change of an application's breaker is one event.
     fn log_breaker_changes(&self) {
-        for (address, transition) in self.pool.borrow_mut().turns() {
+        for (address, transition) in self.pool.borrow_mut().take_breaker_transitions() {
             let dependency = address.to_string();
             let BreakerTransition {
                 from,
@@ -150,12 +150,12 @@
 
     /// Makes attempts until there is an outcome, or no more may be made.
     async fn run_to_outcome(&self, job: &Job) -> RunOutcome {
-        self.pool.borrow_mut().first_try();
+        self.pool.borrow_mut().record_request();
         let mut attempts_made = 0;
         let mut last_slot = None;
         let mut proven_unstarted = true;
         loop {
-            let selection = self.pool.borrow_mut().choose(self.now(), last_slot);
+            let selection = self.pool.borrow_mut().start_attempt(self.now(), last_slot);
             self.log_breaker_changes();
             let pick = match selection {
                 Ok(pick) => pick,
@@ -167,9 +167,9 @@
                 AttemptResult::Outcome(outcome) => return outcome,
                 AttemptResult::Inconclusive(end) => end,
             };
-            proven_unstarted &= end.is_unstarted();
+            proven_unstarted &= end.never_ran();
             let deadline = self.clock.at(job.deadline);
-            let may_retry = self.pool.borrow_mut().repeats(
+            let may_retry = self.pool.borrow_mut().try_retry(
                 self.now(),
                 end,
                 job.idempotent,
