--- a/crates/coralstep-balancer/benches/choice.rs
+++ b/crates/coralstep-balancer/benches/choice.rs
@@ -1,25 +1,30 @@
-//! What a choice costs, by the number of applications, beside a scan for the least loaded and plain round robin.
+//! Cost of one selection by the number of applications, compared with a scan for the least loaded one and with round robin.
 use coralstep::Time;
 use coralstep_balancer::{AttemptOutcome, Pool, PoolConfig};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 
-fn choice(criterion: &mut Criterion) {
+fn selection(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("choice");
     for count in [1usize, 10, 300, 3_000] {
         let keys: Vec<usize> = (0..count).collect();
         let mut pool = Pool::new(PoolConfig::default(), 1);
         pool.set_applications(Time(0), &keys);
         let mut now = 0;
-        group.bench_function(BenchmarkId::new("two by chance, and its end", count), |b| {
-            b.iter(|| {
-                now += 1;
-                let pick = pool.start_attempt(Time(now), None).expect("one is ready");
-                pool.finish_attempt(Time(now + 5), pick, AttemptOutcome::Answered);
-            })
-        });
+        group.bench_function(
+            BenchmarkId::new("power of two choices, with completion", count),
+            |b| {
+                b.iter(|| {
+                    now += 1;
+                    let attempt = pool
+                        .start_attempt(Time(now), None)
+                        .expect("an application is ready");
+                    pool.finish_attempt(Time(now + 5), attempt, AttemptOutcome::Answered);
+                })
+            },
+        );
         let mut load = vec![0u32; count];
         group.bench_function(
-            BenchmarkId::new("baseline: scan for the least", count),
+            BenchmarkId::new("baseline: scan for the least loaded", count),
             |b| {
                 b.iter(|| {
                     let least = (0..count).min_by_key(|at| load[*at]).unwrap_or(0);
@@ -40,5 +45,5 @@
     group.finish();
 }
 
-criterion_group!(benches, choice);
+criterion_group!(benches, selection);
 criterion_main!(benches);
--- a/crates/coralstep-balancer/tests/slow_start.rs
+++ b/crates/coralstep-balancer/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! What an application that has come back gets from many processes together, as a sum, in virtual time: a pool for each process, none of
-//! which knows of the others. Past a budget of N only 2 x root of N + 2 attempts are chance.
+//! Total attempts that a returned application receives from many processes, in virtual time. Each process has a pool of its own
+//! and does not know the others. N expected attempts may be exceeded by random variation, up to 2 * sqrt(N) + 2.
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -7,14 +7,14 @@
 use coralstep_balancer::{Attempt, AttemptOutcome, Pool, PoolConfig, SlowStartConfig};
 use nanorand::{Rng, WyRand};
 
-const KEYS: [&str; 4] = ["a", "b", "c", "back"];
+const KEYS: [&str; 4] = ["a", "b", "c", "returned"];
 const SECOND: u64 = 10_000;
-/// An answer takes so long.
-const TOOK: u64 = 500;
-/// The windows in which attempts are counted.
+/// Latency of a response, in ticks.
+const LATENCY: u64 = 500;
+/// Length of a window in which attempts are counted, in ticks.
 const WINDOW: u64 = 2 * SECOND;
 
-fn terms(initial_rate: f64, processes: u32) -> PoolConfig {
+fn config(initial_rate: f64, processes: u32) -> PoolConfig {
     let slow_start = SlowStartConfig {
         duration: Span(10 * SECOND),
         initial_rate,
@@ -26,112 +26,118 @@
     }
 }
 
-/// The part of its share that is meant for the one that is back, so long after its return.
-fn part(since: u64) -> f64 {
+/// Expected fraction of its regular attempts that an application receives `since` ticks after its return.
+fn expected_fraction(since: u64) -> f64 {
     (since as f64 / (10 * SECOND) as f64).clamp(0.1, 1.0)
 }
 
-/// Of each window, how many attempts came to the one that is back, and how many were meant for it.
-struct Sum {
-    came: Vec<f64>,
-    meant: Vec<f64>,
+/// Actual and expected id of attempts at the returned application, by window.
+struct WindowCounts {
+    actual: Vec<f64>,
+    expected: Vec<f64>,
 }
 
-impl Sum {
-    fn new() -> Sum {
-        Sum {
-            came: vec![0.0; 5],
-            meant: vec![0.0; 5],
+impl WindowCounts {
+    fn new() -> WindowCounts {
+        WindowCounts {
+            actual: vec![0.0; 5],
+            expected: vec![0.0; 5],
         }
     }
 
-    fn check(&self, what: &str) {
-        for (at, (came, meant)) in self.came.iter().zip(&self.meant).enumerate() {
+    fn check(&self, case: &str) {
+        for (index, (actual, expected)) in self.actual.iter().zip(&self.expected).enumerate() {
             assert!(
-                *came <= meant + 2.0 * meant.sqrt() + 2.0,
-                "{what}, window {at}: {came} of {meant:.1}"
+                *actual <= expected + 2.0 * expected.sqrt() + 2.0,
+                "{case}, window {index}: {actual} of {expected:.1}"
             );
         }
     }
 }
 
-/// `each_s` attempts a second of each of so many processes, for ten seconds from the return of one application. Those that `may` be made
-/// are ended after a while.
-fn play(
+/// Makes `rate_per_process` attempts per second in each pool for ten seconds from the return of an application at `from`. Each
+/// attempt ends after [`LATENCY`]. `budget` gives the attempts expected at the returned application per attempt made.
+fn simulate(
     pools: &mut [Pool<&'static str>],
-    each_s: f64,
+    rate_per_process: f64,
     from: u64,
     budget: impl Fn(u64) -> f64,
     seed: u64,
-) -> Sum {
-    let mut chance = WyRand::new_seed(seed);
-    let mut gap = || {
-        (-(1.0 - f64::from(chance.generate::<u32>()) / 4.3e9).ln() / each_s * SECOND as f64) as u64
+) -> WindowCounts {
+    let mut rng = WyRand::new_seed(seed);
+    let mut next_gap = || {
+        (-(1.0 - f64::from(rng.generate::<u32>()) / 4.3e9).ln() / rate_per_process * SECOND as f64)
+            as u64
             + 1
     };
-    let mut next: BinaryHeap<Reverse<(u64, usize)>> =
-        (0..pools.len()).map(|at| Reverse((gap(), at))).collect();
-    let mut open: BinaryHeap<Reverse<(u64, u64)>> = BinaryHeap::new();
-    let mut picks: std::collections::HashMap<u64, (usize, Attempt)> =
+    let mut arrivals: BinaryHeap<Reverse<(u64, usize)>> = (0..pools.len())
+        .map(|at| Reverse((next_gap(), at)))
+        .collect();
+    let mut ends: BinaryHeap<Reverse<(u64, u64)>> = BinaryHeap::new();
+    let mut attempts: std::collections::HashMap<u64, (usize, Attempt)> =
         std::collections::HashMap::new();
-    let (mut sum, mut number) = (Sum::new(), 0);
-    while let Some(Reverse((at, process))) = next.pop().filter(|Reverse((at, _))| *at < 10 * SECOND)
+    let (mut counts, mut id) = (WindowCounts::new(), 0);
+    while let Some(Reverse((at, process))) =
+        arrivals.pop().filter(|Reverse((at, _))| *at < 10 * SECOND)
     {
-        next.push(Reverse((at + gap(), process)));
-        while let Some(Reverse((end, id))) =
-            open.peek().copied().filter(|Reverse((end, _))| *end <= at)
+        arrivals.push(Reverse((at + next_gap(), process)));
+        while let Some(Reverse((end, ended))) =
+            ends.peek().copied().filter(|Reverse((end, _))| *end <= at)
         {
-            open.pop();
-            let (process, pick) = picks.remove(&id).unwrap();
-            pools[process].finish_attempt(Time(from + end), pick, AttemptOutcome::Answered);
+            ends.pop();
+            let (process, attempt) = attempts.remove(&ended).unwrap();
+            pools[process].finish_attempt(Time(from + end), attempt, AttemptOutcome::Answered);
         }
         let window = (at / WINDOW) as usize;
-        sum.meant[window] += budget(at);
-        let Ok(pick) = pools[process].start_attempt(Time(from + at), None) else {
+        counts.expected[window] += budget(at);
+        let Ok(attempt) = pools[process].start_attempt(Time(from + at), None) else {
             continue;
         };
-        sum.came[window] += f64::from(u8::from(*pools[process].key(&pick) == "back"));
-        number += 1;
-        open.push(Reverse((at + TOOK, number)));
-        picks.insert(number, (process, pick));
+        counts.actual[window] += f64::from(u8::from(*pools[process].key(&attempt) == "returned"));
+        id += 1;
+        ends.push(Reverse((at + LATENCY, id)));
+        attempts.insert(id, (process, attempt));
     }
-    sum
+    counts
 }
 
-/// Pools that have served for an hour, to whom the last application comes back.
-fn served(count: usize, terms: PoolConfig, seed: u64) -> (Vec<Pool<&'static str>>, u64) {
+/// Returns pools that have served for an hour when the last application returns, and the time of its return.
+fn warm_pools(count: usize, config: PoolConfig, seed: u64) -> (Vec<Pool<&'static str>>, u64) {
     let from = 1_000_000 + 3_600 * SECOND;
-    let one = |at: usize| {
-        let mut pool = Pool::new(terms, seed * 1_000 + at as u64);
+    let pool = |index: usize| {
+        let mut pool = Pool::new(config, seed * 1_000 + index as u64);
         pool.set_applications(Time(1_000_000), &KEYS[..3]);
         pool.set_applications(Time(from), &KEYS);
         pool
     };
-    ((0..count).map(one).collect(), from)
+    ((0..count).map(pool).collect(), from)
 }
 
 #[test]
-fn one_that_is_back_gets_its_part_of_what_all_processes_send_and_no_more() {
+fn returned_application_gets_its_fraction_of_the_attempts_of_all_processes() {
     for processes in [1, 5, 20, 30] {
-        for all_s in [60.0, 600.0] {
+        for total_rate in [60.0, 600.0] {
             for seed in 1..=3 {
-                let (mut pools, from) = served(processes, terms(0.0, 1), seed);
-                let each_s = all_s / processes as f64;
-                let sum = play(
+                let (mut pools, from) = warm_pools(processes, config(0.0, 1), seed);
+                let rate_per_process = total_rate / processes as f64;
+                let counts = simulate(
                     &mut pools,
-                    each_s,
+                    rate_per_process,
                     from,
-                    |at| part(at) / KEYS.len() as f64,
+                    |at| expected_fraction(at) / KEYS.len() as f64,
                     seed,
                 );
-                sum.check(&format!(
-                    "{processes} processes, {all_s} a second, seed {seed}"
+                counts.check(&format!(
+                    "{processes} processes, {total_rate} per second, seed {seed}"
                 ));
-                // Nor is it left without: it would never be seen to work.
-                let (came, meant) = (sum.came.iter().sum::<f64>(), sum.meant.iter().sum::<f64>());
+                // It must also get enough attempts to be observed to work.
+                let (actual, expected) = (
+                    counts.actual.iter().sum::<f64>(),
+                    counts.expected.iter().sum::<f64>(),
+                );
                 assert!(
-                    came > meant / 2.0,
-                    "{processes} processes, {all_s} a second: {came} of {meant:.1}"
+                    actual > expected / 2.0,
+                    "{processes} processes, {total_rate} per second: {actual} of {expected:.1}"
                 );
             }
         }
@@ -139,54 +145,62 @@
 }
 
 #[test]
-fn one_that_is_slower_while_it_is_cold_still_gets_its_part() {
-    let (mut pools, from) = served(1, terms(0.0, 1), 5);
-    let mut came = 0;
-    // Nothing is in hand at any of them when the next attempt comes.
+fn slower_cold_application_still_gets_its_fraction() {
+    let (mut pools, from) = warm_pools(1, config(0.0, 1), 5);
+    let mut actual = 0;
+    // No attempt is in flight when the next one starts.
     for at in 0..2_000 {
         let now = Time(from + 5 * SECOND + at * 10);
-        let pick = pools[0].start_attempt(now, None).unwrap();
-        let back = *pools[0].key(&pick) == "back";
-        came += u32::from(back);
+        let attempt = pools[0].start_attempt(now, None).unwrap();
+        let is_returned = *pools[0].key(&attempt) == "returned";
+        actual += u32::from(is_returned);
         pools[0].finish_attempt(
-            now + Span(if back { 9 } else { 1 }),
-            pick,
+            now + Span(if is_returned { 9 } else { 1 }),
+            attempt,
             AttemptOutcome::Answered,
         );
     }
-    // Half of a quarter at first, three quarters of it at the end.
-    assert!((200..=450).contains(&came), "{came}");
+    // A quarter of the attempts is its regular share: half of that at first, 70 % at the end.
+    assert!((200..=450).contains(&actual), "{actual}");
 }
 
 #[test]
-fn a_cold_rate_holds_for_all_processes_together() {
+fn initial_rate_limits_all_processes_together() {
     for processes in [1, 5, 20, 30] {
-        for all_s in [60.0, 600.0] {
+        for total_rate in [60.0, 600.0] {
             for seed in 1..=3 {
-                // Stated from the start; or counted, and the rate comes by a reload that states one process.
+                // The process count is either configured at the start, or counted before a reload that configures the rate
+                // and one process.
                 let reloaded = seed == 3;
                 let first = if reloaded {
-                    terms(0.0, 1)
+                    config(0.0, 1)
                 } else {
-                    terms(8.0, processes as u32)
+                    config(8.0, processes as u32)
                 };
-                let (mut pools, from) = served(processes, first, seed);
+                let (mut pools, from) = warm_pools(processes, first, seed);
                 for pool in pools.iter_mut().filter(|_| reloaded) {
                     pool.set_process_count(processes as u32);
-                    pool.set_config(terms(8.0, 1));
+                    pool.set_config(config(8.0, 1));
                 }
-                let sum = play(&mut pools, all_s / processes as f64, from, |_| 0.0, seed);
-                // What the rate allows in each window: 8 a second at first, and in proportion to its part later on.
+                let counts = simulate(
+                    &mut pools,
+                    total_rate / processes as f64,
+                    from,
+                    |_| 0.0,
+                    seed,
+                );
+                // The rate allows 8 attempts per second at first, later in proportion to the fraction.
                 let allowed = |window: usize| {
-                    let each = (0..WINDOW / 100).map(|at| part(window as u64 * WINDOW + at * 100));
-                    each.sum::<f64>() * 80.0 / 100.0
+                    let fractions = (0..WINDOW / 100)
+                        .map(|at| expected_fraction(window as u64 * WINDOW + at * 100));
+                    fractions.sum::<f64>() * 80.0 / 100.0
                 };
-                let sum = Sum {
-                    meant: (0..5).map(allowed).collect(),
-                    ..sum
+                let counts = WindowCounts {
+                    expected: (0..5).map(allowed).collect(),
+                    ..counts
                 };
-                sum.check(&format!(
-                    "{processes} processes, {all_s} a second, seed {seed}"
+                counts.check(&format!(
+                    "{processes} processes, {total_rate} per second, seed {seed}"
                 ));
             }
         }
@@ -194,107 +208,111 @@
 }
 
 #[test]
-fn trials_of_many_processes_keep_to_the_cold_rate() {
+fn probes_of_many_processes_keep_to_the_initial_rate() {
     for processes in [1, 5, 20, 30] {
-        let (mut pools, from) = served(processes, terms(3.0, processes as u32), 7);
-        // It fails all that it is sent, by each of them; then it works again, and cold.
+        let (mut pools, from) = warm_pools(processes, config(3.0, processes as u32), 7);
+        // All attempts at the application fail in each process; then it works again, and is cold.
         for pool in &mut pools {
             let mut failed = 0;
             while failed < 20 {
-                let pick = pool.start_attempt(Time(from + 11 * SECOND), None).unwrap();
-                let end = if *pool.key(&pick) == "back" {
+                let attempt = pool.start_attempt(Time(from + 11 * SECOND), None).unwrap();
+                let outcome = if *pool.key(&attempt) == "returned" {
                     AttemptOutcome::Interrupted
                 } else {
                     AttemptOutcome::Answered
                 };
-                failed += u32::from(end == AttemptOutcome::Interrupted);
-                pool.finish_attempt(Time(from + 11 * SECOND), pick, end);
+                failed += u32::from(outcome == AttemptOutcome::Interrupted);
+                pool.finish_attempt(Time(from + 11 * SECOND), attempt, outcome);
             }
         }
-        let sum = play(&mut pools, 20.0, from + 11 * SECOND, |_| 0.0, 7);
-        // Its breakers open again one by one, so it never gets more than at a start that all see at once.
+        let counts = simulate(&mut pools, 20.0, from + 11 * SECOND, |_| 0.0, 7);
+        // The breakers close one by one, so it gets no more than if all closed at once.
         let allowed = |window: usize| {
             (0..20)
-                .map(|at| part(window as u64 * WINDOW + at * 1_000))
+                .map(|at| expected_fraction(window as u64 * WINDOW + at * 1_000))
                 .sum::<f64>()
                 * 3.0
         };
-        let sum = Sum {
-            meant: (0..5).map(allowed).collect(),
-            ..sum
+        let counts = WindowCounts {
+            expected: (0..5).map(allowed).collect(),
+            ..counts
         };
-        sum.check(&format!("{processes} processes"));
+        counts.check(&format!("{processes} processes"));
         assert!(
-            sum.came.iter().sum::<f64>() > 0.0,
-            "{processes} processes: it is never tried"
+            counts.actual.iter().sum::<f64>() > 0.0,
+            "{processes} processes: no attempts"
         );
     }
 }
 
 #[test]
-fn processes_that_rested_have_saved_up_nothing_to_send_at_once() {
-    let (mut pools, from) = served(30, terms(8.0, 30), 11);
-    let mut came = 0;
+fn idle_processes_do_not_accumulate_credit_for_a_burst() {
+    let (mut pools, from) = warm_pools(30, config(8.0, 30), 11);
+    let mut actual = 0;
     for at in 0..10 {
         for pool in &mut pools {
             let now = Time(from + 5 * SECOND + at * 50);
-            let Ok(pick) = pool.start_attempt(now, None) else {
+            let Ok(attempt) = pool.start_attempt(now, None) else {
                 continue;
             };
-            came += u32::from(*pool.key(&pick) == "back");
-            pool.finish_attempt(now + Span(10), pick, AttemptOutcome::Answered);
+            actual += u32::from(*pool.key(&attempt) == "returned");
+            pool.finish_attempt(now + Span(10), attempt, AttemptOutcome::Answered);
         }
     }
-    // Of 50 ms, and of the quarter of a second that is saved at the most.
-    let meant = 8.0 * part(5 * SECOND) / 0.1 * 0.3;
+    // The attempts of 50 ms, and of the 250 ms of credit that accumulate at most.
+    let expected = 8.0 * expected_fraction(5 * SECOND) / 0.1 * 0.3;
     assert!(
-        f64::from(came) <= meant + 2.0 * meant.sqrt() + 2.0,
-        "{came} of {meant:.1}"
+        f64::from(actual) <= expected + 2.0 * expected.sqrt() + 2.0,
+        "{actual} of {expected:.1}"
     );
 }
 
 #[test]
-fn where_all_have_come_back_the_cold_rate_turns_attempts_away_and_says_when() {
-    let mut pool = Pool::new(terms(8.0, 4), 1);
+fn initial_rate_rejects_attempts_with_a_wait_if_all_applications_are_cold() {
+    let mut pool = Pool::new(config(8.0, 4), 1);
     pool.set_applications(Time(0), &["old"]);
     pool.set_applications(Time(10), &KEYS);
     pool.set_applications(Time(20), &KEYS[..3]);
-    let (mut made, mut away) = (0, 0);
+    let (mut started, mut rejected) = (0, 0);
     for at in 0..1_000 {
         match pool.start_attempt(Time(SECOND + at * 10), None) {
-            Ok(pick) => {
-                made += 1;
-                pool.finish_attempt(Time(SECOND + at * 10 + 1), pick, AttemptOutcome::Answered);
+            Ok(attempt) => {
+                started += 1;
+                pool.finish_attempt(
+                    Time(SECOND + at * 10 + 1),
+                    attempt,
+                    AttemptOutcome::Answered,
+                );
             }
-            Err(back) => {
-                assert!(back > Span::ZERO);
-                away += 1;
+            Err(wait) => {
+                assert!(wait > Span::ZERO);
+                rejected += 1;
             }
         }
     }
-    // Three applications, a quarter of the rate each, in one second.
+    // Three applications for one second, each at a quarter of the rate.
     assert!(
-        (1..=16).contains(&made) && away > 900,
-        "{made} made, {away} turned away"
+        (1..=16).contains(&started) && rejected > 900,
+        "{started} started, {rejected} rejected"
     );
 }
 
 #[test]
-fn one_that_was_refused_and_answers_again_is_cold() {
-    let mut pool: Pool<&'static str> = Pool::new(terms(0.0, 1), 3);
+fn application_that_answers_after_refused_connections_is_cold() {
+    let mut pool: Pool<&'static str> = Pool::new(config(0.0, 1), 3);
     pool.set_applications(Time(0), &KEYS);
-    let mut share = |from: u64, end: AttemptOutcome| {
+    let mut attempts_at_returned = |from: u64, outcome: AttemptOutcome| {
         let mut count = 0;
         for at in 0..400 {
-            let pick = pool.start_attempt(Time(from + at * 5), None).unwrap();
-            let back = *pool.key(&pick) == "back";
-            count += u32::from(back);
-            // It is down for a few attempts, too few for its breaker.
+            let attempt = pool.start_attempt(Time(from + at * 5), None).unwrap();
+            let is_returned = *pool.key(&attempt) == "returned";
+            count += u32::from(is_returned);
+            // It is down for too few attempts to open its breaker.
             pool.finish_attempt(
                 Time(from + at * 5 + 2),
-                pick,
-                if back && count <= 4 {
-                    end
+                attempt,
+                if is_returned && count <= 4 {
+                    outcome
                 } else {
                     AttemptOutcome::Answered
                 },
@@ -303,8 +321,8 @@
         count
     };
     let (before, cold) = (
-        share(10, AttemptOutcome::Answered),
-        share(20_000, AttemptOutcome::ConnectionRefused),
+        attempts_at_returned(10, AttemptOutcome::Answered),
+        attempts_at_returned(20_000, AttemptOutcome::ConnectionRefused),
     );
     assert!(
         cold < before / 2,
