--- a/crates/coralstep-config/src/lib.rs
+++ b/crates/coralstep-config/src/lib.rs
@@ -1,7 +1,7 @@
-//! Configuration of a server: the deployment's [`settings`] and the operator's own [`site`] file.
+//! Configuration of a server: the deployment [`settings`] and the operator's [`site`] file.
 //!
-//! Both are checked before a server starts on them; an error names the key at fault. [`starvation`] finds configurations that
-//! are valid and would never serve a method.
+//! Both are validated before a server uses them; an error names the invalid key. [`starvation`] rejects valid configurations
+//! that would never serve a method.
 pub mod settings;
 pub mod site;
 pub mod starvation;
--- a/crates/coralstep-config/src/settings/check.rs
+++ b/crates/coralstep-config/src/settings/check.rs
@@ -1,6 +1,6 @@
-//! What settings must hold before a server starts on them.
+//! Validation of the settings before a server starts.
 //!
-//! Guards against settings that are missing, of the wrong type or out of range, on which no decision is sound.
+//! Guards against decisions based on settings that are missing, of the wrong type or out of range.
 use std::collections::HashSet;
 
 use coralstep::{Idempotency, Method, SchedulerConfig};
@@ -9,14 +9,14 @@
 use super::error::{SettingError, ValueFault};
 use super::tree::SettingsTree;
 
-/// Cores at most: beyond it the number is in the wrong unit.
+/// Maximum number of cores; a larger number is in the wrong unit.
 const MAX_CORES: f64 = 65_536.0;
-/// Memory of a running RPC at most, as a multiple of that of a queued one.
+/// Maximum ratio of the memory of a running RPC to that of a queued one.
 const MAX_RUN_FACTOR: f64 = 1e6;
-/// Times in nanoseconds at least: a tick of the scheduler.
+/// Minimum time in nanoseconds: one tick of the scheduler.
 const MIN_TIME_NS: f64 = 100_000.0;
 
-/// Checks all settings that the scheduler cannot do without.
+/// Checks all settings that the scheduler requires.
 pub(super) fn check(
     tree: &SettingsTree<'_>,
     config: &SchedulerConfig,
@@ -80,7 +80,7 @@
     Ok(())
 }
 
-/// Each entry of the list has a name of its own.
+/// Checks that the entries of a list have distinct names.
 fn check_names(tree: &SettingsTree<'_>, list: &str, count: usize) -> Result<(), SettingError> {
     let mut known = HashSet::new();
     for index in 0..count {
@@ -99,7 +99,7 @@
     Ok(())
 }
 
-/// The setting is there, and a number from `min` to `max`.
+/// Checks that a setting is present and a number from `min` to `max`.
 fn check_range(
     tree: &SettingsTree<'_>,
     path: &str,
@@ -122,7 +122,7 @@
     })
 }
 
-/// The same, if the setting is there.
+/// Checks that a setting is absent or a number from `min` to `max`.
 fn check_optional_range(
     tree: &SettingsTree<'_>,
     path: &str,
--- a/crates/coralstep-config/src/settings/check/tests.rs
+++ b/crates/coralstep-config/src/settings/check/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::from_json;
 
-fn good() -> Value {
+fn valid_settings() -> Value {
     json!({
         "classes": [{"name": "read", "promise": 2_300_000_000u64, "deadline": 4_000_000_000u64, "worth": 1},
             {"name": "pay", "idempotency": "by_key", "promise": 1_000_000_000u64, "deadline": 2_000_000_000u64,
@@ -13,19 +13,19 @@
 }
 
 #[test]
-fn good_settings_are_taken() {
-    let (terms, names) = from_json(&good()).unwrap();
+fn accepts_valid_settings() {
+    let (config, names) = from_json(&valid_settings()).unwrap();
     assert_eq!(
-        (terms.cores, terms.methods.len(), names.tenants.len()),
+        (config.cores, config.methods.len(), names.tenants.len()),
         (6, 2, 1)
     );
 }
 
-/// Every setting that decisions can't do without: missing, of the wrong type, out of range.
+/// Each required setting is missing, of the wrong type or out of range in turn.
 #[test]
 #[allow(clippy::too_many_lines, reason = "a table of cases")]
-fn each_setting_at_fault_is_named() {
-    for (path, value, why) in [
+fn rejects_each_missing_or_invalid_setting_by_its_path() {
+    for (path, value, expected) in [
         ("/classes/0/name", Value::Null, "classes.0.name: missing"),
         ("/classes/0/name", json!(5), "classes.0.name=5 is no text"),
         (
@@ -124,9 +124,9 @@
             "safety.fall_multiple=0 is not from 1 to",
         ),
     ] {
-        let mut settings = good();
+        let mut settings = valid_settings();
         *settings.pointer_mut(path).unwrap() = value.clone();
-        let said = from_json(&settings).unwrap_err().to_string();
-        assert!(said.starts_with(why), "{path} {value}: {said:?}");
+        let message = from_json(&settings).unwrap_err().to_string();
+        assert!(message.starts_with(expected), "{path} {value}: {message:?}");
     }
 }
--- a/crates/coralstep-config/src/settings/error.rs
+++ b/crates/coralstep-config/src/settings/error.rs
@@ -1,7 +1,7 @@
 //! Errors of the settings.
 use thiserror::Error;
 
-/// Why settings, or a field of a message, are refused. The message names the path at fault.
+/// An invalid setting, or an invalid field of a message. The error message names its path.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingError {
     /// The settings are not a JSON object.
@@ -13,7 +13,7 @@
         /// Path of the setting.
         path: String,
     },
-    /// A value is of the wrong type, or unknown.
+    /// A value has the wrong type or is unknown.
     #[error("{path}={value} {fault}")]
     Invalid {
         /// Path of the setting.
@@ -30,9 +30,9 @@
         path: String,
         /// The number as given.
         value: f64,
-        /// Lowest valid number.
+        /// Minimum.
         min: f64,
-        /// Highest valid number.
+        /// Maximum.
         max: f64,
     },
 }
@@ -40,28 +40,28 @@
 /// What is wrong with a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ValueFault {
-    /// It cannot be parsed as the type that is wanted.
+    /// It cannot be parsed as the expected type.
     #[error("is no proper value")]
     Unparsable,
     /// It is a negative or infinite number.
     #[error("is no amount")]
     NotAnAmount,
-    /// It is no truth value.
+    /// It is not a boolean.
     #[error("is neither 1 nor 0")]
     NotAFlag,
-    /// It is none of the known words.
+    /// It is not one of the valid values.
     #[error("is unknown")]
     Unknown,
-    /// It is text where a number or truth value is wanted.
+    /// It is a string where a number or boolean is expected.
     #[error("is text")]
     Text,
-    /// It is no text where text is wanted.
+    /// It is not a string where one is expected.
     #[error("is no text")]
     NotText,
     /// An earlier entry of the list has the same name.
     #[error("is there twice")]
     Duplicate,
-    /// It is a plain value where a list of objects is wanted.
+    /// It is a scalar where a list of objects is expected.
     #[error("is no list of objects")]
     NotAListOfObjects,
 }
--- a/crates/coralstep-config/src/settings/mod.rs
+++ b/crates/coralstep-config/src/settings/mod.rs
@@ -1,6 +1,6 @@
-//! The deployment's settings, read into a [`SchedulerConfig`].
+//! Parses the deployment settings into a [`SchedulerConfig`].
 //!
-//! This is the one place that maps the platform's words (`classes`, `promise`, `worth`, `realms`) to the terms of the code.
+//! Only this module maps the platform's terms (`classes`, `promise`, `worth`, `realms`) to those of the code.
 mod check;
 mod error;
 mod tree;
@@ -16,40 +16,41 @@
 pub use error::{SettingError, ValueFault};
 pub use value::{parse, parse_amount, parse_flag};
 
-/// Scheduler ticks of a millisecond.
+/// Scheduler ticks per millisecond.
 const TICKS_PER_MS: u64 = 10;
 
-/// Names from the settings; indices into these lists are used everywhere else.
+/// Names from the settings. Other code refers to them by their index in these lists.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// This server.
+    /// Name of this server.
     pub instance: String,
-    /// The methods.
+    /// Names of the methods.
     pub methods: Vec<String>,
-    /// Of each method: whether it calls the dependency.
+    /// Whether each method calls the dependency.
     pub calls: Vec<bool>,
-    /// Of each method: its deadline in milliseconds, rounded up.
+    /// Deadline of each method in milliseconds, rounded up.
     pub deadlines_ms: Vec<u64>,
-    /// The tenants.
+    /// Names of the tenants.
     pub tenants: Vec<String>,
-    /// The gauges, in the order in which readings come.
+    /// Names of the gauges, in the order of their readings.
     pub gauges: Vec<String>,
 }
 
-/// Reads the paths and values of one line. Missing settings take their default; unknown ones are ignored.
+/// Parses settings from pairs of path and value. Missing settings take their default; unknown ones are ignored.
 ///
 /// # Errors
-/// The first value that is of the wrong type or unknown.
+/// Returns the first value that has the wrong type or is unknown.
 pub fn from_pairs<'a>(
     pairs: impl Iterator<Item = (&'a str, &'a str)>,
 ) -> Result<(SchedulerConfig, Names), SettingError> {
     read(&SettingsTree::from_pairs(pairs))
 }
 
-/// Reads nested JSON of the same names and units, and checks that all required settings are there and in range.
+/// Parses settings from nested JSON with the same names and units, and checks that all required settings are present and in
+/// range.
 ///
 /// # Errors
-/// The first value that is missing, of the wrong type, unknown or out of range.
+/// Returns the first value that is missing, has the wrong type, is unknown or out of range.
 pub fn from_json(settings: &Value) -> Result<(SchedulerConfig, Names), SettingError> {
     if !settings.is_object() {
         return Err(SettingError::NotAnObject);
@@ -89,7 +90,7 @@
     Ok((config, names))
 }
 
-/// All but methods and tenants.
+/// Reads everything but methods and tenants.
 fn read_config(tree: &SettingsTree<'_>) -> Result<SchedulerConfig, SettingError> {
     let dependency = read_dependency(tree)?;
     let load_report = read_load_report(tree)?;
@@ -154,8 +155,8 @@
     }
 }
 
-/// Checks settings that are valid but change nothing here: a request that carries a deadline is decided by it whatever
-/// `passes_deadline` says, and how feedback reaches callers concerns callers alone.
+/// Validates settings that are not used: the deadline of a request is honoured whatever `passes_deadline` says, and
+/// `feedback.how` concerns only callers.
 fn check_unused(tree: &SettingsTree<'_>) -> Result<(), SettingError> {
     const FEEDBACK: &str = "feedback.how";
     tree.flag("domain.passes_deadline")?;
--- a/crates/coralstep-config/src/settings/tests.rs
+++ b/crates/coralstep-config/src/settings/tests.rs
@@ -4,7 +4,7 @@
 use super::{from_json, from_pairs};
 
 #[test]
-fn the_wire_and_json_say_the_same() {
+fn pairs_and_json_give_the_same_configuration() {
     let line = "classes.count=2 classes.0.name=read classes.0.promise=2300000050 classes.0.deadline=4000000000 classes.0.worth=1.5 \
             classes.1.name=save classes.1.idempotency=once classes.1.promise=1000000 classes.1.deadline=12000000000 classes.1.worth=1 domain.cores=6 \
             domain.memory_kb=20000 domain.run_factor=8 \
@@ -16,35 +16,35 @@
                     {"name": "save", "idempotency": "once", "promise": 1_000_000u64, "deadline": 12_000_000_000u64, "worth": 1}],
         "domain": {"cores": 6, "memory_kb": 20_000, "run_factor": 8, "depends_on": "shared", "call_share": 5.41, "calls_by_class": [true, false],
                    "linger": 50, "class_skip_worth": [0.5, 0.0], "fresh_start": true,
-                   "gauges": ["cpu_busy", "sockets"], "unheard": null},
+                   "gauges": ["cpu_busy", "sockets"], "unknown": null},
         "realms": [{"name": "north", "quota_rps": 65.0}], "goal": {"whole": 0.4}, "stages": [[1], [2]]
     });
     let pairs = line
         .split_whitespace()
         .filter_map(|pair| pair.split_once('='));
-    let (wire, wire_names) = from_pairs(pairs).unwrap();
-    let (terms, names) = from_json(&json).unwrap();
+    let (config_of_pairs, names_of_pairs) = from_pairs(pairs).unwrap();
+    let (config, names) = from_json(&json).unwrap();
     assert_eq!(
-        format!("{terms:?} {names:?}"),
-        format!("{wire:?} {wire_names:?}")
+        format!("{config:?} {names:?}"),
+        format!("{config_of_pairs:?} {names_of_pairs:?}")
     );
     assert_eq!(
         (
-            terms.methods[0].latency_objective,
-            terms.abandoned_call_time
+            config.methods[0].latency_objective,
+            config.abandoned_call_time
         ),
         (Span(23_000), Span(1))
     );
     assert_eq!(
-        (terms.methods[1].calls, terms.methods[0].skip_value),
+        (config.methods[1].calls, config.methods[0].skip_value),
         (false, 0.5)
     );
     assert_eq!(names.tenants, ["north"]);
 }
 
 #[test]
-fn a_faulty_setting_is_named() {
-    for (path, value, why) in [
+fn error_names_the_invalid_setting() {
+    for (path, value, expected) in [
         ("domain.advert", "loud", "domain.advert=loud is unknown"),
         (
             "domain.preemption",
@@ -74,7 +74,7 @@
             from_pairs([(path, value)].into_iter())
                 .unwrap_err()
                 .to_string(),
-            why
+            expected
         );
     }
     assert_eq!(
@@ -83,17 +83,16 @@
     );
 }
 
-/// What further operators set: without it and with it; out of range is above.
 #[test]
-fn each_setting_is_read_where_it_is_there() {
+fn optional_settings_are_read_and_have_defaults() {
     let read =
-        |path: &str, value: &str| from_pairs([(path, value)].into_iter()).map(|(terms, _)| terms);
-    let without = read("unheard", "1").unwrap();
+        |path: &str, value: &str| from_pairs([(path, value)].into_iter()).map(|(config, _)| config);
+    let default = read("unknown", "1").unwrap();
     assert_eq!(
-        (without.load_report, without.preemption),
+        (default.load_report, default.preemption),
         (LoadReportKind::Off, Preemption::Off)
     );
-    assert!(without.tenant_quotas.is_empty() && without.methods.is_empty());
+    assert!(default.tenant_quotas.is_empty() && default.methods.is_empty());
     assert_eq!(
         read("domain.advert", "level").unwrap().load_report,
         LoadReportKind::Threshold
@@ -106,16 +105,16 @@
         read("domain.preemption", "off").unwrap().preemption,
         Preemption::Off
     );
-    // How callers hear of the load, and whether they say how long they wait, changes no term.
-    let plain = [
+    // How callers receive feedback, and whether they pass a deadline, does not change the configuration.
+    let unused = [
         ("feedback.how", "on_probe"),
         ("feedback.how", "off"),
         ("domain.passes_deadline", "true"),
     ];
-    for (path, value) in plain {
+    for (path, value) in unused {
         assert_eq!(
             format!("{:?}", read(path, value).unwrap()),
-            format!("{without:?}")
+            format!("{default:?}")
         );
     }
 }
--- a/crates/coralstep-config/src/settings/tree.rs
+++ b/crates/coralstep-config/src/settings/tree.rs
@@ -1,4 +1,4 @@
-//! Settings as paths and values: `classes.0.name`; lists of plain values are joined by commas.
+//! Settings as pairs of path and value, such as `classes.0.name`. Lists of scalars are joined by commas.
 use std::borrow::Cow;
 use std::collections::{HashMap, HashSet};
 
@@ -8,14 +8,14 @@
 use super::error::{SettingError, ValueFault};
 use super::value::{parse, parse_amount, parse_flag};
 
-/// Settings state times in nanoseconds.
+/// Times in the settings are in nanoseconds.
 const NS_PER_TICK: u64 = 100_000;
 
-/// Paths and the values they hold. A path that is absent holds an empty text, 0 or false.
+/// Values by path. An absent path reads as an empty string, 0 or false.
 #[derive(Default)]
 pub(super) struct SettingsTree<'a> {
     values: HashMap<Cow<'a, str>, Cow<'a, str>>,
-    /// Paths that hold text, where that is known: a number written as text is not one.
+    /// Paths whose value is known to be a string; such a value is not accepted as a number.
     texts: HashSet<String>,
 }
 
@@ -43,7 +43,7 @@
         self.values.contains_key(path)
     }
 
-    /// Whether the value is known to be text.
+    /// Whether the value is known to be a string.
     pub(super) fn is_text(&self, path: &str) -> bool {
         self.texts.contains(path)
     }
@@ -60,17 +60,17 @@
         self.parsed(path, 0, parse)
     }
 
-    /// A time in nanoseconds, rounded down to whole ticks.
+    /// Reads a time in nanoseconds, rounded down to whole ticks.
     pub(super) fn span_down(&self, path: &str) -> Result<Span, SettingError> {
         Ok(Span(self.whole(path)? / NS_PER_TICK))
     }
 
-    /// A time in nanoseconds, rounded up to whole ticks.
+    /// Reads a time in nanoseconds, rounded up to whole ticks.
     pub(super) fn span_up(&self, path: &str) -> Result<Span, SettingError> {
         Ok(Span(self.whole(path)?.div_ceil(NS_PER_TICK)))
     }
 
-    /// The entry `index` of a comma list.
+    /// Returns entry `index` of a comma-separated list, unless it is empty.
     pub(super) fn list_entry(&self, path: &str, index: usize) -> Option<&str> {
         self.text(path)
             .split(',')
@@ -78,15 +78,15 @@
             .filter(|value| !value.is_empty())
     }
 
-    /// The value as `parse` reads it, or `absent`; refuses a number that is written as text.
+    /// Parses a value, or returns `default` if it is absent. Rejects a number that is written as a string.
     fn parsed<T>(
         &self,
         path: &str,
-        absent: T,
+        default: T,
         parse: impl Fn(&str, &str) -> Result<T, SettingError>,
     ) -> Result<T, SettingError> {
         let Some(value) = self.values.get(path) else {
-            return Ok(absent);
+            return Ok(default);
         };
         let parsed = parse(path, value)?;
         if self.is_text(path) {
@@ -98,7 +98,7 @@
 }
 
 impl SettingsTree<'static> {
-    /// Adds `value` and all that is below it.
+    /// Adds `value` and all values nested in it.
     fn add(&mut self, path: String, value: &Value) {
         match value {
             Value::Null => {}
@@ -145,7 +145,7 @@
     }
 }
 
-/// The separators of a list mean nothing inside an item.
+/// Converts an item of a list to text, with the list separators replaced.
 fn list_item(value: &Value) -> String {
     plain_text(value).replace([',', ' '], "_")
 }
--- a/crates/coralstep-config/src/site/applications.rs
+++ b/crates/coralstep-config/src/site/applications.rs
@@ -1,4 +1,4 @@
-//! The section `applications`: SCGI applications that run the RPCs.
+//! The `applications` section: SCGI applications that run the RPCs.
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,9 +10,9 @@
 use super::scgi::default_body_kb;
 use crate::Names;
 
-/// Applications at most.
+/// Maximum number of applications.
 const MAX_APPLICATIONS: usize = 4_096;
-/// RPCs in flight at one application that may be allowed at most.
+/// Maximum of the configurable in-flight limit of one application.
 const MAX_IN_FLIGHT: u32 = 1 << 20;
 
 /// The SCGI applications that run the RPCs.
@@ -81,7 +81,7 @@
 }
 
 impl ApplicationsConfig {
-    /// The longest wait for a connection.
+    /// Timeout for establishing a connection.
     pub fn connect_timeout(&self) -> Duration {
         Duration::from_millis(u64::from(self.connect_ms))
     }
--- a/crates/coralstep-config/src/site/error.rs
+++ b/crates/coralstep-config/src/site/error.rs
@@ -1,18 +1,18 @@
-//! Errors of the operator's file.
+//! Errors of the site file.
 use coralstep_degradation::DegradationConfigError;
 use coralstep_quota::config::LimitConfigError;
 use coralstep_route::InsertError;
 use thiserror::Error;
 
-/// Why a site file is refused. Each message begins with the path of the key at fault.
+/// An invalid site file. Each message begins with the path of the invalid key.
 #[derive(Debug, Error)]
 pub enum SiteError {
-    /// The text is not JSON, or not of the schema's shape.
+    /// The text is not JSON or does not match the schema.
     #[error("{key}: {source}")]
     Syntax {
-        /// Path of the key, or `site file` where no key is at fault.
+        /// Path of the key, or `site file` if the error concerns no key.
         key: String,
-        /// What the parser said.
+        /// Error of the parser.
         source: serde_json::Error,
     },
     /// A number is out of range.
@@ -22,12 +22,12 @@
         key: &'static str,
         /// The number as given.
         value: String,
-        /// Lowest valid number.
+        /// Minimum.
         min: String,
-        /// Highest valid number.
+        /// Maximum.
         max: String,
     },
-    /// A value has the right type but no valid meaning.
+    /// A value has the right type but is invalid.
     #[error("{key}: {reason}")]
     Invalid {
         /// Path of the key.
@@ -35,24 +35,24 @@
         /// What is wrong with the value.
         reason: String,
     },
-    /// A route is refused.
+    /// A route is invalid.
     #[error("{key}: {source}")]
     Route {
         /// Path of the key.
         key: String,
-        /// What the route table said.
+        /// Error of the route table.
         source: InsertError,
     },
-    /// The key is fixed while the process runs.
+    /// The key cannot change while the process runs.
     #[error("{key}: changes only with a restart")]
     RestartRequired {
         /// Path of the key.
         key: &'static str,
     },
-    /// The section of degradation levels is refused.
+    /// The section of degradation levels is invalid.
     #[error(transparent)]
     Levels(#[from] DegradationConfigError),
-    /// The section of fleet-wide limits is refused.
+    /// The section of fleet-wide limits is invalid.
     #[error(transparent)]
     Limits(#[from] LimitConfigError),
 }
@@ -66,7 +66,7 @@
     }
 }
 
-/// Checks that `value` is from `min` to `max`, both included.
+/// Checks that `value` is from `min` to `max`, inclusive.
 pub(super) fn check_range<T: PartialOrd + std::fmt::Display>(
     key: &'static str,
     value: T,
--- a/crates/coralstep-config/src/site/fleet.rs
+++ b/crates/coralstep-config/src/site/fleet.rs
@@ -1,4 +1,4 @@
-//! The section `fleet`: membership, leases and shared health.
+//! The `fleet` section: membership, leases and shared health.
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 
 use super::error::{SiteError, check_range};
 
-/// How this server and the others of its fleet hear each other.
+/// Configuration of the fleet that this server is a member of.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(
     deny_unknown_fields,
@@ -57,7 +57,7 @@
     pub clock_steps: bool,
 }
 
-/// What a server does while it hears no other member.
+/// What a server does while it receives nothing from other members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(
     rename_all = "snake_case",
@@ -70,11 +70,12 @@
     reason = "doc comments of variants would change the schema"
 )]
 pub enum IsolationPolicy {
-    // It goes on serving.
+    // Continues to serve.
     #[default]
     Serve,
-    // It rejects all requests until it hears a member again.
-    ShutOut,
+    // Rejects all requests until it receives from a member again.
+    #[serde(rename = "shut_out")]
+    Exclude,
 }
 
 fn loopback_networks() -> Vec<IpNet> {
@@ -92,20 +93,20 @@
     30
 }
 
-/// Milliseconds of a lease that two rounds of renewal may take.
+/// Returns the time that two renewal rounds of a lease may take, in milliseconds.
 pub(super) fn renewal_time_ms(lease_ms: u32) -> u64 {
     u64::from(lease_ms / 8).min(MAX_RENEWAL_TIME_MS)
 }
 
-/// Upper bound of [`renewal_time_ms`].
+/// Maximum of [`renewal_time_ms`].
 const MAX_RENEWAL_TIME_MS: u64 = 2_000;
 
-/// Servers that may hold the lease of the limits, at most.
+/// Maximum number of servers that may hold the lease of the limits.
 const MAX_LEASE_HOLDERS: usize = 9;
-/// Peers and networks at the most.
+/// Maximum number of peers, and of networks.
 const MAX_PEERS: usize = 256;
 
-/// Bytes of a fleet's or a server's name at most.
+/// Maximum length of the name of a fleet or a server, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
 impl FleetSection {
--- a/crates/coralstep-config/src/site/limits.rs
+++ b/crates/coralstep-config/src/site/limits.rs
@@ -1,4 +1,4 @@
-//! The section `limits`: limits that hold for the whole fleet.
+//! The `limits` section: limits that apply to the whole fleet.
 use coralstep_quota::Limit;
 use coralstep_quota::config::resolve_limits;
 use coralstep_quota::lease::shorten_by_drift;
@@ -8,14 +8,15 @@
 use super::{FleetSection, SiteConfig};
 use crate::Names;
 
-/// The one dependency that a limit may name.
+/// The only dependency that a limit may name.
 const DEPENDENCY: &str = "store";
 
 impl SiteConfig {
-    /// The limits, with the names of methods and tenants resolved.
+    /// Returns the limits, with the names of methods and tenants resolved.
     ///
     /// # Errors
-    /// A limit that is refused, limits without a fleet or a lease holder, or a deadline that is longer than a lease allows.
+    /// Fails for an invalid limit, for limits without a fleet or a lease holder, and for a deadline that is longer than a
+    /// lease allows.
     pub fn limits(&self, names: &Names) -> Result<Vec<Limit>, SiteError> {
         let Some(section) = self.limits.as_ref().filter(|section| !section.is_empty()) else {
             return Ok(Vec::new());
@@ -43,7 +44,7 @@
     }
 }
 
-/// A quota of RPCs in flight serves only RPCs that end before its lease does.
+/// Checks that RPCs can end within a lease: a limit of RPCs in flight admits only those that end before their lease expires.
 fn check_lease(
     index: usize,
     limit: &Limit,
--- a/crates/coralstep-config/src/site/log.rs
+++ b/crates/coralstep-config/src/site/log.rs
@@ -1,8 +1,8 @@
-//! The section `log`.
+//! The `log` section.
 use schemars::JsonSchema;
 use serde::Deserialize;
 
-/// Form and levels of the log.
+/// Format and levels of the log.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(
     deny_unknown_fields,
@@ -12,7 +12,7 @@
 )]
 #[schemars(description = "")]
 pub struct LogConfig {
-    /// How an event is written.
+    /// Format of a log event.
     #[schemars(description = "")]
     pub format: LogFormat,
     /// Least level by target: `info`, or `warn,level=info,signals=off`.
@@ -28,7 +28,7 @@
     }
 }
 
-/// How a log event is written.
+/// Format of a log event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 #[schemars(description = "")]
@@ -37,7 +37,7 @@
     reason = "doc comments of variants would change the schema"
 )]
 pub enum LogFormat {
-    // A line of text an event.
+    // One line of text per event.
     Text,
     /// A line of JSON an event.
     Json,
--- a/crates/coralstep-config/src/site/mod.rs
+++ b/crates/coralstep-config/src/site/mod.rs
@@ -1,6 +1,7 @@
-//! The operator's own file: what the platform's configuration has no place for.
+//! The operator's site file, for everything that the deployment settings do not cover.
 //!
-//! JSON of the shape that `coralstep schema` prints. Unknown keys are refused; each message names the faulty key by its path.
+//! The file is JSON that matches the schema printed by `coralstep schema`. Unknown keys are rejected; each error names the path
+//! of the invalid key.
 mod applications;
 mod error;
 mod fleet;
@@ -25,10 +26,10 @@
 pub use scgi::{HeaderNames, RouteConfig, RouteTarget, ScgiConfig};
 pub use state::StateConfig;
 
-/// What messages name where no key is at fault.
+/// Named by errors that concern no key.
 const WHOLE_FILE: &str = "site file";
 
-/// The whole file; each section may be left out.
+/// A site file; each section is optional.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(
     deny_unknown_fields,
@@ -68,25 +69,25 @@
 }
 
 impl SiteConfig {
-    /// Reads and checks a site file; `names` are those of the settings.
+    /// Parses and validates a site file; `names` are those of the settings.
     ///
     /// # Errors
-    /// The first fault that is found.
+    /// Returns the first error.
     pub fn parse(text: &str, names: &Names) -> Result<SiteConfig, SiteError> {
         let site = SiteConfig::read(text)?;
         site.check(names)?;
         Ok(site)
     }
 
-    /// Reads a site file without checking what depends on the names in the settings.
+    /// Parses a site file without checking what depends on the names in the settings.
     ///
     /// # Errors
-    /// Text that is not of the schema's shape, or faulty degradation levels.
+    /// Fails if the text does not match the schema or the degradation levels are invalid.
     pub fn read(text: &str) -> Result<SiteConfig, SiteError> {
         let mut reader = serde_json::Deserializer::from_str(text);
         let site: SiteConfig =
             serde_path_to_error::deserialize(&mut reader).map_err(|error| SiteError::Syntax {
-                key: key_of(error.path()),
+                key: key_path(error.path()),
                 source: error.into_inner(),
             })?;
         reader.end().map_err(|source| SiteError::Syntax {
@@ -116,10 +117,10 @@
         }
     }
 
-    /// This file with the sections of `version`, a version of the fleet's settings, in place of its own.
+    /// Returns this configuration with the sections of `version`, a configuration version of the fleet, replacing its own.
     ///
     /// # Errors
-    /// A section that changes only with a restart, or one that is faulty beside the others.
+    /// Fails if a section changes only with a restart or the combined configuration is invalid.
     pub fn with_version(&self, version: &str, names: &Names) -> Result<SiteConfig, SiteError> {
         let version = SiteConfig::read(version)?;
         if let Some(key) = self.fixed_section(&version) {
@@ -130,7 +131,7 @@
         site.limits = version.limits.or(site.limits);
         site.applications = version.applications.or(site.applications);
         if let (Some(mut scgi), Some(old)) = (version.scgi, &self.scgi) {
-            // The open listeners stay.
+            // Listeners that are open stay.
             scgi.listen.clone_from(&old.listen);
             site.scgi = Some(scgi);
         }
@@ -138,7 +139,7 @@
         Ok(site)
     }
 
-    /// The first section of `version` that this process cannot take up while it runs.
+    /// Returns the first section of `version` that changes only with a restart.
     fn fixed_section(&self, version: &SiteConfig) -> Option<&'static str> {
         let sections = [
             ("operator", version.operator.is_some()),
@@ -156,18 +157,18 @@
         fixed.map(|(key, _)| *key)
     }
 
-    /// The schema of the file, as JSON text.
+    /// Returns the JSON schema of the file.
     pub fn schema() -> String {
         let schema = schemars::schema_for!(SiteConfig);
-        // A schema made of these types is JSON.
+        // A generated schema always serializes.
         let mut text = serde_json::to_string_pretty(&schema).unwrap_or_default();
         text.push('\n');
         text
     }
 }
 
-/// The key that a parser's path names, or that of the whole file where it names none.
-fn key_of(path: &serde_path_to_error::Path) -> String {
+/// Returns the path of the key that the parser reports, or [`WHOLE_FILE`] if it reports none.
+fn key_path(path: &serde_path_to_error::Path) -> String {
     let path = path.to_string();
     if path == "." || path.starts_with('?') {
         WHOLE_FILE.to_owned()
--- a/crates/coralstep-config/src/site/operator.rs
+++ b/crates/coralstep-config/src/site/operator.rs
@@ -1,4 +1,4 @@
-//! The section `operator`: where operators ask.
+//! The `operator` section: the listener for operators.
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::str::FromStr;
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// The listener that operators ask.
+/// Configuration of the listener for operators.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(
     deny_unknown_fields,
@@ -21,7 +21,7 @@
     pub listen: ListenAddress,
 }
 
-/// A loopback address, or the path of a Unix socket.
+/// Address of the listener for operators: a loopback address or the path of a Unix socket.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "String")]
 pub enum ListenAddress {
@@ -41,7 +41,7 @@
         let address: SocketAddr = text
             .parse()
             .map_err(|_| ListenAddressError::Malformed(text.to_owned()))?;
-        // Guards against a listener for operators that other machines reach.
+        // Guards against a listener for operators that is reachable from other machines.
         if address.ip().is_loopback() {
             Ok(ListenAddress::Address(address))
         } else {
@@ -67,13 +67,13 @@
     }
 }
 
-/// Why a text is no address of an operators' listener.
+/// An invalid [`ListenAddress`].
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ListenAddressError {
     /// Neither an address and port nor `unix:` and a path.
     #[error("{0:?} is neither an address and port nor unix:PATH")]
     Malformed(String),
-    /// Other machines would reach the address.
+    /// The address is reachable from other machines.
     #[error("{0} is not on loopback")]
     NotLoopback(SocketAddr),
 }
--- a/crates/coralstep-config/src/site/scgi.rs
+++ b/crates/coralstep-config/src/site/scgi.rs
@@ -1,4 +1,4 @@
-//! The section `scgi`: callers that speak SCGI.
+//! The `scgi` section: listeners for SCGI callers.
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
@@ -10,18 +10,18 @@
 use super::error::{SiteError, check_range};
 use crate::Names;
 
-/// The longest body that may be allowed, in KB: each open RPC may hold one.
+/// Maximum of the configurable body limit, in KB; each open RPC may have a body in memory.
 const MAX_BODY_KB: u32 = 64;
-/// Memory in KB that one RPC may reserve at most.
+/// Maximum memory that one RPC may reserve, in KB.
 const MAX_MEMORY_KB: f64 = 2_000.0;
-/// Listeners at most.
+/// Maximum number of listeners.
 const MAX_LISTENERS: usize = 16;
-/// Headers of the protocol, which carry nothing else.
+/// Headers that the protocol itself uses.
 const RESERVED_HEADERS: [&str; 4] = ["CONTENT_LENGTH", "SCGI", "REQUEST_METHOD", "PATH_INFO"];
 /// Request methods of a health check.
 const HEALTH_CHECK_METHODS: [&str; 2] = ["GET", "HEAD"];
 
-/// The listeners for callers that speak SCGI.
+/// Configuration of the listeners for SCGI callers.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(
     deny_unknown_fields,
@@ -65,7 +65,7 @@
     8
 }
 
-/// One route of SCGI callers.
+/// A route from a request method and path to a method.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(
     deny_unknown_fields,
@@ -163,10 +163,10 @@
         self.routes(names).map(|_| ())
     }
 
-    /// The route table, whose methods are indices into `names.methods`.
+    /// Builds the route table; its methods are indices into `names.methods`.
     ///
     /// # Errors
-    /// No route, a route to an unknown method, or one that the table refuses.
+    /// Fails if there is no route, or a route names an unknown method or is invalid.
     pub fn routes(&self, names: &Names) -> Result<RouteTable<RouteTarget>, SiteError> {
         if self.routes.is_empty() {
             return Err(SiteError::invalid("scgi.routes", "none"));
@@ -200,10 +200,10 @@
     }
 }
 
-/// What a route leads to.
+/// Target of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteTarget {
-    /// The index of a method in the settings.
+    /// Index of a method in the settings.
     Method(usize),
     /// The health check.
     Health,
--- a/crates/coralstep-config/src/site/state.rs
+++ b/crates/coralstep-config/src/site/state.rs
@@ -1,4 +1,4 @@
-//! The section `state`: what outlives the process.
+//! The `state` section: state that persists across restarts.
 use std::path::PathBuf;
 
 use schemars::JsonSchema;
@@ -6,7 +6,7 @@
 
 use super::error::{SiteError, check_range};
 
-/// Where state is kept over a restart.
+/// Configuration of persisted state.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(
     deny_unknown_fields,
--- a/crates/coralstep-config/src/site/tests.rs
+++ b/crates/coralstep-config/src/site/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_example_is_read_and_fits_the_committed_schema() {
+fn example_parses_and_matches_the_committed_schema() {
     let site = SiteConfig::parse(EXAMPLE, &names()).unwrap();
     let scgi = site.scgi.unwrap();
     assert_eq!(scgi.headers, HeaderNames::default());
@@ -36,8 +36,8 @@
 
 #[test]
 #[allow(clippy::too_many_lines, reason = "a table of cases")]
-fn a_message_names_the_faulty_key_by_its_path() {
-    for (good, bad, why) in [
+fn error_starts_with_the_path_of_the_invalid_key() {
+    for (valid, invalid, expected) in [
         ("\"scgi\"", "\"scgl\"", "scgl: unknown field `scgl`"),
         (
             "\"127.0.0.1:6570\"",
@@ -128,12 +128,12 @@
         ),
         ("\"text\"", "\"loud\"", "log.format: unknown variant"),
     ] {
-        assert!(EXAMPLE.contains(good), "{good}");
-        let told = SiteConfig::parse(&EXAMPLE.replacen(good, bad, 1), &names())
+        assert!(EXAMPLE.contains(valid), "{valid}");
+        let message = SiteConfig::parse(&EXAMPLE.replacen(valid, invalid, 1), &names())
             .unwrap_err()
             .to_string();
-        assert!(told.starts_with(why), "{told}");
-        assert_eq!(told.lines().count(), 1, "{told}");
+        assert!(message.starts_with(expected), "{message}");
+        assert_eq!(message.lines().count(), 1, "{message}");
     }
     assert!(
         SiteConfig::parse("{", &names())
--- a/crates/coralstep-config/src/starvation.rs
+++ b/crates/coralstep-config/src/starvation.rs
@@ -1,4 +1,4 @@
-//! Configurations that are valid and would starve a method for good, not as a degradation level does for a while.
+//! Rejects valid configurations that would starve a method permanently, unlike a degradation level, which is temporary.
 use coralstep::{Idempotency, Method, SchedulerConfig};
 use coralstep_degradation::DegradationConfig;
 use coralstep_route::RouteTable;
@@ -7,13 +7,13 @@
 use crate::Names;
 use crate::site::{RouteTarget, SiteConfig, SiteError};
 
-/// The part of its queueing limit that a method needs at least while all is well: with less nothing is queued.
-const MIN_QUEUE_SHARE: f64 = 0.05;
+/// Minimum queue limit factor of the first level; with less nothing is queued.
+const MIN_QUEUE_LIMIT_FACTOR: f64 = 0.05;
 
-/// What would starve. Each message begins with the path of the key at fault.
+/// What a configuration would starve. Each message begins with the path of the invalid key.
 #[derive(Debug, Error)]
 pub enum StarvationError {
-    /// The first level rejects a method, and it holds while no condition is met.
+    /// The first level rejects a method. That level is active while no condition is met.
     #[error("levels.list[0].does.{key}: starves {method:?}, for the first level always holds")]
     FirstLevel {
         /// Key of the level's action.
@@ -21,16 +21,16 @@
         /// Name of the method.
         method: String,
     },
-    /// The first level tells callers to send nothing.
+    /// The load report of the first level makes callers send nothing.
     #[error("levels.list[0].does.value: starves all, for nothing is ever asked for")]
     NoLoad,
-    /// A method had a route and has none any more.
+    /// The new configuration removes the last route of a method.
     #[error("scgi.routes: starves {method:?}: no route leads to it")]
     NoRoute {
         /// Name of the method.
         method: String,
     },
-    /// The routes are refused.
+    /// The routes are invalid.
     #[error(transparent)]
     Site(#[from] SiteError),
 }
@@ -38,7 +38,7 @@
 /// Checks `site`; `before` is the configuration that it replaces.
 ///
 /// # Errors
-/// The first method that would starve.
+/// Returns the first method that would starve.
 pub fn check(
     site: &SiteConfig,
     before: Option<&SiteConfig>,
@@ -67,7 +67,7 @@
             Some("effects_only")
         } else if method.priority_weight < actions.min_priority_weight {
             Some("least_criticality")
-        } else if actions.queue_limit_factor < MIN_QUEUE_SHARE {
+        } else if actions.queue_limit_factor < MIN_QUEUE_LIMIT_FACTOR {
             Some("hold")
         } else {
             None
--- a/crates/coralstep-config/src/starvation/tests.rs
+++ b/crates/coralstep-config/src/starvation/tests.rs
@@ -4,21 +4,21 @@
 
 #[test]
 #[allow(clippy::too_many_lines, reason = "a table of cases")]
-fn a_configuration_that_starves_a_method_for_good_is_refused() {
+fn rejects_configuration_that_starves_a_method_permanently() {
     let names = Names {
         methods: vec!["read".to_owned(), "save".to_owned()],
         ..Names::default()
     };
-    let method = |effect, criticality| Method {
-        idempotency: effect,
-        priority_weight: criticality,
+    let method = |idempotency, priority_weight| Method {
+        idempotency,
+        priority_weight,
         ..Method::default()
     };
     let methods = vec![
         method(Idempotency::Idempotent, 1.0),
         method(Idempotency::Keyed, 3.0),
     ];
-    let terms = SchedulerConfig {
+    let config = SchedulerConfig {
         methods,
         ..SchedulerConfig::default()
     };
@@ -32,9 +32,9 @@
         let text = json!({"levels": {"list": list}, "scgi": {"listen": ["127.0.0.1:1"], "routes": routes}});
         SiteConfig::parse(&text.to_string(), &names).unwrap()
     };
-    let (all, both) = (json!({}), ["read", "save"]);
-    let good = site(all.clone(), &both);
-    assert!(check(&good, Some(&good), &names, &terms).is_ok());
+    let (no_actions, all_methods) = (json!({}), ["read", "save"]);
+    let valid = site(no_actions.clone(), &all_methods);
+    assert!(check(&valid, Some(&valid), &names, &config).is_ok());
     for (does, key) in [
         (json!({"closed": true}), "closed"),
         (json!({"effects_only": true}), "effects_only"),
@@ -42,21 +42,24 @@
         (json!({"hold": 0.01}), "hold"),
         (json!({"value": 0.0}), "value"),
     ] {
-        let why = check(&site(does, &both), None, &names, &terms)
+        let message = check(&site(does, &all_methods), None, &names, &config)
             .unwrap_err()
             .to_string();
         assert!(
-            why.starts_with(&format!("levels.list[0].does.{key}: starves")),
-            "{why}"
+            message.starts_with(&format!("levels.list[0].does.{key}: starves")),
+            "{message}"
         );
     }
-    let without = site(all, &["read"]);
+    let without_save = site(no_actions, &["read"]);
     assert!(
-        check(&without, None, &names, &terms).is_ok(),
-        "it never had one"
+        check(&without_save, None, &names, &config).is_ok(),
+        "it never had a route"
     );
-    let why = check(&without, Some(&good), &names, &terms)
+    let message = check(&without_save, Some(&valid), &names, &config)
         .unwrap_err()
         .to_string();
-    assert_eq!(why, "scgi.routes: starves \"save\": no route leads to it");
+    assert_eq!(
+        message,
+        "scgi.routes: starves \"save\": no route leads to it"
+    );
 }
--- a/crates/coralstep-server/src/fleet/service.rs
+++ b/crates/coralstep-server/src/fleet/service.rs
@@ -306,7 +306,7 @@
         peers: config.peers.clone(),
         max_lag: u64::from(config.behind_s) * 1_000,
         max_silence: u64::from(config.silent_s) * 1_000,
-        exclude_when_isolated: config.silent == IsolationPolicy::ShutOut,
+        exclude_when_isolated: config.silent == IsolationPolicy::Exclude,
         seed,
     }
 }
