--- a/crates/coralstep-config/src/settings/check.rs
+++ b/crates/coralstep-config/src/settings/check.rs
@@ -107,7 +107,7 @@
     max: f64,
 ) -> Result<(), SettingError> {
     let path = path.to_owned();
-    if !tree.has(&path) {
+    if !tree.contains(&path) {
         return Err(SettingError::Missing { path });
     }
     let value = tree.amount(&path)?;
@@ -129,7 +129,7 @@
     min: f64,
     max: f64,
 ) -> Result<(), SettingError> {
-    if tree.has(path) {
+    if tree.contains(path) {
         check_range(tree, path, min, max)
     } else {
         Ok(())
--- a/crates/coralstep-config/src/settings/mod.rs
+++ b/crates/coralstep-config/src/settings/mod.rs
@@ -27,7 +27,7 @@
     /// Names of the methods.
     pub methods: Vec<String>,
     /// Whether each method calls the dependency.
-    pub calls: Vec<bool>,
+    pub calls_dependency: Vec<bool>,
     /// Deadline of each method in milliseconds, rounded up.
     pub deadlines_ms: Vec<u64>,
     /// Names of the tenants.
@@ -71,17 +71,17 @@
             .collect(),
         ..Names::default()
     };
-    for index in 0..tree.whole("classes.count")? as usize {
+    for index in 0..tree.integer("classes.count")? as usize {
         let name = tree.text(&format!("classes.{index}.name"));
         let method = read_method(tree, index, config.dependency != Dependency::None)?;
         names.methods.push(name.to_owned());
-        names.calls.push(method.calls);
+        names.calls_dependency.push(method.calls);
         names
             .deadlines_ms
             .push(method.deadline.0.div_ceil(TICKS_PER_MS));
         config.methods.push(method);
     }
-    for index in 0..tree.whole("realms.count")? as usize {
+    for index in 0..tree.integer("realms.count")? as usize {
         let name = tree.text(&format!("realms.{index}.name"));
         let quota = tree.amount(&format!("realms.{index}.quota_rps"))?;
         names.tenants.push(name.to_owned());
--- a/crates/coralstep-config/src/settings/tree.rs
+++ b/crates/coralstep-config/src/settings/tree.rs
@@ -39,7 +39,7 @@
         self.values.get(path).map_or("", |value| value)
     }
 
-    pub(super) fn has(&self, path: &str) -> bool {
+    pub(super) fn contains(&self, path: &str) -> bool {
         self.values.contains_key(path)
     }
 
@@ -56,18 +56,18 @@
         self.parsed(path, false, parse_flag)
     }
 
-    pub(super) fn whole(&self, path: &str) -> Result<u64, SettingError> {
+    pub(super) fn integer(&self, path: &str) -> Result<u64, SettingError> {
         self.parsed(path, 0, parse)
     }
 
     /// Reads a time in nanoseconds, rounded down to whole ticks.
     pub(super) fn span_down(&self, path: &str) -> Result<Span, SettingError> {
-        Ok(Span(self.whole(path)? / NS_PER_TICK))
+        Ok(Span(self.integer(path)? / NS_PER_TICK))
     }
 
     /// Reads a time in nanoseconds, rounded up to whole ticks.
     pub(super) fn span_up(&self, path: &str) -> Result<Span, SettingError> {
-        Ok(Span(self.whole(path)?.div_ceil(NS_PER_TICK)))
+        Ok(Span(self.integer(path)?.div_ceil(NS_PER_TICK)))
     }
 
     /// Returns entry `index` of a comma-separated list, unless it is empty.
--- a/crates/coralstep-config/src/site/limits.rs
+++ b/crates/coralstep-config/src/site/limits.rs
@@ -32,7 +32,7 @@
         }
         let known = coralstep_quota::config::KnownNames {
             methods: &names.methods,
-            calls_dependency: &names.calls,
+            calls_dependency: &names.calls_dependency,
             tenants: &names.tenants,
             dependencies: &[DEPENDENCY.to_owned()],
         };
--- a/crates/coralstep-route/src/error.rs
+++ b/crates/coralstep-route/src/error.rs
@@ -3,14 +3,14 @@
 
 use crate::pattern::MAX_ROUTES;
 
-/// Why a route was not inserted.
+/// An error that prevents a route from being inserted.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InsertError {
-    /// The pattern does not begin with `/`, holds a query, an empty segment, a brace out of place, or `*` before the end, or is
-    /// too long.
+    /// The pattern is invalid: it does not begin with `/`, is too long, or contains a query, an empty segment, a misplaced brace
+    /// or a `*` before the end.
     #[error("{0}")]
     Pattern(&'static str),
-    /// The request method is neither capital letters nor `*`.
+    /// The request method is neither in capital letters nor `*`.
     #[error("a verb is capital letters, or * for any")]
     Method,
     /// A route with the same request method and pattern exists.
--- a/crates/coralstep-route/src/lib.rs
+++ b/crates/coralstep-route/src/lib.rs
@@ -1,7 +1,8 @@
-//! A route table: a request method and a path lead to a target.
+//! A route table that maps a request method and a path to a target.
 //!
-//! A pattern is `/` and segments: a literal matches itself, `{name}` any one segment, a last `*` all that follows, also nothing.
-//! The most specific route wins, from the left. The method `*` matches those that no other route of that pattern names.
+//! A pattern is a `/` followed by segments: a literal matches itself, `{name}` matches any one segment, and a final `*` matches
+//! the rest of the path, which may be empty. The most specific route wins, compared from the left. The method `*` matches every
+//! method for which the pattern has no other route.
 //!
 //! ```
 //! use coralstep_route::{RouteMatch, RouteTable};
--- a/crates/coralstep-route/src/pattern.rs
+++ b/crates/coralstep-route/src/pattern.rs
@@ -1,16 +1,16 @@
-//! Route patterns: which are valid, and how they are split into segments.
+//! Parsing and validation of route patterns.
 use crate::InsertError;
 
-/// Segments of a pattern at most.
+/// Maximum number of segments of a pattern.
 pub const MAX_SEGMENTS: usize = 16;
-/// Bytes of a pattern or a path at most. A longer path is not found.
+/// Maximum length of a pattern or a path in bytes. A longer path is not found.
 pub const MAX_PATH_BYTES: usize = 2 * 1024;
-/// Routes of one table at most.
+/// Maximum number of routes in a table.
 pub const MAX_ROUTES: usize = 4 * 1024;
-/// Any request method, or as the last segment of a pattern any rest of the path.
+/// Matches any request method or, as the last segment of a pattern, the rest of the path.
 pub(crate) const WILDCARD: &str = "*";
 
-/// A valid pattern.
+/// A parsed pattern.
 pub(crate) struct Pattern<'a> {
     /// The segments before the wildcard.
     pub(crate) segments: Vec<Segment<'a>>,
@@ -22,15 +22,15 @@
 pub(crate) enum Segment<'a> {
     /// Matches itself.
     Literal(&'a str),
-    /// `{name}`, matches any one segment.
+    /// `{name}`; matches any one segment.
     Parameter,
 }
 
 impl<'a> Pattern<'a> {
-    /// Splits `text`.
+    /// Parses a pattern.
     ///
     /// # Errors
-    /// [`InsertError::Pattern`] with the rule that `text` breaks.
+    /// Fails with [`InsertError::Pattern`], which states the rule that `text` violates.
     pub(crate) fn parse(text: &'a str) -> Result<Pattern<'a>, InsertError> {
         let mut segments = split_path(text).ok_or(InsertError::Pattern("a path begins with /"))?;
         if text.contains(['?', '#']) {
@@ -67,13 +67,13 @@
     }
 }
 
-/// Whether `method` may be that of a route: capital letters and hyphens, or `*`.
+/// Whether `method` is valid for a route: capital letters and hyphens, or `*`.
 pub(crate) fn is_request_method(method: &str) -> bool {
-    let is_known = |byte: u8| byte.is_ascii_uppercase() || byte == b'-';
-    method == WILDCARD || (!method.is_empty() && method.bytes().all(is_known))
+    let is_valid = |byte: u8| byte.is_ascii_uppercase() || byte == b'-';
+    method == WILDCARD || (!method.is_empty() && method.bytes().all(is_valid))
 }
 
-/// The segments of a path, which begins with `/`; `/` has none.
+/// Splits a path into segments; `/` has none. `None` if the path does not begin with `/`.
 pub(crate) fn split_path(path: &str) -> Option<Vec<&str>> {
     let path = path.strip_prefix('/')?;
     Some(if path.is_empty() {
--- a/crates/coralstep-route/src/table.rs
+++ b/crates/coralstep-route/src/table.rs
@@ -1,4 +1,4 @@
-//! The route table: a trie of path segments.
+//! A route table that is a trie of path segments.
 use std::collections::BTreeMap;
 
 use crate::InsertError;
@@ -7,30 +7,31 @@
     split_path,
 };
 
-/// Segments of a looked-up path at most, as a multiple of those of a pattern: a wildcard may stand for many.
+/// Maximum number of segments of a path; larger than [`MAX_SEGMENTS`] because a wildcard may match several.
 const MAX_PATH_SEGMENTS: usize = 4 * MAX_SEGMENTS;
 
-/// The result of a look-up.
+/// Result of a lookup.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RouteMatch<T> {
-    /// The target of the most specific route.
+    /// Target of the most specific route.
     Found(T),
-    /// Routes have this path, but none has this request method.
+    /// Some routes match the path, but none of them the request method.
     MethodNotAllowed,
-    /// No route has this path.
+    /// No route matches the path.
     NotFound,
 }
 
-/// Routes from a request method and a path to a target.
+/// Maps a request method and a path to a target.
 ///
-/// A look-up costs the length of the path, not the number of routes, and visits each node of the trie at most once.
+/// The cost of a lookup depends on the length of the path, not on the number of routes. It visits each node of the trie at most
+/// once.
 #[derive(Clone, Debug)]
 pub struct RouteTable<T> {
     root: Node<T>,
     len: usize,
 }
 
-/// A request method and its target, for one pattern.
+/// Request methods and their targets for one pattern.
 type MethodTargets<T> = Vec<(Box<str>, T)>;
 
 #[derive(Clone, Debug)]
@@ -39,7 +40,7 @@
     parameter: Option<Box<Node<T>>>,
     /// Routes whose pattern ends here.
     exact: MethodTargets<T>,
-    /// Routes whose pattern goes on with a wildcard.
+    /// Routes whose pattern continues with a wildcard only.
     wildcard: MethodTargets<T>,
 }
 
@@ -64,10 +65,10 @@
 }
 
 impl<T> RouteTable<T> {
-    /// Adds a route from `method` (`*`: any that no other route of this pattern names) and `pattern` to `target`.
+    /// Adds a route. The method `*` matches every method for which the pattern has no other route.
     ///
     /// # Errors
-    /// A method or pattern that is not valid, a duplicate, or a full table; the table is unchanged then.
+    /// Fails if the method or pattern is invalid, the route is a duplicate, or the table is full. The table is then unchanged.
     pub fn insert(&mut self, method: &str, pattern: &str, target: T) -> Result<(), InsertError> {
         if !is_request_method(method) {
             return Err(InsertError::Method);
@@ -96,7 +97,7 @@
         Ok(())
     }
 
-    /// The route of `method` and `path`; a query behind the path is ignored.
+    /// Looks up the route of `method` and `path`, ignoring a query or fragment after the path.
     pub fn find(&self, method: &str, path: &str) -> RouteMatch<&T> {
         let path = path.split(['?', '#']).next().unwrap_or(path);
         if path.len() > MAX_PATH_BYTES {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// All targets, each as often as routes lead to it.
+    /// Returns the target of each route.
     pub fn targets(&self) -> impl Iterator<Item = &T> {
         let mut pending = vec![&self.root];
         std::iter::from_fn(move || {
@@ -141,7 +142,8 @@
 }
 
 impl<T> Node<T> {
-    /// The most specific route below this node: a literal before a parameter before a wildcard, from the left.
+    /// Returns the target of the most specific route below this node. At each segment a literal precedes a parameter, which
+    /// precedes a wildcard.
     fn find(&self, method: &str, segments: &[&str], path_is_known: &mut bool) -> Option<&T> {
         let Some((first, rest)) = segments.split_first() else {
             return select(&self.exact, method, path_is_known)
@@ -156,7 +158,7 @@
     }
 }
 
-/// The target of `method`, else that of the wildcard method.
+/// Returns the target of `method`, or else that of the wildcard method.
 fn select<'a, T>(
     targets: &'a MethodTargets<T>,
     method: &str,
--- a/crates/coralstep-route/src/table/tests.rs
+++ b/crates/coralstep-route/src/table/tests.rs
@@ -2,7 +2,7 @@
 use crate::{InsertError, MAX_PATH_BYTES};
 
 #[test]
-fn the_most_specific_route_wins_and_others_are_tried_after_it() {
+fn find_prefers_the_most_specific_route_and_backtracks() {
     let mut routes = RouteTable::default();
     for (method, path, target) in [
         ("GET", "/a/b/c", 1),
@@ -14,7 +14,7 @@
     ] {
         routes.insert(method, path, target).unwrap();
     }
-    for (method, path, found) in [
+    for (method, path, expected) in [
         ("GET", "/a/b/c", RouteMatch::Found(&1)),
         ("PUT", "/a/b/c", RouteMatch::Found(&4)),
         ("GET", "/a/b/d", RouteMatch::Found(&2)),
@@ -28,13 +28,13 @@
         ("GET", "a/b/c", RouteMatch::NotFound),
         ("GET", "", RouteMatch::NotFound),
     ] {
-        assert_eq!(routes.find(method, path), found, "{method} {path}");
+        assert_eq!(routes.find(method, path), expected, "{method} {path}");
     }
     assert_eq!(routes.len(), 6);
 }
 
 #[test]
-fn invalid_patterns_are_refused() {
+fn insert_rejects_invalid_methods_and_patterns() {
     let mut routes = RouteTable::default();
     routes.insert("GET", "/a/{x}", 0).unwrap();
     for (method, path) in [
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn long_paths_are_not_found() {
+fn find_does_not_match_paths_longer_than_limit() {
     let mut routes = RouteTable::default();
     routes.insert("GET", "/*", 0).unwrap();
     assert_eq!(
--- a/crates/coralstep-scgi/benches/codec.rs
+++ b/crates/coralstep-scgi/benches/codec.rs
@@ -1,4 +1,4 @@
-//! What reading and writing costs, beside the plainest reader of the same bytes: one that only looks for the NULs.
+//! Cost of encoding and decoding, compared with splitting and copying the same bytes.
 use std::hint::black_box;
 
 use coralstep_scgi::{Limits, request, response};
@@ -27,7 +27,7 @@
     request::encode(&mut bytes, &HEADERS, &BODY).unwrap();
     let mut group = criterion.benchmark_group("scgi");
     group.throughput(Throughput::Bytes(bytes.len() as u64));
-    group.bench_function("read a request", |b| {
+    group.bench_function("decode a request", |b| {
         b.iter(|| {
             request::decode(black_box(&bytes), &limits)
                 .unwrap()
@@ -35,7 +35,7 @@
                 .1
         });
     });
-    group.bench_function("baseline: split at the NULs", |b| {
+    group.bench_function("baseline: split at each NUL", |b| {
         b.iter(|| {
             black_box(&bytes)
                 .split(|byte| *byte == 0)
@@ -44,14 +44,14 @@
         });
     });
     let mut out = Vec::with_capacity(4096);
-    group.bench_function("write a request", |b| {
+    group.bench_function("encode a request", |b| {
         b.iter(|| {
             out.clear();
             request::encode(&mut out, black_box(&HEADERS), &BODY).unwrap();
             out.len()
         });
     });
-    group.bench_function("baseline: copy its bytes", |b| {
+    group.bench_function("baseline: copy the bytes", |b| {
         b.iter(|| {
             out.clear();
             out.extend_from_slice(black_box(&bytes));
@@ -63,13 +63,13 @@
 
 fn responses(criterion: &mut Criterion) {
     let limits = Limits::default();
-    let mut answered = Vec::new();
-    response::encode(&mut answered, 200, &[("X-Coralstep-Value", &0.5)], &BODY);
+    let mut bytes = Vec::new();
+    response::encode(&mut bytes, 200, &[("X-Coralstep-Value", &0.5)], &BODY);
     let mut group = criterion.benchmark_group("scgi");
-    group.throughput(Throughput::Bytes(answered.len() as u64));
-    group.bench_function("read an answer", |b| {
+    group.throughput(Throughput::Bytes(bytes.len() as u64));
+    group.bench_function("decode a response", |b| {
         b.iter(|| {
-            response::decode(black_box(&answered), false, &limits)
+            response::decode(black_box(&bytes), false, &limits)
                 .unwrap()
                 .unwrap()
                 .0
--- a/crates/coralstep-scgi/src/decimal.rs
+++ b/crates/coralstep-scgi/src/decimal.rs
@@ -1,15 +1,15 @@
-//! Decimal numbers as SCGI and CGI write them.
+//! Decimal numbers in SCGI and CGI.
 
-/// Digits that always fit into a `u64`.
+/// Number of digits that always fit into a `u64`.
 const MAX_DIGITS: usize = 18;
 
-/// A whole number in plain digits, without sign, blanks or leading zeros, of at most [`MAX_DIGITS`] digits.
+/// Parses a number of at most [`MAX_DIGITS`] digits, without sign, spaces or leading zeros.
 pub(crate) fn parse(digits: &[u8]) -> Option<u64> {
-    let is_plain = (1..=MAX_DIGITS).contains(&digits.len())
+    let is_valid = (1..=MAX_DIGITS).contains(&digits.len())
         && digits.iter().all(u8::is_ascii_digit)
         && (digits[0] != b'0' || digits.len() == 1);
     let add_digit = |value: u64, digit: &u8| value * 10 + u64::from(digit - b'0');
-    is_plain.then(|| digits.iter().fold(0, add_digit))
+    is_valid.then(|| digits.iter().fold(0, add_digit))
 }
 
 #[cfg(test)]
--- a/crates/coralstep-scgi/src/decimal/tests.rs
+++ b/crates/coralstep-scgi/src/decimal/tests.rs
@@ -1,12 +1,12 @@
 use super::parse;
 
 #[test]
-fn numbers_are_plain_digits() {
+fn parses_digits_only() {
     assert_eq!(
         (parse(b"0"), parse(b"10"), parse(b"999999999999999999")),
         (Some(0), Some(10), Some(10u64.pow(18) - 1))
     );
-    for bad in [
+    for invalid in [
         "",
         "-1",
         "+1",
@@ -18,6 +18,6 @@
         "1000000000000000000",
         "99999999999999999999999",
     ] {
-        assert_eq!(parse(bad.as_bytes()), None, "{bad:?}");
+        assert_eq!(parse(invalid.as_bytes()), None, "{invalid:?}");
     }
 }
--- a/crates/coralstep-scgi/src/error.rs
+++ b/crates/coralstep-scgi/src/error.rs
@@ -1,10 +1,10 @@
 //! Errors of the codec.
 use thiserror::Error;
 
-/// Why received bytes are not a valid message. Its text may be sent to the peer.
+/// An error in a received message. Its text may be sent to the peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// The bytes break the protocol.
+    /// The message violates the protocol.
     #[error("{0}")]
     Malformed(&'static str),
     /// The message exceeds one of the [`Limits`](crate::Limits).
@@ -13,7 +13,7 @@
 }
 
 impl DecodeError {
-    /// What is wrong with the bytes, in a few words.
+    /// Returns a short description of the error.
     pub fn reason(self) -> &'static str {
         match self {
             DecodeError::Malformed(reason) | DecodeError::TooLarge(reason) => reason,
@@ -21,16 +21,16 @@
     }
 }
 
-/// Why a request cannot be written.
+/// An error that prevents a request from being encoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum EncodeError {
-    /// The name is empty, or holds blanks, control characters or non-ASCII bytes.
-    #[error("a header without a proper name")]
+    /// A header name is empty or contains spaces, control characters or non-ASCII bytes.
+    #[error("invalid header name")]
     HeaderName,
-    /// The value holds a NUL, which ends a value in SCGI.
-    #[error("a header value with a NUL")]
+    /// A header value contains a NUL, which terminates a value in SCGI.
+    #[error("header value contains a NUL")]
     HeaderValue,
-    /// The name occurs twice, or is one of those that the encoder writes itself.
-    #[error("a header twice")]
+    /// A header name occurs twice, or is one that the encoder writes itself.
+    #[error("duplicate header")]
     DuplicateHeader,
 }
--- a/crates/coralstep-scgi/src/lib.rs
+++ b/crates/coralstep-scgi/src/lib.rs
@@ -1,7 +1,7 @@
-//! SCGI for both sides: [`request`] encodes and decodes requests, [`response`] the CGI responses to them.
+//! An SCGI codec: [`request`] encodes and decodes requests, [`response`] the CGI responses to them.
 //!
-//! The codec does no I/O. Decoded messages borrow from the bytes they were read from, and no length that a peer states makes
-//! the codec allocate.
+//! The codec does no I/O. Decoded messages borrow from the input, and the codec never allocates memory based on a length that
+//! a peer states.
 //!
 //! ```
 //! use coralstep_scgi::{Limits, request};
--- a/crates/coralstep-scgi/src/limits.rs
+++ b/crates/coralstep-scgi/src/limits.rs
@@ -1,13 +1,14 @@
-//! How much of a message is read at most.
+//! Size limits of received messages.
 
-/// Upper bounds on what a peer may send. A message beyond any of them is [`DecodeError::TooLarge`](crate::DecodeError::TooLarge).
+/// Limits on the size of a message. A message that exceeds one is rejected with
+/// [`DecodeError::TooLarge`](crate::DecodeError::TooLarge).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of all headers together. Default: 16 KiB.
+    /// Maximum size of all headers together in bytes. Default: 16 KiB.
     pub max_head_bytes: usize,
-    /// Number of headers. Default: 128.
+    /// Maximum number of headers. Default: 128.
     pub max_headers: usize,
-    /// Bytes of the body. Default: 8 KiB.
+    /// Maximum size of the body in bytes. Default: 8 KiB.
     pub max_body_bytes: usize,
 }
 
--- a/crates/coralstep-scgi/src/request.rs
+++ b/crates/coralstep-scgi/src/request.rs
@@ -1,31 +1,32 @@
-//! SCGI requests: a netstring of headers, each a name and a value ended by NUL, then a body.
+//! Encoding and decoding of SCGI requests.
 //!
-//! `CONTENT_LENGTH` is the first header and states the length of the body; `SCGI` is `1`.
+//! A request is a netstring of headers, followed by a body. Each header is a name and a value, both terminated by NUL. The first
+//! header is `CONTENT_LENGTH`, the length of the body; the header `SCGI` has the value `1`.
 use crate::{DecodeError, EncodeError, Limits, decimal};
 
-/// The header that states the length of the body.
+/// Header with the length of the body.
 const CONTENT_LENGTH: &str = "CONTENT_LENGTH";
-/// The header that names the protocol's version.
+/// Header with the protocol version.
 const PROTOCOL: Header<'static> = ("SCGI", b"1");
-/// Headers that most requests have at most.
-const USUAL_HEADERS: usize = 16;
-/// Bytes that the length of a netstring, its colon and its comma may take.
+/// Initial capacity for headers; most requests have no more.
+const INITIAL_HEADER_CAPACITY: usize = 16;
+/// Bytes reserved for the length prefix, colon and comma of a netstring.
 const NETSTRING_OVERHEAD: usize = 8;
 
-/// A header's name and value.
+/// Name and value of a header.
 pub type Header<'a> = (&'a str, &'a [u8]);
 
 /// A request that borrows from the bytes it was decoded from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request<'a> {
-    /// All headers in their order, `CONTENT_LENGTH` and `SCGI` among them.
+    /// All headers in order, including `CONTENT_LENGTH` and `SCGI`.
     pub headers: Vec<Header<'a>>,
-    /// The body, of the stated length.
+    /// Body of the request.
     pub body: &'a [u8],
 }
 
 impl<'a> Request<'a> {
-    /// The value of the header `name`.
+    /// Returns the value of the header `name`.
     pub fn get(&self, name: &str) -> Option<&'a [u8]> {
         self.headers
             .iter()
@@ -33,16 +34,16 @@
             .map(|(_, value)| *value)
     }
 
-    /// The value of the header `name` if it is UTF-8.
+    /// Returns the value of the header `name` if it is UTF-8.
     pub fn text(&self, name: &str) -> Option<&'a str> {
         std::str::from_utf8(self.get(name)?).ok()
     }
 }
 
-/// The size in bytes of the whole request that `bytes` begins with, or `None` until its headers are complete.
+/// Returns the size in bytes of the request that `bytes` begins with, or `None` until its headers are complete.
 ///
 /// # Errors
-/// A header section that breaks the protocol or exceeds `limits`.
+/// Fails if the headers violate the protocol or exceed `limits`.
 pub fn encoded_len(bytes: &[u8], limits: &Limits) -> Result<Option<usize>, DecodeError> {
     let Some(head) = split_head(bytes, limits)? else {
         return Ok(None);
@@ -52,13 +53,13 @@
     Ok(Some(head.body_start + body_len))
 }
 
-/// The request that `bytes` begins with and its size in bytes, or `None` while more must be read.
+/// Decodes the request that `bytes` begins with. Returns it with its size in bytes, or `None` if it is incomplete.
 ///
-/// Bytes behind it are ignored: a connection carries one request. Until the headers are complete a call looks at no more than
-/// the digits of their length.
+/// Bytes after the request are ignored, since a connection carries one request. Until the headers are complete, a call reads
+/// only their length prefix.
 ///
 /// # Errors
-/// A request that breaks the protocol or exceeds `limits`.
+/// Fails if the request violates the protocol or exceeds `limits`.
 pub fn decode<'a>(
     bytes: &'a [u8],
     limits: &Limits,
@@ -72,28 +73,28 @@
     Ok(body.map(|body| (Request { headers, body }, end)))
 }
 
-/// Appends a request to `out`: `CONTENT_LENGTH`, `SCGI`, then `headers`, then `body`.
+/// Appends a request to `out`: `CONTENT_LENGTH`, `SCGI`, `headers`, then `body`.
 ///
 /// # Errors
-/// A header whose name or value SCGI cannot carry, or that occurs twice; `out` is unchanged then.
+/// Fails if a header is duplicate or has an invalid name or value; `out` is then unchanged.
 pub fn encode(out: &mut Vec<u8>, headers: &[Header<'_>], body: &[u8]) -> Result<(), EncodeError> {
     let length = body.len().to_string();
-    let own: [Header<'_>; 2] = [(CONTENT_LENGTH, length.as_bytes()), PROTOCOL];
+    let protocol_headers: [Header<'_>; 2] = [(CONTENT_LENGTH, length.as_bytes()), PROTOCOL];
     for (index, header) in headers.iter().enumerate() {
-        let mut earlier = own.iter().chain(&headers[..index]);
+        let mut earlier = protocol_headers.iter().chain(&headers[..index]);
         check_header(header)?;
         if earlier.any(|(known, _)| *known == header.0) {
             return Err(EncodeError::DuplicateHeader);
         }
     }
-    let all = || own.iter().chain(headers);
-    let head_len: usize = all()
+    let all_headers = || protocol_headers.iter().chain(headers);
+    let head_len: usize = all_headers()
         .map(|(name, value)| name.len() + value.len() + 2)
         .sum();
     out.reserve(head_len + body.len() + NETSTRING_OVERHEAD);
     out.extend_from_slice(head_len.to_string().as_bytes());
     out.push(b':');
-    for (name, value) in all() {
+    for (name, value) in all_headers() {
         out.extend_from_slice(name.as_bytes());
         out.push(0);
         out.extend_from_slice(value);
@@ -118,17 +119,17 @@
     !name.is_empty() && name.iter().all(u8::is_ascii_graphic)
 }
 
-/// The header section of a request.
+/// The headers of a request, not yet decoded.
 struct Head<'a> {
-    /// The netstring's content.
+    /// Content of the netstring.
     content: &'a [u8],
     /// Index of the first byte of the body.
     body_start: usize,
 }
 
-/// The netstring at the start of `bytes`, or `None` while more must be read.
+/// Splits off the netstring of headers at the start of `bytes`, or returns `None` if it is incomplete.
 fn split_head<'a>(bytes: &'a [u8], limits: &Limits) -> Result<Option<Head<'a>>, DecodeError> {
-    // One digit more than the limit has: any number that long is larger.
+    // One digit more than the limit has; a number with that many digits exceeds it.
     let max_digits = limits.max_head_bytes.checked_ilog10().unwrap_or(0) as usize + 2;
     let prefix = &bytes[..bytes.len().min(max_digits)];
     let Some(colon) = prefix.iter().position(|byte| *byte == b':') else {
@@ -155,15 +156,15 @@
     }
 }
 
-/// The headers in `content`, each of which occurs once.
+/// Decodes the headers in `content`, and rejects duplicates.
 fn decode_headers<'a>(
     mut content: &'a [u8],
     limits: &Limits,
 ) -> Result<Vec<Header<'a>>, DecodeError> {
-    let mut headers: Vec<Header<'a>> = Vec::with_capacity(USUAL_HEADERS);
-    while let Some(name) = take_word(&mut content) {
+    let mut headers: Vec<Header<'a>> = Vec::with_capacity(INITIAL_HEADER_CAPACITY);
+    while let Some(name) = take_string(&mut content) {
         let value =
-            take_word(&mut content).ok_or(DecodeError::Malformed("a header without a value"))?;
+            take_string(&mut content).ok_or(DecodeError::Malformed("a header without a value"))?;
         let name = std::str::from_utf8(name)
             .ok()
             .filter(|name| is_header_name(name.as_bytes()))
@@ -171,7 +172,7 @@
         if headers.len() == limits.max_headers {
             return Err(DecodeError::TooLarge("too many headers"));
         }
-        // Guards against two readers of one request that each believe another value.
+        // Guards against two readers of one request that each use a different value.
         if headers.iter().any(|(known, _)| *known == name) {
             return Err(DecodeError::Malformed("a header twice"));
         }
@@ -184,15 +185,15 @@
     }
 }
 
-/// Takes the bytes up to the next NUL off `content`.
-fn take_word<'a>(content: &mut &'a [u8]) -> Option<&'a [u8]> {
+/// Removes the bytes up to the next NUL, and the NUL, from `content`.
+fn take_string<'a>(content: &mut &'a [u8]) -> Option<&'a [u8]> {
     let end = content.iter().position(|byte| *byte == 0)?;
-    let word = &content[..end];
+    let string = &content[..end];
     *content = &content[end + 1..];
-    Some(word)
+    Some(string)
 }
 
-/// The length of the body in bytes, as the first header states it.
+/// Returns the length of the body in bytes, from the first header.
 fn body_length(headers: &[Header<'_>], limits: &Limits) -> Result<usize, DecodeError> {
     let Some((CONTENT_LENGTH, length)) = headers.first() else {
         return Err(DecodeError::Malformed(
--- a/crates/coralstep-scgi/src/response.rs
+++ b/crates/coralstep-scgi/src/response.rs
@@ -1,24 +1,25 @@
-//! CGI responses: header lines, an empty line, a body.
+//! Encoding and decoding of CGI responses.
 //!
-//! Written with `Status` and `Content-Length`; read in any form that the CGI standard (RFC 3875, section 6) allows.
+//! A response is header lines, an empty line and a body. It is encoded with `Status` and `Content-Length`, and decoded in any
+//! form that the CGI standard (RFC 3875, section 6) allows.
 use std::fmt::Display;
 use std::io::Write;
 
 use crate::{DecodeError, Limits, decimal};
 
-/// The status of a response that states none but has a type (RFC 3875, section 6.3.3).
+/// Status of a response that has a type but no status (RFC 3875, section 6.3.3).
 const DEFAULT_STATUS: u16 = 200;
 
-/// What is known of a response before its body.
+/// Status and body length from the headers of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The HTTP status code, 100 to 599.
+    /// HTTP status code, 100 to 599.
     pub status: u16,
-    /// Length of the body in bytes; without it the body ends with the connection.
+    /// Length of the body in bytes; if `None`, the body ends with the connection.
     pub content_length: Option<usize>,
 }
 
-/// The standard reason phrase of the statuses that this project answers with.
+/// Returns the standard reason phrase of the status codes that this project sends.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -33,9 +34,9 @@
     }
 }
 
-/// Appends a response to `out`. Names and values of `fields` must not hold line ends.
+/// Appends a response to `out`. Names and values of `fields` must not contain line breaks.
 pub fn encode(out: &mut Vec<u8>, status: u16, fields: &[(&str, &dyn Display)], body: &[u8]) {
-    // Writing to a Vec can't fail.
+    // Writing to a Vec cannot fail.
     let _ = write!(out, "Status: {status} {}\r\n", reason_phrase(status));
     for (name, value) in fields {
         let _ = write!(out, "{name}: {value}\r\n");
@@ -44,10 +45,11 @@
     out.extend_from_slice(body);
 }
 
-/// The head of the response that `bytes` begins with and its size in bytes, or `None` while more must be read.
+/// Decodes the headers of the response that `bytes` begins with. Returns them with their size in bytes, or `None` if they are
+/// incomplete.
 ///
 /// # Errors
-/// A head that breaks the protocol, states neither a status nor a type, or exceeds `limits`.
+/// Fails if the headers violate the protocol, contain neither a status nor a type, or exceed `limits`.
 pub fn decode_head(
     bytes: &[u8],
     limits: &Limits,
@@ -76,10 +78,11 @@
     Ok(Some((fields.finish()?, used)))
 }
 
-/// The status and body of the response in `bytes`, or `None` while more must be read. `ended`: nothing will follow.
+/// Decodes the response in `bytes`. Returns its status and body, or `None` if it is incomplete. `ended` states that no more
+/// bytes will follow.
 ///
 /// # Errors
-/// A response that breaks the protocol, exceeds `limits`, or ends before or after the length it states.
+/// Fails if the response violates the protocol, exceeds `limits`, or is shorter or longer than its stated length.
 pub fn decode<'a>(
     bytes: &'a [u8],
     ended: bool,
@@ -97,7 +100,7 @@
         return Err(DecodeError::TooLarge("body too long"));
     }
     match head.content_length {
-        // Guards against a body that is longer than stated: nobody knows which of the two is true.
+        // Guards against a body longer than its stated length: it is unknown which of the two is correct.
         Some(length) if body.len() > length => {
             Err(DecodeError::Malformed("longer than its length"))
         }
@@ -108,19 +111,19 @@
     }
 }
 
-/// A line without its end, and the bytes that both take; `None` where the line has no end yet.
+/// Returns the first line without its line break, and its size with the line break; `None` if the line is incomplete.
 fn split_line(bytes: &[u8]) -> Option<(&[u8], usize)> {
     let end = bytes.iter().position(|byte| *byte == b'\n')?;
     let line = &bytes[..end];
     Some((line.strip_suffix(b"\r").unwrap_or(line), end + 1))
 }
 
-/// The header fields of a response that matter here.
+/// Header fields of a response that are decoded.
 #[derive(Default)]
 struct HeadFields {
     status: Option<u16>,
     content_length: Option<usize>,
-    /// `Content-Type` or `Location` is there, so a missing status means 200.
+    /// Whether `Content-Type` or `Location` is present, so that a missing status means 200.
     has_type: bool,
 }
 
@@ -145,7 +148,7 @@
         }
     }
 
-    /// A code of three digits, alone or before a blank and a reason.
+    /// Parses a status of three digits, optionally followed by a space and a reason phrase.
     fn set_status(&mut self, value: &[u8]) -> Result<(), DecodeError> {
         let code = value
             .get(..3)
--- a/crates/coralstep-scgi/tests/codec.rs
+++ b/crates/coralstep-scgi/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Both directions on bytes split everywhere and on garbled ones.
+//! Encoding and decoding of complete, truncated and corrupt messages.
 use coralstep_scgi::{DecodeError, Limits, request, response};
 use proptest::prelude::*;
 
@@ -19,20 +19,20 @@
     bytes
 }
 
-/// A netstring of raw headers, and a body.
+/// Returns a netstring of raw headers, followed by a body.
 fn raw(headers: &str, body: &str) -> Vec<u8> {
     format!("{}:{headers},{body}", headers.len()).into_bytes()
 }
 
 #[test]
-fn a_request_is_decoded_from_any_split_and_only_once_it_is_complete() {
+fn decodes_request_only_when_complete() {
     let bytes = sample();
     for cut in 0..bytes.len() {
         assert_eq!(request::decode(&bytes[..cut], &LIMITS), Ok(None), "{cut}");
     }
     let (request, used) = request::decode(&bytes, &LIMITS).unwrap().unwrap();
     assert_eq!((request.body, used), (&b"\0body\r\n"[..], bytes.len()));
-    // What it takes is known with the last byte of the headers.
+    // The size is known as soon as the headers are complete.
     assert_eq!(
         request::encoded_len(&bytes[..bytes.len() - 8], &LIMITS),
         Ok(None)
@@ -57,17 +57,17 @@
 
 #[test]
 #[allow(clippy::too_many_lines, reason = "a table of cases")]
-fn malformed_requests_are_refused_as_soon_as_it_shows() {
-    let malformed = |bytes: Vec<u8>, why| {
+fn rejects_malformed_requests() {
+    let malformed = |bytes: Vec<u8>, reason| {
         assert_eq!(
             request::decode(&bytes, &LIMITS),
-            Err(DecodeError::Malformed(why))
+            Err(DecodeError::Malformed(reason))
         );
     };
-    let large = |bytes: Vec<u8>, why| {
+    let large = |bytes: Vec<u8>, reason| {
         assert_eq!(
             request::decode(&bytes, &LIMITS),
-            Err(DecodeError::TooLarge(why))
+            Err(DecodeError::TooLarge(reason))
         );
     };
     malformed(b"GET / HTTP".to_vec(), "no netstring");
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn headers_that_would_be_misread_are_not_encoded() {
+fn encode_rejects_invalid_and_duplicate_headers() {
     for headers in [
         &[("A", &b"x\0y"[..])][..],
         &[("", b"x")],
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_response_is_decoded_from_any_split() {
+fn decodes_response_only_when_complete() {
     let mut bytes = Vec::new();
     response::encode(
         &mut bytes,
@@ -172,23 +172,23 @@
 
 #[test]
 #[allow(clippy::too_many_lines, reason = "a table of cases")]
-fn responses_of_any_application_end_in_one_true_outcome() {
-    let read = |text: &str, ended| {
+fn decodes_all_valid_forms_of_responses_and_rejects_others() {
+    let decode = |text: &str, ended| {
         response::decode(text.as_bytes(), ended, &LIMITS)
-            .map(|read| read.map(|(status, body)| (status, body.len())))
+            .map(|decoded| decoded.map(|(status, body)| (status, body.len())))
     };
-    // Without a length the end of the connection ends it, with LF as with CR LF.
-    assert_eq!(read("Status: 200\n\nab", false), Ok(None));
-    assert_eq!(read("Status: 200\n\nab", true), Ok(Some((200, 2))));
+    // Without a length the body ends with the connection. Lines end with LF or CR LF.
+    assert_eq!(decode("Status: 200\n\nab", false), Ok(None));
+    assert_eq!(decode("Status: 200\n\nab", true), Ok(Some((200, 2))));
     assert_eq!(
-        read("content-type: text/plain\r\n\r\n", true),
+        decode("content-type: text/plain\r\n\r\n", true),
         Ok(Some((200, 0)))
     );
     assert_eq!(
-        read("STATUS:404 gone\r\ncontent-length: 1\r\n\r\nx", false),
+        decode("STATUS:404 gone\r\ncontent-length: 1\r\n\r\nx", false),
         Ok(Some((404, 1)))
     );
-    for (text, why) in [
+    for (text, reason) in [
         ("\r\n", "neither a status nor a type"),
         ("X: y\r\n\r\n", "neither a status nor a type"),
         ("HTTP/1.1 200 OK\r\n\r\n", "a field without a colon"),
@@ -211,25 +211,25 @@
         (": x\r\n\r\n", "a field without a proper name"),
     ] {
         assert_eq!(
-            read(text, true),
-            Err(DecodeError::Malformed(why)),
+            decode(text, true),
+            Err(DecodeError::Malformed(reason)),
             "{text:?}"
         );
     }
     assert_eq!(
-        read(&"A".repeat(401), false),
+        decode(&"A".repeat(401), false),
         Err(DecodeError::TooLarge("headers without end"))
     );
     assert_eq!(
-        read(&"A: b\r\n".repeat(14), false),
+        decode(&"A: b\r\n".repeat(14), false),
         Err(DecodeError::TooLarge("too many headers"))
     );
     assert_eq!(
-        read("Status: 200\r\nContent-Length: 201\r\n\r\n", false),
+        decode("Status: 200\r\nContent-Length: 201\r\n\r\n", false),
         Err(DecodeError::TooLarge("body too long"))
     );
     assert_eq!(
-        read(&format!("Status: 200\r\n\r\n{}", "x".repeat(201)), false),
+        decode(&format!("Status: 200\r\n\r\n{}", "x".repeat(201)), false),
         Err(DecodeError::TooLarge("body too long"))
     );
 }
@@ -248,7 +248,7 @@
         let mut bytes = Vec::new();
         request::encode(&mut bytes, &headers, &body).unwrap();
         prop_assert_eq!(request::decode(&bytes[..cut.index(bytes.len())], &LIMITS), Ok(None));
-        // What follows is not taken.
+        // Bytes after the request are ignored.
         bytes.extend_from_slice(b"more");
         let (request, used) = request::decode(&bytes, &LIMITS).unwrap().unwrap();
         prop_assert_eq!((request.body, used), (&body[..], bytes.len() - 4));
@@ -257,11 +257,11 @@
 
     #[test]
     fn corrupt_requests_neither_panic_nor_exceed_the_limits(
-        at in any::<prop::sample::Index>(), byte in any::<u8>(), cut in any::<prop::sample::Index>(),
+        position in any::<prop::sample::Index>(), byte in any::<u8>(), cut in any::<prop::sample::Index>(),
     ) {
         let mut bytes = sample();
-        let place = at.index(bytes.len());
-        bytes[place] = byte;
+        let index = position.index(bytes.len());
+        bytes[index] = byte;
         bytes.truncate(cut.index(bytes.len()) + 1);
         if let Ok(Some((request, used))) = request::decode(&bytes, &LIMITS) {
             prop_assert!(used <= bytes.len() && request.body.len() <= LIMITS.max_body_bytes);
@@ -270,7 +270,7 @@
     }
 
     #[test]
-    fn any_bytes_end_in_a_response_or_an_error(bytes in prop::collection::vec(prop::sample::select(b"Status: 20Content-Lgh\r\n\0".to_vec()), 0..120)) {
+    fn decoding_any_ended_bytes_gives_a_response_or_an_error(bytes in prop::collection::vec(prop::sample::select(b"Status: 20Content-Lgh\r\n\0".to_vec()), 0..120)) {
         prop_assert!(!matches!(response::decode(&bytes, true, &LIMITS), Ok(None)));
         if let Ok(Some((status, _))) = response::decode(&bytes, false, &LIMITS) {
             prop_assert!((100..600).contains(&status));
--- a/crates/coralstep-scgi/tests/golden.rs
+++ b/crates/coralstep-scgi/tests/golden.rs
@@ -1,5 +1,4 @@
-//! What both directions of the codec write, and how they read it, compared with golden files. `GOLDEN_WRITE=1` writes
-//! them anew.
+//! Compares encoded messages and decoding errors with golden files. `GOLDEN_WRITE=1` rewrites the files.
 use std::fmt::Display;
 use std::path::Path;
 
@@ -26,16 +25,16 @@
     );
 }
 
-fn fault(fault: DecodeError) -> String {
-    match fault {
-        DecodeError::Malformed(why) => format!("malformed, {why}"),
-        DecodeError::TooLarge(why) => format!("too large, {why}"),
+fn describe(error: DecodeError) -> String {
+    match error {
+        DecodeError::Malformed(reason) => format!("malformed, {reason}"),
+        DecodeError::TooLarge(reason) => format!("too large, {reason}"),
     }
 }
 
-/// Guards against a request of another form: its order of headers, its lengths, its ends.
+/// Guards against a changed encoding of requests: order of headers, lengths and terminators.
 #[test]
-fn requests_keep_their_bytes() {
+fn encoded_requests_match_golden_file() {
     let binary: Vec<u8> = (0..=255).collect();
     let cases: [(&[request::Header<'_>], &[u8]); 4] = [
         (&[], b""),
@@ -51,20 +50,20 @@
         let mut bytes = Vec::new();
         request::encode(&mut bytes, headers, body).unwrap();
         text += &format!("{}\n", bytes.escape_ascii());
-        let (read, used) = request::decode(&bytes, &Limits::default())
+        let (decoded, used) = request::decode(&bytes, &Limits::default())
             .unwrap()
             .unwrap();
         assert_eq!(
-            (&read.headers[2..], read.body, used),
+            (&decoded.headers[2..], decoded.body, used),
             (headers, body, bytes.len())
         );
     }
     compare("requests.txt", &text);
 }
 
-/// Guards against an answer of another form, for each status that has a reason and one that has none.
+/// Guards against a changed encoding of responses, for each status with a reason phrase and one without.
 #[test]
-fn answers_keep_their_bytes() {
+fn encoded_responses_match_golden_file() {
     let mut text = String::new();
     for status in [200, 400, 404, 405, 408, 413, 500, 503, 599] {
         let fields: [(&str, &dyn Display); 2] =
@@ -82,9 +81,9 @@
     compare("answers.txt", &text);
 }
 
-/// Guards against a changed reason: callers of SCGI are told it.
+/// Guards against changed error texts, which are sent to SCGI callers.
 #[test]
-fn reasons_why_bytes_are_no_message_keep_their_words() {
+fn decode_errors_match_golden_file() {
     let head = |headers: &str| format!("{}:{headers},", headers.len());
     let mut text = String::new();
     for bytes in [
@@ -103,8 +102,8 @@
         head("CONTENT_LENGTH\x000\0"),
         head("CONTENT_LENGTH\x0021\0SCGI\x001\0"),
     ] {
-        let why = fault(request::decode(bytes.as_bytes(), &LIMITS).unwrap_err());
-        text += &format!("request {}: {why}\n", bytes.escape_default());
+        let error = describe(request::decode(bytes.as_bytes(), &LIMITS).unwrap_err());
+        text += &format!("request {}: {error}\n", bytes.escape_default());
     }
     for bytes in [
         "\r\n",
@@ -122,8 +121,8 @@
         "",
         &"A".repeat(401),
     ] {
-        let why = fault(response::decode(bytes.as_bytes(), true, &LIMITS).unwrap_err());
-        text += &format!("answer {}: {why}\n", bytes.escape_default());
+        let error = describe(response::decode(bytes.as_bytes(), true, &LIMITS).unwrap_err());
+        text += &format!("answer {}: {error}\n", bytes.escape_default());
     }
     compare("faults.txt", &text);
 }
