--- a/crates/coralstep-balancer/src/lib.rs
+++ b/crates/coralstep-balancer/src/lib.rs
@@ -271,13 +271,13 @@
                 app.ready_index = Some(self.ready.len());
                 self.ready.push(slot);
             }
-            (false, Some(at)) => {
+            (false, Some(index)) => {
                 app.ready_index = None;
-                self.ready.swap_remove(at);
-                if let Some(moved) = self.ready.get(at)
+                self.ready.swap_remove(index);
+                if let Some(moved) = self.ready.get(index)
                     && let Some(moved) = self.applications[*moved as usize].as_mut()
                 {
-                    moved.ready_index = Some(at);
+                    moved.ready_index = Some(index);
                 }
             }
             _ => {}
@@ -338,7 +338,7 @@
     /// ones. The application in slot `avoid` is selected only if there is no other.
     ///
     /// # Errors
-    /// The time after which an application may be available, if none is now.
+    /// Returns the time after which an application may be available, if none is now.
     pub fn start_attempt(&mut self, now: Time, avoid: Option<u32>) -> Result<Attempt, Span> {
         let slot = match self.next_probe(now) {
             Some(slot) => slot,
@@ -384,8 +384,8 @@
     fn random_warm(&mut self, now: Time, avoid: Option<u32>) -> Option<u32> {
         let count = self.ready.len();
         for _ in 0..MAX_WARM_DRAWS {
-            let at = self.random_index(count)?;
-            let slot = self.ready[at];
+            let index = self.random_index(count)?;
+            let slot = self.ready[index];
             if Some(slot) != avoid && !self.is_cold(now, slot) {
                 return Some(slot);
             }
@@ -400,14 +400,14 @@
     /// that while idle; the others go to the less loaded of two random warm applications.
     fn select(&mut self, now: Time, avoid: Option<u32>) -> Option<u32> {
         let count = self.ready.len();
-        let at = self.random_index(count)?;
-        let first = self.ready[at];
+        let index = self.random_index(count)?;
+        let first = self.ready[index];
         if Some(first) != avoid && self.is_cold(now, first) && self.admits_cold(now, first) {
             return Some(first);
         }
         let warm = match self.random_warm(now, avoid) {
             Some(warm) => warm,
-            // With no other warm application, cold ones are preferred to `avoid`.
+            // Without another warm application, a cold one is preferred to `avoid`.
             None => return self.select_cold(now, avoid),
         };
         let second = self
@@ -618,8 +618,8 @@
         (0..self.applications.len() as u32).for_each(|slot| self.reindex(slot));
     }
 
-    /// Sets the number of sending processes; the configured number is the minimum. Guards against a network partition that
-    /// counts only itself, and against a slow start sized for one process after a reload.
+    /// Sets the number of sending processes; the configured number is the minimum. Guards against a partition of the fleet
+    /// that counts only its own members, and against a slow start sized for one process after a reload.
     pub fn set_process_count(&mut self, count: u32) {
         self.counted_processes = count;
         self.config.slow_start.processes = self.configured_processes.max(count).max(1);
@@ -662,12 +662,12 @@
     /// Returns the status of each application.
     pub fn status(&self, now: Time) -> Vec<ApplicationStatus<K>> {
         let recent = |app: &Application<K>| {
-            let ends = app
+            let in_window = app
                 .recent
                 .iter()
                 .filter(|(at, _)| *at + RECENT_WINDOW >= now);
-            ends.fold((0, 0), |sum, (_, failed)| {
-                (sum.0 + 1, sum.1 + u32::from(*failed))
+            in_window.fold((0, 0), |counts, (_, failed)| {
+                (counts.0 + 1, counts.1 + u32::from(*failed))
             })
         };
         let status = |app: &Application<K>| ApplicationStatus {
--- a/crates/coralstep-balancer/tests/slow_start.rs
+++ b/crates/coralstep-balancer/tests/slow_start.rs
@@ -31,7 +31,7 @@
     (since as f64 / (10 * SECOND) as f64).clamp(0.1, 1.0)
 }
 
-/// Actual and expected id of attempts at the returned application, by window.
+/// Actual and expected number of attempts at the returned application, by window.
 struct WindowCounts {
     actual: Vec<f64>,
     expected: Vec<f64>,
@@ -55,13 +55,13 @@
     }
 }
 
-/// Makes `rate_per_process` attempts per second in each pool for ten seconds from the return of an application at `from`. Each
-/// attempt ends after [`LATENCY`]. `budget` gives the attempts expected at the returned application per attempt made.
+/// Makes `rate_per_process` attempts per second in each pool for ten seconds from the return of an application at `returned_at`. Each
+/// attempt ends after [`LATENCY`]. `expected_per_attempt` gives the attempts expected at the returned application per attempt made.
 fn simulate(
     pools: &mut [Pool<&'static str>],
     rate_per_process: f64,
-    from: u64,
-    budget: impl Fn(u64) -> f64,
+    returned_at: u64,
+    expected_per_attempt: impl Fn(u64) -> f64,
     seed: u64,
 ) -> WindowCounts {
     let mut rng = WyRand::new_seed(seed);
@@ -86,11 +86,15 @@
         {
             ends.pop();
             let (process, attempt) = attempts.remove(&ended).unwrap();
-            pools[process].finish_attempt(Time(from + end), attempt, AttemptOutcome::Answered);
+            pools[process].finish_attempt(
+                Time(returned_at + end),
+                attempt,
+                AttemptOutcome::Answered,
+            );
         }
         let window = (at / WINDOW) as usize;
-        counts.expected[window] += budget(at);
-        let Ok(attempt) = pools[process].start_attempt(Time(from + at), None) else {
+        counts.expected[window] += expected_per_attempt(at);
+        let Ok(attempt) = pools[process].start_attempt(Time(returned_at + at), None) else {
             continue;
         };
         counts.actual[window] += f64::from(u8::from(*pools[process].key(&attempt) == "returned"));
@@ -103,14 +107,14 @@
 
 /// Returns pools that have served for an hour when the last application returns, and the time of its return.
 fn warm_pools(count: usize, config: PoolConfig, seed: u64) -> (Vec<Pool<&'static str>>, u64) {
-    let from = 1_000_000 + 3_600 * SECOND;
+    let returned_at = 1_000_000 + 3_600 * SECOND;
     let pool = |index: usize| {
         let mut pool = Pool::new(config, seed * 1_000 + index as u64);
         pool.set_applications(Time(1_000_000), &KEYS[..3]);
-        pool.set_applications(Time(from), &KEYS);
+        pool.set_applications(Time(returned_at), &KEYS);
         pool
     };
-    ((0..count).map(pool).collect(), from)
+    ((0..count).map(pool).collect(), returned_at)
 }
 
 #[test]
@@ -118,12 +122,12 @@
     for processes in [1, 5, 20, 30] {
         for total_rate in [60.0, 600.0] {
             for seed in 1..=3 {
-                let (mut pools, from) = warm_pools(processes, config(0.0, 1), seed);
+                let (mut pools, returned_at) = warm_pools(processes, config(0.0, 1), seed);
                 let rate_per_process = total_rate / processes as f64;
                 let counts = simulate(
                     &mut pools,
                     rate_per_process,
-                    from,
+                    returned_at,
                     |at| expected_fraction(at) / KEYS.len() as f64,
                     seed,
                 );
@@ -146,11 +150,11 @@
 
 #[test]
 fn slower_cold_application_still_gets_its_fraction() {
-    let (mut pools, from) = warm_pools(1, config(0.0, 1), 5);
+    let (mut pools, returned_at) = warm_pools(1, config(0.0, 1), 5);
     let mut actual = 0;
     // No attempt is in flight when the next one starts.
     for at in 0..2_000 {
-        let now = Time(from + 5 * SECOND + at * 10);
+        let now = Time(returned_at + 5 * SECOND + at * 10);
         let attempt = pools[0].start_attempt(now, None).unwrap();
         let is_returned = *pools[0].key(&attempt) == "returned";
         actual += u32::from(is_returned);
@@ -177,7 +181,7 @@
                 } else {
                     config(8.0, processes as u32)
                 };
-                let (mut pools, from) = warm_pools(processes, first, seed);
+                let (mut pools, returned_at) = warm_pools(processes, first, seed);
                 for pool in pools.iter_mut().filter(|_| reloaded) {
                     pool.set_process_count(processes as u32);
                     pool.set_config(config(8.0, 1));
@@ -185,7 +189,7 @@
                 let counts = simulate(
                     &mut pools,
                     total_rate / processes as f64,
-                    from,
+                    returned_at,
                     |_| 0.0,
                     seed,
                 );
@@ -210,22 +214,24 @@
 #[test]
 fn probes_of_many_processes_keep_to_the_initial_rate() {
     for processes in [1, 5, 20, 30] {
-        let (mut pools, from) = warm_pools(processes, config(3.0, processes as u32), 7);
+        let (mut pools, returned_at) = warm_pools(processes, config(3.0, processes as u32), 7);
         // All attempts at the application fail in each process; then it works again, and is cold.
         for pool in &mut pools {
             let mut failed = 0;
             while failed < 20 {
-                let attempt = pool.start_attempt(Time(from + 11 * SECOND), None).unwrap();
+                let attempt = pool
+                    .start_attempt(Time(returned_at + 11 * SECOND), None)
+                    .unwrap();
                 let outcome = if *pool.key(&attempt) == "returned" {
                     AttemptOutcome::Interrupted
                 } else {
                     AttemptOutcome::Answered
                 };
                 failed += u32::from(outcome == AttemptOutcome::Interrupted);
-                pool.finish_attempt(Time(from + 11 * SECOND), attempt, outcome);
+                pool.finish_attempt(Time(returned_at + 11 * SECOND), attempt, outcome);
             }
         }
-        let counts = simulate(&mut pools, 20.0, from + 11 * SECOND, |_| 0.0, 7);
+        let counts = simulate(&mut pools, 20.0, returned_at + 11 * SECOND, |_| 0.0, 7);
         // The breakers close one by one, so it gets no more than if all closed at once.
         let allowed = |window: usize| {
             (0..20)
@@ -247,11 +253,11 @@
 
 #[test]
 fn idle_processes_do_not_accumulate_credit_for_a_burst() {
-    let (mut pools, from) = warm_pools(30, config(8.0, 30), 11);
+    let (mut pools, returned_at) = warm_pools(30, config(8.0, 30), 11);
     let mut actual = 0;
     for at in 0..10 {
         for pool in &mut pools {
-            let now = Time(from + 5 * SECOND + at * 50);
+            let now = Time(returned_at + 5 * SECOND + at * 50);
             let Ok(attempt) = pool.start_attempt(now, None) else {
                 continue;
             };
