--- a/crates/coralstep-server/src/decisions/admission.rs
+++ b/crates/coralstep-server/src/decisions/admission.rs
@@ -1,5 +1,4 @@
-//! An RPC's way through the decisions: it is submitted, its progress is reported, its decisions are
-//! waited for.
+//! Submits RPCs to the scheduler, reports their progress and waits for decisions on them.
 use std::future::poll_fn;
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,16 +7,17 @@
 
 use crate::base::clock;
 use crate::decisions::handle::SchedulerHandle;
-use crate::decisions::idempotency_keys::{Fingerprint, IdempotencyKey, Lookup};
+use crate::decisions::idempotency_keys::{IdempotencyKey, Lookup, PayloadFingerprint};
 use crate::decisions::request::{
     AdmissionError, CallOutcome, Decision, Progress, RpcRequest, RunOutcome,
 };
-use crate::decisions::request_table::RequestEntry;
+use crate::decisions::rpc_table::RpcEntry;
 
-/// For so long an attempt may lie unread: what ran and is no longer kept is remembered for as long.
-pub const MAX_UNREAD_SPAN: Span = Span::ms(60_000);
+/// Maximum read delay of an attempt. A key that ran is remembered for this long after its release,
+/// so that an attempt that arrived within the retry window and is read later does not run again.
+pub const MAX_READ_DELAY: Span = Span::ms(60_000);
 
-/// An RPC's place with the scheduler; given back when dropped.
+/// The entry of an RPC in the scheduler's table; abandoned when dropped.
 pub struct RequestTicket {
     scheduler: Rc<SchedulerHandle>,
     pub(super) id: RpcId,
@@ -26,16 +26,17 @@
 impl Drop for RequestTicket {
     fn drop(&mut self) {
         let mut inner = self.scheduler.inner.borrow_mut();
-        inner.actions.requests.abandon(self.id);
+        inner.actions.rpcs.abandon(self.id);
     }
 }
 
 impl SchedulerHandle {
-    /// Takes an RPC in and waits for the first decision on it.
+    /// Submits an RPC and waits for the first decision on it.
     ///
     /// # Errors
     ///
-    /// The table of requests is full, or the RPC must not run for its idempotency key.
+    /// Returns an error if the RPC table is full, or if the RPC must not run because of its
+    /// idempotency key.
     pub async fn submit(
         self: &Rc<Self>,
         request: RpcRequest,
@@ -50,9 +51,9 @@
         mut request: RpcRequest,
     ) -> Result<RequestTicket, AdmissionError> {
         self.start(None, Duration::ZERO);
-        let (id, repeats) = self.insert(&mut request)?;
-        let scheduler_request = self.scheduler_request(&request, id, repeats);
-        self.update_fence();
+        let (id, repeat_of) = self.insert(&mut request)?;
+        let scheduler_request = self.scheduler_request(&request, id, repeat_of);
+        self.update_exclusion();
         self.submitted.set(self.submitted.get() + 1);
         self.drive(|scheduler, now, actions| {
             scheduler.handle_request(now, scheduler_request, actions);
@@ -63,39 +64,39 @@
         })
     }
 
-    /// Its id, and that of the RPC that it repeats.
+    /// Adds an RPC to the table. Returns its id and the id of the RPC that it repeats, if any.
     fn insert(&self, request: &mut RpcRequest) -> Result<(RpcId, Option<RpcId>), AdmissionError> {
         let actions = &mut self.inner.borrow_mut().actions;
         let key = request.idempotency_key.take().map(|key| IdempotencyKey {
             method: request.method,
             key,
         });
-        let fingerprint = Fingerprint {
+        let fingerprint = PayloadFingerprint {
             body_digest: request.body_digest,
             tenant: request.tenant,
         };
         let arrived = self.clock.now() - request.age;
         let lookup = key.as_ref().map_or(Lookup::Unknown, |key| {
-            actions.idempotency_keys.find(key, fingerprint, arrived)
+            actions.idempotency_keys.lookup(key, fingerprint, arrived)
         });
-        let repeats = match lookup {
+        let repeat_of = match lookup {
             Lookup::Unknown => None,
             Lookup::RepeatOf(repeated) => Some(repeated),
             Lookup::Conflict => return Err(AdmissionError::KeyConflict),
         };
-        let entry = RequestEntry::new(key, fingerprint, repeats);
-        let id = actions.requests.insert(entry)?;
-        Ok((id, repeats))
+        let entry = RpcEntry::new(key, fingerprint, repeat_of);
+        let id = actions.rpcs.insert(entry)?;
+        Ok((id, repeat_of))
     }
 
     fn scheduler_request(
         &self,
         request: &RpcRequest,
         id: RpcId,
-        repeats: Option<RpcId>,
+        repeat_of: Option<RpcId>,
     ) -> Request {
-        // A stated timeout makes an RPC due sooner, never later: nobody may have kept what its
-        // method promises.
+        // A client's timeout can only shorten the method's deadline, because state about the RPC may
+        // be discarded after that deadline.
         let deadline = request.timeout.map(|timeout| {
             let timeout = timeout.min(self.method(request.method).deadline);
             self.clock.now() - request.age + timeout
@@ -109,7 +110,7 @@
             is_retry: request.retry,
             age: request.age,
             untrusted_age: request.age_unverified,
-            earlier_attempt: repeats.map_or(EarlierAttempt::None, EarlierAttempt::Known),
+            earlier_attempt: repeat_of.map_or(EarlierAttempt::None, EarlierAttempt::Known),
         }
     }
 
@@ -128,21 +129,21 @@
         self.succeeded.set(self.succeeded.get() + succeeded);
         self.drive(|scheduler, now, actions| {
             if let RunOutcome::NeverStarted { retry_after } = outcome
-                && let Some(entry) = actions.requests.get_mut(id)
+                && let Some(entry) = actions.rpcs.get_mut(id)
             {
                 entry.retry_after = clock::span(*retry_after);
                 if let Some(key) = &entry.idempotency_key {
                     actions.idempotency_keys.mark_never_started(key, id);
                 }
             }
-            actions.requests.record_result(id, outcome);
+            actions.rpcs.record_result(id, outcome);
             scheduler.handle_completion(now, id, outcome.as_scheduler_outcome(), actions);
         });
     }
 }
 
 impl RequestTicket {
-    /// Reports what has happened to the RPC; the scheduler acts on it at once.
+    /// Reports progress of the RPC to the scheduler, which acts on it at once.
     pub fn report(&self, progress: Progress) {
         let (scheduler, id) = (&self.scheduler, self.id);
         match progress {
@@ -155,7 +156,7 @@
                 scheduler.report_call(id, outcome, elapsed);
             }
             Progress::RunEnded(outcome) => scheduler.report_run(id, &outcome),
-            Progress::CallerGone => {
+            Progress::CallerDisconnected => {
                 scheduler.drive(|scheduler, now, actions| {
                     scheduler.handle_cancellation(now, id, actions);
                 });
@@ -163,11 +164,12 @@
         }
     }
 
-    /// The next decision on the RPC, each once; [`Decision::Finished`] from its end on.
+    /// Waits for the next decision on the RPC. Returns each decision once, except
+    /// [`Decision::Finished`], which is returned from then on.
     pub async fn next_decision(&self) -> Decision {
         poll_fn(|cx| {
             let mut inner = self.scheduler.inner.borrow_mut();
-            inner.actions.requests.poll_decision(self.id, cx)
+            inner.actions.rpcs.poll_decision(self.id, cx)
         })
         .await
     }
--- a/crates/coralstep-server/src/operators/mod.rs
+++ b/crates/coralstep-server/src/operators/mod.rs
@@ -1,2 +1,2 @@
-//! Where operators ask.
+//! Operator interface: requests for status and commands.
 pub mod ops;
--- a/crates/coralstep-server/src/operators/ops.rs
+++ b/crates/coralstep-server/src/operators/ops.rs
@@ -1,5 +1,6 @@
-//! Where operators ask: a listener on loopback or a Unix socket, one line of JSON in, one out. Off without a site file that
-//! names it. It never takes part in serving: few connections, short lines, short times.
+//! The operators' listener, on a loopback address or a Unix socket: a client sends one line of JSON and receives one line
+//! of JSON. Enabled only by the site file. Connections, line lengths and times are kept small, so that operators' requests
+//! don't slow down RPCs.
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener};
 use std::os::unix::net::UnixListener;
@@ -21,114 +22,124 @@
 use crate::fleet::FleetService;
 use crate::note;
 
-/// Connections at once, bytes of a question, and how long one may take.
-const CONNECTIONS: usize = 8;
-const QUESTION_MOST: usize = 96 * 1024;
-const PATIENCE: Duration = Duration::from_millis(1_500);
-/// Between two tries to accept where none could be.
-const AGAIN: Duration = Duration::from_millis(100);
+/// Maximum number of concurrent connections.
+const MAX_CONNECTIONS: usize = 8;
+/// Maximum length of a request in bytes.
+const MAX_REQUEST_BYTES: usize = 96 * 1024;
+/// Maximum duration of one request.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Pause after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
+/// A request from an operator.
 #[derive(Debug, Serialize, Deserialize)]
-#[serde(tag = "ask", rename_all = "snake_case", deny_unknown_fields)]
-pub enum Question {
-    /// The level, why, since when, and what would change it.
+#[serde(
+    tag = "ask",
+    rename_all = "snake_case",
+    deny_unknown_fields,
+    expecting = "internally tagged enum Question"
+)]
+pub enum OperatorRequest {
+    /// Returns the degradation level, its causes and the state of all conditions.
     Levels,
-    /// The last changes of level.
+    /// Returns the latest level changes.
     History,
-    /// Holds a level by hand.
-    Hold {
-        level: String,
-        ms: u64,
-    },
-    /// Ends a hold.
+    /// Holds a level for `ms` milliseconds, regardless of its conditions.
+    Hold { level: String, ms: u64 },
+    /// Ends a hold of a level.
     Release,
-    /// Who is there.
+    /// Returns the members of the fleet.
     FleetMembers,
+    /// Returns the stored configuration versions.
     FleetVersions,
-    /// Who acted on what: of one version or server, or at a time (Unix ms), where these are given.
+    /// Returns which server had which version active, filtered by version, server or time (Unix milliseconds).
     FleetAudit {
         version: Option<String>,
         server: Option<String>,
         at_ms: Option<u64>,
     },
-    /// A new version: sections of the site file.
+    /// Publishes a new version, whose content is sections of the site file.
     FleetPublish {
         content: Value,
         must: bool,
         waves: Vec<f32>,
         pause_ms: u64,
     },
-    FleetShutOut {
-        server: String,
-    },
-    FleetLetIn {
-        server: String,
-    },
-    /// Shares of the limits, by server.
+    /// Excludes a server.
+    FleetShutOut { server: String },
+    /// Readmits a server.
+    FleetLetIn { server: String },
+    /// Returns the shares of fleet-wide limits, by server.
     FleetLimits,
-    /// What each server says of its dependencies.
+    /// Returns the health reports of all servers for their dependencies.
     FleetVerdicts,
-    /// For tests: the wall clock that the server goes by is so far off from now on.
-    FleetClock {
-        offset_ms: i64,
-    },
+    /// Shifts the server's wall clock from the system clock, for tests.
+    FleetClock { offset_ms: i64 },
 }
 
-enum Listener {
+enum ListenerSocket {
     Tcp(Async<TcpListener>),
     Unix(Async<UnixListener>, PathBuf),
 }
 
-pub struct Operator {
-    listener: Listener,
-    open: Rc<Cell<usize>>,
+/// Serves requests from operators.
+pub struct OperatorListener {
+    socket: ListenerSocket,
+    open_connections: Rc<Cell<usize>>,
 }
 
-impl Drop for Operator {
+impl Drop for OperatorListener {
     fn drop(&mut self) {
-        if let Listener::Unix(_, path) = &self.listener {
+        if let ListenerSocket::Unix(_, path) = &self.socket {
             let _ = std::fs::remove_file(path);
         }
     }
 }
 
-/// Whether `path` is a socket that nobody listens at any more: left behind by a server that was killed.
-fn left_behind(path: &PathBuf) -> bool {
+/// Returns whether `path` is a stale socket without a listener, left by a server that was killed.
+fn is_stale_socket(path: &PathBuf) -> bool {
     use std::os::unix::fs::FileTypeExt;
-    let socket = std::fs::symlink_metadata(path).is_ok_and(|meta| meta.file_type().is_socket());
-    socket && std::os::unix::net::UnixStream::connect(path).is_err()
+    let is_socket =
+        std::fs::symlink_metadata(path).is_ok_and(|metadata| metadata.file_type().is_socket());
+    is_socket && std::os::unix::net::UnixStream::connect(path).is_err()
 }
 
-impl Operator {
-    pub fn bind(at: &ListenAddress) -> Result<Operator, String> {
-        let listener = match at {
+impl OperatorListener {
+    /// Binds the configured address or Unix socket, replacing a stale socket file.
+    ///
+    /// # Errors
+    /// Fails if the address or path can't be bound.
+    pub fn bind(endpoint: &ListenAddress) -> Result<OperatorListener, String> {
+        let socket = match endpoint {
             ListenAddress::Address(address) => bind(*address)?,
             ListenAddress::Path(path) => {
-                if left_behind(path) {
+                if is_stale_socket(path) {
                     let _ = std::fs::remove_file(path);
                 }
                 let bound = UnixListener::bind(path).and_then(Async::new);
-                let listener =
-                    bound.map_err(|why| format!("operator.listen: {}: {why}", path.display()))?;
-                Listener::Unix(listener, path.clone())
+                let listener = bound
+                    .map_err(|error| format!("operator.listen: {}: {error}", path.display()))?;
+                ListenerSocket::Unix(listener, path.clone())
             }
         };
-        Ok(Operator {
-            listener,
-            open: Rc::default(),
+        Ok(OperatorListener {
+            socket,
+            open_connections: Rc::default(),
         })
     }
 
+    /// Returns the bound address or path.
     pub fn address(&self) -> String {
-        match &self.listener {
-            Listener::Tcp(listener) => listener
+        match &self.socket {
+            ListenerSocket::Tcp(listener) => listener
                 .get_ref()
                 .local_addr()
-                .map_or_else(|why| why.to_string(), |at| at.to_string()),
-            Listener::Unix(_, path) => path.display().to_string(),
+                .map_or_else(|error| error.to_string(), |address| address.to_string()),
+            ListenerSocket::Unix(_, path) => path.display().to_string(),
         }
     }
 
+    /// Accepts connections and serves their requests; never returns.
     pub async fn listen(
         &self,
         executor: &Rc<LocalExecutor<'static>>,
@@ -136,105 +147,111 @@
         fleet: Option<Rc<FleetService>>,
     ) {
         loop {
-            let accepted: std::io::Result<Box<dyn Talk>> = match &self.listener {
-                Listener::Tcp(listener) => listener
+            let accepted: std::io::Result<Box<dyn OperatorStream>> = match &self.socket {
+                ListenerSocket::Tcp(listener) => listener
                     .accept()
                     .await
-                    .map(|(stream, _)| Box::new(stream) as Box<dyn Talk>),
-                Listener::Unix(listener, _) => listener
+                    .map(|(stream, _)| Box::new(stream) as Box<dyn OperatorStream>),
+                ListenerSocket::Unix(listener, _) => listener
                     .accept()
                     .await
-                    .map(|(stream, _)| Box::new(stream) as Box<dyn Talk>),
+                    .map(|(stream, _)| Box::new(stream) as Box<dyn OperatorStream>),
             };
             match accepted {
-                Ok(_) if self.open.get() >= CONNECTIONS => {}
+                Ok(_) if self.open_connections.get() >= MAX_CONNECTIONS => {}
                 Ok(stream) => {
-                    let (open, scheduler, fleet) =
-                        (self.open.clone(), scheduler.clone(), fleet.clone());
-                    open.set(open.get() + 1);
+                    let (open_connections, scheduler, fleet) = (
+                        self.open_connections.clone(),
+                        scheduler.clone(),
+                        fleet.clone(),
+                    );
+                    open_connections.set(open_connections.get() + 1);
                     executor
                         .spawn(async move {
-                            let late = async {
-                                Timer::after(PATIENCE).await;
+                            let expired = async {
+                                Timer::after(REQUEST_TIMEOUT).await;
                                 Ok(())
                             };
-                            if let Err(why) =
-                                answer(stream, &scheduler, fleet.as_deref()).or(late).await
+                            if let Err(error) = serve_request(stream, &scheduler, fleet.as_deref())
+                                .or(expired)
+                                .await
                             {
-                                note!(client: "operator's connection ended: {why}");
+                                note!(client: "operator connection failed: {error}");
                             }
-                            open.set(open.get() - 1);
+                            open_connections.set(open_connections.get() - 1);
                         })
                         .detach();
                 }
-                Err(why) => {
-                    note!("operator's listener: {why}");
-                    Timer::after(AGAIN).await;
+                Err(error) => {
+                    note!("operator listener: accept failed: {error}");
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 }
 
-fn bind(address: SocketAddr) -> Result<Listener, String> {
+fn bind(address: SocketAddr) -> Result<ListenerSocket, String> {
     let bound = TcpListener::bind(address).and_then(Async::new);
     bound
-        .map(Listener::Tcp)
-        .map_err(|why| format!("operator.listen: {address}: {why}"))
+        .map(ListenerSocket::Tcp)
+        .map_err(|error| format!("operator.listen: {address}: {error}"))
 }
 
-trait Talk: AsyncRead + AsyncWrite + Unpin {}
-impl<T: AsyncRead + AsyncWrite + Unpin> Talk for T {}
+trait OperatorStream: AsyncRead + AsyncWrite + Unpin {}
+impl<T: AsyncRead + AsyncWrite + Unpin> OperatorStream for T {}
 
-async fn answer(
-    mut stream: Box<dyn Talk>,
+/// Reads one request line, writes one response line and closes the stream.
+async fn serve_request(
+    mut stream: Box<dyn OperatorStream>,
     scheduler: &SchedulerHandle,
     fleet: Option<&FleetService>,
 ) -> std::io::Result<()> {
     let mut bytes = Vec::new();
     while !bytes.contains(&b'\n') {
-        let mut more = [0; 512];
-        match stream.read(&mut more).await? {
+        let mut chunk = [0; 512];
+        match stream.read(&mut chunk).await? {
             0 => return Ok(()),
-            count => bytes.extend_from_slice(&more[..count]),
+            count => bytes.extend_from_slice(&chunk[..count]),
         }
-        if bytes.len() > QUESTION_MOST {
-            return Err(std::io::Error::other("a question without end"));
+        if bytes.len() > MAX_REQUEST_BYTES {
+            return Err(std::io::Error::other("request too long"));
         }
     }
     let line = bytes
         .split(|byte| *byte == b'\n')
         .next()
         .unwrap_or_default();
-    let said = match serde_json::from_slice(line) {
-        Ok(question) => match said_of_fleet(&question, fleet) {
-            Some(said) => said,
-            None => said(question, scheduler),
+    let response = match serde_json::from_slice(line) {
+        Ok(request) => match handle_fleet_request(&request, fleet) {
+            Some(response) => response,
+            None => handle_level_request(request, scheduler),
         },
-        Err(why) => json!({ "error": why.to_string() }),
+        Err(error) => json!({ "error": error.to_string() }),
     };
-    stream.write_all(format!("{said}\n").as_bytes()).await?;
+    stream.write_all(format!("{response}\n").as_bytes()).await?;
     stream.close().await
 }
 
-/// What is said to a question about the fleet; none where it is about something else.
-fn said_of_fleet(question: &Question, fleet: Option<&FleetService>) -> Option<Value> {
-    use Question::*;
-    if matches!(question, Levels | History | Hold { .. } | Release) {
+/// Returns the response to a request about the fleet; `None` if the request is about degradation levels.
+fn handle_fleet_request(request: &OperatorRequest, fleet: Option<&FleetService>) -> Option<Value> {
+    use OperatorRequest::*;
+    if matches!(request, Levels | History | Hold { .. } | Release) {
         return None;
     }
     let Some(fleet) = fleet else {
         return Some(json!({"error": "this server has no fleet: its site file names none"}));
     };
-    let done = |done: Result<Value, String>| done.unwrap_or_else(|why| json!({ "error": why }));
-    Some(match question {
+    let respond =
+        |result: Result<Value, String>| result.unwrap_or_else(|error| json!({ "error": error }));
+    Some(match request {
         FleetMembers => fleet.members(),
         FleetVersions => fleet.versions(),
         FleetAudit {
             version,
             server,
             at_ms,
-        } => done((|| {
+        } => respond((|| {
             let version = version
                 .as_ref()
                 .map(|version| version.parse())
@@ -251,7 +268,7 @@
             must,
             waves,
             pause_ms,
-        } => done(
+        } => respond(
             fleet
                 .publish(Publication {
                     content: content.to_string(),
@@ -262,7 +279,7 @@
                 .map(|id| json!({ "published": id.to_string() }))
                 .map_err(|error| error.to_string()),
         ),
-        FleetShutOut { server } => done(
+        FleetShutOut { server } => respond(
             fleet
                 .set_excluded(server, true)
                 .map(|()| json!({ "shut_out": server }))
@@ -270,13 +287,13 @@
         ),
         FleetLimits => fleet.limits(),
         FleetVerdicts => fleet.shared_health(),
-        FleetClock { offset_ms } => done(
+        FleetClock { offset_ms } => respond(
             fleet
-                .step_clock(*offset_ms)
+                .set_clock_offset(*offset_ms)
                 .map(|()| json!({ "offset_ms": offset_ms }))
                 .map_err(|error| error.to_string()),
         ),
-        FleetLetIn { server } => done(
+        FleetLetIn { server } => respond(
             fleet
                 .set_excluded(server, false)
                 .map(|()| json!({ "let_in": server }))
@@ -286,19 +303,19 @@
     })
 }
 
-fn said(question: Question, scheduler: &SchedulerHandle) -> Value {
+fn handle_level_request(request: OperatorRequest, scheduler: &SchedulerHandle) -> Value {
     let levels = scheduler.degradation();
     let Some(levels) = levels else {
         return json!({"error": "this server has no levels: its site file names none"});
     };
-    match question {
-        Question::Levels => json!({ "levels": levels.view() }),
-        Question::History => json!({ "history": levels.history() }),
-        Question::Hold { level, ms } => match levels.hold(&level, ms) {
+    match request {
+        OperatorRequest::Levels => json!({ "levels": levels.status() }),
+        OperatorRequest::History => json!({ "history": levels.history() }),
+        OperatorRequest::Hold { level, ms } => match levels.set_override(&level, ms) {
             Ok(()) => json!({"held": level, "ms": ms}),
             Err(error) => json!({ "error": error.to_string() }),
         },
-        Question::Release => json!({ "released": levels.release() }),
-        _ => json!({"error": "this is no question about levels"}),
+        OperatorRequest::Release => json!({ "released": levels.clear_override() }),
+        _ => json!({"error": "not a request about levels"}),
     }
 }
