--- a/crates/coralstep-server/src/cli/fleet.rs
+++ b/crates/coralstep-server/src/cli/fleet.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::PathBuf;
 
-use coralstep_config::site::Listen;
+use coralstep_config::site::ListenAddress;
 use coralstep_server::operators::ops::OperatorRequest;
 use lexopt::Arg::{Long, Short, Value};
 use lexopt::ValueExt;
@@ -46,7 +46,7 @@
 pub(crate) struct Request {
     body: OperatorRequest,
     /// Address of the server's operator listener.
-    address: Listen,
+    address: ListenAddress,
     json: bool,
 }
 
@@ -57,7 +57,7 @@
     /// Cumulative fractions of the fleet, from 0 to 1; empty to roll out to all servers at once.
     stages: Vec<f32>,
     stage_pause_ms: u64,
-    address: Listen,
+    address: ListenAddress,
     json: bool,
 }
 
@@ -72,7 +72,10 @@
         source: serde_json::Error,
     },
     #[error("{address}: {source}")]
-    Connection { address: Listen, source: io::Error },
+    Connection {
+        address: ListenAddress,
+        source: io::Error,
+    },
     /// The server returned this error.
     #[error("{0}")]
     Server(String),
@@ -81,7 +84,7 @@
 /// Command-line options and positional arguments.
 struct Options {
     positionals: Vec<OsString>,
-    address: Option<Listen>,
+    address: Option<ListenAddress>,
     json: bool,
     mandatory: bool,
     stages: Vec<f32>,
@@ -177,12 +180,12 @@
     }
 }
 
-fn parse_address(text: &str) -> Result<Listen, lexopt::Error> {
+fn parse_address(text: &str) -> Result<ListenAddress, lexopt::Error> {
     text.parse()
         .map_err(|error| lexopt::Error::from(format!("--at: {error}")))
 }
 
-fn required_address(address: Option<Listen>) -> Result<Listen, lexopt::Error> {
+fn required_address(address: Option<ListenAddress>) -> Result<ListenAddress, lexopt::Error> {
     address.ok_or_else(|| lexopt::Error::from("--at: missing"))
 }
 
--- a/crates/coralstep-server/src/cli/levels.rs
+++ b/crates/coralstep-server/src/cli/levels.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use coralstep_config::site::{Listen, SiteConfig};
+use coralstep_config::site::{ListenAddress, SiteConfig};
 use coralstep_degradation::{DegradationConfig, replay};
 use coralstep_server::operators::ops::OperatorRequest;
 use lexopt::Arg::{Long, Short, Value};
@@ -35,7 +35,7 @@
     Help,
     Send {
         request: OperatorRequest,
-        address: Listen,
+        address: ListenAddress,
         json: bool,
     },
     Replay {
@@ -57,7 +57,7 @@
                     parser
                         .value()?
                         .string()?
-                        .parse::<Listen>()
+                        .parse::<ListenAddress>()
                         .map_err(|error| format!("--at: {error}"))?,
                 )
             }
@@ -142,7 +142,7 @@
 ///
 /// # Errors
 /// Fails if the connection fails or times out, or if the response is not JSON.
-pub fn send_request(address: &Listen, request: &OperatorRequest) -> io::Result<Json> {
+pub fn send_request(address: &ListenAddress, request: &OperatorRequest) -> io::Result<Json> {
     fn exchange(mut stream: impl Read + Write, request: &OperatorRequest) -> io::Result<String> {
         stream.write_all(format!("{}\n", serde_json::to_string(request)?).as_bytes())?;
         let mut response = String::new();
@@ -152,12 +152,12 @@
         Ok(response)
     }
     let response = match address {
-        Listen::Address(address) => {
+        ListenAddress::Address(address) => {
             let stream = TcpStream::connect_timeout(address, TIMEOUT)?;
             stream.set_read_timeout(Some(TIMEOUT))?;
             exchange(stream, request)?
         }
-        Listen::Path(path) => {
+        ListenAddress::Path(path) => {
             let stream = UnixStream::connect(path)?;
             stream.set_read_timeout(Some(TIMEOUT))?;
             exchange(stream, request)?
--- a/crates/coralstep-server/src/operators/ops.rs
+++ b/crates/coralstep-server/src/operators/ops.rs
@@ -10,7 +10,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use coralstep_config::site::Listen;
+use coralstep_config::site::ListenAddress;
 use coralstep_fleet::audit::AuditFilter;
 use coralstep_fleet::fleet::Publication;
 use coralstep_fleet::versions::ParseVersionIdError;
@@ -109,10 +109,10 @@
     ///
     /// # Errors
     /// Fails if the address or path can't be bound.
-    pub fn bind(endpoint: &Listen) -> Result<OperatorListener, String> {
+    pub fn bind(endpoint: &ListenAddress) -> Result<OperatorListener, String> {
         let socket = match endpoint {
-            Listen::Address(address) => bind(*address)?,
-            Listen::Path(path) => {
+            ListenAddress::Address(address) => bind(*address)?,
+            ListenAddress::Path(path) => {
                 if is_stale_socket(path) {
                     let _ = std::fs::remove_file(path);
                 }
