--- a/crates/coralstep-lab/src/bound.rs
+++ b/crates/coralstep-lab/src/bound.rs
@@ -1,23 +1,23 @@
-//! The best that could have been done on a played day: an upper bound by a linear program over slices of time, and a schedule that
-//! a greedy planner with full knowledge would make, which the bound can't lie below.
+//! The best result that was possible in a recorded run: an upper bound from a linear program over time slices, and the schedule of
+//! an offline greedy planner, which can't exceed the bound.
 //!
-//! In the program a request may be served in parts, on any server, in any slice from its arrival to its target (for its whole worth)
-//! or to its deadline (for what a late answer is worth); what binds are the work that all cores could do in a slice and the calls that
-//! the dependency could answer. Requests of a method that came in the same slice are grouped by their work, each counted with
-//! the least of its group. All of this errs on the side of more: no real schedule does better.
+//! In the linear program a request may be served fractionally, on any server, in any slice from its arrival to its target (for its
+//! full value) or to its deadline (for the value of a late answer). The constraints are the work that all cores can do in a slice and
+//! the calls that the dependency can answer. Requests of a method that arrived in the same slice are grouped by work, and each counts
+//! with the least work of its group. Every simplification relaxes the problem, so no real schedule does better.
 use microlp::{ComparisonOp, OptimizationDirection, Problem, Variable};
 
 use crate::record::{Asked, Record};
 use crate::world::World;
 
-/// Slices that the program knows; those of the record are joined to as many.
+/// Number of slices in the linear program; the record's slices are merged to this number.
 pub const SLICES: usize = 30;
-/// Works within this factor are one group.
-const GROUP: f64 = 1.6;
-/// Calls that may be luckier than their mean in a slice, in standard deviations of their count.
-const LUCK: f64 = 4.0;
+/// Requests whose work differs by less than this factor form one group.
+const GROUP_FACTOR: f64 = 1.6;
+/// Margin for slices in which more calls than average succeed, in standard deviations of their count.
+const CALL_MARGIN_DEVIATIONS: f64 = 4.0;
 
-/// Parts of the criticality asked for.
+/// Results as fractions of the total criticality of all requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Split {
     pub kept: f64,
@@ -25,15 +25,15 @@
     pub bound: f64,
 }
 
-/// The day as the program sees it.
+/// Capacity by slice, the input of the linear program.
 struct Plan {
     slice_ms: f64,
-    /// Work of cores and calls of the dependency in each slice.
+    /// Work of the cores and calls of the dependency that are possible in each slice.
     work: Vec<f64>,
     calls: Vec<f64>,
 }
 
-/// Requests of a method and a slice with about the same work.
+/// Requests of one method and slice with about the same work.
 #[derive(Clone, Debug)]
 struct Group {
     method: usize,
@@ -57,7 +57,7 @@
             work: joined(|slice| slice.capacity),
             calls: joined(|slice| slice.calls),
         };
-        // What is open at the end is served behind it: as much again as in the slice before, for the longest deadline.
+        // Requests that are open at the end are served after it: adds slices with the highest recorded capacity for the longest deadline.
         let most = world
             .methods
             .iter()
@@ -70,7 +70,7 @@
         plan.calls.extend(std::iter::repeat_n(calls, behind));
         plan.calls
             .iter_mut()
-            .for_each(|calls| *calls += LUCK * calls.sqrt());
+            .for_each(|calls| *calls += CALL_MARGIN_DEVIATIONS * calls.sqrt());
         plan
     }
 
@@ -78,7 +78,7 @@
         ((at_ms / self.slice_ms) as usize).min(self.work.len() - 1)
     }
 
-    /// The slices in which one that came in `slice` may be done within a time: it may have come at the slice's end.
+    /// Returns the last slice in which a request that arrived in `slice` may finish within `span_ms`; it may have arrived at the slice's end.
     fn until(&self, slice: usize, span_ms: f64) -> usize {
         self.slice((slice + 1) as f64 * self.slice_ms + span_ms)
     }
@@ -87,7 +87,7 @@
         let mut groups: std::collections::BTreeMap<(usize, usize, i32), Group> = Default::default();
         for asked in requests {
             let slice = self.slice(asked.at_ms);
-            let bin = (asked.work_ms.max(0.01).ln() / GROUP.ln()).floor() as i32;
+            let bin = (asked.work_ms.max(0.01).ln() / GROUP_FACTOR.ln()).floor() as i32;
             let group = groups.entry((asked.method, slice, bin)).or_insert(Group {
                 method: asked.method,
                 slice,
@@ -101,24 +101,24 @@
     }
 }
 
-/// Ways in which a request of a method may be answered: until when, for what part of its worth, with its call or without.
-fn ways(world: &World, method: usize) -> Vec<(f64, f64, bool)> {
+/// Returns the ways in which a request of a method may be answered: time limit in ms, fraction of its value, and whether it makes its call.
+fn answer_options(world: &World, method: usize) -> Vec<(f64, f64, bool)> {
     let of = &world.methods[method];
-    let mut ways = vec![(of.target_ms, 1.0, of.calls)];
+    let mut options = vec![(of.target_ms, 1.0, of.calls)];
     if of.late > 0.0 {
-        ways.push((of.deadline_ms, of.late, of.calls));
+        options.push((of.deadline_ms, of.late, of.calls));
     }
     if of.calls && of.skip > 0.0 {
-        ways.push((of.target_ms, of.skip, false));
+        options.push((of.target_ms, of.skip, false));
         if of.late > 0.0 {
-            ways.push((of.deadline_ms, of.skip * of.late, false));
+            options.push((of.deadline_ms, of.skip * of.late, false));
         }
     }
-    ways
+    options
 }
 
-/// The most criticality that any schedule could keep; none where the solver finds no end.
-fn most(world: &World, plan: &Plan, groups: &[Group]) -> Option<f64> {
+/// Returns the maximum criticality that any schedule could earn, or `None` if the solver fails.
+fn upper_bound(world: &World, plan: &Plan, groups: &[Group]) -> Option<f64> {
     let mut problem = Problem::new(OptimizationDirection::Maximize);
     let slices = plan.work.len();
     let mut work: Vec<Vec<(Variable, f64)>> = vec![Vec::new(); slices];
@@ -126,9 +126,9 @@
     for group in groups {
         let worth = world.methods[group.method].criticality;
         let mut all = Vec::new();
-        for (until, part, calls_too) in ways(world, group.method) {
+        for (until, part, calls_too) in answer_options(world, group.method) {
             for slice in group.slice..=plan.until(group.slice, until) {
-                // What can't be in a slice needs no variable there. Guards against a solver that finds no end among bounds of nought.
+                // Guards against a solver that doesn't terminate: a slice without capacity gets no variable bounded by zero.
                 if plan.work[slice] < 1e-9 || (calls_too && plan.calls[slice] < 1e-9) {
                     continue;
                 }
@@ -151,15 +151,15 @@
     match problem.solve() {
         Ok(solution) => Some(solution.objective()),
         Err(why) => {
-            eprintln!("bound: {why}");
+            eprintln!("bound: linear program not solved: {why}");
             None
         }
     }
 }
 
-/// What a planner keeps that knows all requests beforehand: those that bring most for their work first, each in the first slice
-/// with room, whole.
-fn greedy(world: &World, plan: &Plan, requests: &[Asked]) -> f64 {
+/// Returns the criticality earned by a greedy planner that knows all requests in advance: it takes those with the highest value per
+/// work first and serves each whole, in the first slice with enough capacity.
+fn greedy_value(world: &World, plan: &Plan, requests: &[Asked]) -> f64 {
     let (mut work, mut calls) = (plan.work.clone(), plan.calls.clone());
     let mut order: Vec<&Asked> = requests.iter().collect();
     let dense = |asked: &Asked| world.methods[asked.method].criticality / asked.work_ms.max(0.01);
@@ -171,7 +171,7 @@
     let mut kept = 0.0;
     for asked in order {
         let slice = plan.slice(asked.at_ms);
-        'served: for (until, part, calls_too) in ways(world, asked.method) {
+        'served: for (until, part, calls_too) in answer_options(world, asked.method) {
             for at in slice..=plan.until(slice, until) {
                 let calls_left = !calls_too || calls[at] >= 1.0;
                 if work[at] >= asked.work_ms && calls_left {
@@ -186,7 +186,7 @@
     kept
 }
 
-/// How far a day was from the best. The record must hold its requests.
+/// Compares a run with the greedy plan and the upper bound. Returns `None` if the record has no requests or the solver fails.
 pub fn split(world: &World, record: &Record, kept: f64) -> Option<Split> {
     let requests = record.requests.as_ref()?;
     let asked: f64 = requests
@@ -201,10 +201,10 @@
         });
     }
     let plan = Plan::new(world, record);
-    let bound = most(world, &plan, &plan.groups(requests))?;
+    let bound = upper_bound(world, &plan, &plan.groups(requests))?;
     Some(Split {
         kept,
-        greedy: greedy(world, &plan, requests) / asked,
+        greedy: greedy_value(world, &plan, requests) / asked,
         bound: (bound / asked).min(1.0),
     })
 }
--- a/crates/coralstep-lab/src/bound/tests.rs
+++ b/crates/coralstep-lab/src/bound/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn the_bound_of_a_played_day_lies_over_the_day_and_the_greedy_plan() {
+fn bound_is_at_least_simulated_result_and_greedy_plan() {
     for name in ["calm-3", "crowd-4", "store-6", "apps-5"] {
         let world = world(name);
         let (day, record) = play(&world, 1, Default::default(), true);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn with_room_for_all_it_is_all_and_with_none_nothing() {
+fn bound_is_total_value_with_enough_capacity_and_zero_without() {
     let world = world("calm-3");
     let asked = [
         Asked {
@@ -43,17 +43,22 @@
     };
     let worth = world.methods[0].criticality;
     let all = plan(100.0);
-    assert!((most(&world, &all, &all.groups(&asked)).unwrap() - 2.0 * worth).abs() < 1e-6);
+    assert!((upper_bound(&world, &all, &all.groups(&asked)).unwrap() - 2.0 * worth).abs() < 1e-6);
     let none = plan(0.0);
-    assert!(most(&world, &none, &none.groups(&asked)).unwrap().abs() < 1e-6);
-    assert!(greedy(&world, &none, &asked).abs() < 1e-6);
+    assert!(
+        upper_bound(&world, &none, &none.groups(&asked))
+            .unwrap()
+            .abs()
+            < 1e-6
+    );
+    assert!(greedy_value(&world, &none, &asked).abs() < 1e-6);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
-    /// Never under the best known schedule, whatever came and whatever could be done.
+    /// The bound is never below the greedy schedule, for any requests and capacities.
     #[test]
-    fn the_bound_is_never_under_a_schedule(
+    fn bound_is_at_least_greedy_schedule(
         asked in prop::collection::vec((0.0f64..8_000.0, 0usize..3, 1.0f64..400.0), 0..60),
         work in prop::collection::vec(0.0f64..900.0, 12),
         calls in prop::collection::vec(0.0f64..6.0, 12),
@@ -65,8 +70,8 @@
             .map(|(at_ms, method, work_ms)| Asked { at_ms, method: method % methods, work_ms })
             .collect();
         let plan = Plan { slice_ms: 700.0, work, calls };
-        let most = most(&world, &plan, &plan.groups(&asked)).unwrap();
-        let greedy = greedy(&world, &plan, &asked);
-        prop_assert!(most >= greedy - 1e-6, "{} {}", most, greedy);
+        let bound = upper_bound(&world, &plan, &plan.groups(&asked)).unwrap();
+        let greedy = greedy_value(&world, &plan, &asked);
+        prop_assert!(bound >= greedy - 1e-6, "{} {}", bound, greedy);
     }
 }
--- a/crates/coralstep-lab/src/emulate/fleet.rs
+++ b/crates/coralstep-lab/src/emulate/fleet.rs
@@ -263,7 +263,7 @@
             .wrapping_add((at as u64) << 16 | u64::from(generation));
         let name = format!("s{at}g{generation}");
         let faults = self.terms.faults;
-        let place = lock(&self.witness.rules).another();
+        let place = lock(&self.witness.rules).add_server();
         let mut wires = Vec::new();
         let witness = self.witness.clone();
         let fault = |what: &str, why: std::io::Error| format!("{what}: {why}");
@@ -415,7 +415,7 @@
                 Kind::Crash if begins => {
                     // Dropping it kills it and all that it spoke with.
                     if let Some(server) = self.servers[at].take() {
-                        lock(&witness.rules).stopped(witness.now(), server.place, true);
+                        lock(&witness.rules).record_stop(witness.now(), server.place, true);
                     }
                     self.returns.push((Instant::now() + span, at));
                 }
@@ -450,7 +450,7 @@
             };
             signal(&server.child, "TERM")?;
             let grace = (self.world.servers.grace_ms * 10.0) as u64;
-            lock(&witness.rules).notice(server.place, witness.now() + grace);
+            lock(&witness.rules).record_drain_notice(server.place, witness.now() + grace);
             server.stops = Some(now + Duration::from_secs_f64(self.world.servers.stop_ms / 1000.0));
             self.leaving.push(server);
             self.boot(at, true)?;
@@ -466,14 +466,14 @@
                 // Guards against a server that dies under the emulator: the day goes on without it, as with a crash, and says so.
                 let place = server.place;
                 self.servers[at] = None;
-                lock(&witness.rules).died(witness.now(), place);
+                lock(&witness.rules).record_self_inflicted_crash(witness.now(), place);
                 self.returns.push((now + Duration::from_secs(1), at));
             }
         }
         for server in &mut self.leaving {
             let over = matches!(server.child.try_wait(), Ok(Some(_)));
             if !over && server.stops.is_some_and(|stops| now > stops + OVERDUE) {
-                lock(&witness.rules).overstayed(witness.now());
+                lock(&witness.rules).record_overdue_stop(witness.now());
                 let _ = server.child.kill();
             }
         }
@@ -486,7 +486,7 @@
         });
         // The last answers are on their way for a moment.
         while let Some((_, place)) = self.left.pop_if(|(at, _)| at.elapsed() > LAST_ANSWERS) {
-            lock(&witness.rules).stopped(witness.now(), place, false);
+            lock(&witness.rules).record_stop(witness.now(), place, false);
         }
         Ok(())
     }
--- a/crates/coralstep-lab/src/emulate/mod.rs
+++ b/crates/coralstep-lab/src/emulate/mod.rs
@@ -26,7 +26,7 @@
 
 use crate::caller::{Ask, Protocol, Said, Way};
 use crate::record::{Loss, Record};
-use crate::rules::{Rules, Told};
+use crate::rules::{AnswerKind, Rules};
 use crate::simulate::Day;
 use crate::world::{Effect, Kind, World};
 use fleet::Fleet;
@@ -77,7 +77,7 @@
         let now = self.now();
         // One whose caller has let go of it is nobody's.
         if rules.is_open(attempt) {
-            rules.began(
+            rules.record_start(
                 now,
                 attempt,
                 token.map(|(token, window)| (token, now + window)),
@@ -89,7 +89,7 @@
     pub fn crowd(&self, server: usize, running: usize) {
         let now = self.now();
         if now % CROWD_EVERY < 20 {
-            lock(&self.rules).stands(now, server, 0.0, running);
+            lock(&self.rules).record_usage(now, server, 0.0, running);
         }
     }
 }
@@ -267,7 +267,7 @@
     let played = &mut *callers.played.borrow_mut();
     let mut rules = lock(&witness.rules);
     let now = witness.now();
-    rules.end(now);
+    rules.finish(now);
     let ms = |quantile: f64| played.took.value_at_quantile(quantile) as f64 / 10.0;
     let mut day = played.day.clone();
     if !played.took.is_empty() {
@@ -392,7 +392,7 @@
             let mut rules = lock(&callers.witness.rules);
             paused
                 .into_iter()
-                .for_each(|at| rules.paused(at, (trouble.for_s * 10_000.0) as u64));
+                .for_each(|at| rules.postpone_deadlines(at, (trouble.for_s * 10_000.0) as u64));
         }
     }
     Ok(())
@@ -527,7 +527,13 @@
     callers.played.borrow_mut().day.attempts += 1;
     let now = callers.witness.now();
     let due_at = now + (of.deadline_ms as u64 + WAY_MS) * 10;
-    lock(&callers.witness.rules).read(now, attempt, place, due_at, of.effect != Effect::Idempotent);
+    lock(&callers.witness.rules).record_arrival(
+        now,
+        attempt,
+        place,
+        due_at,
+        of.effect != Effect::Idempotent,
+    );
     if of.effect == Effect::Tokened {
         lock(&callers.witness.tokens).insert(attempt, (first, (of.window_ms * 10.0) as u64));
     }
@@ -545,25 +551,31 @@
     let now = callers.witness.now();
     let mut rules = lock(&callers.witness.rules);
     let told = match &said {
-        Said::Ok(_) => Some(Told::Ok),
-        Said::PushedBack { .. } => Some(Told::PushedBack),
-        Said::Aborted => Some(Told::Aborted),
-        Said::Refused => Some(Told::Aborted),
+        Said::Ok(_) => Some(AnswerKind::Ok),
+        Said::PushedBack { .. } => Some(AnswerKind::PushedBack),
+        Said::Aborted => Some(AnswerKind::Aborted),
+        Said::Refused => Some(AnswerKind::Aborted),
         Said::Broken | Said::TimedOut => None,
     };
     let wire = callers.terms.faults != Faults::default();
     match told {
         // A crash took it off the books though its answer was on the way.
         Some(told) if rules.is_open(attempt) => {
-            rules.answered(now, attempt, told);
+            rules.record_answer(now, attempt, told);
             if let Said::PushedBack { after, nowhere } = &said {
-                rules.advised(now, place, after.as_millis() as u64 * 10, *nowhere, retry);
+                rules.record_retry_advice(
+                    now,
+                    place,
+                    after.as_millis() as u64 * 10,
+                    *nowhere,
+                    retry,
+                );
             }
         }
         Some(_) => {}
         // A connection that broke, or a wire that swallows: the caller is known to be gone.
         None if said == Said::Broken || wire => {
-            rules.gone(attempt);
+            rules.record_caller_gone(attempt);
             callers.played.borrow_mut().stray += 1;
         }
         None => {}
@@ -571,7 +583,7 @@
     let mut done = callers.done.borrow_mut();
     done.push_back((now, attempt));
     while let Some((_, attempt)) = done.pop_front_if(|(at, _)| *at + KNOWN < now) {
-        rules.over(now, attempt);
+        rules.record_release(now, attempt);
         lock(&callers.witness.tokens).remove(&attempt);
     }
     drop(rules);
--- a/crates/coralstep-lab/src/explore/module.rs
+++ b/crates/coralstep-lab/src/explore/module.rs
@@ -10,7 +10,7 @@
 
 use super::Play;
 use crate::acts::{Act, Acts};
-use crate::rules::{Rules, Told};
+use crate::rules::{AnswerKind, Rules};
 
 /// RPCs of one history.
 const RPCS: usize = 6;
@@ -187,10 +187,10 @@
                     live.running = true;
                     let token = (live.method == usize::from(PAY))
                         .then_some((u64::from(id.0), now + 40_000));
-                    self.rules.began(now, u64::from(id.0), token);
+                    self.rules.record_start(now, u64::from(id.0), token);
                 }
             }
-            Act::PushBack(id, ..) => self.answered(id, Told::PushedBack),
+            Act::PushBack(id, ..) => self.answered(id, AnswerKind::PushedBack),
             Act::Abort(id) => {
                 let trial = self.state == "half-open" && !self.leaving;
                 let since = self.since;
@@ -200,7 +200,7 @@
                             .call
                             .is_some_and(|(began, until)| began >= since && until > now);
                 }
-                self.answered(id, Told::Aborted);
+                self.answered(id, AnswerKind::Aborted);
                 if self.prompt && self.live.get(&id.0).is_some_and(|live| live.running) {
                     self.ending.push(id);
                 }
@@ -218,7 +218,7 @@
             Act::Preempt(id) => self.settle(id, Outcome::Cancelled),
             Act::Release(id) => {
                 self.live.remove(&id.0);
-                self.rules.over(now, u64::from(id.0));
+                self.rules.record_release(now, u64::from(id.0));
             }
             Act::Turn(turn) => self.turned(turn),
             Act::Keep(_) | Act::Drop(_) | Act::Replay(_) | Act::Health(_) | Act::Timer(_) => {}
@@ -289,21 +289,21 @@
         self.window.clear();
     }
 
-    fn answered(&mut self, id: RpcId, told: Told) {
+    fn answered(&mut self, id: RpcId, told: AnswerKind) {
         let now = self.now;
         let Some(live) = self.live.get_mut(&id.0) else {
             return self.breaks(format!("{told:?} for one that is not here"));
         };
-        if live.answered && told == Told::Ok {
+        if live.answered && told == AnswerKind::Ok {
             return;
         }
         live.answered = true;
-        *(if told == Told::Ok {
+        *(if told == AnswerKind::Ok {
             &mut self.ok
         } else {
             &mut self.bad
         }) += 1;
-        self.rules.answered(now, u64::from(id.0), told);
+        self.rules.record_answer(now, u64::from(id.0), told);
     }
 
     fn settle(&mut self, id: RpcId, outcome: Outcome) {
@@ -328,7 +328,7 @@
         };
         self.live.insert(id, live);
         self.rules
-            .read(now, u64::from(id), 0, due, method != usize::from(READ));
+            .record_arrival(now, u64::from(id), 0, due, method != usize::from(READ));
         let arrival = Request {
             id: RpcId(id),
             method,
@@ -356,7 +356,7 @@
         if std::mem::take(&mut live.calls) {
             return self.tell(|server, now, out| server.handle_call_needed(now, id, out));
         }
-        self.answered(id, Told::Ok);
+        self.answered(id, AnswerKind::Ok);
         self.settle(id, Outcome::Ok);
     }
 
@@ -437,7 +437,7 @@
             ));
         }
         let now = self.now;
-        self.rules.stands(now, 0, 0.0, 0);
+        self.rules.record_usage(now, 0, 0.0, 0);
         let late = self
             .live
             .values()
@@ -578,13 +578,13 @@
                         .get_mut(&id.0)
                         .into_iter()
                         .for_each(|live| live.answered = true);
-                    self.rules.gone(u64::from(id.0));
+                    self.rules.record_caller_gone(u64::from(id.0));
                     self.tell(|server, now, out| server.handle_cancellation(now, id, out));
                 }
             }
             LEAVE if !self.leaving => {
                 self.leaving = true;
-                self.rules.notice(0, self.now + 3_000);
+                self.rules.record_drain_notice(0, self.now + 3_000);
                 // It stops long after all that is of interest here.
                 self.tell(|server, now, out| server.begin_drain(now, now + Span::ms(600_000), out));
             }
--- a/crates/coralstep-lab/src/queue.rs
+++ b/crates/coralstep-lab/src/queue.rs
@@ -1,10 +1,10 @@
-//! The queue of events: a hierarchical wheel made for times that mostly lie near. Events of one moment come in the order of their
-//! ties, which come from the seed, so two servers that act in the same tick never depend on the machine.
+//! Event queue of the simulator: a hierarchical timing wheel, fast when most events lie in the near future. Events of the same tick
+//! are ordered by a tie-breaker drawn from the seed, so their order doesn't depend on the machine.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Slots of a wheel, and bits that choose one.
+/// Slots per wheel, and the bits of a time that select one.
 const SLOTS: usize = 256;
 const BITS: u32 = 8;
 const WHEELS: usize = 4;
@@ -15,7 +15,7 @@
     item: T,
 }
 
-/// By tie, the least one greatest, as a heap wants it.
+/// Reversed by tie-breaker, because `BinaryHeap` pops its greatest entry first.
 impl<T> Ord for Entry<T> {
     fn cmp(&self, other: &Entry<T>) -> Ordering {
         other.tie.cmp(&self.tie)
@@ -36,22 +36,22 @@
 
 impl<T> Eq for Entry<T> {}
 
-/// Which slots hold something.
+/// Bitmap of the slots that aren't empty.
 #[derive(Clone, Copy, Default)]
-struct Map([u64; SLOTS / 64]);
+struct SlotBitmap([u64; SLOTS / 64]);
 
-impl Map {
-    fn set(&mut self, slot: usize, full: bool) {
+impl SlotBitmap {
+    fn set(&mut self, slot: usize, occupied: bool) {
         let bit = 1 << (slot % 64);
-        if full {
+        if occupied {
             self.0[slot / 64] |= bit
         } else {
             self.0[slot / 64] &= !bit
         }
     }
 
-    /// The first full slot from `from` on.
-    fn next(&self, from: usize) -> Option<usize> {
+    /// Returns the first occupied slot at or after `from`.
+    fn next_occupied(&self, from: usize) -> Option<usize> {
         (from / 64..SLOTS / 64).find_map(|word| {
             let mask = if word == from / 64 {
                 u64::MAX << (from % 64)
@@ -64,13 +64,14 @@
     }
 }
 
+/// Priority queue of events by time and tie-breaker.
 pub struct Wheel<T> {
     now: u64,
     slots: Vec<Vec<Entry<T>>>,
-    maps: [Map; WHEELS],
-    /// What lies beyond the last wheel.
+    maps: [SlotBitmap; WHEELS],
+    /// Events beyond the range of the last wheel.
     far: Vec<Entry<T>>,
-    /// What is due now. A heap: thousands of servers may beat in one tick, and each beat may put more into it.
+    /// Events due now. A heap, because the timers of thousands of servers may fire in one tick, and each may add more events.
     due: BinaryHeap<Entry<T>>,
     len: usize,
 }
@@ -89,17 +90,17 @@
 }
 
 impl<T> Wheel<T> {
-    /// What is said for the past happens now.
+    /// Adds an event; a time in the past counts as now.
     pub fn push(&mut self, at: u64, tie: u64, item: T) {
         self.len += 1;
-        self.put(Entry {
+        self.insert(Entry {
             at: at.max(self.now),
             tie,
             item,
         });
     }
 
-    fn put(&mut self, entry: Entry<T>) {
+    fn insert(&mut self, entry: Entry<T>) {
         let differs = entry.at ^ self.now;
         let wheel = differs.checked_ilog2().unwrap_or(0) / BITS;
         if wheel as usize >= WHEELS {
@@ -110,18 +111,18 @@
         self.maps[wheel as usize].set(slot, true);
     }
 
-    fn take(&mut self, wheel: usize, slot: usize) -> Vec<Entry<T>> {
+    fn take_slot(&mut self, wheel: usize, slot: usize) -> Vec<Entry<T>> {
         self.maps[wheel].set(slot, false);
         std::mem::take(&mut self.slots[wheel * SLOTS + slot])
     }
 
-    /// The next event and its time, which becomes now.
+    /// Removes and returns the next event with its time, which becomes the current time.
     pub fn pop(&mut self) -> Option<(u64, T)> {
         loop {
-            // What was said for this very moment meanwhile takes its place among the rest.
+            // Events added for the current tick since the last call take their place by tie-breaker.
             let slot = self.now as usize % SLOTS;
             if !self.slots[slot].is_empty() {
-                let more = self.take(0, slot);
+                let more = self.take_slot(0, slot);
                 self.due.extend(more);
             }
             if let Some(entry) = self.due.pop() {
@@ -134,19 +135,19 @@
         }
     }
 
-    /// To the next moment that something lies at, or into the wheel that it lies in.
+    /// Advances the time to the next occupied slot, moving its events to lower wheels. Returns `false` if the queue is empty.
     fn advance(&mut self) -> bool {
         for wheel in 0..WHEELS {
             let shift = wheel as u32 * BITS;
             let from = (self.now >> shift) as usize % SLOTS;
-            let Some(slot) = self.maps[wheel].next(from) else {
+            let Some(slot) = self.maps[wheel].next_occupied(from) else {
                 continue;
             };
             let above = self.now >> (shift + BITS) << (shift + BITS);
             self.now = above | (slot as u64) << shift;
             if wheel > 0 {
-                let down = self.take(wheel, slot);
-                down.into_iter().for_each(|entry| self.put(entry));
+                let down = self.take_slot(wheel, slot);
+                down.into_iter().for_each(|entry| self.insert(entry));
             }
             return true;
         }
@@ -155,7 +156,7 @@
         };
         self.now = next;
         let far = std::mem::take(&mut self.far);
-        far.into_iter().for_each(|entry| self.put(entry));
+        far.into_iter().for_each(|entry| self.insert(entry));
         true
     }
 
--- a/crates/coralstep-lab/src/queue/tests.rs
+++ b/crates/coralstep-lab/src/queue/tests.rs
@@ -7,14 +7,14 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(300) })]
 
-    /// The same as a plain heap by time and tie, whatever is pushed between two pops.
+    /// The wheel pops the same events as a binary heap ordered by time and tie-breaker.
     #[test]
-    fn events_come_as_from_a_heap(steps in prop::collection::vec((0u8..5, 0u32..48, any::<u64>(), 0u64..4), 1..300)) {
+    fn wheel_pops_same_order_as_heap(steps in prop::collection::vec((0u8..5, 0u32..48, any::<u64>(), 0u64..4), 1..300)) {
         let (mut wheel, mut heap, mut now) = (Wheel::default(), BinaryHeap::new(), 0u64);
         for (number, (what, bits, span, tie)) in steps.into_iter().enumerate() {
             if what < 3 {
                 let at = now + (span & ((1 << bits) - 1));
-                // Ties are told apart here, as the simulator's are by their many bits.
+                // Makes the tie-breakers unique; the simulator's are practically unique by their 64 bits.
                 let tie = tie * 1_000 + number as u64;
                 wheel.push(at, tie, number);
                 heap.push(Reverse((at, tie, number)));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_past_happens_now() {
+fn event_in_the_past_is_due_now() {
     let mut wheel = Wheel::default();
     wheel.push(1_000_000, 1, "first");
     assert_eq!(wheel.pop(), Some((1_000_000, "first")));
--- a/crates/coralstep-lab/src/record.rs
+++ b/crates/coralstep-lab/src/record.rs
@@ -1,38 +1,38 @@
-//! What a day was like over time: asked for, answered, lost and why, by slice of time and by server. Its size depends on the number
-//! of slices and servers, not on the number of requests, but for the list that `bound` needs, kept where it is wanted.
+//! Statistics of a run over time: requests, answers and losses with their reason, by time slice and by server. The size depends on
+//! the number of slices and servers, not on the number of requests, except for the optional request list that `bound` needs.
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
 use crate::world::World;
 
-/// Slices of a day. What comes to its end behind the last request is in one more, of no stated length.
+/// Number of time slices of a run. One more slice, without a fixed length, collects what ends after the last request.
 pub const SLICES: usize = 120;
-/// A slice is never shorter, in ms.
-const SLICE_LEAST: f64 = 50.0;
+/// Minimum length of a slice.
+const MIN_SLICE_MS: f64 = 50.0;
 
-/// Why criticality was lost.
+/// Reason for which a request's criticality was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Loss {
-    /// Held, and given up for others or for time.
+    /// Rejected after waiting in the queue, in favour of other requests or because its time ran out.
     Hold,
-    /// Pushed back as it came: no room.
+    /// Rejected on arrival because there was no capacity.
     Room,
-    /// It must call, and the breaker did not let it.
+    /// Needed a call of the dependency while the breaker was open.
     Breaker,
-    /// Its server was cold.
+    /// Rejected while its server was warming up.
     Cold,
-    /// Its call failed, or took too long.
+    /// Its call failed or timed out.
     Dependency,
-    /// Its tenant was over its share.
+    /// Its tenant exceeded its quota.
     OverShare,
-    /// Begun and not done by its due time, or done past its target.
+    /// Not finished by its deadline, or finished after its latency target.
     Late,
-    /// Answered without its call.
+    /// Answered without its call of the dependency.
     Skipped,
-    /// Its server was down or left.
+    /// Its server was down or had left.
     Unreached,
-    /// Open at the end of the day.
+    /// Still open at the end of the run.
     Open,
 }
 
@@ -56,27 +56,27 @@
     pub pushed_back: u64,
     pub aborted: u64,
     pub unreached: u64,
-    /// Criticality asked for, and earned.
+    /// Total criticality of the requests, and the criticality earned by answers.
     pub worth: f64,
     pub kept: f64,
-    /// Breakers that were not closed, at the most.
+    /// Maximum number of breakers that weren't closed at the same time.
     pub breakers: u32,
-    /// Servers at a level of reduced service, at the most.
+    /// Maximum number of servers at a degraded service level at the same time.
     pub reduced: u32,
-    /// Work that cores could do, in ms of a core of speed 1.
+    /// Work that the cores could have done, in ms of a core of speed 1.
     pub capacity: f64,
-    /// Calls that the dependency could answer.
+    /// Number of calls that the dependency could have answered.
     pub calls: f64,
     pub p50_ms: f64,
     pub p99_ms: f64,
 }
 
-/// A request, as `bound` takes it.
+/// A request as an input of `bound`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Asked {
     pub at_ms: f64,
     pub method: usize,
-    /// On a core of speed 1.
+    /// Work in ms on a core of speed 1.
     pub work_ms: f64,
 }
 
@@ -85,20 +85,21 @@
     pub slice_ms: f64,
     pub slices: Vec<Slice>,
     took: Vec<Histogram<u64>>,
-    /// Answers of a server in a slice: well, and otherwise. `server * SLICES + slice`.
+    /// Successful and other answers of a server in a slice, indexed by `server * SLICES + slice`.
     pub servers: Vec<[u32; 2]>,
     pub losses: [f64; LOSSES.len()],
-    /// Losses by method.
+    /// Lost criticality by method and reason.
     pub by_method: Vec<[f64; LOSSES.len()]>,
-    /// Requests, where they are wanted.
+    /// All requests, if they are recorded.
     pub requests: Option<Vec<Asked>>,
 }
 
 impl Record {
     pub fn new(world: &World) -> Record {
-        let slice_ms = (world.seconds * 1000.0 / SLICES as f64).max(SLICE_LEAST);
-        // A tenth of a ms to an hour, two digits: what is created so can't fail.
-        let took = Histogram::new_with_bounds(1, 36_000_000, 2).expect("sound bounds");
+        let slice_ms = (world.seconds * 1000.0 / SLICES as f64).max(MIN_SLICE_MS);
+        // 0.1 ms to an hour with two significant digits: these constant bounds are valid.
+        let took =
+            Histogram::new_with_bounds(1, 36_000_000, 2).expect("histogram bounds are valid");
         Record {
             slice_ms,
             slices: vec![Slice::default(); SLICES + 1],
@@ -110,7 +111,7 @@
         }
     }
 
-    /// The slice of a moment, in ticks from the start.
+    /// Returns the slice of a time, given in ticks from the start.
     pub fn at(&self, ticks: u64) -> usize {
         ((ticks as f64 / 10.0 / self.slice_ms) as usize).min(SLICES)
     }
@@ -121,7 +122,7 @@
         self.slices[at].worth += worth;
     }
 
-    /// Answered well, for `kept` of its `worth`.
+    /// Records a successful answer that earned `kept` of the criticality `worth`.
     #[allow(clippy::too_many_arguments)]
     pub fn ok(
         &mut self,
@@ -146,7 +147,7 @@
         }
     }
 
-    /// A part of what was answered well is lost all the same.
+    /// Records lost criticality without counting an answer, as for the part that a late or reduced answer loses.
     pub fn part(&mut self, method: usize, loss: Loss, worth: f64) {
         self.losses[loss as usize] += worth;
         self.by_method[method][loss as usize] += worth;
@@ -164,7 +165,7 @@
         self.part(method, loss, worth);
     }
 
-    /// Percentiles of each slice are reckoned once, at the end.
+    /// Computes the percentiles of each slice; called once, at the end.
     pub fn finish(&mut self) {
         for (slice, took) in self.slices.iter_mut().zip(&self.took) {
             if !took.is_empty() {
--- a/crates/coralstep-lab/src/rules.rs
+++ b/crates/coralstep-lab/src/rules.rs
@@ -1,13 +1,14 @@
-//! The four rules, checked while a day is played: state is kept only of what is open and of tokens in their window, so memory
-//! doesn't grow with the day.
+//! Checks the correctness rules while a world runs. State is kept only for open attempts and for idempotency keys within their
+//! retry window, so memory doesn't grow with the length of the run.
 use std::collections::HashMap;
 use std::fmt;
 
-/// One attempt at one server.
+/// Identifies one attempt of a request at one server.
 pub type Attempt = u64;
 
+/// Kind of the final answer to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum AnswerKind {
     Ok,
     PushedBack,
     Aborted,
@@ -15,19 +16,19 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each read has exactly one final answer by its due time.
+    /// Each attempt that a server read gets exactly one final answer by its deadline.
     Lost,
-    /// No effect twice, and what ran is not pushed back.
+    /// No side effect happens twice, and an attempt that ran is not rejected.
     Twice,
-    /// Nothing that came after the grace runs; all read is answered before the stop.
+    /// No attempt that arrived after the drain grace runs, and every attempt is answered before the server stops.
     Drain,
-    /// Memory, and the crowd on the cores.
+    /// Servers stay within their memory and within the number of concurrent runs that they survive.
     FallOver,
-    /// Who is pushed back hears when to come back, and nothing false.
+    /// Each rejection carries a valid Retry-After, and no false claim that other servers are no better.
     Advice,
 }
 
-/// A breach, with what happened.
+/// A violation of a rule, with a description of what happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
     pub rule: Rule,
@@ -47,13 +48,13 @@
     }
 }
 
-/// Breaches that are told; all are counted.
-const TOLD_MOST: usize = 20;
-/// Answers may be late by so much, in ticks: a beat and a step.
-const SLACK: u64 = 500;
+/// Maximum number of breaches reported in full; all are counted.
+const MAX_REPORTED_BREACHES: usize = 20;
+/// Ticks by which an answer may miss its deadline: one scheduler timeout and one simulation step.
+const ANSWER_SLACK_TICKS: u64 = 500;
 
 #[derive(Clone, Debug)]
-struct Open {
+struct OpenAttempt {
     server: usize,
     due: u64,
     effect: bool,
@@ -63,72 +64,80 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Machine {
-    /// Nothing that comes later than this runs.
+struct ServerState {
+    /// End of the drain grace: an attempt that arrives later must not run.
     grace: Option<u64>,
     memory_kb: f64,
     crowd: f64,
-    /// Since when it is more crowded than it survives.
+    /// Start of the present period with more concurrent runs than the server survives.
     crowded: Option<u64>,
 }
 
 #[derive(Default)]
 pub struct Rules {
-    open: HashMap<Attempt, Open>,
+    open: HashMap<Attempt, OpenAttempt>,
     arrived: HashMap<Attempt, u64>,
-    /// Until when a token counts, by server and token.
+    /// End of the retry window of each idempotency key, by server and key.
     tokens: HashMap<(usize, u64), u64>,
-    /// By how the window of tokens ends; those that are over are dropped now and then.
+    /// Time at which expired keys were last removed from `tokens`.
     swept: u64,
-    machines: Vec<Machine>,
+    servers: Vec<ServerState>,
     pub count: u64,
     pub by_rule: std::collections::BTreeMap<Rule, u64>,
     pub breaches: Vec<Breach>,
 }
 
-/// The longest time to stay away that anything in the design asks for is the longest cooldown; a level's stay may double it.
-const ADVICE_MOST: u64 = 600_000;
-/// So long a crowd that is too large is survived, in ticks.
-const CROWDED_MOST: u64 = 30_000;
+/// Longest valid Retry-After, in ticks. The longest delay by design is the longest cooldown; the minimum stay at a degradation
+/// level may double it.
+const MAX_RETRY_AFTER_TICKS: u64 = 600_000;
+/// How long a server survives too many concurrent runs, in ticks.
+const MAX_OVERLOAD_TICKS: u64 = 30_000;
 
 impl Rules {
-    /// Servers with `memory_kb` each, that survive `crowd` runs.
+    /// Creates the checks for `servers` servers with `memory_kb` of memory each, which survive `crowd` concurrent runs.
     pub fn new(servers: usize, memory_kb: f64, crowd: f64) -> Rules {
-        let machine = Machine {
+        let state = ServerState {
             memory_kb,
             crowd,
-            ..Machine::default()
+            ..ServerState::default()
         };
         Rules {
-            machines: vec![machine; servers],
+            servers: vec![state; servers],
             ..Rules::default()
         }
     }
 
-    /// One more server; its place.
-    pub fn another(&mut self) -> usize {
-        let like = self.machines.first().copied().unwrap_or_default();
-        self.machines.push(Machine {
+    /// Adds a server like the first one and returns its index.
+    pub fn add_server(&mut self) -> usize {
+        let like = self.servers.first().copied().unwrap_or_default();
+        self.servers.push(ServerState {
             grace: None,
             crowded: None,
             ..like
         });
-        self.machines.len() - 1
+        self.servers.len() - 1
     }
 
     fn breach(&mut self, rule: Rule, at: u64, what: String) {
         self.count += 1;
         *self.by_rule.entry(rule).or_default() += 1;
-        if self.breaches.len() < TOLD_MOST {
+        if self.breaches.len() < MAX_REPORTED_BREACHES {
             self.breaches.push(Breach { rule, at, what });
         }
     }
 
-    pub fn read(&mut self, at: u64, attempt: Attempt, server: usize, due: u64, effect: bool) {
+    pub fn record_arrival(
+        &mut self,
+        at: u64,
+        attempt: Attempt,
+        server: usize,
+        due: u64,
+        effect: bool,
+    ) {
         self.arrived.insert(attempt, at);
         self.open.insert(
             attempt,
-            Open {
+            OpenAttempt {
                 server,
                 due,
                 effect,
@@ -139,10 +148,10 @@
         );
     }
 
-    /// `token`: until when a second run under it counts.
-    pub fn began(&mut self, at: u64, attempt: Attempt, token: Option<(u64, u64)>) {
+    /// Records that a run started. `token` is the idempotency key and the end of its retry window, in which a second run is a breach.
+    pub fn record_start(&mut self, at: u64, attempt: Attempt, token: Option<(u64, u64)>) {
         let Some(open) = self.open.get_mut(&attempt) else {
-            return self.breach(Rule::Lost, at, format!("{attempt} runs and was never read"));
+            return self.breach(Rule::Lost, at, format!("{attempt} runs but was never read"));
         };
         let (server, again, effect, refused) =
             (open.server, open.ran, open.effect, open.pushed_back);
@@ -154,7 +163,7 @@
             self.breach(
                 Rule::Twice,
                 at,
-                format!("{attempt} runs after it was pushed back"),
+                format!("{attempt} runs after it was rejected"),
             );
         }
         if let Some((token, until)) = token {
@@ -166,18 +175,18 @@
                 self.breach(
                     Rule::Twice,
                     at,
-                    format!("token {token} ran again, as {attempt}"),
+                    format!("idempotency key {token} ran again, as {attempt}"),
                 );
             }
             self.tokens.insert((server, token), until);
         }
-        let grace = self.machines[server].grace;
+        let grace = self.servers[server].grace;
         let arrived = self.arrived.get(&attempt).copied().unwrap_or(at);
         if grace.is_some_and(|grace| arrived > grace) {
             self.breach(
                 Rule::Drain,
                 at,
-                format!("{attempt} came after the grace and runs"),
+                format!("{attempt} runs although it arrived after the drain grace"),
             );
         }
         if at > self.swept + 100_000 {
@@ -186,118 +195,133 @@
         }
     }
 
-    pub fn answered(&mut self, at: u64, attempt: Attempt, told: Told) {
+    pub fn record_answer(&mut self, at: u64, attempt: Attempt, answer: AnswerKind) {
         let Some(open) = self.open.get_mut(&attempt) else {
             return self.breach(
                 Rule::Lost,
                 at,
-                format!("{attempt} has an answer and was never read"),
+                format!("{attempt} was answered but never read"),
             );
         };
-        let (again, late) = (open.answered, at > open.due + SLACK);
+        let (again, late) = (open.answered, at > open.due + ANSWER_SLACK_TICKS);
         let (ran, effect) = (open.ran, open.effect);
-        (open.answered, open.pushed_back) = (true, told == Told::PushedBack);
+        (open.answered, open.pushed_back) = (true, answer == AnswerKind::PushedBack);
         if again {
             self.breach(
                 Rule::Lost,
                 at,
-                format!("{attempt} has a second answer, {told:?}"),
+                format!("{attempt} got a second answer, {answer:?}"),
             );
         }
         if late {
             self.breach(
                 Rule::Lost,
                 at,
-                format!("{attempt} was answered past its due time"),
+                format!("{attempt} was answered after its deadline"),
             );
         }
-        if told == Told::PushedBack && ran && effect {
+        if answer == AnswerKind::PushedBack && ran && effect {
             self.breach(
                 Rule::Twice,
                 at,
-                format!("{attempt} was pushed back after it ran"),
+                format!("{attempt} was rejected after it ran"),
             );
         }
     }
 
-    /// What a server told one that it pushed back: when to come back, in ticks, and that no other server is better.
-    pub fn advised(&mut self, at: u64, server: usize, after: u64, nowhere: bool, retry: bool) {
+    /// Records the advice sent with a rejection: the Retry-After in ticks, and whether the server said that no other server is better.
+    pub fn record_retry_advice(
+        &mut self,
+        at: u64,
+        server: usize,
+        after: u64,
+        nowhere: bool,
+        retry: bool,
+    ) {
         if after == 0 {
             self.breach(
                 Rule::Advice,
                 at,
-                format!("server {server} didn't say when to come back"),
+                format!("server {server} rejected a request without Retry-After"),
             );
         }
-        if after > ADVICE_MOST {
+        if after > MAX_RETRY_AFTER_TICKS {
             self.breach(
                 Rule::Advice,
                 at,
-                format!("server {server} said to stay away for {} ms", after / 10),
+                format!("server {server} sent a Retry-After of {} ms", after / 10),
             );
         }
-        // A further try may be the last one anywhere; a first one has all servers that stay.
-        if nowhere && !retry && self.machines[server].grace.is_some_and(|grace| at > grace) {
+        // A retry may have run out of servers, but a first attempt can still go to every server that isn't draining.
+        if nowhere && !retry && self.servers[server].grace.is_some_and(|grace| at > grace) {
             self.breach(
                 Rule::Advice,
                 at,
-                format!("server {server} leaves and said that no other is better"),
+                format!("server {server} is draining but said that no other server is better"),
             );
         }
     }
 
-    /// The server has let go of it.
-    pub fn over(&mut self, at: u64, attempt: Attempt) {
+    /// Records that the server released the attempt.
+    pub fn record_release(&mut self, at: u64, attempt: Attempt) {
         self.arrived.remove(&attempt);
         if let Some(open) = self.open.remove(&attempt)
             && !open.answered
         {
-            self.breach(Rule::Lost, at, format!("{attempt} has no answer"));
+            self.breach(
+                Rule::Lost,
+                at,
+                format!("{attempt} was released without an answer"),
+            );
         }
     }
 
-    /// Its caller is known to be gone, or the wire to it: nobody waits for its answer.
-    pub fn gone(&mut self, attempt: Attempt) {
+    /// Records that the caller or its connection is gone, so that no answer is expected any more.
+    pub fn record_caller_gone(&mut self, attempt: Attempt) {
         self.open
             .get_mut(&attempt)
             .into_iter()
             .for_each(|open| open.answered = true);
     }
 
-    /// A server died by itself: what was open there is lost by nobody else's fault.
-    pub fn died(&mut self, at: u64, server: usize) {
-        self.stopped(at, server, true);
+    /// Records that a server crashed without an injected fault. Its open attempts are no further breaches.
+    pub fn record_self_inflicted_crash(&mut self, at: u64, server: usize) {
+        self.record_stop(at, server, true);
         self.breach(
             Rule::FallOver,
             at,
-            format!("server {server} died by itself"),
+            format!("server {server} crashed without an injected fault"),
         );
     }
 
-    /// A server that left is still there past its stop.
-    pub fn overstayed(&mut self, at: u64) {
-        self.breach(Rule::Drain, at, "a server goes on past its stop".to_owned());
+    /// Records that a draining server still runs after its stop time.
+    pub fn record_overdue_stop(&mut self, at: u64) {
+        self.breach(
+            Rule::Drain,
+            at,
+            "a draining server still runs after its stop time".to_owned(),
+        );
     }
 
-    /// Whether it was read and is not over.
+    /// Returns whether the attempt was read and not yet released.
     pub fn is_open(&self, attempt: Attempt) -> bool {
         self.open.contains_key(&attempt)
     }
 
-    /// A pause of the machine is not the server's time: what is open there is due so much later.
-    pub fn paused(&mut self, server: usize, span: u64) {
+    /// Postpones the deadlines of a server's open attempts by the length of a machine pause, which isn't the server's fault.
+    pub fn postpone_deadlines(&mut self, server: usize, span: u64) {
         self.open
             .values_mut()
             .filter(|open| open.server == server)
             .for_each(|open| open.due += span);
     }
 
-    pub fn notice(&mut self, server: usize, grace: u64) {
-        self.machines[server].grace = Some(grace);
+    pub fn record_drain_notice(&mut self, server: usize, grace: u64) {
+        self.servers[server].grace = Some(grace);
     }
 
-    /// The server stops; a crash loses what it had, a drain may not.
-    pub fn stopped(&mut self, at: u64, server: usize, crash: bool) {
+    /// Records that a server stopped. A crash may lose open attempts, a drain may not.
+    pub fn record_stop(&mut self, at: u64, server: usize, crash: bool) {
         let mut left: Vec<Attempt> = self
             .open
             .iter()
@@ -312,44 +336,44 @@
                 self.breach(
                     Rule::Drain,
                     at,
-                    format!("{attempt} has no answer at the stop"),
+                    format!("{attempt} has no answer when its server stops"),
                 );
             }
         }
-        let machine = &mut self.machines[server];
-        (machine.grace, machine.crowded) = (None, None);
+        let state = &mut self.servers[server];
+        (state.grace, state.crowded) = (None, None);
         self.tokens.retain(|(of, _), _| *of != server);
     }
 
-    /// How a server stands now.
-    pub fn stands(&mut self, at: u64, server: usize, memory_kb: f64, runs: usize) {
-        let machine = &mut self.machines[server];
-        let crowded = runs as f64 > machine.crowd;
-        let since = *machine.crowded.get_or_insert(at);
+    /// Records a server's memory use and its number of concurrent runs.
+    pub fn record_usage(&mut self, at: u64, server: usize, memory_kb: f64, runs: usize) {
+        let state = &mut self.servers[server];
+        let crowded = runs as f64 > state.crowd;
+        let since = *state.crowded.get_or_insert(at);
         if !crowded {
-            machine.crowded = None;
+            state.crowded = None;
         }
-        let (over, most) = (memory_kb > machine.memory_kb, machine.memory_kb);
-        if crowded && at - since > CROWDED_MOST {
-            machine.crowded = Some(at);
+        let (over, most) = (memory_kb > state.memory_kb, state.memory_kb);
+        if crowded && at - since > MAX_OVERLOAD_TICKS {
+            state.crowded = Some(at);
             self.breach(
                 Rule::FallOver,
                 at,
-                format!("server {server} has {runs} runs on its cores for 3 s"),
+                format!("server {server} had too many concurrent runs for 3 s, {runs} now"),
             );
         }
         if over {
             self.breach(
                 Rule::FallOver,
                 at,
-                format!("server {server} needs {memory_kb:.0} KB of {most:.0}"),
+                format!("server {server} uses {memory_kb:.0} KB of {most:.0} KB"),
             );
         }
     }
 
-    /// What is open at the end of the day and should have been answered.
-    pub fn end(&mut self, at: u64) {
-        let late = |open: &Open| !open.answered && at > open.due + SLACK;
+    /// Reports the attempts that are still open at the end although their deadline has passed.
+    pub fn finish(&mut self, at: u64) {
+        let late = |open: &OpenAttempt| !open.answered && at > open.due + ANSWER_SLACK_TICKS;
         let mut left: Vec<Attempt> = self
             .open
             .iter()
--- a/crates/coralstep-lab/src/simulate/clockwork.rs
+++ b/crates/coralstep-lab/src/simulate/clockwork.rs
@@ -1,12 +1,12 @@
-//! What happens when: events in their order, what is looked at ten times a second, the end of the day.
+//! Event loop: dispatches events in order, samples the fleet ten times a second, and finishes the run.
 use coralstep::Time;
 use coralstep_balancer::End;
 use rand::Rng;
 
-use super::{Day, Event, LOOK, ORIGIN, Sim, ticks};
+use super::{Day, Event, ORIGIN, SAMPLE_INTERVAL, Simulation, ticks_from_ms};
 use crate::record::{Loss, Record};
 
-impl Sim<'_> {
+impl Simulation<'_> {
     pub(super) fn play(mut self) -> (Day, Record) {
         while let Some((now, event)) = self.queue.pop() {
             self.now = now;
@@ -14,9 +14,9 @@
             if matches!(event, Event::End) {
                 break;
             }
-            self.event(event);
+            self.handle_event(event);
         }
-        self.end()
+        self.finish()
     }
 
     pub(super) fn push(&mut self, at: u64, event: Event) {
@@ -24,24 +24,24 @@
         self.queue.push(at, tie, event);
     }
 
-    pub(super) fn event(&mut self, event: Event) {
+    pub(super) fn handle_event(&mut self, event: Event) {
         match event {
             Event::Arrive => {
-                self.request();
-                self.next_arrival();
+                self.create_request();
+                self.schedule_next_arrival();
             }
-            Event::Try(request) => self.attempt(request),
-            Event::Beat(node, life, beat) => {
+            Event::StartAttempt(request) => self.start_attempt(request),
+            Event::Timer(node, life, beat) => {
                 if self.nodes[node].life == life && self.nodes[node].beat == beat {
-                    self.beat(node);
+                    self.handle_timer(node);
                 }
             }
-            Event::Done(node, version) => {
+            Event::JobsCompleted(node, version) => {
                 if self.nodes[node].version == version {
-                    self.done(node);
+                    self.handle_completed_jobs(node);
                 }
             }
-            Event::Called {
+            Event::CallEnded {
                 node,
                 life,
                 rpc,
@@ -56,20 +56,20 @@
                     .get(rpc.0 as usize)
                     .and_then(Option::as_ref);
                 if known && of.is_some_and(|of| of.call == call) {
-                    self.called(node, rpc, outcome, began);
+                    self.handle_call_result(node, rpc, outcome, began);
                 }
             }
-            Event::Ran {
+            Event::ApplicationEnded {
                 node,
                 life,
                 rpc,
                 good,
             } => {
                 if self.nodes[node].life == life {
-                    self.ran(node, rpc, good);
+                    self.handle_application_result(node, rpc, good);
                 }
             }
-            Event::LetGo { node, life, pick } => {
+            Event::AbandonedAttemptExpired { node, life, pick } => {
                 let node = &mut self.nodes[node];
                 if let Some(pool) = node.pool.as_mut().filter(|_| node.life == life) {
                     let app = *pool.key(&pick);
@@ -77,14 +77,16 @@
                     pool.ended(Time(self.now), pick, End::Broken);
                 }
             }
-            Event::Trouble(at, begins) => self.trouble(at, begins),
-            Event::Look => self.look(),
-            Event::Leave(node) => {
-                let stop = self.now + ticks(self.world.servers.stop_ms);
-                self.rules
-                    .notice(node, self.now + ticks(self.world.servers.grace_ms));
-                self.nodes[node].unlisted_from = self.now + self.list();
-                self.tell(node, |server, now, out| {
+            Event::Trouble(at, begins) => self.apply_trouble(at, begins),
+            Event::Sample => self.sample(),
+            Event::BeginDrain(node) => {
+                let stop = self.now + ticks_from_ms(self.world.servers.stop_ms);
+                self.rules.record_drain_notice(
+                    node,
+                    self.now + ticks_from_ms(self.world.servers.grace_ms),
+                );
+                self.nodes[node].unlisted_from = self.now + self.health_propagation_time();
+                self.with_server(node, |server, now, out| {
                     server.wind_down(now, Time(stop), out)
                 });
                 let life = self.nodes[node].life;
@@ -92,26 +94,26 @@
             }
             Event::Stop(node, life) => {
                 if self.nodes[node].life == life {
-                    self.stop(node, false);
-                    self.boot(node, true);
+                    self.stop_server(node, false);
+                    self.start_server(node, true);
                 }
             }
-            Event::Return(node) => {
+            Event::Restart(node) => {
                 if self.nodes[node].server.is_none() {
-                    self.boot(node, true);
+                    self.start_server(node, true);
                 }
             }
             Event::End => {}
         }
     }
 
-    /// What is looked at ten times a second: levels, what cores and dependency could do, breakers that are not closed.
-    pub(super) fn look(&mut self) {
+    /// Samples the fleet, ten times a second: degradation levels, capacity of cores and dependency, breakers that aren't closed.
+    pub(super) fn sample(&mut self) {
         let now = self.now;
-        if now >= ORIGIN + ticks(self.world.seconds * 1000.0) {
+        if now >= ORIGIN + ticks_from_ms(self.world.seconds * 1000.0) {
             return;
         }
-        let mut could = 0.0;
+        let mut possible_work = 0.0;
         let cores = match &self.world.applications {
             Some(of) => of.all_cores(),
             None => f64::from(self.world.servers.cores),
@@ -120,46 +122,47 @@
             if self.nodes[at].server.is_none() {
                 continue;
             }
-            let of_one = match self.world.applications {
+            let core_fraction = match self.world.applications {
                 Some(_) => {
                     self.nodes[at].apps.iter().filter(|app| !app.1).count() as f64
                         / self.nodes[at].apps.len() as f64
                 }
-                None => self.speed(at),
+                None => self.core_speed(at),
             };
-            could += of_one * cores * LOOK as f64 / 10.0;
+            possible_work += core_fraction * cores * SAMPLE_INTERVAL as f64 / 10.0;
             if self.nodes[at].levels.is_some() {
-                self.levels(at);
+                self.update_degradation_level(at);
             }
         }
         if self.policy == crate::baseline::Policy::Sharing {
-            self.share();
+            self.exchange_health_reports();
         }
         let mut calls = 0.0;
         if let Some(of) = &self.world.dependency
             && !self.hangs
             && !self.dead
         {
-            calls =
-                of.capacity / (of.call_ms.mean() * self.slow_calls).max(0.1) * LOOK as f64 / 10.0;
+            calls = of.capacity / (of.call_ms.mean() * self.slow_calls).max(0.1)
+                * SAMPLE_INTERVAL as f64
+                / 10.0;
         }
         let at = self.record.at(now - ORIGIN);
         let slice = &mut self.record.slices[at];
-        slice.capacity += could;
+        slice.capacity += possible_work;
         slice.calls += calls;
         slice.breakers = slice.breakers.max(self.shut);
         slice.reduced = slice.reduced.max(self.reduced);
-        self.push(now + LOOK, Event::Look);
+        self.push(now + SAMPLE_INTERVAL, Event::Sample);
     }
 
-    pub(super) fn trace(&mut self, what: u64) {
+    pub(super) fn update_trace(&mut self, what: u64) {
         self.day.trace = (self.day.trace ^ what)
             .wrapping_mul(0x9e37_79b9_7f4a_7c15)
             .rotate_left(23);
     }
 
-    pub(super) fn end(mut self) -> (Day, Record) {
-        self.rules.end(self.now);
+    pub(super) fn finish(mut self) -> (Day, Record) {
+        self.rules.finish(self.now);
         self.record.finish();
         for request in self.requests.iter().flatten() {
             let worth = self.world.methods[request.method].criticality;
--- a/crates/coralstep-lab/src/simulate/engine.rs
+++ b/crates/coralstep-lab/src/simulate/engine.rs
@@ -1,15 +1,15 @@
-//! What runs the RPCs: cores that they share, applications, the calls to the dependency.
+//! Execution of RPCs: shared cores, applications, and calls of the dependency.
 use coralstep::{Outcome, RpcId, Span, Time};
 use coralstep_balancer::End;
 use rand::Rng;
 
-use super::{Event, STUCK, Sim, ticks};
+use super::{ABANDONED_RUN_TIMEOUT, Event, Simulation, ticks_from_ms};
 use crate::baseline::Policy;
-use crate::rules::Told;
+use crate::rules::AnswerKind;
 
-impl Sim<'_> {
-    /// Its run goes to an application.
-    pub(super) fn hand_on(&mut self, at: usize, id: RpcId) {
+impl Simulation<'_> {
+    /// Sends the run to an application.
+    pub(super) fn dispatch_to_application(&mut self, at: usize, id: RpcId) {
         let Some(of) = &self.world.applications else {
             return;
         };
@@ -20,13 +20,13 @@
         };
         pool.first_try();
         let Ok(pick) = pool.choose(Time(now), None) else {
-            // None may run it: it never ran, and says so.
-            return self.settle(at, id, Outcome::Rejected);
+            // No application may take it, so it never ran.
+            return self.complete_run(at, id, Outcome::Rejected);
         };
         let app = *pool.key(&pick);
         node.apps[app].0 += 1;
-        let (in_hand, hangs) = node.apps[app];
-        let crowd = (f64::from(in_hand) / f64::from(of.cores)).max(1.0);
+        let (in_flight, hangs) = node.apps[app];
+        let crowd = (f64::from(in_flight) / f64::from(of.cores)).max(1.0);
         let speed = node.speed;
         let Some(rpc) = self.rpc(at, id) else { return };
         rpc.pick = Some(pick);
@@ -35,7 +35,7 @@
         if !hangs {
             self.push(
                 now + took.max(1),
-                Event::Ran {
+                Event::ApplicationEnded {
                     node: at,
                     life,
                     rpc: id,
@@ -45,8 +45,8 @@
         }
     }
 
-    /// An application is done with it, or given up.
-    pub(super) fn let_go(&mut self, at: usize, id: RpcId, end: End) {
+    /// Ends the attempt at its application with the outcome `end`.
+    pub(super) fn finish_application_attempt(&mut self, at: usize, id: RpcId, end: End) {
         let now = self.now;
         let Some(pick) = self.rpc(at, id).and_then(|rpc| rpc.pick.take()) else {
             return;
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Nobody waits for it any more. Where its application hangs it stays in its hands, as a connection does that nobody closes.
-    pub(super) fn give_up(&mut self, at: usize, id: RpcId) {
+    /// Abandons an attempt whose result nobody waits for. At a hanging application it stays open, like a connection that is never closed.
+    pub(super) fn abandon_application_attempt(&mut self, at: usize, id: RpcId) {
         let now = self.now;
         let node = &mut self.nodes[at];
         let life = node.life;
@@ -75,8 +75,8 @@
         if node.apps[app].1 {
             pool.overran(Time(now), &mut pick);
             return self.push(
-                now + STUCK,
-                Event::LetGo {
+                now + ABANDONED_RUN_TIMEOUT,
+                Event::AbandonedAttemptExpired {
                     node: at,
                     life,
                     pick,
@@ -87,38 +87,47 @@
         pool.ended(Time(now), pick, End::GivenUp);
     }
 
-    pub(super) fn ran(&mut self, at: usize, id: RpcId, good: bool) {
+    pub(super) fn handle_application_result(&mut self, at: usize, id: RpcId, good: bool) {
         if self.rpc(at, id).is_none_or(|rpc| rpc.pick.is_none()) {
             return;
         }
-        self.let_go(at, id, if good { End::Answered } else { End::Failed });
-        // The application's own word, good or bad, is the answer.
+        self.finish_application_attempt(at, id, if good { End::Answered } else { End::Failed });
+        // The application's result, success or failure, is the answer.
         let answered = self.rpc(at, id).is_some_and(|rpc| rpc.answered);
         if good || !answered {
-            self.answer(at, id, if good { Told::Ok } else { Told::Aborted }, None);
+            self.handle_answer(
+                at,
+                id,
+                if good {
+                    AnswerKind::Ok
+                } else {
+                    AnswerKind::Aborted
+                },
+                None,
+            );
         }
-        self.settle(at, id, if good { Outcome::Ok } else { Outcome::Error });
+        self.complete_run(at, id, if good { Outcome::Ok } else { Outcome::Error });
     }
 
-    /// Its next part goes onto the cores: half the work before a call, the rest behind it.
-    pub(super) fn run(&mut self, at: usize, id: RpcId) {
+    /// Puts the next part of the run onto the cores: half of the work before a call, the rest after it.
+    pub(super) fn run_next_part(&mut self, at: usize, id: RpcId) {
         let Some(rpc) = self.rpc(at, id) else { return };
         let work = if rpc.calls || rpc.call > 0 || rpc.bare {
             rpc.work / 2.0
         } else {
             rpc.work
         };
-        self.advance(at);
+        self.advance_service(at);
         let node = &mut self.nodes[at];
         node.jobs.push((id, node.service + work));
-        self.schedule(at);
+        self.schedule_completion(at);
     }
 
-    /// How fast a core is now.
-    pub(super) fn speed(&self, at: usize) -> f64 {
+    /// Returns the present speed of a core.
+    pub(super) fn core_speed(&self, at: usize) -> f64 {
         let (node, servers) = (&self.nodes[at], &self.world.servers);
         let warm = node.cold.map_or(1.0, |since| {
-            let part = (self.now - since) as f64 / ticks(servers.warm_ms).max(1) as f64;
+            let part = (self.now - since) as f64 / ticks_from_ms(servers.warm_ms).max(1) as f64;
             (servers.cold_speed + (1.0 - servers.cold_speed) * part).min(1.0)
         });
         if node.paused {
@@ -128,25 +137,25 @@
         }
     }
 
-    /// Service a tick that each job gets now.
-    pub(super) fn rate(&self, at: usize) -> f64 {
+    /// Returns the service that each job gets per tick.
+    pub(super) fn service_rate(&self, at: usize) -> f64 {
         let (node, servers) = (&self.nodes[at], &self.world.servers);
         let (jobs, cores) = (node.jobs.len().max(1) as f64, f64::from(servers.cores));
-        // Past the crowd less gets done in total.
+        // With more jobs than `crowd` per core, total throughput falls.
         let crowd = (servers.crowd * cores / jobs).min(1.0);
-        self.speed(at) * (cores / jobs).min(1.0) * crowd
+        self.core_speed(at) * (cores / jobs).min(1.0) * crowd
     }
 
-    pub(super) fn advance(&mut self, at: usize) {
-        let rate = self.rate(at);
+    pub(super) fn advance_service(&mut self, at: usize) {
+        let rate = self.service_rate(at);
         let node = &mut self.nodes[at];
         node.service += rate * (self.now - node.since) as f64;
         node.since = self.now;
     }
 
-    /// When the next job is done, as things stand.
-    pub(super) fn schedule(&mut self, at: usize) {
-        let rate = self.rate(at);
+    /// Schedules the completion of the next job at the present service rate.
+    pub(super) fn schedule_completion(&mut self, at: usize) {
+        let rate = self.service_rate(at);
         let node = &mut self.nodes[at];
         node.version += 1;
         let (version, service) = (node.version, node.service);
@@ -157,12 +166,12 @@
             .fold(f64::MAX, f64::min);
         if least < f64::MAX && rate > 0.0 {
             let span = ((least - service).max(0.0) / rate).ceil() as u64;
-            self.push(self.now + span, Event::Done(at, version));
+            self.push(self.now + span, Event::JobsCompleted(at, version));
         }
     }
 
-    pub(super) fn done(&mut self, at: usize) {
-        self.advance(at);
+    pub(super) fn handle_completed_jobs(&mut self, at: usize) {
+        self.advance_service(at);
         let node = &mut self.nodes[at];
         let service = node.service + 1e-6;
         let over: Vec<RpcId> = node
@@ -172,22 +181,22 @@
             .map(|(id, _)| *id)
             .collect();
         node.jobs.retain(|(_, done)| *done > service);
-        self.schedule(at);
+        self.schedule_completion(at);
         for id in over {
             let Some(rpc) = self.rpc(at, id) else {
                 continue;
             };
             if rpc.calls {
                 rpc.calls = false;
-                self.tell(at, |server, now, out| server.needs_call(now, id, out));
+                self.with_server(at, |server, now, out| server.needs_call(now, id, out));
             } else {
-                self.answer(at, id, Told::Ok, None);
-                self.settle(at, id, Outcome::Ok);
+                self.handle_answer(at, id, AnswerKind::Ok, None);
+                self.complete_run(at, id, Outcome::Ok);
             }
         }
     }
 
-    pub(super) fn call(&mut self, at: usize, id: RpcId, patience: Span) {
+    pub(super) fn start_call(&mut self, at: usize, id: RpcId, patience: Span) {
         let Some(dependency) = &self.world.dependency else {
             return;
         };
@@ -198,23 +207,23 @@
         let fails = self.chance.random_range(0.0..1.0) < dependency.fails;
         let (took, outcome) = match () {
             _ if self.dead || self.nodes[at].way_dead => (10, Outcome::Unreachable),
-            // A dependency of no capacity answers nobody.
+            // A dependency without capacity answers no call.
             _ if self.hangs
                 || self.nodes[at].way_hangs
                 || dependency.capacity <= 0.0
-                || ticks(usual) > patience.0 =>
+                || ticks_from_ms(usual) > patience.0 =>
             {
                 (patience.0, Outcome::TimedOut)
             }
-            _ if fails => (ticks(usual), Outcome::Error),
-            _ => (ticks(usual), Outcome::Ok),
+            _ if fails => (ticks_from_ms(usual), Outcome::Error),
+            _ => (ticks_from_ms(usual), Outcome::Ok),
         };
         let Some(rpc) = self.rpc(at, id) else { return };
         rpc.call += 1;
         let call = rpc.call;
         self.push(
             now + took.max(1),
-            Event::Called {
+            Event::CallEnded {
                 node: at,
                 life,
                 rpc: id,
@@ -225,29 +234,36 @@
         );
     }
 
-    pub(super) fn called(&mut self, at: usize, id: RpcId, outcome: Outcome, began: u64) {
+    pub(super) fn handle_call_result(
+        &mut self,
+        at: usize,
+        id: RpcId,
+        outcome: Outcome,
+        began: u64,
+    ) {
         let took = Span(self.now - began);
         if let Some(rpc) = self.rpc(at, id) {
             rpc.call_failed |= outcome != Outcome::Ok;
         }
         if self.policy == Policy::Sharing {
-            self.sharing.called(at, self.now, outcome != Outcome::Ok);
+            self.sharing
+                .record_call(at, self.now, outcome != Outcome::Ok);
         }
-        self.tell(at, |server, now, out| {
+        self.with_server(at, |server, now, out| {
             server.called(now, id, outcome, took, out)
         });
         let answered = self.rpc(at, id).is_some_and(|rpc| rpc.answered);
         if outcome == Outcome::Ok {
-            self.run(at, id);
+            self.run_next_part(at, id);
         } else if self.policy == Policy::NoBreaker {
-            // Who thinks that all calls go well leaves the failure to the edge.
+            // This scheduler is told that every call succeeded, so the failure is handled here.
             if !answered {
-                self.answer(at, id, Told::Aborted, None);
+                self.handle_answer(at, id, AnswerKind::Aborted, None);
             }
-            self.settle(at, id, Outcome::Error);
+            self.complete_run(at, id, Outcome::Error);
         } else if answered {
-            // Its RPC is over, so the run ends at its call.
-            self.settle(at, id, Outcome::Cancelled);
+            // The RPC was already answered, so the run ends at its call.
+            self.complete_run(at, id, Outcome::Cancelled);
         }
     }
 }
--- a/crates/coralstep-lab/src/simulate/gateways.rs
+++ b/crates/coralstep-lab/src/simulate/gateways.rs
@@ -1,15 +1,15 @@
-//! The gateways: requests come, tries are sent, answers and failures lead to further ones.
+//! Gateways: requests arrive, and attempts are sent and retried according to their answers.
 use coralstep::{EarlierAttempt, RpcId, Span};
 use rand::Rng;
 use rand_distr::Distribution;
 
-use super::{Event, ORIGIN, Request, Rpc, SUBJECTS, Sim, ticks};
+use super::{Event, ORIGIN, Request, Rpc, SUBJECTS, Simulation, ticks_from_ms};
 use crate::record::{Asked, Loss};
-use crate::rules::Told;
+use crate::rules::AnswerKind;
 use crate::world::Effect;
 
-impl<'a> Sim<'a> {
-    pub(super) fn next_arrival(&mut self) {
+impl<'a> Simulation<'a> {
+    pub(super) fn schedule_next_arrival(&mut self) {
         let rate = self.world.rate() * self.jump / 10_000.0;
         if rate <= 0.0 {
             return;
@@ -18,15 +18,15 @@
             Some(gaps) => gaps.sample(&mut self.chance) / rate,
             None => -(1.0 - self.chance.random_range(0.0..1.0f64)).ln() / rate,
         };
-        // Guards against gaps of less than a tick that are all cut to none: a large fleet would be asked for far more.
+        // Guards against truncating gaps shorter than a tick to zero, which would raise the request rate of a large fleet far above the world's.
         self.arrival = self.arrival.max((self.now - ORIGIN) as f64) + gap.max(0.0);
         let at = ORIGIN + self.arrival as u64;
-        if at < ORIGIN + ticks(self.world.seconds * 1000.0) {
+        if at < ORIGIN + ticks_from_ms(self.world.seconds * 1000.0) {
             self.push(at, Event::Arrive);
         }
     }
 
-    pub(super) fn request(&mut self) {
+    pub(super) fn create_request(&mut self) {
         let mut part = self.chance.random_range(0.0..self.shares);
         let methods = &self.world.methods;
         let method = methods.iter().position(|method| {
@@ -36,7 +36,7 @@
         let method = method.unwrap_or(methods.len() - 1);
         self.tokens += 1;
         let gateway = self.chance.random_range(0..self.world.gateways.count);
-        let (tenant, subject) = self.asker();
+        let (tenant, subject) = self.choose_tenant_and_subject();
         let request = Request {
             method,
             token: self.tokens,
@@ -60,11 +60,11 @@
                 self.requests.len() - 1
             }
         };
-        self.attempt(index);
+        self.start_attempt(index);
     }
 
-    /// Which tenant asks, and the server that is asked first where that is not by chance.
-    pub(super) fn asker(&mut self) -> (Option<usize>, Option<usize>) {
+    /// Draws the tenant of a request, and the server of its first attempt if it isn't chosen at random.
+    pub(super) fn choose_tenant_and_subject(&mut self) -> (Option<usize>, Option<usize>) {
         let tenants = &self.world.tenants;
         let mut tenant = None;
         if !tenants.is_empty() {
@@ -88,8 +88,8 @@
         (tenant, subject)
     }
 
-    /// A server that the gateway sees on the list and was not told to leave alone, where a few looks find one.
-    pub(super) fn choose(&mut self, gateway: usize) -> usize {
+    /// Draws a server that is on the endpoint list and didn't ask this gateway to stay away; after eight draws takes the last one.
+    pub(super) fn choose_server(&mut self, gateway: usize) -> usize {
         let mut chosen = 0;
         for _ in 0..8 {
             chosen = self.chance.random_range(0..self.nodes.len());
@@ -106,7 +106,7 @@
         chosen
     }
 
-    pub(super) fn attempt(&mut self, index: usize) {
+    pub(super) fn start_attempt(&mut self, index: usize) {
         let Some(request) = self.requests[index].as_mut() else {
             return;
         };
@@ -118,10 +118,10 @@
             request.tries > 1,
         );
         let (tenant, subject) = (request.tenant, request.subject.filter(|_| !retry));
-        let at = subject.unwrap_or_else(|| self.choose(gateway));
+        let at = subject.unwrap_or_else(|| self.choose_server(gateway));
         self.day.attempts += 1;
         if self.nodes[at].server.is_none() || self.nodes[at].cut_off {
-            return self.failed(index, at, Loss::Unreached, true);
+            return self.handle_failed_attempt(index, at, Loss::Unreached, true);
         }
         let attempt = self.day.attempts;
         let of = &self.world.methods[method];
@@ -168,9 +168,9 @@
         node.rpcs[id.0 as usize] = Some(rpc);
         node.held += 1;
         let pause = self.nodes[at].pause_ends.saturating_sub(self.now);
-        let due = self.now + ticks(of.deadline_ms) + pause;
+        let due = self.now + ticks_from_ms(of.deadline_ms) + pause;
         self.rules
-            .read(self.now, attempt, at, due, of.effect != Effect::Idempotent);
+            .record_arrival(self.now, attempt, at, due, of.effect != Effect::Idempotent);
         let held_kb = self.world.servers.held_kb;
         let prior = prior.map_or(EarlierAttempt::None, EarlierAttempt::Known);
         let arrival = coralstep::Request {
@@ -182,32 +182,32 @@
             tenant,
             ..coralstep::Request::default()
         };
-        self.tell(at, |server, now, out| server.rpc(now, arrival, out));
+        self.with_server(at, |server, now, out| server.rpc(now, arrival, out));
     }
 
-    pub(super) fn method(&self, request: usize) -> Option<&'a crate::world::OneMethod> {
+    pub(super) fn method_of(&self, request: usize) -> Option<&'a crate::world::OneMethod> {
         let world = self.world;
         self.requests[request]
             .as_ref()
             .map(|request| &world.methods[request.method])
     }
 
-    /// How long a change of a server's health takes to reach the gateways, in ticks.
-    pub(super) fn list(&self) -> u64 {
-        ticks(self.world.gateways.health_ms)
+    /// Returns the time that a change of a server's health takes to reach the gateways, in ticks.
+    pub(super) fn health_propagation_time(&self) -> u64 {
+        ticks_from_ms(self.world.gateways.health_ms)
     }
 
-    /// The first answer is the only one; an end after it tells nobody anything.
-    pub(super) fn answer(
+    /// Handles the first answer to an attempt. A successful end after it changes nothing.
+    pub(super) fn handle_answer(
         &mut self,
         at: usize,
         id: RpcId,
-        told: Told,
+        kind: AnswerKind,
         advice: Option<(Span, bool)>,
     ) {
         let now = self.now;
         let Some(rpc) = self.rpc(at, id) else { return };
-        if rpc.answered && told == Told::Ok {
+        if rpc.answered && kind == AnswerKind::Ok {
             return;
         }
         rpc.answered = true;
@@ -222,16 +222,17 @@
         if !began {
             self.nodes[at].held = self.nodes[at].held.saturating_sub(1);
         }
-        self.rules.answered(now, attempt, told);
+        self.rules.record_answer(now, attempt, kind);
         if let Some((after, nowhere)) = advice {
             let retry = self.requests[index]
                 .as_ref()
                 .is_some_and(|request| request.tries > 1);
-            self.rules.advised(now, at, after.0, nowhere, retry);
+            self.rules
+                .record_retry_advice(now, at, after.0, nowhere, retry);
         }
-        self.trace(now ^ attempt << 20 ^ told as u64);
-        match told {
-            Told::Ok => {
+        self.update_trace(now ^ attempt << 20 ^ kind as u64);
+        match kind {
+            AnswerKind::Ok => {
                 let Some(request) = self.requests[index].take() else {
                     return;
                 };
@@ -241,19 +242,19 @@
                 self.took.saturating_record(took.max(1));
                 self.day.ok += 1;
                 let part = if bare { of.skip } else { 1.0 };
-                let in_time = if took <= ticks(of.target_ms) {
+                let in_time = if took <= ticks_from_ms(of.target_ms) {
                     1.0
                 } else {
                     of.late
                 };
-                let in_time = if took > ticks(of.deadline_ms) {
+                let in_time = if took > ticks_from_ms(of.deadline_ms) {
                     0.0
                 } else {
                     in_time
                 };
                 let kept = of.criticality * part * in_time;
                 self.good += kept;
-                // What the call left out costs is told apart from what being late costs.
+                // The loss by the skipped call is recorded apart from the loss by lateness.
                 let skipped = of.criticality * (1.0 - part);
                 self.record.part(request.method, Loss::Skipped, skipped);
                 let took_ms = took as f64 / 10.0;
@@ -266,7 +267,7 @@
                     of.criticality - skipped,
                 );
             }
-            Told::PushedBack => {
+            AnswerKind::PushedBack => {
                 let (after, last) = advice.unwrap_or((Span::ZERO, false));
                 if let Some(request) = &self.requests[index]
                     && self.heeds[request.gateway]
@@ -274,25 +275,31 @@
                 {
                     self.away.insert((request.gateway, at), now + after.0);
                 }
-                let loss = self.why(at, calls, tenant, waited);
-                self.failed(index, at, loss, !last);
+                let loss = self.rejection_loss(at, calls, tenant, waited);
+                self.handle_failed_attempt(index, at, loss, !last);
             }
-            Told::Aborted => {
+            AnswerKind::Aborted => {
                 let again = self
-                    .method(index)
+                    .method_of(index)
                     .is_some_and(|method| method.effect == Effect::Idempotent);
                 let loss = if call_failed {
                     Loss::Dependency
                 } else {
                     Loss::Late
                 };
-                self.failed(index, at, loss, again);
+                self.handle_failed_attempt(index, at, loss, again);
             }
         }
     }
 
-    /// Why an RPC was pushed back, as far as it can be seen from outside.
-    pub(super) fn why(&self, at: usize, calls: bool, tenant: Option<usize>, waited: u64) -> Loss {
+    /// Returns the reason of a rejection as far as it can be seen from outside the scheduler.
+    pub(super) fn rejection_loss(
+        &self,
+        at: usize,
+        calls: bool,
+        tenant: Option<usize>,
+        waited: u64,
+    ) -> Loss {
         let node = &self.nodes[at];
         let over = |tenant: usize| {
             let of = &self.world.tenants;
@@ -302,23 +309,29 @@
         };
         match () {
             () if calls && node.shut => Loss::Breaker,
-            () if node.cold.is_some() && self.speed(at) < node.speed / node.slow => Loss::Cold,
+            () if node.cold.is_some() && self.core_speed(at) < node.speed / node.slow => Loss::Cold,
             () if tenant.is_some_and(over) => Loss::OverShare,
             () if waited > 10 => Loss::Hold,
             () => Loss::Room,
         }
     }
 
-    /// A try has failed: another one, where there may be one.
-    pub(super) fn failed(&mut self, index: usize, at: usize, loss: Loss, again: bool) {
+    /// Handles a failed attempt: retries if allowed, otherwise records the loss.
+    pub(super) fn handle_failed_attempt(
+        &mut self,
+        index: usize,
+        at: usize,
+        loss: Loss,
+        again: bool,
+    ) {
         let Some(request) = &self.requests[index] else {
             return;
         };
         let of = &self.world.methods[request.method];
-        let pause = ticks(self.world.gateways.pause_ms);
-        let in_time = self.now + pause < request.first + ticks(of.deadline_ms);
+        let pause = ticks_from_ms(self.world.gateways.pause_ms);
+        let in_time = self.now + pause < request.first + ticks_from_ms(of.deadline_ms);
         if again && in_time && request.tries <= self.world.gateways.retries {
-            return self.push(self.now + pause, Event::Try(index));
+            return self.push(self.now + pause, Event::StartAttempt(index));
         }
         self.record
             .lost(self.now - ORIGIN, at, request.method, loss, of.criticality);
--- a/crates/coralstep-lab/src/simulate/mod.rs
+++ b/crates/coralstep-lab/src/simulate/mod.rs
@@ -1,4 +1,4 @@
-//! A day of a world in virtual time: discrete events, the real decisions in each server. Times are ticks of a tenth of a ms.
+//! Discrete-event simulation of a world in virtual time, with the real scheduler in each server. Times are ticks of 0.1 ms.
 use std::collections::HashMap;
 
 use coralstep::{
@@ -26,22 +26,22 @@
 mod sharing;
 mod troubles;
 
-/// Where virtual time starts, so that a server may have been up for long before.
+/// Start of virtual time, above zero so that servers can have started long before.
 const ORIGIN: u64 = 1 << 40;
-/// What is open when the last request came is played on for so long, in ticks.
-const AFTER: u64 = 300_000;
-/// Subjects of requests that go to the server of their subject.
+/// How long the simulation goes on after the last arrival for requests that are still open, in ticks.
+const TAIL_TIME: u64 = 300_000;
+/// Number of subjects, for requests that are routed by subject.
 const SUBJECTS: usize = 1_000;
-/// So long after its RPC's answer a run in the hands of an application that hangs is counted as lost, in ticks.
-const STUCK: u64 = 100_000;
-/// Levels look this often, in ticks.
-const LOOK: u64 = 1_000;
+/// Time after the RPC's answer at which a run at a hanging application counts as lost, in ticks.
+const ABANDONED_RUN_TIMEOUT: u64 = 100_000;
+/// Interval at which degradation levels and statistics are sampled, in ticks.
+const SAMPLE_INTERVAL: u64 = 1_000;
 
-fn ticks(ms: f64) -> u64 {
+fn ticks_from_ms(ms: f64) -> u64 {
     (ms * 10.0).round() as u64
 }
 
-/// What a day came to. Figures of virtual time.
+/// Result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Day {
     pub world: String,
@@ -49,29 +49,30 @@
     pub requests: u64,
     pub attempts: u64,
     pub ok: u64,
-    /// The last try ended so.
+    /// Requests whose last attempt was rejected.
     pub pushed_back: u64,
     pub aborted: u64,
     pub unreached: u64,
-    /// Open when the day ended.
+    /// Requests still open at the end.
     pub open: u64,
-    /// Criticality answered within its target, as a part of all that was asked for.
+    /// Criticality earned by answers, as a fraction of the criticality of all requests.
     pub kept: f64,
     pub p50_ms: f64,
     pub p99_ms: f64,
     pub breaker_turns: u64,
     pub breaches: u64,
-    /// The first of them, and how many of each rule.
+    /// The first breaches.
     pub told: Vec<String>,
+    /// Number of breaches of each rule.
     #[serde(skip)]
     pub by_rule: Vec<(String, u64)>,
     pub events: u64,
-    /// Of all events and their outcomes: the same for the same world and seed.
+    /// Hash of all events and their outcomes; equal for equal world and seed.
     pub trace: u64,
 }
 
 impl Day {
-    /// Nothing has happened yet.
+    /// Creates the result of a run without any requests.
     pub fn new(world: &World, seed: u64) -> Day {
         Day {
             world: world.name.clone(),
@@ -96,63 +97,63 @@
     }
 }
 
-/// One attempt at a server.
+/// An attempt at a server.
 struct Rpc {
     attempt: u64,
     request: usize,
     work: f64,
-    /// Its call is still to come.
+    /// Its call of the dependency is still to be made.
     calls: bool,
-    /// Answered without its call.
+    /// It runs without its call.
     bare: bool,
     answered: bool,
     prior: Option<RpcId>,
-    /// How its run ended, where it did: well or not.
+    /// Whether its run succeeded; `None` until the run ends.
     ended: Option<bool>,
-    /// Those that wait for its result.
+    /// Retries that wait for its result.
     waiting: Vec<RpcId>,
     running: bool,
     call: u64,
     arrived: u64,
     tenant: Option<usize>,
-    /// Its call came to no good end.
+    /// Its call failed or timed out.
     call_failed: bool,
-    /// At which application it runs.
+    /// The application that runs it.
     pick: Option<Pick>,
 }
 
 struct Node {
     server: Option<Decider>,
     levels: Option<LevelStateMachine>,
-    /// At a level of reduced service.
+    /// Whether the server is at a degraded service level.
     reduced: bool,
-    /// The breaker is not closed.
+    /// Whether the breaker isn't closed.
     shut: bool,
     pool: Option<Pool<usize>>,
-    /// Attempts at each application, and whether it hangs.
+    /// Number of attempts at each application, and whether the application hangs.
     apps: Vec<(u32, bool)>,
     cut_off: bool,
     life: u64,
     speed: f64,
-    /// Cold since then.
+    /// Start of the warm-up.
     cold: Option<u64>,
     slow: f64,
     paused: bool,
-    /// Until when that lasts.
+    /// End of the pause.
     pause_ends: u64,
     rpcs: Vec<Option<Rpc>>,
     free: Vec<RpcId>,
     tokens: HashMap<u64, RpcId>,
-    /// Those on the cores, and the service at which each is done.
+    /// Jobs on the cores, each with the value of `service` at which it is complete.
     jobs: Vec<(RpcId, f64)>,
-    /// Service that each job has had, were it there from the start.
+    /// Service received so far by a job that has been on the cores since the start (processor sharing).
     service: f64,
     since: u64,
-    /// Of the next end of a job and the next beat: older events are void.
+    /// Versions of the scheduled completion and timer events; events of an older version are ignored.
     version: u64,
     beat: u64,
     held: usize,
-    /// It alone doesn't reach the dependency: its calls fail, or come to no end.
+    /// Whether this server alone can't reach the dependency: its calls fail (`way_dead`) or hang (`way_hangs`).
     way_dead: bool,
     way_hangs: bool,
     listed_from: u64,
@@ -166,16 +167,16 @@
     tries: u32,
     gateway: usize,
     tenant: Option<usize>,
-    /// Where its first try goes, where that is not by chance.
+    /// Server of the first attempt, if it isn't chosen at random.
     subject: Option<usize>,
 }
 
 enum Event {
     Arrive,
-    Try(usize),
-    Beat(usize, u64, u64),
-    Done(usize, u64),
-    Called {
+    StartAttempt(usize),
+    Timer(usize, u64, u64),
+    JobsCompleted(usize, u64),
+    CallEnded {
         node: usize,
         life: u64,
         rpc: RpcId,
@@ -183,28 +184,28 @@
         outcome: Outcome,
         began: u64,
     },
-    /// An attempt at an application ends.
-    Ran {
+    /// An attempt at an application has ended.
+    ApplicationEnded {
         node: usize,
         life: u64,
         rpc: RpcId,
         good: bool,
     },
-    /// What hung in an application's hands is counted as lost.
-    LetGo {
+    /// An abandoned attempt at a hanging application counts as lost.
+    AbandonedAttemptExpired {
         node: usize,
         life: u64,
         pick: Pick,
     },
     Trouble(usize, bool),
-    Look,
-    Leave(usize),
+    Sample,
+    BeginDrain(usize),
     Stop(usize, u64),
-    Return(usize),
+    Restart(usize),
     End,
 }
 
-struct Sim<'a> {
+struct Simulation<'a> {
     world: &'a World,
     chance: SmallRng,
     queue: Wheel<Event>,
@@ -215,7 +216,7 @@
     heeds: Vec<bool>,
     away: HashMap<(usize, usize), u64>,
     calls: u64,
-    /// When the last request came, from the start, in parts of a tick, too.
+    /// Time of the last arrival from the start, in ticks with fractions.
     arrival: f64,
     jump: f64,
     slow_calls: f64,
@@ -223,14 +224,14 @@
     dead: bool,
     sharing: Sharing,
     tail: Option<(f64, f64)>,
-    /// Part of the requests that a hot caller sends, and the server it sends them to.
+    /// Fraction of the requests that a hot caller sends, and the server it sends them to.
     hot: Option<(f64, usize)>,
-    struck: Vec<Vec<usize>>,
+    affected: Vec<Vec<usize>>,
     policy: Policy,
     cheat: Cheat,
     gaps: Option<Gamma<f64>>,
     record: Record,
-    /// Servers whose breaker is not closed, and work that cores could do in the present slice.
+    /// Number of servers whose breaker isn't closed, and number of servers at a degraded level.
     shut: u32,
     reduced: u32,
     rules: Rules,
@@ -242,8 +243,8 @@
     shares: f64,
 }
 
-fn terms(world: &World, cold: bool) -> SchedulerConfig {
-    let span = |ms: f64| Span(ticks(ms));
+fn scheduler_config(world: &World, cold: bool) -> SchedulerConfig {
+    let span = |ms: f64| Span(ticks_from_ms(ms));
     let below = world
         .dependency
         .as_ref()
@@ -289,43 +290,43 @@
     }
 }
 
-/// Plays a day; the same for the same world and seed.
+/// Simulates a world; the result is the same for the same world and seed.
 pub fn simulate(world: &World, seed: u64) -> Day {
     play(world, seed, Policy::Module, false).0
 }
 
-/// What servers do wrong on purpose, for tests of the checker.
+/// Defects injected into the servers to test the rule checker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Cheat {
     #[default]
     None,
-    /// They say nothing to whom they push back.
+    /// Rejected requests get no answer.
     Silent,
-    /// They begin each run twice.
+    /// Each run starts twice.
     Again,
-    /// They push back what has run and was to be aborted.
+    /// Requests that ran and should fail are rejected instead.
     PushBackRan,
-    /// They run what they should push back.
+    /// Requests that should be rejected run.
     RunAll,
-    /// They don't say when to come back.
+    /// Rejections carry no Retry-After.
     NoAdvice,
 }
 
-/// A day with servers that cheat.
+/// Simulates a world with a defect injected into its servers.
 pub fn cheated(world: &World, seed: u64, cheat: Cheat) -> Day {
-    let mut sim = Sim::new(world, seed, Policy::Module, Record::new(world));
+    let mut sim = Simulation::new(world, seed, Policy::Module, Record::new(world));
     sim.cheat = cheat;
     sim.play().0
 }
 
-/// Plays a day with `policy` in each server, and tells what it was like; `requests`: and which requests came.
+/// Simulates a world with `policy` in each server. The record lists all requests if `requests` is set.
 pub fn play(world: &World, seed: u64, policy: Policy, requests: bool) -> (Day, Record) {
     let mut record = Record::new(world);
     record.requests = requests.then(Vec::new);
-    Sim::new(world, seed, policy, record).play()
+    Simulation::new(world, seed, policy, record).play()
 }
-impl<'a> Sim<'a> {
-    fn new(world: &'a World, seed: u64, policy: Policy, record: Record) -> Sim<'a> {
+impl<'a> Simulation<'a> {
+    fn new(world: &'a World, seed: u64, policy: Policy, record: Record) -> Simulation<'a> {
         let mut chance = SmallRng::seed_from_u64(seed);
         let servers = &world.servers;
         let [least, most] = servers.speed;
@@ -333,7 +334,7 @@
             .map(|_| chance.random_range(0.0..1.0) < world.gateways.heed)
             .collect();
         let crowd = servers.crowd * f64::from(servers.cores);
-        let mut sim = Sim {
+        let mut sim = Simulation {
             world,
             queue: Wheel::default(),
             now: ORIGIN,
@@ -353,16 +354,17 @@
             hot: None,
             policy,
             cheat: Cheat::None,
-            // Of mean 1, so that the rate is the world's. None: by pure chance.
+            // Mean 1, which keeps the world's rate. `None`: exponential gaps.
             gaps: Gamma::new(world.gap_shape, 1.0 / world.gap_shape)
                 .ok()
                 .filter(|_| world.gap_shape != 1.0),
             shut: 0,
             reduced: 0,
-            struck: vec![Vec::new(); world.troubles.len()],
+            affected: vec![Vec::new(); world.troubles.len()],
             rules: Rules::new(servers.count, servers.memory_kb, crowd),
-            // One to a billion ticks, three digits: what is created so can't fail.
-            took: Histogram::new_with_bounds(1, 1_000_000_000, 3).expect("sound bounds"),
+            // One to 10^9 ticks with three significant digits: these constant bounds are valid.
+            took: Histogram::new_with_bounds(1, 1_000_000_000, 3)
+                .expect("histogram bounds are valid"),
             asked: 0.0,
             good: 0.0,
             day: Day::new(world, seed),
@@ -406,20 +408,20 @@
                 unlisted_from: u64::MAX,
             });
         }
-        (0..servers.count).for_each(|node| sim.boot(node, false));
+        (0..servers.count).for_each(|node| sim.start_server(node, false));
         for (at, trouble) in world.troubles.iter().enumerate() {
             let from = ORIGIN as f64 + trouble.at_s * 10_000.0;
             let to = from + trouble.for_s * 10_000.0;
-            // One that was over before the day began is none.
+            // Skips a trouble that ended before the run starts.
             if to > ORIGIN as f64 {
                 sim.push(from.max(ORIGIN as f64) as u64, Event::Trouble(at, true));
                 sim.push(to as u64, Event::Trouble(at, false));
             }
         }
-        let end = ORIGIN + ticks(world.seconds * 1000.0) + AFTER;
+        let end = ORIGIN + ticks_from_ms(world.seconds * 1000.0) + TAIL_TIME;
         sim.push(end, Event::End);
-        sim.push(ORIGIN, Event::Look);
-        sim.next_arrival();
+        sim.push(ORIGIN, Event::Sample);
+        sim.schedule_next_arrival();
         sim
     }
 }
--- a/crates/coralstep-lab/src/simulate/server.rs
+++ b/crates/coralstep-lab/src/simulate/server.rs
@@ -1,4 +1,4 @@
-//! The servers: the real decisions, and what they decide carried out.
+//! Simulated servers: drive the real scheduler and carry out its actions.
 use std::collections::HashMap;
 
 use coralstep::{Gauges, Outcome, RpcId, Span, Time};
@@ -6,26 +6,26 @@
 use coralstep_degradation::LevelStateMachine;
 use rand::Rng;
 
-use super::{Cheat, Event, Rpc, Sim, terms, ticks};
+use super::{Cheat, Event, Rpc, Simulation, scheduler_config, ticks_from_ms};
 use crate::acts::{Act, Acts};
 use crate::baseline::Decider;
 use crate::record::Loss;
-use crate::rules::Told;
+use crate::rules::AnswerKind;
 use crate::world::Effect;
 
-impl Sim<'_> {
-    pub(super) fn boot(&mut self, at: usize, cold: bool) {
+impl Simulation<'_> {
+    pub(super) fn start_server(&mut self, at: usize, cold: bool) {
         let mut acts = Acts::default();
         let seed = self.chance.random();
         let server = Decider::start(
             self.policy,
-            &terms(self.world, cold),
+            &scheduler_config(self.world, cold),
             seed,
             Time(self.now),
             &mut acts,
         );
-        let (now, list) = (self.now, self.list());
-        // What was checked when the world was read starts.
+        let (now, list) = (self.now, self.health_propagation_time());
+        // The levels were validated when the world was read, so this doesn't fail.
         let levels = self
             .world
             .levels
@@ -53,7 +53,7 @@
             (Some(of), true) => vec![(0, false); of.count],
             _ => hangs(at),
         };
-        self.unshut(at);
+        self.reset_breaker_and_level_counts(at);
         let node = &mut self.nodes[at];
         node.life += 1;
         node.server = Some(server);
@@ -63,26 +63,30 @@
         node.tokens = HashMap::new();
         (node.since, node.version) = (now, node.version + 1);
         (node.listed_from, node.unlisted_from) = (if cold { now + list } else { 0 }, u64::MAX);
-        self.acts(at, acts);
+        self.apply_actions(at, acts);
     }
 
-    /// Lets something happen at a server, and all that follows.
-    pub(super) fn tell(&mut self, at: usize, what: impl FnOnce(&mut Decider, Time, &mut Acts)) {
+    /// Passes an input to a server's scheduler and carries out the resulting actions.
+    pub(super) fn with_server(
+        &mut self,
+        at: usize,
+        what: impl FnOnce(&mut Decider, Time, &mut Acts),
+    ) {
         let (now, mut acts) = (Time(self.now), Acts::default());
         if let Some(server) = self.nodes[at].server.as_mut() {
             what(server, now, &mut acts);
         }
-        self.acts(at, acts);
+        self.apply_actions(at, acts);
     }
 
-    /// The server's breaker is no longer there, or closed.
-    pub(super) fn unshut(&mut self, at: usize) {
+    /// Takes a server out of the counts of breakers that aren't closed and of degraded servers.
+    pub(super) fn reset_breaker_and_level_counts(&mut self, at: usize) {
         let node = &mut self.nodes[at];
         self.shut -= u32::from(std::mem::take(&mut node.shut));
         self.reduced -= u32::from(std::mem::take(&mut node.reduced));
     }
 
-    pub(super) fn levels(&mut self, at: usize) {
+    pub(super) fn update_degradation_level(&mut self, at: usize) {
         let now = Time(self.now);
         let node = &mut self.nodes[at];
         let (Some(levels), Some(signals)) = (
@@ -97,7 +101,7 @@
             self.reduced -= u32::from(node.reduced);
             self.reduced += u32::from(reduced);
             node.reduced = reduced;
-            self.tell(at, |server, now, out| server.level(now, effect, out));
+            self.with_server(at, |server, now, out| server.level(now, effect, out));
         }
     }
 
@@ -105,36 +109,41 @@
         self.nodes[at].rpcs.get_mut(id.0 as usize)?.as_mut()
     }
 
-    pub(super) fn acts(&mut self, at: usize, acts: Acts) {
+    pub(super) fn apply_actions(&mut self, at: usize, acts: Acts) {
         for act in acts.0 {
             match act {
-                Act::Admit(id) => self.begin(at, id),
+                Act::Admit(id) => self.start_run(at, id),
                 Act::PushBack(..) if self.cheat == Cheat::Silent => {}
-                Act::PushBack(id, ..) if self.cheat == Cheat::RunAll => self.begin(at, id),
+                Act::PushBack(id, ..) if self.cheat == Cheat::RunAll => self.start_run(at, id),
                 Act::PushBack(id, after, last) => {
                     let after = if self.cheat == Cheat::NoAdvice {
                         Span::ZERO
                     } else {
                         after
                     };
-                    self.answer(at, id, Told::PushedBack, Some((after, last)));
+                    self.handle_answer(at, id, AnswerKind::PushedBack, Some((after, last)));
                 }
                 Act::Abort(id) if self.cheat == Cheat::PushBackRan => {
-                    self.answer(at, id, Told::PushedBack, Some((Span::ms(250), false)));
+                    self.handle_answer(
+                        at,
+                        id,
+                        AnswerKind::PushedBack,
+                        Some((Span::ms(250), false)),
+                    );
                 }
-                Act::Abort(id) => self.answer(at, id, Told::Aborted, None),
-                Act::Call(id, patience) => self.call(at, id, patience),
+                Act::Abort(id) => self.handle_answer(at, id, AnswerKind::Aborted, None),
+                Act::Call(id, patience) => self.start_call(at, id, patience),
                 Act::Skip(id) => {
                     if let Some(rpc) = self.rpc(at, id) {
                         (rpc.bare, rpc.calls) = (true, false);
                     }
-                    self.run(at, id);
+                    self.run_next_part(at, id);
                 }
                 Act::Preempt(id) => {
-                    self.advance(at);
+                    self.advance_service(at);
                     self.nodes[at].jobs.retain(|(job, _)| *job != id);
-                    self.schedule(at);
-                    self.settle(at, id, Outcome::Cancelled);
+                    self.schedule_completion(at);
+                    self.complete_run(at, id, Outcome::Cancelled);
                 }
                 Act::Keep(id) => {
                     let request = self.rpc(at, id).map(|rpc| rpc.request);
@@ -144,11 +153,11 @@
                     token.map(|token| self.nodes[at].tokens.insert(token, id));
                 }
                 Act::Drop(id) => self.nodes[at].tokens.retain(|_, of| *of != id),
-                Act::Replay(id) => self.replay(at, id),
-                Act::Release(id) => self.release(at, id),
+                Act::Replay(id) => self.replay_result(at, id),
+                Act::Release(id) => self.release_rpc(at, id),
                 Act::Health(good) => {
                     let node = &mut self.nodes[at];
-                    let seen = self.now + ticks(self.world.gateways.health_ms);
+                    let seen = self.now + ticks_from_ms(self.world.gateways.health_ms);
                     match good {
                         true => (node.listed_from, node.unlisted_from) = (seen, u64::MAX),
                         false => node.unlisted_from = node.unlisted_from.min(seen),
@@ -158,7 +167,7 @@
                     let node = &mut self.nodes[at];
                     node.beat += 1;
                     let (life, beat) = (node.life, node.beat);
-                    self.push(self.now + span.0, Event::Beat(at, life, beat));
+                    self.push(self.now + span.0, Event::Timer(at, life, beat));
                 }
                 Act::Turn(turn) => {
                     self.day.breaker_turns += 1;
@@ -171,41 +180,42 @@
         }
     }
 
-    pub(super) fn begin(&mut self, at: usize, id: RpcId) {
+    pub(super) fn start_run(&mut self, at: usize, id: RpcId) {
         let Some(rpc) = self.rpc(at, id) else { return };
         rpc.running = true;
         let (attempt, index) = (rpc.attempt, rpc.request);
         self.nodes[at].held = self.nodes[at].held.saturating_sub(1);
         let token = self.requests[index].as_ref().and_then(|request| {
             let of = &self.world.methods[request.method];
-            (of.effect == Effect::Tokened).then(|| (request.token, self.now + ticks(of.window_ms)))
+            (of.effect == Effect::Tokened)
+                .then(|| (request.token, self.now + ticks_from_ms(of.window_ms)))
         });
-        self.rules.began(self.now, attempt, token);
+        self.rules.record_start(self.now, attempt, token);
         if self.cheat == Cheat::Again {
-            self.rules.began(self.now, attempt, token);
-            self.run(at, id);
+            self.rules.record_start(self.now, attempt, token);
+            self.run_next_part(at, id);
         }
         if self.world.applications.is_some() {
-            self.hand_on(at, id)
+            self.dispatch_to_application(at, id)
         } else {
-            self.run(at, id)
+            self.run_next_part(at, id)
         }
     }
 
-    pub(super) fn settle(&mut self, at: usize, id: RpcId, outcome: Outcome) {
-        self.give_up(at, id);
+    pub(super) fn complete_run(&mut self, at: usize, id: RpcId, outcome: Outcome) {
+        self.abandon_application_attempt(at, id);
         let Some(rpc) = self.rpc(at, id) else { return };
         rpc.running = false;
         rpc.ended = Some(outcome == Outcome::Ok);
         let waiting = std::mem::take(&mut rpc.waiting);
-        self.tell(at, |server, now, out| server.settled(now, id, outcome, out));
+        self.with_server(at, |server, now, out| server.settled(now, id, outcome, out));
         for id in waiting {
-            self.replayed(at, id, outcome == Outcome::Ok);
+            self.answer_replay(at, id, outcome == Outcome::Ok);
         }
     }
 
-    /// Answers with the result of the RPC that it repeats, now or when there is one.
-    pub(super) fn replay(&mut self, at: usize, id: RpcId) {
+    /// Answers a retry with the result of the earlier attempt, now or as soon as there is one.
+    pub(super) fn replay_result(&mut self, at: usize, id: RpcId) {
         let prior = self.rpc(at, id).and_then(|rpc| rpc.prior);
         let ended = prior.and_then(|prior| self.rpc(at, prior)).map(|prior| {
             if prior.ended.is_none() {
@@ -215,18 +225,27 @@
         });
         match ended {
             Some(None) => {}
-            Some(Some(good)) => self.replayed(at, id, good),
-            None => self.replayed(at, id, false),
+            Some(Some(good)) => self.answer_replay(at, id, good),
+            None => self.answer_replay(at, id, false),
         }
     }
 
-    pub(super) fn replayed(&mut self, at: usize, id: RpcId, good: bool) {
-        self.answer(at, id, if good { Told::Ok } else { Told::Aborted }, None);
+    pub(super) fn answer_replay(&mut self, at: usize, id: RpcId, good: bool) {
+        self.handle_answer(
+            at,
+            id,
+            if good {
+                AnswerKind::Ok
+            } else {
+                AnswerKind::Aborted
+            },
+            None,
+        );
         let outcome = if good { Outcome::Ok } else { Outcome::Error };
-        self.tell(at, |server, now, out| server.settled(now, id, outcome, out));
+        self.with_server(at, |server, now, out| server.settled(now, id, outcome, out));
     }
 
-    pub(super) fn release(&mut self, at: usize, id: RpcId) {
+    pub(super) fn release_rpc(&mut self, at: usize, id: RpcId) {
         let Some(rpc) = self.nodes[at]
             .rpcs
             .get_mut(id.0 as usize)
@@ -237,31 +256,31 @@
         if let Some(prior) = rpc.prior.and_then(|prior| self.rpc(at, prior)) {
             prior.waiting.retain(|waiting| *waiting != id);
         }
-        self.rules.over(self.now, rpc.attempt);
+        self.rules.record_release(self.now, rpc.attempt);
         self.nodes[at].free.push(id);
     }
 
-    pub(super) fn beat(&mut self, at: usize) {
-        self.advance(at);
-        self.schedule(at);
+    pub(super) fn handle_timer(&mut self, at: usize) {
+        self.advance_service(at);
+        self.schedule_completion(at);
         let (node, servers) = (&self.nodes[at], &self.world.servers);
         let busy = (node.jobs.len() as f64 / f64::from(servers.cores)).min(1.0);
         let running = node.rpcs.iter().flatten().filter(|rpc| rpc.running).count() as f64;
         let memory = (node.held as f64 + running * servers.run_factor) * servers.held_kb
             + node.tokens.len() as f64 * servers.key_kb;
         let (jobs, paused) = (node.jobs.len(), node.paused);
-        self.rules.stands(self.now, at, memory, jobs);
+        self.rules.record_usage(self.now, at, memory, jobs);
         if paused {
             let (life, beat) = (node.life, node.beat);
-            return self.push(self.now + 200, Event::Beat(at, life, beat));
+            return self.push(self.now + 200, Event::Timer(at, life, beat));
         }
         let busy = self.world.applications.is_none().then_some(busy);
         let gauges = Gauges {
             cpu_busy: busy,
             open_connections: None,
         };
-        self.tell(at, |server, now, out| server.timer(now, gauges, out));
-        // Runs whose RPC was answered at a call end there.
+        self.with_server(at, |server, now, out| server.timer(now, gauges, out));
+        // A run whose RPC was answered while it waited for a call ends there.
         let ended: Vec<RpcId> = self.nodes[at]
             .rpcs
             .iter()
@@ -280,12 +299,12 @@
             .collect();
         ended
             .into_iter()
-            .for_each(|id| self.settle(at, id, Outcome::Cancelled));
+            .for_each(|id| self.complete_run(at, id, Outcome::Cancelled));
     }
 
-    pub(super) fn stop(&mut self, at: usize, crash: bool) {
-        self.rules.stopped(self.now, at, crash);
-        self.unshut(at);
+    pub(super) fn stop_server(&mut self, at: usize, crash: bool) {
+        self.rules.record_stop(self.now, at, crash);
+        self.reset_breaker_and_level_counts(at);
         let node = &mut self.nodes[at];
         node.server = None;
         (node.life, node.version) = (node.life + 1, node.version + 1);
@@ -301,9 +320,9 @@
         node.free.clear();
         for index in open {
             let again = self
-                .method(index)
+                .method_of(index)
                 .is_some_and(|method| method.effect == Effect::Idempotent);
-            self.failed(index, at, Loss::Unreached, again);
+            self.handle_failed_attempt(index, at, Loss::Unreached, again);
         }
     }
 }
--- a/crates/coralstep-lab/src/simulate/sharing.rs
+++ b/crates/coralstep-lab/src/simulate/sharing.rs
@@ -1,5 +1,5 @@
-//! What the servers of a world tell each other of the dependency, on the real decisions (`coralstep-shared-health`): each sees the others as they
-//! were a while ago, as long as words take in a fleet of processes.
+//! Health reports about the dependency that the servers exchange, evaluated by the real `coralstep-shared-health`. Each server sees the
+//! others with the delay that gossip has in a fleet of processes.
 use std::collections::VecDeque;
 
 use coralstep::Span;
@@ -8,34 +8,35 @@
 use coralstep_shared_health::report::MAX_REPORT_AGE_MS;
 use coralstep_shared_health::{BreakerAdvice, ReportedBreakerState, SharingConfig};
 
-use super::Sim;
+use super::Simulation;
 
-/// What is heard is so old: by processes half of a fleet of 60 hears a change within a third of a second, nearly all within one. In looks.
-const OLD: usize = 6;
-/// Calls that others are told of, in ticks: as the server tells (two seconds).
-const RECENT: u64 = 20_000;
+/// Age of the reports from peers, in samples. With real processes, half of a fleet of 60 receives a change within a third of a second
+/// and nearly all of it within one second.
+const REPORT_DELAY_SAMPLES: usize = 6;
+/// Period whose calls are reported to peers, in ticks: two seconds, as in the server.
+const REPORTED_PERIOD: u64 = 20_000;
 
-/// One server at one look.
+/// State of one server in one sample.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
-    there: bool,
+struct HealthSample {
+    running: bool,
     state: ReportedBreakerState,
     failures: u32,
     calls: u32,
-    /// When its last call ended, and when its breaker closed by a trial, in ticks.
+    /// Time at which its last call ended, and time at which its breaker closed after a successful probe call, in ticks.
     called: u64,
-    healed: Option<u64>,
+    recovered: Option<u64>,
 }
 
 pub(super) struct Sharing {
     nodes: Vec<Node>,
-    looks: VecDeque<Vec<Seen>>,
+    samples: VecDeque<Vec<HealthSample>>,
 }
 
 struct Node {
     aggregator: Aggregator,
     calls: VecDeque<(u64, bool)>,
-    seen: Seen,
+    seen: HealthSample,
 }
 
 impl Sharing {
@@ -43,23 +44,27 @@
         let node = |at: usize| Node {
             aggregator: Aggregator::new(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ at as u64),
             calls: VecDeque::new(),
-            seen: Seen::default(),
+            seen: HealthSample::default(),
         };
         Sharing {
             nodes: (0..count).map(node).collect(),
-            looks: VecDeque::new(),
+            samples: VecDeque::new(),
         }
     }
 
-    /// A call of a server ended.
-    pub(super) fn called(&mut self, at: usize, now: u64, failed: bool) {
+    /// Records the end of a server's call.
+    pub(super) fn record_call(&mut self, at: usize, now: u64, failed: bool) {
         self.nodes[at].calls.push_back((now, failed));
         self.nodes[at].seen.called = now;
     }
 
-    fn look(&mut self, at: usize, now: u64, state: Option<&str>) {
+    fn sample(&mut self, at: usize, now: u64, state: Option<&str>) {
         let node = &mut self.nodes[at];
-        while node.calls.front().is_some_and(|(of, _)| of + RECENT < now) {
+        while node
+            .calls
+            .front()
+            .is_some_and(|(of, _)| of + REPORTED_PERIOD < now)
+        {
             node.calls.pop_front();
         }
         let all = [
@@ -72,29 +77,33 @@
             .find(|one| Some(one.name()) == state)
             .unwrap_or_default();
         if state.is_none() {
-            // A successor knows nothing of it.
-            node.seen = Seen::default();
+            // A restarted server has no history.
+            node.seen = HealthSample::default();
         }
-        node.seen.healed = match (node.seen.state, now_is) {
-            (ReportedBreakerState::Closed, ReportedBreakerState::Closed) => node.seen.healed,
+        node.seen.recovered = match (node.seen.state, now_is) {
+            (ReportedBreakerState::Closed, ReportedBreakerState::Closed) => node.seen.recovered,
             (_, ReportedBreakerState::Closed) => Some(now),
             _ => None,
         };
-        node.seen.there = state.is_some();
+        node.seen.running = state.is_some();
         node.seen.state = now_is;
         node.seen.failures = node.calls.iter().filter(|(_, failed)| *failed).count() as u32;
         node.seen.calls = node.calls.len() as u32;
     }
 
     fn advise(&mut self, at: usize, now: u64) -> BreakerAdvice {
-        let Some(before) = self.looks.front().filter(|_| self.looks.len() >= OLD) else {
+        let Some(before) = self
+            .samples
+            .front()
+            .filter(|_| self.samples.len() >= REPORT_DELAY_SAMPLES)
+        else {
             return BreakerAdvice::default();
         };
         let ms = |of: u64| now.saturating_sub(of) / 10;
         let others: Vec<PeerReport> = before
             .iter()
             .enumerate()
-            .filter(|(other, seen)| *other != at && seen.there)
+            .filter(|(other, seen)| *other != at && seen.running)
             .map(|(other, seen)| PeerReport {
                 peer: PeerId(other as u64),
                 state: seen.state,
@@ -105,7 +114,7 @@
                 } else {
                     ms(seen.called)
                 },
-                since_recovery_ms: seen.healed.map(ms),
+                since_recovery_ms: seen.recovered.map(ms),
             })
             .collect();
         let node = &mut self.nodes[at];
@@ -114,21 +123,21 @@
     }
 }
 
-impl Sim<'_> {
-    /// Each server hears of the others, and its breaker goes by it.
-    pub(super) fn share(&mut self) {
+impl Simulation<'_> {
+    /// Gives each server the reports of its peers, which advise its breaker.
+    pub(super) fn exchange_health_reports(&mut self) {
         let now = self.now;
         for at in 0..self.nodes.len() {
             let state = self.nodes[at]
                 .server
                 .as_ref()
                 .and_then(|server| server.breaker());
-            self.sharing.look(at, now, state);
+            self.sharing.sample(at, now, state);
         }
-        let seen: Vec<Seen> = self.sharing.nodes.iter().map(|node| node.seen).collect();
-        self.sharing.looks.push_back(seen);
-        if self.sharing.looks.len() > OLD {
-            self.sharing.looks.pop_front();
+        let seen: Vec<HealthSample> = self.sharing.nodes.iter().map(|node| node.seen).collect();
+        self.sharing.samples.push_back(seen);
+        if self.sharing.samples.len() > REPORT_DELAY_SAMPLES {
+            self.sharing.samples.pop_front();
         }
         for at in 0..self.nodes.len() {
             if self.nodes[at].server.is_none() || self.nodes[at].paused {
@@ -136,7 +145,7 @@
             }
             let advice = self.sharing.advise(at, now);
             let left = advice.cooldown_left_ms.map(Span::ms);
-            self.tell(at, |server, now, _| {
+            self.with_server(at, |server, now, _| {
                 server.hear(now, advice.min_outcomes, left)
             });
         }
