--- a/crates/coralstep-lab/src/acts.rs
+++ b/crates/coralstep-lab/src/acts.rs
@@ -1,64 +1,66 @@
-//! What a server decides, kept in order until it is carried out: the outlet of all that plays servers in virtual time.
+//! Records the actions of a scheduler in order, for the simulated servers that carry them out.
 use coralstep::{Actions, BreakerTransition, RpcId, Span};
 
-pub enum Act {
+/// An action of the scheduler, as in [`Actions`].
+pub enum Action {
     Admit(RpcId),
-    /// With the advice when to come back, and whether to try nowhere else.
-    PushBack(RpcId, Span, bool),
-    Abort(RpcId),
+    /// With the Retry-After, and whether no other server should be tried.
+    Reject(RpcId, Span, bool),
+    Fail(RpcId),
     Call(RpcId, Span),
-    Skip(RpcId),
+    SkipCall(RpcId),
     Preempt(RpcId),
-    Keep(RpcId),
-    Drop(RpcId),
+    RetainKey(RpcId),
+    ReleaseKey(RpcId),
     Replay(RpcId),
-    Release(RpcId),
-    Health(bool),
-    Timer(Span),
-    Turn(BreakerTransition),
+    ReleaseId(RpcId),
+    SetHealth(bool),
+    SetTimer(Span),
+    BreakerTransition(BreakerTransition),
 }
 
+/// The actions of one scheduler call, in order.
 #[derive(Default)]
-pub struct Acts(pub Vec<Act>);
+pub struct RecordedActions(pub Vec<Action>);
 
-impl Actions for Acts {
+impl Actions for RecordedActions {
     fn admit(&mut self, rpc: RpcId) {
-        self.0.push(Act::Admit(rpc));
+        self.0.push(Action::Admit(rpc));
     }
     fn reject(&mut self, rpc: RpcId, after: Span, last: bool) {
-        self.0.push(Act::PushBack(rpc, after, last));
+        self.0.push(Action::Reject(rpc, after, last));
     }
     fn fail(&mut self, rpc: RpcId) {
-        self.0.push(Act::Abort(rpc));
+        self.0.push(Action::Fail(rpc));
     }
     fn call(&mut self, rpc: RpcId, patience: Span) {
-        self.0.push(Act::Call(rpc, patience));
+        self.0.push(Action::Call(rpc, patience));
     }
     fn skip_call(&mut self, rpc: RpcId) {
-        self.0.push(Act::Skip(rpc));
+        self.0.push(Action::SkipCall(rpc));
     }
     fn preempt(&mut self, rpc: RpcId) {
-        self.0.push(Act::Preempt(rpc));
+        self.0.push(Action::Preempt(rpc));
     }
     fn retain_key(&mut self, rpc: RpcId, _span: Span) {
-        self.0.push(Act::Keep(rpc));
+        self.0.push(Action::RetainKey(rpc));
     }
     fn release_key(&mut self, rpc: RpcId) {
-        self.0.push(Act::Drop(rpc));
+        self.0.push(Action::ReleaseKey(rpc));
     }
     fn replay(&mut self, rpc: RpcId) {
-        self.0.push(Act::Replay(rpc));
+        self.0.push(Action::Replay(rpc));
     }
     fn set_health(&mut self, good: bool) {
-        self.0.push(Act::Health(good));
+        self.0.push(Action::SetHealth(good));
     }
     fn set_timer(&mut self, span: Span) {
-        self.0.push(Act::Timer(span));
+        self.0.push(Action::SetTimer(span));
     }
     fn breaker_transition(&mut self, turn: BreakerTransition) {
-        self.0.push(Act::Turn(turn));
+        self.0.push(Action::BreakerTransition(turn));
     }
     fn release_id(&mut self, rpc: RpcId) {
-        self.0.push(Act::Release(rpc));
+        self.0.push(Action::ReleaseId(rpc));
     }
 }
--- a/crates/coralstep-lab/src/baseline.rs
+++ b/crates/coralstep-lab/src/baseline.rs
@@ -1,5 +1,5 @@
-//! What decides in a simulated server: the real module, or a baseline to hold it against. The baselines are simple on purpose and
-//! keep the four rules as far as a plain pool can.
+//! Schedulers of a simulated server: the real one, and baselines to compare it with. The baselines are simple on purpose and keep
+//! the rules of `crate::rules` as far as a plain worker pool can.
 use std::collections::{HashMap, VecDeque};
 
 use coralstep::{
@@ -9,18 +9,18 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Policy {
-    /// The real module.
+    /// The real scheduler.
     #[default]
     Module,
-    /// The real module, told what the others say of the dependency (`coralstep-shared-health`), as old as it comes by gossip.
+    /// The real scheduler with its peers' health reports (`coralstep-shared-health`), delayed as by gossip.
     Sharing,
-    /// A pool of four runs a core and a line of as many, first come first served; no breaker.
+    /// A pool of four runs per core and a FIFO queue of the same length; no breaker.
     Plain,
-    /// The real module, told that every call went well: its breaker never opens.
+    /// The real scheduler, to which every call is reported as successful, so that its breaker never opens.
     NoBreaker,
-    /// Fixed limits: two runs a core, a fixed part of the dependency's share, a line of a hundred.
+    /// Fixed limits: two runs per core, a fixed fraction of the dependency's share, a queue of 100.
     Static,
-    /// As the pool, but with a long line from whose head is dropped while waits stay past a target (as CoDel does).
+    /// The pool with a long queue that is shortened at its head while waits stay above a target (CoDel).
     Codel,
 }
 
@@ -34,7 +34,7 @@
 ];
 
 impl Policy {
-    pub fn named(name: &str) -> Option<Policy> {
+    pub fn from_name(name: &str) -> Option<Policy> {
         POLICIES
             .iter()
             .find(|(known, _)| *known == name)
@@ -42,60 +42,66 @@
     }
 }
 
-/// Decides for one server.
-pub enum Decider {
+/// The scheduler of one simulated server.
+pub enum ServerScheduler {
     Module(Box<Scheduler>),
     NoBreaker(Box<Scheduler>),
     Pool(Box<Pool>),
 }
 
-impl Decider {
+impl ServerScheduler {
     pub fn start(
         policy: Policy,
-        terms: &SchedulerConfig,
+        config: &SchedulerConfig,
         seed: u64,
         now: Time,
         out: &mut dyn Actions,
-    ) -> Decider {
+    ) -> ServerScheduler {
         match policy {
             Policy::Module | Policy::Sharing => {
-                Decider::Module(Box::new(Scheduler::start(terms, seed, now, out)))
+                ServerScheduler::Module(Box::new(Scheduler::start(config, seed, now, out)))
             }
             Policy::NoBreaker => {
-                Decider::NoBreaker(Box::new(Scheduler::start(terms, seed, now, out)))
+                ServerScheduler::NoBreaker(Box::new(Scheduler::start(config, seed, now, out)))
             }
-            _ => Decider::Pool(Box::new(Pool::start(policy, terms, out))),
+            _ => ServerScheduler::Pool(Box::new(Pool::start(policy, config, out))),
         }
     }
 
-    pub fn rpc(&mut self, now: Time, arrival: Request, out: &mut dyn Actions) {
+    pub fn handle_request(&mut self, now: Time, arrival: Request, out: &mut dyn Actions) {
         match self {
-            Decider::Module(server) | Decider::NoBreaker(server) => {
+            ServerScheduler::Module(server) | ServerScheduler::NoBreaker(server) => {
                 server.handle_request(now, arrival, out)
             }
-            Decider::Pool(pool) => pool.rpc(now, arrival, out),
+            ServerScheduler::Pool(pool) => pool.handle_request(now, arrival, out),
         }
     }
 
-    pub fn settled(&mut self, now: Time, id: RpcId, outcome: Outcome, out: &mut dyn Actions) {
+    pub fn handle_completion(
+        &mut self,
+        now: Time,
+        id: RpcId,
+        outcome: Outcome,
+        out: &mut dyn Actions,
+    ) {
         match self {
-            Decider::Module(server) | Decider::NoBreaker(server) => {
+            ServerScheduler::Module(server) | ServerScheduler::NoBreaker(server) => {
                 server.handle_completion(now, id, outcome, out)
             }
-            Decider::Pool(pool) => pool.settled(now, id, out),
+            ServerScheduler::Pool(pool) => pool.handle_completion(now, id, out),
         }
     }
 
-    pub fn needs_call(&mut self, now: Time, id: RpcId, out: &mut dyn Actions) {
+    pub fn handle_call_needed(&mut self, now: Time, id: RpcId, out: &mut dyn Actions) {
         match self {
-            Decider::Module(server) | Decider::NoBreaker(server) => {
+            ServerScheduler::Module(server) | ServerScheduler::NoBreaker(server) => {
                 server.handle_call_needed(now, id, out)
             }
-            Decider::Pool(pool) => pool.needs_call(now, id, out),
+            ServerScheduler::Pool(pool) => pool.handle_call_needed(now, id, out),
         }
     }
 
-    pub fn called(
+    pub fn handle_call_result(
         &mut self,
         now: Time,
         id: RpcId,
@@ -104,101 +110,108 @@
         out: &mut dyn Actions,
     ) {
         match self {
-            Decider::Module(server) => server.handle_call_result(now, id, outcome, took, out),
-            // Of the dependency only good is heard; the failure is the RPC's alone.
-            Decider::NoBreaker(server) => {
+            ServerScheduler::Module(server) => {
+                server.handle_call_result(now, id, outcome, took, out)
+            }
+            // The scheduler sees only successful calls; the simulated server handles the failure of the RPC.
+            ServerScheduler::NoBreaker(server) => {
                 server.handle_call_result(now, id, Outcome::Ok, took, out)
             }
-            Decider::Pool(pool) => pool.called(now, id, outcome, out),
+            ServerScheduler::Pool(pool) => pool.handle_call_result(now, id, outcome, out),
         }
     }
 
-    pub fn wind_down(&mut self, now: Time, stop: Time, out: &mut dyn Actions) {
+    pub fn begin_drain(&mut self, now: Time, stop: Time, out: &mut dyn Actions) {
         match self {
-            Decider::Module(server) | Decider::NoBreaker(server) => {
+            ServerScheduler::Module(server) | ServerScheduler::NoBreaker(server) => {
                 server.begin_drain(now, stop, out)
             }
-            Decider::Pool(pool) => pool.wind_down(now, stop, out),
+            ServerScheduler::Pool(pool) => pool.begin_drain(now, stop, out),
         }
     }
 
-    pub fn timer(&mut self, now: Time, gauges: Gauges, out: &mut dyn Actions) {
+    pub fn handle_timeout(&mut self, now: Time, gauges: Gauges, out: &mut dyn Actions) {
         match self {
-            Decider::Module(server) | Decider::NoBreaker(server) => {
+            ServerScheduler::Module(server) | ServerScheduler::NoBreaker(server) => {
                 server.handle_timeout(now, gauges, out)
             }
-            Decider::Pool(pool) => pool.timer(now, out),
+            ServerScheduler::Pool(pool) => pool.handle_timeout(now, out),
         }
     }
 
-    /// The breaker's state; none for those that have none.
-    pub fn breaker(&self) -> Option<&'static str> {
+    /// Returns the breaker's state, or `None` for a baseline without a breaker.
+    pub fn breaker_state(&self) -> Option<&'static str> {
         match self {
-            Decider::Module(server) => Some(server.breaker().state().as_str()),
+            ServerScheduler::Module(server) => Some(server.breaker().state().as_str()),
             _ => None,
         }
     }
 
-    pub fn hear(&mut self, now: Time, need: u32, left: Option<Span>) {
-        if let Decider::Module(server) = self {
+    pub fn apply_peer_reports(&mut self, now: Time, need: u32, left: Option<Span>) {
+        if let ServerScheduler::Module(server) = self {
             server.apply_peer_reports(now, need, left);
         }
     }
 
-    /// None for those that know of no levels.
+    /// Returns the inputs of the degradation levels, or `None` for a baseline without levels.
     pub fn signals(&self) -> Option<Signals> {
         match self {
-            Decider::Module(server) | Decider::NoBreaker(server) => Some(server.signals()),
-            Decider::Pool(_) => None,
+            ServerScheduler::Module(server) | ServerScheduler::NoBreaker(server) => {
+                Some(server.signals())
+            }
+            ServerScheduler::Pool(_) => None,
         }
     }
 
-    pub fn level(&mut self, now: Time, level: DegradationLevel, out: &mut dyn Actions) {
-        if let Decider::Module(server) | Decider::NoBreaker(server) = self {
+    pub fn set_degradation(&mut self, now: Time, level: DegradationLevel, out: &mut dyn Actions) {
+        if let ServerScheduler::Module(server) | ServerScheduler::NoBreaker(server) = self {
             server.set_degradation(now, level, out);
         }
     }
 }
 
-const BEAT: Span = Span::ms(20);
-/// Answers leave so much before they are due, and the last ones so much before the stop.
-const EARLY: Span = Span::ms(50);
-const LAST: Span = Span::ms(400);
-/// CoDel's target and interval.
-const TARGET: Span = Span::ms(5);
-const INTERVAL: Span = Span::ms(100);
-/// Patience with a call.
-const PATIENCE: Span = Span::ms(2_000);
-/// Part of its share of the dependency that fixed limits let a server use.
-const SHARE: f64 = 0.5;
+/// Interval of the pool's timer.
+const TIMER_INTERVAL: Span = Span::ms(20);
+/// Margin between an answer and its deadline.
+const DEADLINE_MARGIN: Span = Span::ms(50);
+/// Margin between the last answers and the stop of the server.
+const STOP_MARGIN: Span = Span::ms(400);
+/// CoDel's target for the queue wait.
+const CODEL_TARGET: Span = Span::ms(5);
+/// CoDel's interval.
+const CODEL_INTERVAL: Span = Span::ms(100);
+/// Timeout of a call.
+const CALL_TIMEOUT: Span = Span::ms(2_000);
+/// Fraction of its share of the dependency that a server uses with fixed limits.
+const STATIC_SHARE_FRACTION: f64 = 0.5;
 
-struct One {
+struct PoolRpc {
     method: usize,
     arrived: Time,
     due: Time,
-    /// Begun.
+    /// Whether its run ever started.
     ran: bool,
     answered: bool,
-    /// Its run goes on.
+    /// Whether its run is in progress.
     running: bool,
     token_until: Option<Time>,
 }
 
-/// A pool of a fixed number of places with a line before it.
+/// A worker pool of fixed size with a queue.
 pub struct Pool {
     methods: Vec<Method>,
-    /// Runs at once, and places in the line.
+    /// Maximum number of concurrent runs, of queued RPCs and of concurrent calls.
     limit: usize,
-    line_most: usize,
-    calls_most: usize,
+    max_queued: usize,
+    max_calls: usize,
     codel: bool,
     grace: Span,
-    line: VecDeque<RpcId>,
+    queue: VecDeque<RpcId>,
     running: usize,
     calling: usize,
     waiting: VecDeque<RpcId>,
-    all: HashMap<RpcId, One>,
-    /// Since when waits are past the target.
+    all: HashMap<RpcId, PoolRpc>,
+    /// Time since which waits have been above CoDel's target.
     past: Option<Time>,
     drops: u32,
     next_drop: Time,
@@ -206,35 +219,34 @@
 }
 
 impl Pool {
-    fn start(policy: Policy, terms: &SchedulerConfig, out: &mut dyn Actions) -> Pool {
-        let cores = terms.cores.max(1) as usize;
-        let share = terms
-            .dependency
-            .share()
-            .map_or(usize::MAX, |share| (share * SHARE).max(1.0) as usize);
-        // A pool is sized by its operator, who knows how much memory there is: runs, and a line, that fit.
+    fn start(policy: Policy, config: &SchedulerConfig, out: &mut dyn Actions) -> Pool {
+        let cores = config.cores.max(1) as usize;
+        let share = config.dependency.share().map_or(usize::MAX, |share| {
+            (share * STATIC_SHARE_FRACTION).max(1.0) as usize
+        });
+        // Operators size a pool to the memory, so runs and queue are limited to what fits.
         let fits = |kb: f64| {
             if kb > 0.0 {
-                (terms.memory_kb / kb / 40.0) as usize
+                (config.memory_kb / kb / 40.0) as usize
             } else {
                 usize::MAX
             }
         };
-        let room = fits(terms.run_memory_factor).max(cores);
-        let (limit, line_most, calls_most) = match policy {
+        let room = fits(config.run_memory_factor).max(cores);
+        let (limit, max_queued, max_calls) = match policy {
             Policy::Static => (cores * 2, 100, share),
             Policy::Codel => (cores * 4, 200, usize::MAX),
             _ => (cores * 4, cores * 4, usize::MAX),
         };
-        out.set_timer(BEAT);
+        out.set_timer(TIMER_INTERVAL);
         Pool {
-            methods: terms.methods.clone(),
+            methods: config.methods.clone(),
             limit: limit.min(room),
-            line_most: line_most.min(room * 4),
-            calls_most,
+            max_queued: max_queued.min(room * 4),
+            max_calls,
             codel: policy == Policy::Codel,
-            grace: terms.drain_grace,
-            line: VecDeque::new(),
+            grace: config.drain_grace,
+            queue: VecDeque::new(),
             running: 0,
             calling: 0,
             waiting: VecDeque::new(),
@@ -246,13 +258,13 @@
         }
     }
 
-    fn rpc(&mut self, now: Time, arrival: Request, out: &mut dyn Actions) {
+    fn handle_request(&mut self, now: Time, arrival: Request, out: &mut dyn Actions) {
         let of = self.methods[arrival.method];
-        let mut due = arrival.deadline.unwrap_or(now + of.deadline) - EARLY;
+        let mut due = arrival.deadline.unwrap_or(now + of.deadline) - DEADLINE_MARGIN;
         if let Some((_, stop)) = self.leaving {
-            due = due.min(stop - LAST);
+            due = due.min(stop - STOP_MARGIN);
         }
-        let one = One {
+        let one = PoolRpc {
             method: arrival.method,
             arrived: now,
             due,
@@ -264,38 +276,38 @@
         self.all.insert(arrival.id, one);
         match arrival.earlier_attempt {
             EarlierAttempt::Known(_) => return out.replay(arrival.id),
-            EarlierAttempt::Forgotten => return self.answer(arrival.id, false, out),
+            EarlierAttempt::Forgotten => return self.reject_or_fail(arrival.id, false, out),
             EarlierAttempt::None => {}
         }
         let late = self
             .leaving
             .is_some_and(|(notice, _)| now > notice + self.grace);
-        if late || self.line.len() >= self.line_most {
-            return self.answer(arrival.id, true, out);
+        if late || self.queue.len() >= self.max_queued {
+            return self.reject_or_fail(arrival.id, true, out);
         }
-        self.line.push_back(arrival.id);
-        self.pump(now, out);
+        self.queue.push_back(arrival.id);
+        self.start_runs(now, out);
     }
 
-    /// The one final answer of what gets no good one.
-    fn answer(&mut self, id: RpcId, push: bool, out: &mut dyn Actions) {
+    /// Rejects or fails an RPC that has no answer yet.
+    fn reject_or_fail(&mut self, id: RpcId, push: bool, out: &mut dyn Actions) {
         let Some(one) = self.all.get_mut(&id).filter(|one| !one.answered) else {
             return;
         };
         one.answered = true;
-        // Guards against an index that stands in line after it went to another RPC.
-        self.line.retain(|held| *held != id);
+        // Guards against an id that stays in the queue after it was reused for another RPC.
+        self.queue.retain(|held| *held != id);
         let effect = self.methods[one.method].idempotency != Idempotency::Idempotent;
         if push && !(one.ran && effect) {
             out.reject(id, Span::ms(250), false);
         } else {
             out.fail(id);
         }
-        self.forget(id, out);
+        self.release_if_finished(id, out);
     }
 
-    /// What is answered and runs no more goes, unless its token counts.
-    fn forget(&mut self, id: RpcId, out: &mut dyn Actions) {
+    /// Releases an RPC that is answered and not running, unless its idempotency key is still retained.
+    fn release_if_finished(&mut self, id: RpcId, out: &mut dyn Actions) {
         if self
             .all
             .get(&id)
@@ -306,17 +318,17 @@
         }
     }
 
-    fn pump(&mut self, now: Time, out: &mut dyn Actions) {
+    fn start_runs(&mut self, now: Time, out: &mut dyn Actions) {
         while self.running < self.limit {
-            let Some(id) = self.line.pop_front() else {
+            let Some(id) = self.queue.pop_front() else {
                 return;
             };
             let Some(one) = self.all.get_mut(&id).filter(|one| !one.answered) else {
                 continue;
             };
             let waited = now - one.arrived;
-            if self.codel && self.drops_now(now, waited) {
-                self.answer(id, true, out);
+            if self.codel && self.should_drop(now, waited) {
+                self.reject_or_fail(id, true, out);
                 continue;
             }
             let Some(one) = self.all.get_mut(&id) else {
@@ -333,21 +345,22 @@
         }
     }
 
-    fn drops_now(&mut self, now: Time, waited: Span) -> bool {
-        if waited < TARGET {
+    fn should_drop(&mut self, now: Time, waited: Span) -> bool {
+        if waited < CODEL_TARGET {
             (self.past, self.drops) = (None, 0);
             return false;
         }
         let since = *self.past.get_or_insert(now);
-        if now - since < INTERVAL || now < self.next_drop {
+        if now - since < CODEL_INTERVAL || now < self.next_drop {
             return false;
         }
         self.drops += 1;
-        self.next_drop = now + Span((INTERVAL.0 as f64 / f64::from(self.drops).sqrt()) as u64);
+        self.next_drop =
+            now + Span((CODEL_INTERVAL.0 as f64 / f64::from(self.drops).sqrt()) as u64);
         true
     }
 
-    fn settled(&mut self, now: Time, id: RpcId, out: &mut dyn Actions) {
+    fn handle_completion(&mut self, now: Time, id: RpcId, out: &mut dyn Actions) {
         let Some(one) = self.all.get_mut(&id) else {
             return;
         };
@@ -356,17 +369,17 @@
             self.running -= 1;
             self.waiting.retain(|waiting| *waiting != id);
         }
-        self.forget(id, out);
-        self.pump(now, out);
+        self.release_if_finished(id, out);
+        self.start_runs(now, out);
     }
 
-    fn needs_call(&mut self, now: Time, id: RpcId, out: &mut dyn Actions) {
+    fn handle_call_needed(&mut self, now: Time, id: RpcId, out: &mut dyn Actions) {
         self.waiting.push_back(id);
-        self.calls(now, out);
+        self.start_calls(now, out);
     }
 
-    fn calls(&mut self, now: Time, out: &mut dyn Actions) {
-        while self.calling < self.calls_most {
+    fn start_calls(&mut self, now: Time, out: &mut dyn Actions) {
+        while self.calling < self.max_calls {
             let Some(id) = self.waiting.pop_front() else {
                 return;
             };
@@ -374,40 +387,46 @@
                 continue;
             };
             self.calling += 1;
-            out.call(id, PATIENCE.min(one.due - now).max(Span::ms(1)));
+            out.call(id, CALL_TIMEOUT.min(one.due - now).max(Span::ms(1)));
         }
     }
 
-    fn called(&mut self, now: Time, id: RpcId, outcome: Outcome, out: &mut dyn Actions) {
+    fn handle_call_result(
+        &mut self,
+        now: Time,
+        id: RpcId,
+        outcome: Outcome,
+        out: &mut dyn Actions,
+    ) {
         self.calling = self.calling.saturating_sub(1);
         if outcome != Outcome::Ok {
-            self.answer(id, false, out);
+            self.reject_or_fail(id, false, out);
         }
-        self.calls(now, out);
+        self.start_calls(now, out);
     }
 
-    fn wind_down(&mut self, now: Time, stop: Time, out: &mut dyn Actions) {
+    fn begin_drain(&mut self, now: Time, stop: Time, out: &mut dyn Actions) {
         self.leaving = Some((now, stop));
         self.all
             .values_mut()
-            .for_each(|one| one.due = one.due.min(stop - LAST));
+            .for_each(|one| one.due = one.due.min(stop - STOP_MARGIN));
         out.set_health(false);
     }
 
-    fn timer(&mut self, now: Time, out: &mut dyn Actions) {
+    fn handle_timeout(&mut self, now: Time, out: &mut dyn Actions) {
         let mut due: Vec<RpcId> = self
             .all
             .iter()
             .filter(|(_, one)| !one.answered && one.due <= now)
             .map(|(id, _)| *id)
             .collect();
-        // Guards against the order of a table, which differs from run to run.
+        // Guards against the iteration order of the hash table, which differs from run to run.
         due.sort_unstable_by_key(|id| id.0);
         for id in due {
             let push = self.all.get(&id).is_some_and(|one| !one.ran);
-            self.answer(id, push, out);
+            self.reject_or_fail(id, push, out);
         }
-        let over = |one: &One| one.token_until.is_some_and(|until| until <= now);
+        let over = |one: &PoolRpc| one.token_until.is_some_and(|until| until <= now);
         let mut over: Vec<RpcId> = self
             .all
             .iter()
@@ -421,9 +440,9 @@
                 .into_iter()
                 .for_each(|one| one.token_until = None);
             out.release_key(id);
-            self.forget(id, out);
+            self.release_if_finished(id, out);
         }
-        self.pump(now, out);
-        out.set_timer(BEAT);
+        self.start_runs(now, out);
+        out.set_timer(TIMER_INTERVAL);
     }
 }
--- a/crates/coralstep-lab/src/caller/mod.rs
+++ b/crates/coralstep-lab/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! Callers on sockets: one RPC in, what the server said out. Thrift shares a connection among RPCs, SCGI has one for each.
+//! RPC clients over sockets. Thrift multiplexes RPCs on one connection, SCGI uses one connection per RPC.
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -10,36 +10,37 @@
 pub mod scgi;
 pub mod thrift;
 
-/// An RPC as its caller has it.
+/// An RPC to send.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct OutgoingRpc {
     pub method: String,
-    /// Of this try.
+    /// Id of this attempt.
     pub reference: u64,
-    /// The same for each try of one request whose method is tokened.
+    /// Idempotency key, equal for all attempts of one request.
     pub token: Option<u64>,
     pub tenant: String,
-    /// Since when its client waits, in milliseconds of the system's clock.
+    /// Time at which the client began to wait, in milliseconds since the Unix epoch.
     pub since_ms: u64,
     pub room_kb: f64,
     pub retry: bool,
     pub body: Vec<u8>,
 }
 
+/// Outcome of an RPC as its caller sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum RpcOutcome {
     Ok(Vec<u8>),
-    /// Stay away so long; `nowhere`: another server is no better.
+    /// Rejected with a Retry-After; `nowhere`: no other server is better.
     PushedBack {
         after: Duration,
         nowhere: bool,
     },
     Aborted,
-    /// The server doesn't know such an RPC, or not so.
+    /// The server doesn't know the method or doesn't accept the request.
     Refused,
-    /// No connection, or none any more: nobody knows what became of it.
+    /// No connection, or the connection broke, so the outcome is unknown.
     Broken,
-    /// The caller's own time is over.
+    /// The caller's deadline has passed.
     TimedOut,
 }
 
@@ -49,42 +50,45 @@
     Scgi,
 }
 
-/// A way to one server.
+/// A client's connection to one server.
 #[derive(Clone)]
-pub enum Way {
-    Thrift(Rc<thrift::Link>),
+pub enum Connection {
+    Thrift(Rc<thrift::ThriftConnection>),
     Scgi(SocketAddr),
 }
 
-impl Way {
+impl Connection {
     pub fn new(
         protocol: Protocol,
         address: SocketAddr,
         executor: &Rc<LocalExecutor<'static>>,
-    ) -> Way {
+    ) -> Connection {
         match protocol {
-            Protocol::Thrift => Way::Thrift(Rc::new(thrift::Link::new(address, executor.clone()))),
-            Protocol::Scgi => Way::Scgi(address),
+            Protocol::Thrift => Connection::Thrift(Rc::new(thrift::ThriftConnection::new(
+                address,
+                executor.clone(),
+            ))),
+            Protocol::Scgi => Connection::Scgi(address),
         }
     }
 
-    /// Asks and waits for the answer, until then.
-    pub async fn ask(&self, ask: &Ask, until: Instant) -> Said {
+    /// Sends an RPC and waits for its outcome until `until`.
+    pub async fn send(&self, rpc: &OutgoingRpc, until: Instant) -> RpcOutcome {
         let over = async {
             Timer::at(until).await;
-            Said::TimedOut
+            RpcOutcome::TimedOut
         };
-        let said = async {
+        let outcome = async {
             match self {
-                Way::Thrift(link) => link.ask(ask).await,
-                Way::Scgi(address) => scgi::ask(*address, ask).await,
+                Connection::Thrift(link) => link.send(rpc).await,
+                Connection::Scgi(address) => scgi::send(*address, rpc).await,
             }
         };
-        said.or(over).await
+        outcome.or(over).await
     }
 }
 
-/// The references of RPCs, as the servers know them.
-pub fn reference(number: u64) -> String {
+/// Formats an RPC id or an idempotency key as servers expect it.
+pub fn format_id(number: u64) -> String {
     format!("{number:016x}")
 }
--- a/crates/coralstep-lab/src/caller/scgi.rs
+++ b/crates/coralstep-lab/src/caller/scgi.rs
@@ -1,4 +1,4 @@
-//! One RPC over SCGI, on a connection of its own.
+//! RPCs over SCGI, each on a new connection.
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
@@ -6,19 +6,19 @@
 use coralstep_scgi::{Limits, request, response};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 
-use super::{Ask, Said, reference};
+use super::{OutgoingRpc, RpcOutcome, format_id};
 
-/// The longest answer that is read.
-const ANSWER: usize = 64 * 1024;
+/// Maximum length of an answer.
+const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
-/// What an answer with these bytes, the whole of it, says.
-pub fn said(bytes: &[u8]) -> Said {
+/// Decodes a complete answer.
+pub fn decode_answer(bytes: &[u8]) -> RpcOutcome {
     let limits = Limits {
-        max_body_bytes: ANSWER,
+        max_body_bytes: MAX_ANSWER_BYTES,
         ..Limits::default()
     };
     let Ok(Some((status, body))) = response::decode(bytes, true, &limits) else {
-        return Said::Broken;
+        return RpcOutcome::Broken;
     };
     let field = |name: &str| {
         let head = bytes
@@ -31,28 +31,28 @@
             .map(|(_, value)| value)
     };
     match status {
-        200..=299 => Said::Ok(body.to_vec()),
+        200..=299 => RpcOutcome::Ok(body.to_vec()),
         503 => {
             let after = field("X-Coralstep-Retry-After-Ms")
                 .and_then(|ms| ms.parse().ok())
                 .unwrap_or(0);
             let nowhere = field("X-Coralstep-Nowhere") == Some("1");
-            Said::PushedBack {
+            RpcOutcome::PushedBack {
                 after: Duration::from_millis(after),
                 nowhere,
             }
         }
-        500..=599 => Said::Aborted,
-        _ => Said::Refused,
+        500..=599 => RpcOutcome::Aborted,
+        _ => RpcOutcome::Refused,
     }
 }
 
-/// The bytes of a request.
-pub fn bytes(ask: &Ask) -> Option<Vec<u8>> {
-    let path = format!("/{}", ask.method);
-    let (number, room) = (reference(ask.reference), format!("{:.3}", ask.room_kb));
-    let token = ask.token.map(reference);
-    let since = ask.since_ms.to_string();
+/// Encodes a request, or returns `None` if it is too long.
+pub fn encode_request(rpc: &OutgoingRpc) -> Option<Vec<u8>> {
+    let path = format!("/{}", rpc.method);
+    let (number, room) = (format_id(rpc.reference), format!("{:.3}", rpc.room_kb));
+    let token = rpc.token.map(format_id);
+    let since = rpc.since_ms.to_string();
     let mut headers = vec![
         ("REQUEST_METHOD", "POST".as_bytes()),
         ("REQUEST_URI", path.as_bytes()),
@@ -63,34 +63,37 @@
     if let Some(token) = &token {
         headers.push(("HTTP_IDEMPOTENCY_KEY", token.as_bytes()));
     }
-    if ask.retry {
+    if rpc.retry {
         headers.push(("HTTP_X_RETRY", b"1"));
     }
-    if !ask.tenant.is_empty() {
-        headers.push(("HTTP_X_TENANT", ask.tenant.as_bytes()));
+    if !rpc.tenant.is_empty() {
+        headers.push(("HTTP_X_TENANT", rpc.tenant.as_bytes()));
     }
     let mut out = Vec::new();
-    request::encode(&mut out, &headers, &ask.body)
+    request::encode(&mut out, &headers, &rpc.body)
         .ok()
         .map(|()| out)
 }
 
-pub async fn ask(address: SocketAddr, ask: &Ask) -> Said {
-    let Some(bytes) = bytes(ask) else {
-        return Said::Refused;
+/// Sends an RPC and waits for its outcome.
+pub async fn send(address: SocketAddr, rpc: &OutgoingRpc) -> RpcOutcome {
+    let Some(bytes) = encode_request(rpc) else {
+        return RpcOutcome::Refused;
     };
-    let talk = async {
+    let exchange = async {
         let stream = Async::<TcpStream>::connect(address).await?;
         stream.get_ref().set_nodelay(true)?;
         (&stream).write_all(&bytes).await?;
         let mut answer = Vec::new();
         (&stream)
-            .take(ANSWER as u64)
+            .take(MAX_ANSWER_BYTES as u64)
             .read_to_end(&mut answer)
             .await?;
         std::io::Result::Ok(answer)
     };
-    talk.await.map_or(Said::Broken, |answer| said(&answer))
+    exchange
+        .await
+        .map_or(RpcOutcome::Broken, |answer| decode_answer(&answer))
 }
 
 #[cfg(test)]
--- a/crates/coralstep-lab/src/caller/thrift.rs
+++ b/crates/coralstep-lab/src/caller/thrift.rs
@@ -1,4 +1,4 @@
-//! RPCs over Thrift: framed calls on one connection, answers by their sequence number in any order.
+//! RPCs over Thrift: framed messages on one connection, with answers matched by sequence number.
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpStream};
@@ -10,58 +10,59 @@
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 
-use super::{Ask, Said, reference};
+use super::{OutgoingRpc, RpcOutcome, format_id};
 
-/// The longest frame that is read.
-const FRAME: usize = 256 * 1024;
+/// Maximum length of a frame.
+const MAX_FRAME_BYTES: usize = 256 * 1024;
 
-fn put(out: &mut Vec<u8>, bytes: &[u8]) {
+fn put_bytes(out: &mut Vec<u8>, bytes: &[u8]) {
     out.extend_from_slice(&(bytes.len() as u32).to_be_bytes());
     out.extend_from_slice(bytes);
 }
 
-/// The frame of a call.
-pub fn frame(seq: i32, ask: &Ask) -> Vec<u8> {
+/// Encodes an RPC as a frame.
+pub fn encode_call(seq: i32, rpc: &OutgoingRpc) -> Vec<u8> {
     let mut out = vec![0; 4];
     out.extend_from_slice(b"\x80\x01\x00\x01");
-    put(&mut out, b"invoke");
+    put_bytes(&mut out, b"invoke");
     out.extend_from_slice(&seq.to_be_bytes());
-    let since = ask.since_ms.to_string();
-    let (number, room) = (reference(ask.reference), format!("{:.3}", ask.room_kb));
+    let since = rpc.since_ms.to_string();
+    let (number, room) = (format_id(rpc.reference), format!("{:.3}", rpc.room_kb));
     let mut fields = vec![
-        ("service", ask.method.as_str()),
+        ("service", rpc.method.as_str()),
         ("ref", &number),
         ("since", &since),
         ("sender", "1"),
         ("room", &room),
     ];
-    if ask.retry {
+    if rpc.retry {
         fields.push(("dup", "1"));
     }
-    let token = ask.token.map(reference);
+    let token = rpc.token.map(format_id);
     if let Some(token) = &token {
         fields.push(("replay", token));
     }
-    if !ask.tenant.is_empty() {
-        fields.push(("project", &ask.tenant));
+    if !rpc.tenant.is_empty() {
+        fields.push(("project", &rpc.tenant));
     }
     out.extend_from_slice(b"\x0d\x00\x01\x0b\x0b");
     out.extend_from_slice(&(fields.len() as u32).to_be_bytes());
     for (key, value) in fields {
-        put(&mut out, key.as_bytes());
-        put(&mut out, value.as_bytes());
+        put_bytes(&mut out, key.as_bytes());
+        put_bytes(&mut out, value.as_bytes());
     }
     out.extend_from_slice(b"\x0b\x00\x02");
-    put(&mut out, &ask.body);
+    put_bytes(&mut out, &rpc.body);
     out.push(0);
     let length = (out.len() - 4) as u32;
     out[..4].copy_from_slice(&length.to_be_bytes());
     out
 }
 
-struct Rest<'a>(&'a [u8]);
+/// Reads big-endian fields from a frame.
+struct FrameReader<'a>(&'a [u8]);
 
-impl<'a> Rest<'a> {
+impl<'a> FrameReader<'a> {
     fn take(&mut self, count: usize) -> Option<&'a [u8]> {
         let (taken, rest) = self.0.split_at_checked(count)?;
         self.0 = rest;
@@ -78,14 +79,14 @@
     }
 }
 
-/// What a frame says, and to which call; `None` where it is no answer, or where the server is about to close.
-pub fn said(frame: &[u8]) -> Option<(i32, Said)> {
-    let mut rest = Rest(frame);
+/// Decodes a frame into its sequence number and outcome. Returns `None` if it isn't an answer.
+pub fn decode_answer(frame: &[u8]) -> Option<(i32, RpcOutcome)> {
+    let mut rest = FrameReader(frame);
     let kind = *rest.take(4)?.get(3)?;
     rest.bytes()?;
     let seq = rest.number()? as i32;
     match kind {
-        3 => return Some((seq, Said::Refused)),
+        3 => return Some((seq, RpcOutcome::Refused)),
         2 => {}
         _ => return None,
     }
@@ -110,34 +111,34 @@
     Some((
         seq,
         match member {
-            // The last field says whether the run went well.
+            // The last field is 1 if the run succeeded.
             0 => match rest.take(4)?[3] {
-                1 => Said::Ok(body),
-                _ => Said::Aborted,
+                1 => RpcOutcome::Ok(body),
+                _ => RpcOutcome::Aborted,
             },
-            1 => Said::PushedBack {
+            1 => RpcOutcome::PushedBack {
                 after: Duration::from_millis(after),
                 nowhere,
             },
-            2 => Said::Aborted,
+            2 => RpcOutcome::Aborted,
             _ => return None,
         },
     ))
 }
 
-type Waiting = Rc<RefCell<HashMap<i32, Sender<Said>>>>;
+type Waiting = Rc<RefCell<HashMap<i32, Sender<RpcOutcome>>>>;
 
-/// A connection that is made when it is needed and made again after it broke.
-pub struct Link {
+/// A connection that is opened on demand and reopened after it broke.
+pub struct ThriftConnection {
     address: SocketAddr,
     executor: Rc<LocalExecutor<'static>>,
     open: RefCell<Option<(Sender<Vec<u8>>, Waiting)>>,
     seq: Cell<i32>,
 }
 
-impl Link {
-    pub fn new(address: SocketAddr, executor: Rc<LocalExecutor<'static>>) -> Link {
-        Link {
+impl ThriftConnection {
+    pub fn new(address: SocketAddr, executor: Rc<LocalExecutor<'static>>) -> ThriftConnection {
+        ThriftConnection {
             address,
             executor,
             open: RefCell::default(),
@@ -145,16 +146,16 @@
         }
     }
 
-    /// Frames put in here are written, whole and in order.
-    fn line(&self) -> (Sender<Vec<u8>>, Waiting) {
+    /// Returns the queue of frames to write and the waiting RPCs, connecting if necessary.
+    fn open(&self) -> (Sender<Vec<u8>>, Waiting) {
         let mut open = self.open.borrow_mut();
         if let Some((out, waiting)) = open.as_ref().filter(|(out, _)| !out.is_closed()) {
             return (out.clone(), waiting.clone());
         }
         let (out, frames) = unbounded::<Vec<u8>>();
         let waiting = Waiting::default();
-        let (address, told, ended) = (self.address, waiting.clone(), out.clone());
-        let talk = async move {
+        let (address, answers, ended) = (self.address, waiting.clone(), out.clone());
+        let exchange = async move {
             let stream = Rc::new(Async::<TcpStream>::connect(address).await?);
             stream.get_ref().set_nodelay(true)?;
             let write = async {
@@ -163,14 +164,14 @@
                 }
                 std::io::Result::Ok(())
             };
-            futures_lite::future::race(write, read(&stream, &told)).await
+            futures_lite::future::race(write, read_answers(&stream, &answers)).await
         };
         let rest = waiting.clone();
         self.executor
             .spawn(async move {
-                let _ = talk.await;
+                let _ = exchange.await;
                 ended.close();
-                // Those that still wait hear that nobody will say anything.
+                // Dropping their senders tells the RPCs that still wait that no answer will come.
                 rest.borrow_mut().clear();
             })
             .detach();
@@ -178,30 +179,31 @@
         (out, waiting)
     }
 
-    pub async fn ask(&self, ask: &Ask) -> Said {
-        let (out, waiting) = self.line();
+    pub async fn send(&self, rpc: &OutgoingRpc) -> RpcOutcome {
+        let (out, waiting) = self.open();
         let seq = self.seq.get().wrapping_add(1);
         self.seq.set(seq);
         let (sender, answer) = bounded(1);
         waiting.borrow_mut().insert(seq, sender);
-        // Given up or answered, nothing of it stays.
-        let _forget = Forget(waiting, seq);
-        if out.send(frame(seq, ask)).await.is_err() {
-            return Said::Broken;
+        // Removes the RPC when it is answered or cancelled.
+        let _remove_on_drop = RemoveOnDrop(waiting, seq);
+        if out.send(encode_call(seq, rpc)).await.is_err() {
+            return RpcOutcome::Broken;
         }
-        answer.recv().await.unwrap_or(Said::Broken)
+        answer.recv().await.unwrap_or(RpcOutcome::Broken)
     }
 }
 
-struct Forget(Waiting, i32);
+struct RemoveOnDrop(Waiting, i32);
 
-impl Drop for Forget {
+impl Drop for RemoveOnDrop {
     fn drop(&mut self) {
         self.0.borrow_mut().remove(&self.1);
     }
 }
 
-async fn read(stream: &Async<TcpStream>, waiting: &Waiting) -> std::io::Result<()> {
+/// Reads answers and passes each to the RPC that waits for it.
+async fn read_answers(stream: &Async<TcpStream>, waiting: &Waiting) -> std::io::Result<()> {
     let (mut bytes, mut buffer) = (Vec::new(), [0; 16 * 1024]);
     loop {
         let count = (&*stream).read(&mut buffer).await?;
@@ -215,16 +217,16 @@
             .and_then(|four| four.try_into().ok())
         {
             let length = u32::from_be_bytes(prefix) as usize;
-            if length > FRAME {
+            if length > MAX_FRAME_BYTES {
                 return Err(std::io::ErrorKind::InvalidData.into());
             }
             let Some(frame) = bytes.get(used + 4..used + 4 + length) else {
                 break;
             };
-            if let Some((seq, said)) = said(frame)
+            if let Some((seq, outcome)) = decode_answer(frame)
                 && let Some(sender) = waiting.borrow_mut().remove(&seq)
             {
-                let _ = sender.try_send(said);
+                let _ = sender.try_send(outcome);
             }
             used += 4 + length;
         }
--- a/crates/coralstep-lab/src/caller/thrift/tests.rs
+++ b/crates/coralstep-lab/src/caller/thrift/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 #[test]
-fn garbled_frames_are_no_answers_and_bring_nothing_down() {
-    let ask = Ask {
+fn malformed_frames_are_not_decoded_as_answers() {
+    let rpc = OutgoingRpc {
         method: "read".to_owned(),
         reference: 1,
         token: Some(2),
@@ -12,13 +12,13 @@
         retry: true,
         body: b"x".to_vec(),
     };
-    let mut frame = frame(7, &ask);
+    let mut frame = encode_call(7, &rpc);
     assert_eq!(
         frame.len(),
         4 + u32::from_be_bytes(frame[..4].try_into().unwrap()) as usize
     );
-    // A call is no answer, in whole and cut anywhere.
-    assert!((0..frame.len()).all(|end| said(&frame[4.min(end)..end]).is_none()));
+    // A call is not an answer, whether whole or truncated anywhere.
+    assert!((0..frame.len()).all(|end| decode_answer(&frame[4.min(end)..end]).is_none()));
     frame[7] = 2;
-    assert!((4..frame.len()).all(|end| said(&frame[4..end]).is_none()));
+    assert!((4..frame.len()).all(|end| decode_answer(&frame[4..end]).is_none()));
 }
--- a/crates/coralstep-lab/src/cli/load.rs
+++ b/crates/coralstep-lab/src/cli/load.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coralstep_lab::caller::Protocol;
-use coralstep_lab::load::{self, Terms};
+use coralstep_lab::load::{self, LoadOptions};
 
 pub struct Call {
     pub protocol: Protocol,
@@ -25,11 +25,11 @@
         Some(path) => {
             let text = std::fs::read_to_string(path)
                 .map_err(|why| format!("{}: {why}", path.display()))?;
-            load::recorded(&text).map_err(|why| format!("{}: {why}", path.display()))?
+            load::parse_recorded(&text).map_err(|why| format!("{}: {why}", path.display()))?
         }
-        None => load::at_rate(call.rate, call.seconds, &call.methods, call.seed),
+        None => load::plan_at_rate(call.rate, call.seconds, &call.methods, call.seed),
     };
-    let terms = Terms {
+    let terms = LoadOptions {
         protocol: call.protocol,
         targets: call.targets.clone(),
         connections: call.connections,
@@ -37,7 +37,7 @@
         body: vec![b'x'; call.body],
         json: call.json,
     };
-    let figures = load::drive(&terms, &plan, std::io::stderr()).map_err(|why| why.to_string())?;
+    let figures = load::run(&terms, &plan, std::io::stderr()).map_err(|why| why.to_string())?;
     if call.json {
         println!(
             "{}",
--- a/crates/coralstep-lab/src/cli/sockets.rs
+++ b/crates/coralstep-lab/src/cli/sockets.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use coralstep_lab::caller::Protocol;
-use coralstep_lab::emulate::{Terms, emulate, playable};
+use coralstep_lab::emulate::{EmulationOptions, emulate, without_skipped_calls};
 use coralstep_lab::simulate::play;
 use coralstep_lab::{Day, World, demo, report};
 
@@ -82,7 +82,7 @@
 /// Plays a world on sockets; `beside`: the simulator's day next to it.
 pub fn emulated(
     world: &World,
-    terms: &Terms,
+    terms: &EmulationOptions,
     out: Option<&Path>,
     beside: bool,
     json: bool,
@@ -93,7 +93,15 @@
     record.finish();
     let mut stdout = std::io::stdout().lock();
     let told = |why: std::io::Error| why.to_string();
-    let simulated = beside.then(|| play(&playable(world), terms.seed, Default::default(), false).0);
+    let simulated = beside.then(|| {
+        play(
+            &without_skipped_calls(world),
+            terms.seed,
+            Default::default(),
+            false,
+        )
+        .0
+    });
     if json {
         writeln!(
             stdout,
@@ -140,7 +148,7 @@
             trouble.at_s, trouble.kind, trouble.for_s
         );
     }
-    let terms = Terms {
+    let terms = EmulationOptions {
         program,
         protocol: Protocol::Thrift,
         applications: false,
--- a/crates/coralstep-lab/src/emulate/application.rs
+++ b/crates/coralstep-lab/src/emulate/application.rs
@@ -1,5 +1,5 @@
-//! A stand-in SCGI application: reads a request, works for as long as the world says, answers. Written from SCGI's public
-//! description; it shares no code with the server.
+//! A fake SCGI application: reads a request, sleeps for the work given by the world, answers. Written from the public description of
+//! SCGI; it shares no code with the server.
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 pub struct Application {
     pub address: SocketAddr,
     stop: Arc<AtomicBool>,
-    /// Requests are read and never answered.
+    /// If set, requests are read but never answered.
     pub hangs: Arc<AtomicBool>,
 }
 
@@ -25,11 +25,15 @@
     }
 }
 
-/// Told of each run that begins, by the RPC's body.
-pub type Began = dyn Fn(&[u8]) + Send + Sync;
+/// Called with the RPC's body when a run starts.
+pub type RunStarted = dyn Fn(&[u8]) + Send + Sync;
 
 impl Application {
-    pub fn start(world: &World, seed: u64, began: Arc<Began>) -> std::io::Result<Application> {
+    pub fn start(
+        world: &World,
+        seed: u64,
+        run_started: Arc<RunStarted>,
+    ) -> std::io::Result<Application> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let (stop, hangs) = (
@@ -37,25 +41,25 @@
             Arc::new(AtomicBool::new(false)),
         );
         let (world, ends, hung) = (Arc::new(world.clone()), stop.clone(), hangs.clone());
-        let in_hand = Arc::new(AtomicU64::new(0));
+        let in_flight = Arc::new(AtomicU64::new(0));
         std::thread::spawn(move || {
             for (number, stream) in listener.incoming().map_while(Result::ok).enumerate() {
                 if ends.load(Ordering::SeqCst) {
                     return;
                 }
-                let (world, began, hung) = (world.clone(), began.clone(), hung.clone());
-                let in_hand = in_hand.clone();
+                let (world, run_started, hung) = (world.clone(), run_started.clone(), hung.clone());
+                let in_flight = in_flight.clone();
                 std::thread::spawn(move || {
-                    in_hand.fetch_add(1, Ordering::SeqCst);
+                    in_flight.fetch_add(1, Ordering::SeqCst);
                     let _ = serve(
                         stream,
                         &world,
                         seed + number as u64,
-                        &*began,
+                        &*run_started,
                         &hung,
-                        &in_hand,
+                        &in_flight,
                     );
-                    in_hand.fetch_sub(1, Ordering::SeqCst);
+                    in_flight.fetch_sub(1, Ordering::SeqCst);
                 });
             }
         });
@@ -71,9 +75,9 @@
     mut stream: TcpStream,
     world: &World,
     seed: u64,
-    began: &Began,
+    run_started: &RunStarted,
     hangs: &AtomicBool,
-    in_hand: &AtomicU64,
+    in_flight: &AtomicU64,
 ) -> std::io::Result<()> {
     stream.set_read_timeout(Some(Duration::from_secs(10)))?;
     let mut bytes = Vec::new();
@@ -83,11 +87,11 @@
             0 => return Ok(()),
             count => bytes.extend_from_slice(&more[..count]),
         }
-        if let Some(request) = request(&bytes) {
+        if let Some(request) = parse_request(&bytes) {
             break request;
         }
     };
-    began(&body);
+    run_started(&body);
     if hangs.load(Ordering::SeqCst) {
         return stream.read(&mut [0]).map(|_| ());
     }
@@ -100,7 +104,7 @@
         .applications
         .as_ref()
         .map_or(1.0, |of| f64::from(of.cores));
-    let crowd = (in_hand.load(Ordering::SeqCst) as f64 / cores).max(1.0);
+    let crowd = (in_flight.load(Ordering::SeqCst) as f64 / cores).max(1.0);
     let ms = method.map_or(0.0, |method| method.work_ms.draw(&mut chance)) * crowd;
     std::thread::sleep(Duration::from_secs_f64(ms / 1000.0));
     let head = format!(
@@ -110,8 +114,8 @@
     stream.write_all(&[head.as_bytes(), &body].concat())
 }
 
-/// The path and the body of a whole request.
-fn request(bytes: &[u8]) -> Option<(String, Vec<u8>)> {
+/// Parses a complete request into its path and body.
+fn parse_request(bytes: &[u8]) -> Option<(String, Vec<u8>)> {
     let colon = bytes.iter().position(|byte| *byte == b':')?;
     let length: usize = std::str::from_utf8(&bytes[..colon]).ok()?.parse().ok()?;
     let head = bytes.get(colon + 1..(colon + 1).checked_add(length)?)?;
--- a/crates/coralstep-lab/src/emulate/engine.rs
+++ b/crates/coralstep-lab/src/emulate/engine.rs
@@ -1,5 +1,5 @@
-//! A stand-in engine: cores that runs share, half of a run that calls before the call and half behind it; warming, a crowd past
-//! which less gets done, heavy tails. Links may break at any time; notices are kept and sent again.
+//! A fake engine: runs share its cores, and a run with a call does half of its work before and half after the call. It simulates
+//! warm-up, lower throughput under too many runs, and heavy tails. Connections may break at any time; notices are kept and sent again.
 use std::collections::{HashMap, VecDeque};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,32 +10,33 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::Witness;
-use super::lines::command;
+use super::RuleObserver;
+use super::lines::parse_command;
 use crate::world::World;
 
-/// An answered RPC's run that still waits at its call ends after so long, as nobody feeds it any more.
-const FED: Duration = Duration::from_secs(4);
-/// Notices kept for links that come later; the server has long read what is older.
-const KEPT: usize = 50_000;
-/// Between two looks at the cores, while something runs and while nothing does.
+/// Time after which a run that waits for its call result ends: the server sends none to a run whose RPC is already answered.
+const CALL_RESULT_TIMEOUT: Duration = Duration::from_secs(4);
+/// Number of notices kept for later connections; the server has long read older ones.
+const MAX_KEPT_NOTICES: usize = 50_000;
+/// Interval between two updates of the cores while something runs.
 const STEP: Duration = Duration::from_millis(1);
-const IDLE: Duration = Duration::from_millis(20);
-/// Runs known to have ended.
-const ENDED: usize = 50_000;
+/// Interval between two updates of the cores while nothing runs.
+const IDLE_STEP: Duration = Duration::from_millis(20);
+/// Number of ended runs that are remembered.
+const MAX_KNOWN_ENDED: usize = 50_000;
 
-/// What troubles do to an engine.
+/// Faults injected into an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Plight {
+pub struct EngineFaults {
     pub slow: f64,
     pub paused: bool,
-    /// Part of the runs that take so many times the work.
+    /// Fraction of the runs with more work, and the factor by which their work grows.
     pub tail: Option<(f64, f64)>,
 }
 
-impl Default for Plight {
-    fn default() -> Plight {
-        Plight {
+impl Default for EngineFaults {
+    fn default() -> EngineFaults {
+        EngineFaults {
             slow: 1.0,
             paused: false,
             tail: None,
@@ -43,45 +44,45 @@
     }
 }
 
-/// What an engine is, whatever it runs.
+/// Configuration of an engine, independent of its workload.
 #[derive(Clone, Copy, Debug)]
-pub struct EngineTerms {
+pub struct EngineConfig {
     pub cores: u32,
-    /// Runs a core past which less gets done in total.
+    /// Runs per core above which total throughput falls.
     pub crowd: f64,
     pub speed: f64,
-    /// Just started: so slow, and warm after so long.
+    /// For a fresh engine: its initial speed as a fraction, and its warm-up time.
     pub cold: Option<(f64, Duration)>,
-    /// Links end after so long.
+    /// Time after which each connection is closed.
     pub breaks: Option<Duration>,
-    /// A run that waits for its call does so for good, also when its RPC is long over.
+    /// Whether a run waits for its call result without a timeout, even if its RPC is already answered.
     pub never_ends: bool,
 }
 
-/// What runs on an engine, and who is told of it.
-pub trait Work: Send {
-    /// A run begins: its work in milliseconds of a core of speed 1, before its call and, where it makes one, behind it. None for a
-    /// method that nobody knows.
-    fn begins(&mut self, id: &str, method: &str, body: &[u8]) -> Option<(f64, Option<f64>)>;
-    /// So many runs are on the cores.
-    fn crowd(&mut self, _running: usize) {}
+/// Defines the work of runs and observes them.
+pub trait Workload: Send {
+    /// Handles the start of a run. Returns its work in milliseconds of a core of speed 1, before its call and, if it makes one, after
+    /// it; `None` for an unknown method.
+    fn start_run(&mut self, id: &str, method: &str, body: &[u8]) -> Option<(f64, Option<f64>)>;
+    /// Reports the number of runs on the cores.
+    fn report_running(&mut self, _running: usize) {}
 }
 
-/// What a world says of its runs, and its witness.
-struct OfWorld {
+/// The workload of a world; reports runs to the observer.
+struct WorldWorkload {
     world: World,
     server: usize,
     chance: SmallRng,
-    plight: Arc<Mutex<Plight>>,
-    witness: Arc<Witness>,
+    faults: Arc<Mutex<EngineFaults>>,
+    observer: Arc<RuleObserver>,
 }
 
-impl Work for OfWorld {
-    fn begins(&mut self, id: &str, method: &str, _body: &[u8]) -> Option<(f64, Option<f64>)> {
-        self.witness.began(id);
+impl Workload for WorldWorkload {
+    fn start_run(&mut self, id: &str, method: &str, _body: &[u8]) -> Option<(f64, Option<f64>)> {
+        self.observer.record_run_start(id);
         let of = self.world.methods.iter().find(|of| of.name == method)?;
         let mut work = of.work_ms.draw(&mut self.chance);
-        if let Some((part, size)) = super::lock(&self.plight).tail
+        if let Some((part, size)) = super::lock(&self.faults).tail
             && self.chance.random_range(0.0..1.0) < part
         {
             work *= size;
@@ -93,14 +94,14 @@
         })
     }
 
-    fn crowd(&mut self, running: usize) {
-        self.witness.crowd(self.server, running);
+    fn report_running(&mut self, running: usize) {
+        self.observer.record_running(self.server, running);
     }
 }
 
 pub struct Engine {
     pub address: SocketAddr,
-    pub plight: Arc<Mutex<Plight>>,
+    pub faults: Arc<Mutex<EngineFaults>>,
     stop: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
@@ -113,18 +114,18 @@
 }
 
 impl Engine {
-    /// The engine of server `server`; `cold`: it was just started.
+    /// Starts the engine of a server, in its warm-up if `cold`.
     pub fn start(
         world: &World,
         server: usize,
         speed: f64,
         cold: bool,
         seed: u64,
-        witness: Arc<Witness>,
+        observer: Arc<RuleObserver>,
     ) -> std::io::Result<Engine> {
-        let plight = Arc::new(Mutex::new(Plight::default()));
+        let faults = Arc::new(Mutex::new(EngineFaults::default()));
         let (of, chance) = (&world.servers, SmallRng::seed_from_u64(seed));
-        let terms = EngineTerms {
+        let config = EngineConfig {
             cores: of.cores,
             crowd: of.crowd,
             speed,
@@ -132,31 +133,31 @@
             breaks: None,
             never_ends: false,
         };
-        let work = OfWorld {
+        let work = WorldWorkload {
             world: world.clone(),
             server,
             chance,
-            plight: plight.clone(),
-            witness,
+            faults: faults.clone(),
+            observer,
         };
-        Engine::serve(TcpListener::bind("127.0.0.1:0")?, terms, work, plight)
+        Engine::serve(TcpListener::bind("127.0.0.1:0")?, config, work, faults)
     }
 
-    /// An engine for whoever connects to `listener`, until it is dropped.
+    /// Starts an engine that serves connections to `listener` until it is dropped.
     pub fn serve(
         listener: TcpListener,
-        terms: EngineTerms,
-        work: impl Work + 'static,
-        plight: Arc<Mutex<Plight>>,
+        config: EngineConfig,
+        work: impl Workload + 'static,
+        faults: Arc<Mutex<EngineFaults>>,
     ) -> std::io::Result<Engine> {
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let stop = Arc::new(AtomicBool::new(false));
         let mut state = State {
-            terms,
+            config,
             work: Box::new(work),
             began: Instant::now(),
-            plight: plight.clone(),
+            faults: faults.clone(),
             jobs: Vec::new(),
             ended: VecDeque::new(),
             known: HashMap::new(),
@@ -168,17 +169,17 @@
         let thread = std::thread::spawn(move || {
             while !end.load(Ordering::SeqCst) {
                 match listener.accept() {
-                    Ok((stream, _)) => drop(state.link(stream, &end)),
+                    Ok((stream, _)) => drop(state.serve_connection(stream, &end)),
                     Err(_) => {
                         std::thread::sleep(Duration::from_millis(1));
-                        state.pass();
+                        state.advance();
                     }
                 }
             }
         });
         Ok(Engine {
             address,
-            plight,
+            faults,
             stop,
             thread: Some(thread),
         })
@@ -188,51 +189,51 @@
 struct Job {
     id: String,
     body: Vec<u8>,
-    /// Work left before the call, or to the end, in milliseconds of a core of speed 1.
+    /// Remaining work before the call or the end, in milliseconds of a core of speed 1.
     left: f64,
-    /// Work behind the call that is still to come.
+    /// Workload after the call, if the call is still to be made.
     behind: Option<f64>,
-    /// Since when it waits for its call.
+    /// Time since which it has been waiting for its call result.
     waits: Option<Instant>,
     bare: bool,
 }
 
 struct State {
-    terms: EngineTerms,
-    work: Box<dyn Work>,
-    /// When the engine was started.
+    config: EngineConfig,
+    work: Box<dyn Workload>,
+    /// Start time of the engine.
     began: Instant,
-    plight: Arc<Mutex<Plight>>,
+    faults: Arc<Mutex<EngineFaults>>,
     jobs: Vec<Job>,
     ended: VecDeque<String>,
     known: HashMap<String, ()>,
     notices: VecDeque<Vec<u8>>,
-    /// Notices that are no longer kept.
+    /// Number of notices that are no longer kept.
     dropped: usize,
     last: Instant,
 }
 
 impl State {
-    fn notice(&mut self, head: &str, rest: &str, body: &[u8]) {
+    fn add_notice(&mut self, head: &str, rest: &str, body: &[u8]) {
         let number = self.dropped + self.notices.len() + 1;
         let line = format!("{head} {number} {rest} {}\r\n", body.len());
         self.notices
             .push_back([line.as_bytes(), body, b"\r\n"].concat());
-        if self.notices.len() > KEPT {
+        if self.notices.len() > MAX_KEPT_NOTICES {
             self.notices.pop_front();
             self.dropped += 1;
         }
     }
 
-    /// Time passes on the cores.
-    fn pass(&mut self) {
+    /// Advances the runs on the cores to the present time.
+    fn advance(&mut self) {
         let now = Instant::now();
         let ms = (now - std::mem::replace(&mut self.last, now)).as_secs_f64() * 1000.0;
-        let (plight, terms) = (*super::lock(&self.plight), self.terms);
-        if plight.paused {
+        let (faults, config) = (*super::lock(&self.faults), self.config);
+        if faults.paused {
             return;
         }
-        let warm = terms.cold.map_or(1.0, |(speed, after)| {
+        let warm = config.cold.map_or(1.0, |(speed, after)| {
             let part = self.began.elapsed().as_secs_f64() / after.as_secs_f64().max(0.001);
             (speed + (1.0 - speed) * part).min(1.0)
         });
@@ -242,13 +243,13 @@
             .filter(|job| job.waits.is_none())
             .count()
             .max(1) as f64;
-        let cores = f64::from(terms.cores);
-        let crowd = (terms.crowd * cores / running).min(1.0);
-        let each = ms * terms.speed * warm / plight.slow * (cores / running).min(1.0) * crowd;
+        let cores = f64::from(config.cores);
+        let crowd = (config.crowd * cores / running).min(1.0);
+        let each = ms * config.speed * warm / faults.slow * (cores / running).min(1.0) * crowd;
         let (mut over, mut calls) = (Vec::new(), Vec::new());
         for job in &mut self.jobs {
             match job.waits {
-                Some(since) if since.elapsed() > FED && !terms.never_ends => {
+                Some(since) if since.elapsed() > CALL_RESULT_TIMEOUT && !config.never_ends => {
                     over.push((job.id.clone(), "cut", Vec::new()))
                 }
                 Some(_) => {}
@@ -269,32 +270,36 @@
         }
         calls
             .into_iter()
-            .for_each(|id| self.notice("NEED", &id, b"q"));
+            .for_each(|id| self.add_notice("NEED", &id, b"q"));
         over.into_iter()
-            .for_each(|(id, end, result)| self.over(&id, end, &result));
+            .for_each(|(id, end, result)| self.end_run(&id, end, &result));
     }
 
-    fn over(&mut self, id: &str, end: &str, result: &[u8]) {
+    fn end_run(&mut self, id: &str, end: &str, result: &[u8]) {
         self.jobs.retain(|job| job.id != id);
         self.known.insert(id.to_owned(), ());
         self.ended.push_back(id.to_owned());
-        if self.ended.len() > ENDED
+        if self.ended.len() > MAX_KNOWN_ENDED
             && let Some(oldest) = self.ended.pop_front()
         {
             self.known.remove(&oldest);
         }
-        self.notice("DONE", &format!("{id} {end} 7"), result);
+        self.add_notice("DONE", &format!("{id} {end} 7"), result);
     }
 
-    /// One link, until it ends.
-    fn link(&mut self, mut stream: TcpStream, stop: &AtomicBool) -> std::io::Result<()> {
+    /// Serves one connection until it ends.
+    fn serve_connection(
+        &mut self,
+        mut stream: TcpStream,
+        stop: &AtomicBool,
+    ) -> std::io::Result<()> {
         stream.set_nonblocking(false)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(STEP))?;
         let mut idle = false;
         stream.set_write_timeout(Some(Duration::from_secs(1)))?;
         let (mut bytes, mut sent, since) = (Vec::new(), None, Instant::now());
-        let breaks = self.terms.breaks;
+        let breaks = self.config.breaks;
         while !stop.load(Ordering::SeqCst) && breaks.is_none_or(|breaks| since.elapsed() < breaks) {
             let mut more = [0; 4096];
             match stream.read(&mut more) {
@@ -303,13 +308,13 @@
                 Err(why) if matches!(why.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
                 Err(why) => return Err(why),
             }
-            while let Some((line, body, used)) = command(&bytes)? {
+            while let Some((line, body, used)) = parse_command(&bytes)? {
                 bytes.drain(..used);
                 let words: Vec<&str> = line.split(' ').collect();
                 match words[..] {
                     ["ATTACH", number] => {
                         sent = number.parse::<usize>().ok();
-                        let hello = match self.terms.cold {
+                        let hello = match self.config.cold {
                             Some(_) => {
                                 format!("HELLO new {}\r\n", self.began.elapsed().as_millis())
                             }
@@ -318,10 +323,10 @@
                         stream.write_all(hello.as_bytes())?;
                     }
                     ["STAT", tag] => {
-                        // All notices so far go before the answer.
-                        self.send(&mut stream, &mut sent)?;
+                        // All notices so far must precede the answer.
+                        self.send_notices(&mut stream, &mut sent)?;
                         let running = self.jobs.iter().filter(|job| job.waits.is_none()).count();
-                        let busy = (running as f64 / f64::from(self.terms.cores)).min(1.0);
+                        let busy = (running as f64 / f64::from(self.config.cores)).min(1.0);
                         stream.write_all(
                             format!("STATS {tag} {busy} {running} 0.1 3\r\n").as_bytes(),
                         )?;
@@ -335,21 +340,21 @@
                     }
                     ["HALT", id] => {
                         if self.jobs.iter().any(|job| job.id == id) {
-                            self.over(id, "cut", b"");
+                            self.end_run(id, "cut", b"");
                         }
                     }
                     _ => return Err(std::io::Error::other(format!("unknown command {line}"))),
                 }
             }
-            self.pass();
-            self.send(&mut stream, &mut sent)?;
-            // Guards against hundreds of engines that use the machine up by looking whether there is anything to do.
+            self.advance();
+            self.send_notices(&mut stream, &mut sent)?;
+            // Guards against hundreds of engines that exhaust the machine's CPU by polling while idle.
             if idle != self.jobs.is_empty() {
                 idle = !idle;
-                stream.set_read_timeout(Some(if idle { IDLE } else { STEP }))?;
+                stream.set_read_timeout(Some(if idle { IDLE_STEP } else { STEP }))?;
             }
             let running = self.jobs.iter().filter(|job| job.waits.is_none()).count();
-            self.work.crowd(running);
+            self.work.report_running(running);
         }
         Ok(())
     }
@@ -359,10 +364,10 @@
             return;
         }
         if self.known.contains_key(id) {
-            return self.notice("DONE", &format!("{id} gone 0"), b"");
+            return self.add_notice("DONE", &format!("{id} gone 0"), b"");
         }
-        let Some((left, behind)) = self.work.begins(id, method, &body) else {
-            return self.notice("DONE", &format!("{id} bad 0"), b"");
+        let Some((left, behind)) = self.work.start_run(id, method, &body) else {
+            return self.add_notice("DONE", &format!("{id} bad 0"), b"");
         };
         self.jobs.push(Job {
             id: id.to_owned(),
@@ -374,7 +379,11 @@
         });
     }
 
-    fn send(&self, stream: &mut TcpStream, sent: &mut Option<usize>) -> std::io::Result<()> {
+    fn send_notices(
+        &self,
+        stream: &mut TcpStream,
+        sent: &mut Option<usize>,
+    ) -> std::io::Result<()> {
         let Some(sent) = sent else { return Ok(()) };
         let from = sent.saturating_sub(self.dropped).min(self.notices.len());
         let rest: Vec<u8> = self.notices.range(from..).flatten().copied().collect();
--- a/crates/coralstep-lab/src/emulate/fleet.rs
+++ b/crates/coralstep-lab/src/emulate/fleet.rs
@@ -1,6 +1,5 @@
-//! The servers of an emulation: processes of the program `coralstep`, each with its engine or applications, and relays for what goes
-//! wrong on the wire. They are in groups of their own, so that an interrupt of the terminal reaches the emulator alone, which then
-//! ends them.
+//! The servers of an emulation: `coralstep` processes, each with its engine or applications, and relays that inject network faults.
+//! Each runs in its own process group, so that a Ctrl-C in the terminal reaches only the emulator, which then stops them.
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -21,33 +20,33 @@
 use super::application::Application;
 use super::engine::Engine;
 use super::store::Store;
-use super::wire::{Faults, Wire};
-use super::{Terms, Witness, lock};
-use crate::caller::{Protocol, Way};
+use super::wire::{Faults, FaultyRelay};
+use super::{EmulationOptions, RuleObserver, lock};
+use crate::caller::{Connection, Protocol};
 use crate::world::{Effect, Kind, Trouble, World};
 
-/// A server says where it listens within so long.
-const LISTENS: Duration = Duration::from_secs(10);
-/// What is past its stop by so much is killed, and said to be so.
-const OVERDUE: Duration = Duration::from_secs(2);
+/// Time within which a started server must log its listen address.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time after its stop time at which a draining server is killed and reported as a breach.
+const STOP_ALLOWANCE: Duration = Duration::from_secs(2);
 
-/// What a server wrote before its end is read within so long.
-const LAST_ANSWERS: Duration = Duration::from_millis(500);
+/// Time within which the last answers of an exited server are read.
+const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_millis(500);
 
 struct Server {
     child: Child,
-    /// In the checker's books; a successor has its own.
-    place: usize,
-    runs: Runs,
-    /// Where callers go, the relay before it where there is one.
+    /// Index in the rule checker; a successor has another one.
+    rules_index: usize,
+    backend: Backend,
+    /// Address for callers: that of the relay, if there is one.
     address: SocketAddr,
-    _wires: Vec<Wire>,
-    /// Told to leave: when it must have stopped.
+    _relays: Vec<FaultyRelay>,
+    /// For a draining server, the time by which it must stop.
     stops: Option<Instant>,
-    ways: Mutex<HashMap<usize, Way>>,
+    connections: Mutex<HashMap<usize, Connection>>,
 }
 
-enum Runs {
+enum Backend {
     Engine(Engine),
     Applications(Vec<Application>),
 }
@@ -61,41 +60,42 @@
 
 pub struct Fleet {
     world: World,
-    terms: Terms,
+    options: EmulationOptions,
     control: SocketAddr,
     store: Option<Store>,
-    witness: Arc<Witness>,
-    folder: Folder,
+    observer: Arc<RuleObserver>,
+    folder: TempFolder,
     speeds: Vec<f64>,
     servers: Vec<Option<Server>>,
-    /// Those that leave while their successor is up already.
+    /// Draining servers whose successor is already running.
     leaving: Vec<Server>,
-    /// Those that left, and when.
+    /// Exited servers, with the time of the exit.
     left: Vec<(Instant, usize)>,
     names: Vec<String>,
     generation: Vec<u32>,
-    /// Gateways don't reach it.
+    /// Whether gateways can't reach the server.
     cut_off: Vec<bool>,
-    /// Servers that come back at a time.
+    /// Servers to restart, with the time.
     returns: Vec<(Instant, usize)>,
-    /// Servers that are told to leave at a time.
+    /// Servers to drain, with the time.
     leaves: Vec<(Instant, usize)>,
-    struck: HashMap<usize, Vec<usize>>,
-    turns: Arc<AtomicU64>,
+    affected: HashMap<usize, Vec<usize>>,
+    transitions: Arc<AtomicU64>,
     executor: Rc<LocalExecutor<'static>>,
     chance: SmallRng,
 }
 
-/// Files of an emulation, gone with it.
-struct Folder(PathBuf);
+/// Temporary files of an emulation, deleted on drop.
+struct TempFolder(PathBuf);
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn settings(world: &World) -> serde_json::Value {
+/// Returns the settings of a server for a world.
+fn server_settings(world: &World) -> serde_json::Value {
     let ns = |ms: f64| (ms * 1e6) as u64;
     let classes: Vec<_> = world
         .methods
@@ -130,8 +130,8 @@
     })
 }
 
-/// The operator's own file: callers by SCGI, and where RPCs run where not on an engine.
-fn site(world: &World, scgi: bool, applications: &[SocketAddr]) -> serde_json::Value {
+/// Returns the operator's site file: the SCGI listener, and the applications that run the RPCs in place of an engine.
+fn site_config(world: &World, scgi: bool, applications: &[SocketAddr]) -> serde_json::Value {
     let mut site = json!({});
     if scgi {
         let routes: Vec<_> = world
@@ -148,7 +148,7 @@
     site
 }
 
-fn signal(child: &Child, name: &str) -> Result<(), String> {
+fn send_signal(child: &Child, name: &str) -> Result<(), String> {
     let pid = child.id().to_string();
     let sent = Command::new("kill").args(["-s", name, &pid]).status();
     sent.map_err(|why| format!("kill: {why}")).map(|_| ())
@@ -157,22 +157,22 @@
 impl Fleet {
     pub fn start(
         world: &World,
-        terms: &Terms,
+        options: &EmulationOptions,
         control: SocketAddr,
-        witness: &Arc<Witness>,
+        observer: &Arc<RuleObserver>,
         chance: &mut SmallRng,
     ) -> Result<Fleet, String> {
         let folder = std::env::temp_dir().join(format!(
             "coralstep-lab-{}-{:x}",
             std::process::id(),
-            terms.seed
+            options.seed
         ));
         std::fs::create_dir_all(&folder).map_err(|why| format!("{}: {why}", folder.display()))?;
-        let folder = Folder(folder);
+        let folder = TempFolder(folder);
         let store = world
             .dependency
             .as_ref()
-            .map(|of| Store::start(of, terms.seed))
+            .map(|of| Store::start(of, options.seed))
             .transpose();
         let count = world.servers.count;
         let [least, most] = world.servers.speed;
@@ -187,10 +187,10 @@
             .collect();
         let mut fleet = Fleet {
             world: world.clone(),
-            terms: terms.clone(),
+            options: options.clone(),
             control,
             store: store.map_err(|why| format!("store: {why}"))?,
-            witness: witness.clone(),
+            observer: observer.clone(),
             folder,
             speeds,
             servers: (0..count).map(|_| None).collect(),
@@ -201,18 +201,18 @@
             cut_off: vec![false; count],
             returns: Vec::new(),
             leaves: Vec::new(),
-            struck: HashMap::new(),
-            turns: Arc::default(),
+            affected: HashMap::new(),
+            transitions: Arc::default(),
             executor: Rc::new(LocalExecutor::new()),
-            chance: SmallRng::seed_from_u64(terms.seed ^ 2),
+            chance: SmallRng::seed_from_u64(options.seed ^ 2),
         };
         for at in 0..count {
-            fleet.boot(at, false)?;
+            fleet.start_server(at, false)?;
         }
         Ok(fleet)
     }
 
-    /// Runs the tasks of the ways to the servers; awaited beside the callers.
+    /// Returns the executor for the callers and for the tasks of their connections.
     pub fn executor(&self) -> Rc<LocalExecutor<'static>> {
         self.executor.clone()
     }
@@ -221,92 +221,103 @@
         self.names.clone()
     }
 
-    /// Changes of state that the servers' breakers logged.
-    pub fn turns(&self) -> u64 {
-        self.turns.load(Ordering::SeqCst)
+    /// Returns the number of state changes logged by the servers' breakers.
+    pub fn breaker_transitions(&self) -> u64 {
+        self.transitions.load(Ordering::SeqCst)
     }
 
-    /// A gateway's way to a server, where there is one, and its place in the checker's books.
-    pub fn way(&self, at: usize, gateway: usize) -> Option<(Way, usize)> {
+    /// Returns a gateway's connection to a server and the server's index in the rule checker, or `None` if it is unreachable.
+    pub fn connection(&self, at: usize, gateway: usize) -> Option<(Connection, usize)> {
         let server = self.servers[at].as_ref().filter(|_| !self.cut_off[at])?;
-        let mut ways = lock(&server.ways);
-        let way = ways.entry(gateway);
-        let way =
-            way.or_insert_with(|| Way::new(self.terms.protocol, server.address, &self.executor));
-        Some((way.clone(), server.place))
+        let mut connections = lock(&server.connections);
+        let connection = connections.entry(gateway);
+        let connection = connection.or_insert_with(|| {
+            Connection::new(self.options.protocol, server.address, &self.executor)
+        });
+        Some((connection.clone(), server.rules_index))
     }
 
     fn relay(
         &self,
         to: SocketAddr,
         faults: Faults,
-        wires: &mut Vec<Wire>,
+        relays: &mut Vec<FaultyRelay>,
     ) -> Result<SocketAddr, String> {
         if faults == Faults::default() {
             return Ok(to);
         }
-        let wire = Wire::to(to, self.terms.seed + wires.len() as u64)
+        let relay = FaultyRelay::start(to, self.options.seed + relays.len() as u64)
             .map_err(|why| format!("relay: {why}"))?;
-        *lock(&wire.faults) = faults;
-        let address = wire.address;
-        wires.push(wire);
+        *lock(&relay.faults) = faults;
+        let address = relay.address;
+        relays.push(relay);
         Ok(address)
     }
 
-    fn boot(&mut self, at: usize, cold: bool) -> Result<(), String> {
+    fn start_server(&mut self, at: usize, cold: bool) -> Result<(), String> {
         self.generation[at] += 1;
         let generation = self.generation[at];
         let seed = self
-            .terms
+            .options
             .seed
             .wrapping_mul(31)
             .wrapping_add((at as u64) << 16 | u64::from(generation));
         let name = format!("s{at}g{generation}");
-        let faults = self.terms.faults;
-        let place = lock(&self.witness.rules).add_server();
-        let mut wires = Vec::new();
-        let witness = self.witness.clone();
+        let faults = self.options.faults;
+        let rules_index = lock(&self.observer.rules).add_server();
+        let mut relays = Vec::new();
+        let observer = self.observer.clone();
         let fault = |what: &str, why: std::io::Error| format!("{what}: {why}");
-        let runs = if self.terms.applications {
-            let began = move |body: &[u8]| witness.began(&String::from_utf8_lossy(body));
-            let began: Arc<super::application::Began> = Arc::new(began);
+        let backend = if self.options.applications {
+            let run_started =
+                move |body: &[u8]| observer.record_run_start(&String::from_utf8_lossy(body));
+            let run_started: Arc<super::application::RunStarted> = Arc::new(run_started);
             let count = self.world.applications.as_ref().map_or(2, |of| of.count);
             let applications = (0..count as u64)
-                .map(|number| Application::start(&self.world, seed + number, began.clone()))
+                .map(|number| Application::start(&self.world, seed + number, run_started.clone()))
                 .collect::<std::io::Result<Vec<_>>>();
-            Runs::Applications(applications.map_err(|why| fault("application", why))?)
+            Backend::Applications(applications.map_err(|why| fault("application", why))?)
         } else {
-            let engine = Engine::start(&self.world, place, self.speeds[at], cold, seed, witness);
-            Runs::Engine(engine.map_err(|why| fault("engine", why))?)
+            let engine = Engine::start(
+                &self.world,
+                rules_index,
+                self.speeds[at],
+                cold,
+                seed,
+                observer,
+            );
+            Backend::Engine(engine.map_err(|why| fault("engine", why))?)
         };
-        let engine = match &runs {
-            Runs::Engine(engine) => {
-                Some(self.relay(engine.address, faults.honest(), &mut wires)?)
+        let engine = match &backend {
+            Backend::Engine(engine) => {
+                Some(self.relay(engine.address, faults.without_corruption(), &mut relays)?)
             }
-            Runs::Applications(_) => None,
+            Backend::Applications(_) => None,
         };
-        // What changes bytes is played where no checker could blame the server for it: between server and store.
+        // Faults that change bytes are injected only between server and store, where the checker can't blame the server for them.
         let store = self.store.as_ref().map(|store| store.address);
         let store = store
-            .map(|store| self.relay(store, faults, &mut wires))
+            .map(|store| self.relay(store, faults, &mut relays))
             .transpose()?;
         let config = json!({
             "name": name, "listen": "127.0.0.1:0", "engine": engine, "control": self.control, "store": store,
             "seed": format!("{seed:016x}"), "stop_ms": self.world.servers.stop_ms as u64,
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings(&self.world)
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": server_settings(&self.world)
         });
-        let applications: Vec<SocketAddr> = match &runs {
-            Runs::Applications(all) => all.iter().map(|application| application.address).collect(),
-            Runs::Engine(_) => Vec::new(),
+        let applications: Vec<SocketAddr> = match &backend {
+            Backend::Applications(all) => {
+                all.iter().map(|application| application.address).collect()
+            }
+            Backend::Engine(_) => Vec::new(),
         };
-        let scgi = self.terms.protocol == Protocol::Scgi;
+        let scgi = self.options.protocol == Protocol::Scgi;
         let (config_file, site_file) = (
             self.folder.0.join(format!("{name}.json")),
             self.folder.0.join(format!("{name}.site.json")),
         );
-        write(&config_file, &config)?;
-        write(&site_file, &site(&self.world, scgi, &applications))?;
-        let mut child = Command::new(&self.terms.program)
+        write_json(&config_file, &config)?;
+        write_json(&site_file, &site_config(&self.world, scgi, &applications))?;
+        let mut child = Command::new(&self.options.program)
             .arg("serve")
             .arg("--config")
             .arg(&config_file)
@@ -317,75 +328,75 @@
             .stderr(Stdio::piped())
             .process_group(0)
             .spawn()
-            .map_err(|why| format!("{}: {why}", self.terms.program.display()))?;
-        let stderr = child.stderr.take().ok_or("no log of the program")?;
+            .map_err(|why| format!("{}: {why}", self.options.program.display()))?;
+        let stderr = child.stderr.take().ok_or("the program has no stderr")?;
         let (sender, listens) = channel();
-        let (turns, log) = (
-            self.turns.clone(),
+        let (transitions, log) = (
+            self.transitions.clone(),
             self.folder.0.join(format!("{name}.log")),
         );
-        std::thread::spawn(move || follow(BufReader::new(stderr), &sender, &turns, &log));
+        std::thread::spawn(move || follow_log(BufReader::new(stderr), &sender, &transitions, &log));
         let ended = |mut child: Child, what: &str| {
             let _ = (child.kill(), child.wait());
             format!("{name}: {what}")
         };
-        let address = match where_to(&listens, scgi) {
+        let address = match wait_for_listener(&listens, scgi) {
             Ok(address) => address,
             Err(why) => return Err(ended(child, &why)),
         };
-        let address = self.relay(address, faults.honest(), &mut wires)?;
+        let address = self.relay(address, faults.without_corruption(), &mut relays)?;
         self.names[at] = name;
         self.servers[at] = Some(Server {
             child,
-            place,
-            runs,
+            rules_index,
+            backend,
             address,
-            _wires: wires,
+            _relays: relays,
             stops: None,
-            ways: Mutex::default(),
+            connections: Mutex::default(),
         });
         Ok(())
     }
 
-    /// The servers that a trouble strikes: chosen by chance as it begins, the same when it ends.
-    pub fn struck(&mut self, trouble: usize, part: f64, begins: bool) -> Vec<usize> {
+    /// Returns the servers that a trouble affects: drawn at its start, the same at its end.
+    pub fn affected_servers(&mut self, trouble: usize, part: f64, begins: bool) -> Vec<usize> {
         let count = self.servers.len();
         if begins {
             let mut all: Vec<usize> = (0..count).collect();
-            let struck =
+            let affected =
                 ((count as f64 * part).round() as usize).clamp(usize::from(part > 0.0), count);
-            for place in 0..struck {
+            for place in 0..affected {
                 let other = self.chance.random_range(place..count);
                 all.swap(place, other);
             }
-            all.truncate(struck);
-            self.struck.insert(trouble, all);
+            all.truncate(affected);
+            self.affected.insert(trouble, all);
         }
-        self.struck.get(&trouble).cloned().unwrap_or_default()
+        self.affected.get(&trouble).cloned().unwrap_or_default()
     }
 
-    /// Begins or ends a trouble of servers or of the store. Gives back those that are paused by it.
-    pub fn trouble(
+    /// Starts or ends a trouble of servers or of the store. Returns the servers that it pauses, as indices in the rule checker.
+    pub fn apply_trouble(
         &mut self,
         number: usize,
         trouble: &Trouble,
         begins: bool,
-        witness: &Witness,
+        observer: &RuleObserver,
     ) -> Result<Vec<usize>, String> {
-        let struck = self.struck(number, trouble.part, begins);
+        let affected = self.affected_servers(number, trouble.part, begins);
         let (size, part) = (trouble.size, trouble.part);
         let span = Duration::from_secs_f64(trouble.for_s);
         if let Some(store) = &self.store {
-            store.now(|plight| match trouble.kind {
-                Kind::DependencySlow => plight.slow = if begins { size } else { 1.0 },
-                Kind::DependencyHangs => plight.hangs = begins,
-                Kind::DependencyDead => plight.dead = begins,
+            store.change_faults(|faults| match trouble.kind {
+                Kind::DependencySlow => faults.slow = if begins { size } else { 1.0 },
+                Kind::DependencyHangs => faults.hangs = begins,
+                Kind::DependencyDead => faults.dead = begins,
                 _ => {}
             });
         }
         if trouble.kind == Kind::ApplicationsHang {
             for server in self.servers.iter().flatten() {
-                if let Runs::Applications(all) = &server.runs {
+                if let Backend::Applications(all) = &server.backend {
                     let most = (all.len() as f64 * part).round() as usize;
                     all.iter()
                         .take(most)
@@ -394,33 +405,34 @@
             }
         }
         if trouble.kind == Kind::HeavyTail {
-            // Its part is one of the runs, on every server.
+            // Its fraction applies to the runs of every server.
             let tail = begins.then_some((part, size));
-            (0..self.servers.len()).for_each(|at| self.plight(at, |plight| plight.tail = tail));
+            (0..self.servers.len())
+                .for_each(|at| self.change_engine_faults(at, |faults| faults.tail = tail));
         }
         let mut paused = Vec::new();
-        for (place, at) in struck.iter().copied().enumerate() {
+        for (place, at) in affected.iter().copied().enumerate() {
             match trouble.kind {
-                Kind::Slow => {
-                    self.plight(at, |plight| plight.slow = if begins { size } else { 1.0 })
-                }
+                Kind::Slow => self.change_engine_faults(at, |faults| {
+                    faults.slow = if begins { size } else { 1.0 }
+                }),
                 Kind::Pause => {
-                    self.plight(at, |plight| plight.paused = begins);
+                    self.change_engine_faults(at, |faults| faults.paused = begins);
                     if let Some(server) = &self.servers[at] {
-                        signal(&server.child, if begins { "STOP" } else { "CONT" })?;
-                        paused.extend(begins.then_some(server.place));
+                        send_signal(&server.child, if begins { "STOP" } else { "CONT" })?;
+                        paused.extend(begins.then_some(server.rules_index));
                     }
                 }
                 Kind::Partition => self.cut_off[at] = begins,
                 Kind::Crash if begins => {
-                    // Dropping it kills it and all that it spoke with.
+                    // Dropping the server kills its process, engine and relays.
                     if let Some(server) = self.servers[at].take() {
-                        lock(&witness.rules).record_stop(witness.now(), server.place, true);
+                        lock(&observer.rules).record_stop(observer.now(), server.rules_index, true);
                     }
                     self.returns.push((Instant::now() + span, at));
                 }
                 Kind::Deploy if begins => {
-                    let after = span.mul_f64(place as f64 / struck.len().max(1) as f64);
+                    let after = span.mul_f64(place as f64 / affected.len().max(1) as f64);
                     self.leaves.push((Instant::now() + after, at));
                 }
                 _ => {}
@@ -429,14 +441,20 @@
         Ok(paused)
     }
 
-    fn plight(&self, at: usize, change: impl FnOnce(&mut super::engine::Plight)) {
-        if let Some(Runs::Engine(engine)) = self.servers[at].as_ref().map(|server| &server.runs) {
-            change(&mut lock(&engine.plight));
+    fn change_engine_faults(
+        &self,
+        at: usize,
+        change: impl FnOnce(&mut super::engine::EngineFaults),
+    ) {
+        if let Some(Backend::Engine(engine)) =
+            self.servers[at].as_ref().map(|server| &server.backend)
+        {
+            change(&mut lock(&engine.faults));
         }
     }
 
-    /// Sees to what is due: servers that leave, that come back, and those that died by themselves.
-    pub fn tend(&mut self, witness: &Witness) -> Result<(), String> {
+    /// Handles what is due: drains, restarts, and servers that exited unexpectedly.
+    pub fn handle_due_events(&mut self, observer: &RuleObserver) -> Result<(), String> {
         let now = Instant::now();
         let due = |list: &mut Vec<(Instant, usize)>| {
             let (due, rest) = list.drain(..).partition(|(at, _)| *at <= now);
@@ -448,92 +466,98 @@
             let Some(mut server) = self.servers[at].take() else {
                 continue;
             };
-            signal(&server.child, "TERM")?;
+            send_signal(&server.child, "TERM")?;
             let grace = (self.world.servers.grace_ms * 10.0) as u64;
-            lock(&witness.rules).record_drain_notice(server.place, witness.now() + grace);
+            lock(&observer.rules).record_drain_notice(server.rules_index, observer.now() + grace);
             server.stops = Some(now + Duration::from_secs_f64(self.world.servers.stop_ms / 1000.0));
             self.leaving.push(server);
-            self.boot(at, true)?;
+            self.start_server(at, true)?;
         }
         for at in due(&mut self.returns) {
-            self.boot(at, true)?;
+            self.start_server(at, true)?;
         }
         for at in 0..self.servers.len() {
             let Some(server) = self.servers[at].as_mut() else {
                 continue;
             };
             if matches!(server.child.try_wait(), Ok(Some(_))) {
-                // Guards against a server that dies under the emulator: the day goes on without it, as with a crash, and says so.
-                let place = server.place;
+                // Guards against a server that crashes by itself: the run goes on as after an injected crash, and reports a breach.
+                let rules_index = server.rules_index;
                 self.servers[at] = None;
-                lock(&witness.rules).record_self_inflicted_crash(witness.now(), place);
+                lock(&observer.rules).record_self_inflicted_crash(observer.now(), rules_index);
                 self.returns.push((now + Duration::from_secs(1), at));
             }
         }
         for server in &mut self.leaving {
             let over = matches!(server.child.try_wait(), Ok(Some(_)));
-            if !over && server.stops.is_some_and(|stops| now > stops + OVERDUE) {
-                lock(&witness.rules).record_overdue_stop(witness.now());
+            if !over
+                && server
+                    .stops
+                    .is_some_and(|stops| now > stops + STOP_ALLOWANCE)
+            {
+                lock(&observer.rules).record_overdue_stop(observer.now());
                 let _ = server.child.kill();
             }
         }
         self.leaving.retain_mut(|server| {
             let left = matches!(server.child.try_wait(), Ok(Some(_)));
             if left {
-                self.left.push((now, server.place));
+                self.left.push((now, server.rules_index));
             }
             !left
         });
-        // The last answers are on their way for a moment.
-        while let Some((_, place)) = self.left.pop_if(|(at, _)| at.elapsed() > LAST_ANSWERS) {
-            lock(&witness.rules).record_stop(witness.now(), place, false);
+        // Waits a moment for the last answers in transit.
+        while let Some((_, rules_index)) = self
+            .left
+            .pop_if(|(at, _)| at.elapsed() > LAST_ANSWERS_TIMEOUT)
+        {
+            lock(&observer.rules).record_stop(observer.now(), rules_index, false);
         }
         Ok(())
     }
 
-    /// Ends all, at once.
-    pub fn end(&mut self) {
+    /// Stops everything at once.
+    pub fn stop_all(&mut self) {
         self.servers.iter_mut().for_each(|server| *server = None);
         self.leaving.clear();
-        // The tasks of callers hold the fleet, which held their executor: neither would ever go.
+        // The callers' tasks own the fleet, which owns their executor; replacing it breaks the reference cycle.
         self.executor = Rc::new(LocalExecutor::new());
         self.store = None;
     }
 }
 
-fn write(path: &Path, what: &serde_json::Value) -> Result<(), String> {
+fn write_json(path: &Path, what: &serde_json::Value) -> Result<(), String> {
     std::fs::write(path, what.to_string()).map_err(|why| format!("{}: {why}", path.display()))
 }
 
-/// Reads a server's log to its end: where it listens, turns of its breaker. Kept in a file of a bounded length.
-fn follow(
+/// Reads a server's log to its end: passes on the lines, counts breaker transitions, and copies the log to a file of bounded length.
+fn follow_log(
     log: impl BufRead,
     listens: &std::sync::mpsc::Sender<String>,
-    turns: &AtomicU64,
+    transitions: &AtomicU64,
     file: &Path,
 ) {
     use std::io::Write;
-    const KEPT: usize = 4 << 20;
+    const MAX_LOG_BYTES: usize = 4 << 20;
     let (mut file, mut kept) = (std::fs::File::create(file).ok(), 0);
     for line in log.lines().map_while(Result::ok) {
-        // What it says before it listens tells why it doesn't.
+        // Lines before the listen address tell why a server doesn't start.
         let _ = listens.send(line.clone());
         if line.contains("circuit breaker changed state") {
-            turns.fetch_add(1, Ordering::SeqCst);
+            transitions.fetch_add(1, Ordering::SeqCst);
         }
         kept += line.len();
-        if let Some(file) = file.as_mut().filter(|_| kept < KEPT) {
+        if let Some(file) = file.as_mut().filter(|_| kept < MAX_LOG_BYTES) {
             let _ = writeln!(file, "{line}");
         }
     }
 }
 
-fn where_to(lines: &Receiver<String>, scgi: bool) -> Result<SocketAddr, String> {
+fn wait_for_listener(lines: &Receiver<String>, scgi: bool) -> Result<SocketAddr, String> {
     let mut last = "nothing".to_owned();
     loop {
-        let line = lines.recv_timeout(LISTENS);
-        let line =
-            line.map_err(|_| format!("never said where it listens; its last word: {last}"))?;
+        let line = lines.recv_timeout(STARTUP_TIMEOUT);
+        let line = line.map_err(|_| format!("no listen address logged; last line: {last}"))?;
         last.clone_from(&line);
         if !line.contains(" listens on ") {
             continue;
@@ -547,7 +571,7 @@
             return address
                 .trim()
                 .parse()
-                .map_err(|_| format!("listens nowhere: {line}"));
+                .map_err(|_| format!("invalid listen address: {line}"));
         }
     }
 }
--- a/crates/coralstep-lab/src/emulate/mod.rs
+++ b/crates/coralstep-lab/src/emulate/mod.rs
@@ -1,6 +1,6 @@
-//! A world on loopback sockets: the program `coralstep` itself in every server, with stand-ins for all that it speaks with, troubles
-//! at their times and faults on the wire; the four rules are checked by what callers and engines saw. All that was started ends
-//! with the emulation, also when it is interrupted.
+//! Emulates a world on loopback sockets: real `coralstep` processes with fakes of everything they communicate with, scheduled troubles
+//! and network faults. The rules are checked from what callers and engines observe. All processes stop with the emulation, also when
+//! it is interrupted.
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -24,7 +24,7 @@
 pub mod store;
 pub mod wire;
 
-use crate::caller::{Ask, Protocol, Said, Way};
+use crate::caller::{Connection, OutgoingRpc, Protocol, RpcOutcome};
 use crate::record::{Loss, Record};
 use crate::rules::{AnswerKind, Rules};
 use crate::simulate::Day;
@@ -32,50 +32,51 @@
 use fleet::Fleet;
 use wire::Faults;
 
-/// On the way to a server and back, with a busy machine in between: an answer is late only past that, in milliseconds.
-const WAY_MS: u64 = 400;
-/// A server that sent no report for so long is off the list.
-const LEASE: Duration = Duration::from_secs(3);
-/// An answered attempt is known for so long, in ticks: a run that begins then is one too many.
-const KNOWN: u64 = 50_000;
-/// Runs on the cores may be more than survived for a moment before the engine's reading of it counts.
-const CROWD_EVERY: u64 = 200;
+/// Allowance for the round trip on a busy machine, in milliseconds; an answer is late only beyond it.
+const ROUND_TRIP_ALLOWANCE_MS: u64 = 400;
+/// Time without a report after which a server drops off the endpoint list.
+const ENDPOINT_LEASE: Duration = Duration::from_secs(3);
+/// Time for which an answered attempt is remembered, in ticks, to detect a run that starts after the answer.
+const ANSWERED_RETENTION: u64 = 50_000;
+/// Period of the samples of an engine's running count, in ticks. A server survives too many runs for a short time, so sparse samples
+/// suffice.
+const RUNNING_SAMPLE_PERIOD: u64 = 200;
 
 pub fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
     of.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// What callers and engines saw, as the checker of the rules takes it.
-pub struct Witness {
+/// Passes what callers and engines observe to the rule checker.
+pub struct RuleObserver {
     start: Instant,
     rules: Mutex<Rules>,
-    /// Tokens of what is open, and how long they count.
+    /// Idempotency keys of open attempts, with their retry window.
     tokens: Mutex<HashMap<u64, (u64, u64)>>,
 }
 
-impl Witness {
-    fn new(rules: Rules) -> Witness {
-        Witness {
+impl RuleObserver {
+    fn new(rules: Rules) -> RuleObserver {
+        RuleObserver {
             start: Instant::now(),
             rules: Mutex::new(rules),
             tokens: Mutex::default(),
         }
     }
 
-    /// In ticks since the start.
+    /// Returns the time since the start in ticks.
     fn now(&self) -> u64 {
         (self.start.elapsed().as_micros() / 100) as u64
     }
 
-    /// A run began, under the reference that the server gave.
-    pub fn began(&self, reference: &str) {
-        let Ok(attempt) = u64::from_str_radix(reference, 16) else {
+    /// Records the start of a run under the id given by the server.
+    pub fn record_run_start(&self, id: &str) {
+        let Ok(attempt) = u64::from_str_radix(id, 16) else {
             return;
         };
         let token = lock(&self.tokens).get(&attempt).copied();
         let mut rules = lock(&self.rules);
         let now = self.now();
-        // One whose caller has let go of it is nobody's.
+        // Ignores an attempt that was already released.
         if rules.is_open(attempt) {
             rules.record_start(
                 now,
@@ -85,55 +86,55 @@
         }
     }
 
-    /// So many runs are on a server's cores.
-    pub fn crowd(&self, server: usize, running: usize) {
+    /// Records the number of runs on a server's cores.
+    pub fn record_running(&self, server: usize, running: usize) {
         let now = self.now();
-        if now % CROWD_EVERY < 20 {
+        if now % RUNNING_SAMPLE_PERIOD < 20 {
             lock(&self.rules).record_usage(now, server, 0.0, running);
         }
     }
 }
 
 #[derive(Clone, Debug)]
-pub struct Terms {
-    /// The program.
+pub struct EmulationOptions {
+    /// Path of the `coralstep` program.
     pub program: PathBuf,
     pub protocol: Protocol,
-    /// SCGI applications run the RPCs in place of an engine.
+    /// Whether SCGI applications run the RPCs instead of an engine.
     pub applications: bool,
     pub faults: Faults,
     pub seed: u64,
 }
 
-/// The control plane's list: who reported, when, and whether it is ready.
-struct Control {
+/// The control plane's endpoint list: last report of each server and whether it is ready.
+struct ControlPlane {
     address: SocketAddr,
     seen: Arc<Mutex<HashMap<String, (Instant, bool)>>>,
-    /// Reports from these are lost.
-    deaf: Arc<Mutex<Vec<String>>>,
+    /// Servers whose reports are dropped.
+    dropped: Arc<Mutex<Vec<String>>>,
     stop: Arc<AtomicBool>,
 }
 
-impl Drop for Control {
+impl Drop for ControlPlane {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
     }
 }
 
-impl Control {
-    fn start() -> std::io::Result<Control> {
+impl ControlPlane {
+    fn start() -> std::io::Result<ControlPlane> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         socket.set_read_timeout(Some(Duration::from_millis(100)))?;
         let address = socket.local_addr()?;
-        let (seen, deaf, stop) = (
+        let (seen, dropped, stop) = (
             Arc::default(),
             Arc::default(),
             Arc::new(AtomicBool::new(false)),
         );
-        let control = Control {
+        let control = ControlPlane {
             address,
             seen: Arc::clone(&seen),
-            deaf: Arc::clone(&deaf),
+            dropped: Arc::clone(&dropped),
             stop: stop.clone(),
         };
         std::thread::spawn(move || {
@@ -146,7 +147,7 @@
                     continue;
                 };
                 if let ["lease", name, state] = text.split(' ').collect::<Vec<_>>()[..]
-                    && !lock(&deaf).iter().any(|deaf| deaf == name)
+                    && !lock(&dropped).iter().any(|dropped| dropped == name)
                 {
                     lock(&seen).insert(name.to_owned(), (Instant::now(), state == "Ready"));
                 }
@@ -155,14 +156,15 @@
         Ok(control)
     }
 
-    fn lists(&self, name: &str) -> bool {
+    fn is_listed(&self, name: &str) -> bool {
         lock(&self.seen)
             .get(name)
-            .is_some_and(|(at, ready)| *ready && at.elapsed() < LEASE)
+            .is_some_and(|(at, ready)| *ready && at.elapsed() < ENDPOINT_LEASE)
     }
 }
 
-struct Played {
+/// Results of the requests so far.
+struct Results {
     day: Day,
     took: Histogram<u64>,
     asked: f64,
@@ -172,28 +174,28 @@
     stray: u64,
 }
 
-/// All that requests share.
+/// State shared by all requests.
 struct Callers {
     world: World,
-    terms: Terms,
+    options: EmulationOptions,
     fleet: RefCell<Fleet>,
-    control: Control,
-    witness: Arc<Witness>,
-    played: RefCell<Played>,
+    control: ControlPlane,
+    observer: Arc<RuleObserver>,
+    results: RefCell<Results>,
     chance: RefCell<SmallRng>,
     heeds: Vec<bool>,
     away: RefCell<HashMap<(usize, usize), Instant>>,
     attempts: RefCell<u64>,
-    /// Part of the requests that a hot caller sends, and the server it sends them to.
+    /// Fraction of the requests that a hot caller sends, and the server it sends them to.
     hot: Cell<Option<(f64, usize)>>,
-    /// Tokens are counted from here.
+    /// First idempotency key.
     first: u64,
-    /// Answered attempts, for which a late run would still be a breach.
+    /// Answered attempts, kept because a late run of one is still a breach.
     done: RefCell<std::collections::VecDeque<(u64, u64)>>,
 }
 
-/// The world as sockets can play it: engines can't go on without a call that a run asks for, so none is left out.
-pub fn playable(world: &World) -> World {
+/// Returns the world with `skip` set to 0: engines can't continue a run without its call, so an emulation skips none.
+pub fn without_skipped_calls(world: &World) -> World {
     let mut world = world.clone();
     world
         .methods
@@ -202,43 +204,44 @@
     world
 }
 
-/// Plays a world on sockets in real time; `interrupted` ends it early, `show` is told of each second.
+/// Runs a world on sockets in real time. `interrupted` ends it early; `show` is called once a second.
 pub fn emulate(
     world: &World,
-    terms: &Terms,
+    options: &EmulationOptions,
     interrupted: &Arc<AtomicBool>,
     mut show: impl FnMut(u64, &Day),
 ) -> Result<(Day, Record), String> {
-    let told = |why: std::io::Error| why.to_string();
-    let world = &playable(world);
-    let mut chance = SmallRng::seed_from_u64(terms.seed);
+    let message = |why: std::io::Error| why.to_string();
+    let world = &without_skipped_calls(world);
+    let mut chance = SmallRng::seed_from_u64(options.seed);
     let heeds = (0..world.gateways.count)
         .map(|_| chance.random_range(0.0..1.0) < world.gateways.heed)
         .collect();
     let crowd = world.servers.crowd * f64::from(world.servers.cores);
-    // The program's own memory is not its booked memory: only the crowd is looked at.
+    // The process's real memory isn't the memory that it accounts for, so only the number of concurrent runs is checked.
     let rules = Rules::new(world.servers.count, world.servers.memory_kb, crowd);
-    let witness = Arc::new(Witness::new(rules));
-    let control = Control::start().map_err(told)?;
-    let fleet = Fleet::start(world, terms, control.address, &witness, &mut chance)?;
+    let observer = Arc::new(RuleObserver::new(rules));
+    let control = ControlPlane::start().map_err(message)?;
+    let fleet = Fleet::start(world, options, control.address, &observer, &mut chance)?;
     let executor = fleet.executor();
     let callers = Rc::new(Callers {
         world: world.clone(),
-        terms: terms.clone(),
+        options: options.clone(),
         fleet: RefCell::new(fleet),
         control,
-        witness: witness.clone(),
-        played: RefCell::new(Played {
-            day: Day::new(world, terms.seed),
-            // A tick to a billion, three digits: what is created so can't fail.
-            took: Histogram::new_with_bounds(1, 1_000_000_000, 3).expect("sound bounds"),
+        observer: observer.clone(),
+        results: RefCell::new(Results {
+            day: Day::new(world, options.seed),
+            // One to 10^9 ticks with three significant digits: these constant bounds are valid.
+            took: Histogram::new_with_bounds(1, 1_000_000_000, 3)
+                .expect("histogram bounds are valid"),
             asked: 0.0,
             good: 0.0,
             open: 0,
             record: Record::new(world),
             stray: 0,
         }),
-        chance: RefCell::new(SmallRng::seed_from_u64(terms.seed ^ 1)),
+        chance: RefCell::new(SmallRng::seed_from_u64(options.seed ^ 1)),
         heeds,
         away: RefCell::default(),
         attempts: RefCell::new(now_ms() << 20),
@@ -249,40 +252,40 @@
     let listed = |callers: &Callers| {
         let fleet = callers.fleet.borrow();
         (0..world.servers.count)
-            .filter(|at| callers.control.lists(&fleet.names()[*at]))
+            .filter(|at| callers.control.is_listed(&fleet.names()[*at]))
             .count()
     };
     let ready = Instant::now() + Duration::from_secs(15);
     while listed(&callers) < world.servers.count {
         if Instant::now() > ready || interrupted.load(Ordering::SeqCst) {
-            return Err("the servers did not all get ready within 15 s".to_owned());
+            return Err("not all servers became ready within 15 s".to_owned());
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    let result = block_on(executor.run(day(&callers, &executor, interrupted, &mut show)));
-    // Guards against servers that outlive a day that was interrupted.
-    callers.fleet.borrow_mut().end();
+    let result = block_on(executor.run(run_world(&callers, &executor, interrupted, &mut show)));
+    // Guards against servers that outlive an interrupted emulation.
+    callers.fleet.borrow_mut().stop_all();
     result?;
-    let turns = callers.fleet.borrow().turns();
-    let played = &mut *callers.played.borrow_mut();
-    let mut rules = lock(&witness.rules);
-    let now = witness.now();
+    let turns = callers.fleet.borrow().breaker_transitions();
+    let results = &mut *callers.results.borrow_mut();
+    let mut rules = lock(&observer.rules);
+    let now = observer.now();
     rules.finish(now);
-    let ms = |quantile: f64| played.took.value_at_quantile(quantile) as f64 / 10.0;
-    let mut day = played.day.clone();
-    if !played.took.is_empty() {
+    let ms = |quantile: f64| results.took.value_at_quantile(quantile) as f64 / 10.0;
+    let mut day = results.day.clone();
+    if !results.took.is_empty() {
         (day.p50_ms, day.p99_ms) = (ms(0.5), ms(0.99));
     }
-    day.open = played.open;
-    day.kept = if played.asked > 0.0 {
-        played.good / played.asked
+    day.open = results.open;
+    day.kept = if results.asked > 0.0 {
+        results.good / results.asked
     } else {
         1.0
     };
     day.breaker_turns = turns;
     day.breaches = rules.count;
     day.told = rules.breaches.iter().map(ToString::to_string).collect();
-    let record = std::mem::replace(&mut played.record, Record::new(world));
+    let record = std::mem::replace(&mut results.record, Record::new(world));
     Ok((day, record))
 }
 
@@ -291,7 +294,7 @@
     since.map_or(0, |since| since.as_millis() as u64)
 }
 
-async fn day(
+async fn run_world(
     callers: &Rc<Callers>,
     executor: &Rc<LocalExecutor<'static>>,
     interrupted: &Arc<AtomicBool>,
@@ -309,24 +312,27 @@
     let mut troubles = troubles.into_iter().peekable();
     let (mut due, mut jump, mut second) = (0.0, 1.0, 0);
     let shares: f64 = world.methods.iter().map(|method| method.share).sum();
-    // Of mean 1; what `check` lets through has one.
+    // Mean 1, which keeps the world's rate; `World::check` admits only valid shapes.
     let gaps = Gamma::new(world.gap_shape, 1.0 / world.gap_shape).map_err(|why| why.to_string())?;
     loop {
         let gap = gaps.sample(&mut *callers.chance.borrow_mut()) / (world.rate() * jump).max(1e-9);
         due += gap;
-        // Troubles and the deploys of servers come at their times, with or without requests.
+        // Troubles and deploys happen on time even if no request is due.
         loop {
             let now = start.elapsed().as_secs_f64();
             if interrupted.load(Ordering::SeqCst) {
                 return Err("interrupted".to_owned());
             }
             while let Some((_, at, begins)) = troubles.next_if(|(time, ..)| *time <= now) {
-                trouble(callers, at, begins, &mut jump)?;
+                apply_trouble(callers, at, begins, &mut jump)?;
             }
-            callers.fleet.borrow_mut().tend(&callers.witness)?;
+            callers
+                .fleet
+                .borrow_mut()
+                .handle_due_events(&callers.observer)?;
             if now as u64 > second {
                 second = now as u64;
-                show(second, &callers.played.borrow().day);
+                show(second, &callers.results.borrow().day);
             }
             if now >= due.min(world.seconds) {
                 break;
@@ -345,28 +351,31 @@
         let method = method.unwrap_or(world.methods.len() - 1);
         let at = start + Duration::from_secs_f64(due);
         executor
-            .spawn(request(callers.clone(), method, at))
+            .spawn(send_request(callers.clone(), method, at))
             .detach();
     }
-    // What is open has until its deadline.
+    // Waits for open requests until their deadlines.
     let most = world
         .methods
         .iter()
         .map(|method| method.deadline_ms)
         .fold(0.0, f64::max)
-        + WAY_MS as f64;
+        + ROUND_TRIP_ALLOWANCE_MS as f64;
     let ends = Instant::now() + Duration::from_secs_f64(most / 1000.0);
-    while callers.played.borrow().open > 0
+    while callers.results.borrow().open > 0
         && Instant::now() < ends
         && !interrupted.load(Ordering::SeqCst)
     {
-        callers.fleet.borrow_mut().tend(&callers.witness)?;
+        callers
+            .fleet
+            .borrow_mut()
+            .handle_due_events(&callers.observer)?;
         Timer::after(Duration::from_millis(10)).await;
     }
     Ok(())
 }
 
-fn trouble(callers: &Callers, at: usize, begins: bool, jump: &mut f64) -> Result<(), String> {
+fn apply_trouble(callers: &Callers, at: usize, begins: bool, jump: &mut f64) -> Result<(), String> {
     let trouble = &callers.world.troubles[at];
     let mut fleet = callers.fleet.borrow_mut();
     match trouble.kind {
@@ -379,17 +388,17 @@
             callers.hot.set(begins.then_some((trouble.part, server)));
         }
         Kind::LostReports => {
-            let struck = fleet.struck(at, trouble.part, begins);
+            let affected = fleet.affected_servers(at, trouble.part, begins);
             let names = fleet.names();
-            *lock(&callers.control.deaf) = if begins {
-                struck.iter().map(|at| names[*at].clone()).collect()
+            *lock(&callers.control.dropped) = if begins {
+                affected.iter().map(|at| names[*at].clone()).collect()
             } else {
                 Vec::new()
             };
         }
         _ => {
-            let paused = fleet.trouble(at, trouble, begins, &callers.witness)?;
-            let mut rules = lock(&callers.witness.rules);
+            let paused = fleet.apply_trouble(at, trouble, begins, &callers.observer)?;
+            let mut rules = lock(&callers.observer.rules);
             paused
                 .into_iter()
                 .for_each(|at| rules.postpone_deadlines(at, (trouble.for_s * 10_000.0) as u64));
@@ -398,8 +407,8 @@
     Ok(())
 }
 
-/// One request with all its tries.
-async fn request(callers: Rc<Callers>, method: usize, due: Instant) {
+/// Sends one request with all its attempts.
+async fn send_request(callers: Rc<Callers>, method: usize, due: Instant) {
     let world = &callers.world;
     let of = &world.methods[method];
     let gateway = callers
@@ -407,22 +416,22 @@
         .borrow_mut()
         .random_range(0..world.gateways.count);
     let first = {
-        let played = &mut *callers.played.borrow_mut();
-        played.day.requests += 1;
-        played.open += 1;
-        played.asked += of.criticality;
-        played
+        let results = &mut *callers.results.borrow_mut();
+        results.day.requests += 1;
+        results.open += 1;
+        results.asked += of.criticality;
+        results
             .record
-            .asked(callers.witness.now(), method, of.criticality);
-        // Tokens of two emulations must not meet.
-        callers.first + played.day.requests
+            .asked(callers.observer.now(), method, of.criticality);
+        // Starting at the time of day keeps the keys of two emulations apart.
+        callers.first + results.day.requests
     };
-    let subject = subject(&callers);
+    let subject = choose_subject_server(&callers);
     let until = due + Duration::from_secs_f64(of.deadline_ms / 1000.0);
     let mut tries = 0;
     let last = loop {
         tries += 1;
-        let (server, said) = attempt(
+        let (server, outcome) = send_attempt(
             &callers,
             gateway,
             method,
@@ -433,29 +442,32 @@
             subject,
         )
         .await;
-        let again = match &said {
-            Some(Said::Ok(_)) => {
-                let bare = matches!(&said, Some(Said::Ok(body)) if body.starts_with(b"bare"));
+        let again = match &outcome {
+            Some(RpcOutcome::Ok(_)) => {
+                let bare =
+                    matches!(&outcome, Some(RpcOutcome::Ok(body)) if body.starts_with(b"bare"));
                 let took = due.elapsed().as_secs_f64() * 1000.0;
-                let played = &mut *callers.played.borrow_mut();
+                let results = &mut *callers.results.borrow_mut();
                 let part = if bare { of.skip } else { 1.0 };
                 let in_time = if took <= of.target_ms { 1.0 } else { of.late };
                 let worth =
                     of.criticality * part * if took <= of.deadline_ms { in_time } else { 0.0 };
-                played.good += worth;
-                played.took.saturating_record(((took * 10.0) as u64).max(1));
-                played.record.ok(
-                    callers.witness.now(),
+                results.good += worth;
+                results
+                    .took
+                    .saturating_record(((took * 10.0) as u64).max(1));
+                results.record.ok(
+                    callers.observer.now(),
                     server,
                     method,
                     took,
                     worth,
                     of.criticality,
                 );
-                played.day.ok += 1;
+                results.day.ok += 1;
                 break None;
             }
-            Some(Said::PushedBack { after, nowhere }) => {
+            Some(RpcOutcome::PushedBack { after, nowhere }) => {
                 if callers.heeds[gateway] && !after.is_zero() {
                     callers
                         .away
@@ -464,34 +476,34 @@
                 }
                 !nowhere
             }
-            // Whether it ran is not known: only what may run twice comes again.
+            // It may have run, so only a method that may run twice is retried.
             Some(_) => of.effect != Effect::NonIdempotent,
-            // It never left.
+            // It was never sent.
             None => true,
         };
         let pause = Duration::from_secs_f64(world.gateways.pause_ms / 1000.0);
         if !again || tries > world.gateways.retries || Instant::now() + pause >= until {
-            break Some((server, said));
+            break Some((server, outcome));
         }
         Timer::after(pause).await;
     };
-    let played = &mut *callers.played.borrow_mut();
-    played.open -= 1;
-    if let Some((server, said)) = last {
-        let (count, loss) = match said {
-            Some(Said::PushedBack { .. }) => (&mut played.day.pushed_back, Loss::Hold),
-            Some(Said::Aborted) => (&mut played.day.aborted, Loss::Late),
-            _ => (&mut played.day.unreached, Loss::Unreached),
+    let results = &mut *callers.results.borrow_mut();
+    results.open -= 1;
+    if let Some((server, outcome)) = last {
+        let (count, loss) = match outcome {
+            Some(RpcOutcome::PushedBack { .. }) => (&mut results.day.pushed_back, Loss::Hold),
+            Some(RpcOutcome::Aborted) => (&mut results.day.aborted, Loss::Late),
+            _ => (&mut results.day.unreached, Loss::Unreached),
         };
         *count += 1;
-        played
+        results
             .record
-            .lost(callers.witness.now(), server, method, loss, of.criticality);
+            .lost(callers.observer.now(), server, method, loss, of.criticality);
     }
 }
 
-/// The server that is asked first where that is not by chance.
-fn subject(callers: &Callers) -> Option<usize> {
+/// Draws the server of the first attempt if it isn't chosen at random.
+fn choose_subject_server(callers: &Callers) -> Option<usize> {
     let chance = &mut *callers.chance.borrow_mut();
     if let Some((part, server)) = callers.hot.get()
         && chance.random_range(0.0..1.0) < part
@@ -502,9 +514,10 @@
     by_subject.then(|| chance.random_range(0..callers.world.servers.count))
 }
 
-/// A try at a server that is on the list, where a few looks find one; what it said, where it was reached.
+/// Sends an attempt to a listed server, or to the last of eight draws if none is listed. Returns the server and the outcome, or
+/// `None` for the outcome if the server is unreachable.
 #[allow(clippy::too_many_arguments)]
-async fn attempt(
+async fn send_attempt(
     callers: &Rc<Callers>,
     gateway: usize,
     method: usize,
@@ -513,10 +526,10 @@
     first: u64,
     retry: bool,
     subject: Option<usize>,
-) -> (usize, Option<Said>) {
+) -> (usize, Option<RpcOutcome>) {
     let of = &callers.world.methods[method];
-    let (server, way) = choose(callers, gateway, if retry { None } else { subject });
-    let Some((way, place)) = way else {
+    let (server, connection) = choose_server(callers, gateway, if retry { None } else { subject });
+    let Some((connection, rules_index)) = connection else {
         return (server, None);
     };
     let attempt = {
@@ -524,20 +537,20 @@
         *attempts += 1;
         *attempts
     };
-    callers.played.borrow_mut().day.attempts += 1;
-    let now = callers.witness.now();
-    let due_at = now + (of.deadline_ms as u64 + WAY_MS) * 10;
-    lock(&callers.witness.rules).record_arrival(
+    callers.results.borrow_mut().day.attempts += 1;
+    let now = callers.observer.now();
+    let due_at = now + (of.deadline_ms as u64 + ROUND_TRIP_ALLOWANCE_MS) * 10;
+    lock(&callers.observer.rules).record_arrival(
         now,
         attempt,
-        place,
+        rules_index,
         due_at,
         of.effect != Effect::Idempotent,
     );
     if of.effect == Effect::Tokened {
-        lock(&callers.witness.tokens).insert(attempt, (first, (of.window_ms * 10.0) as u64));
+        lock(&callers.observer.tokens).insert(attempt, (first, (of.window_ms * 10.0) as u64));
     }
-    let ask = Ask {
+    let rpc = OutgoingRpc {
         method: of.name.clone(),
         reference: attempt,
         token: (of.effect == Effect::Tokened).then_some(first),
@@ -547,25 +560,27 @@
         retry,
         body: format!("{attempt:016x}").into_bytes(),
     };
-    let said = way.ask(&ask, until + Duration::from_millis(WAY_MS)).await;
-    let now = callers.witness.now();
-    let mut rules = lock(&callers.witness.rules);
-    let told = match &said {
-        Said::Ok(_) => Some(AnswerKind::Ok),
-        Said::PushedBack { .. } => Some(AnswerKind::PushedBack),
-        Said::Aborted => Some(AnswerKind::Aborted),
-        Said::Refused => Some(AnswerKind::Aborted),
-        Said::Broken | Said::TimedOut => None,
+    let outcome = connection
+        .send(&rpc, until + Duration::from_millis(ROUND_TRIP_ALLOWANCE_MS))
+        .await;
+    let now = callers.observer.now();
+    let mut rules = lock(&callers.observer.rules);
+    let answer = match &outcome {
+        RpcOutcome::Ok(_) => Some(AnswerKind::Ok),
+        RpcOutcome::PushedBack { .. } => Some(AnswerKind::PushedBack),
+        RpcOutcome::Aborted => Some(AnswerKind::Aborted),
+        RpcOutcome::Refused => Some(AnswerKind::Aborted),
+        RpcOutcome::Broken | RpcOutcome::TimedOut => None,
     };
-    let wire = callers.terms.faults != Faults::default();
-    match told {
-        // A crash took it off the books though its answer was on the way.
-        Some(told) if rules.is_open(attempt) => {
-            rules.record_answer(now, attempt, told);
-            if let Said::PushedBack { after, nowhere } = &said {
+    let wire = callers.options.faults != Faults::default();
+    match answer {
+        // A crash may have released the attempt while its answer was in transit.
+        Some(answer) if rules.is_open(attempt) => {
+            rules.record_answer(now, attempt, answer);
+            if let RpcOutcome::PushedBack { after, nowhere } = &outcome {
                 rules.record_retry_advice(
                     now,
-                    place,
+                    rules_index,
                     after.as_millis() as u64 * 10,
                     *nowhere,
                     retry,
@@ -573,31 +588,31 @@
             }
         }
         Some(_) => {}
-        // A connection that broke, or a wire that swallows: the caller is known to be gone.
-        None if said == Said::Broken || wire => {
+        // The connection broke or an injected fault dropped the answer: the caller counts as gone.
+        None if outcome == RpcOutcome::Broken || wire => {
             rules.record_caller_gone(attempt);
-            callers.played.borrow_mut().stray += 1;
+            callers.results.borrow_mut().stray += 1;
         }
         None => {}
     }
     let mut done = callers.done.borrow_mut();
     done.push_back((now, attempt));
-    while let Some((_, attempt)) = done.pop_front_if(|(at, _)| *at + KNOWN < now) {
+    while let Some((_, attempt)) = done.pop_front_if(|(at, _)| *at + ANSWERED_RETENTION < now) {
         rules.record_release(now, attempt);
-        lock(&callers.witness.tokens).remove(&attempt);
+        lock(&callers.observer.tokens).remove(&attempt);
     }
     drop(rules);
-    (server, Some(said))
+    (server, Some(outcome))
 }
 
-fn choose(
+fn choose_server(
     callers: &Callers,
     gateway: usize,
     subject: Option<usize>,
-) -> (usize, Option<(Way, usize)>) {
+) -> (usize, Option<(Connection, usize)>) {
     let fleet = callers.fleet.borrow();
     if let Some(subject) = subject {
-        return (subject, fleet.way(subject, gateway));
+        return (subject, fleet.connection(subject, gateway));
     }
     let (names, mut chosen) = (fleet.names(), 0);
     for _ in 0..8 {
@@ -607,9 +622,9 @@
             .borrow()
             .get(&(gateway, chosen))
             .is_some_and(|until| *until > Instant::now());
-        if callers.control.lists(&names[chosen]) && !away {
+        if callers.control.is_listed(&names[chosen]) && !away {
             break;
         }
     }
-    (chosen, fleet.way(chosen, gateway))
+    (chosen, fleet.connection(chosen, gateway))
 }
--- a/crates/coralstep-lab/src/emulate/store.rs
+++ b/crates/coralstep-lab/src/emulate/store.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the dependency that all servers share: calls take the world's time, more past its capacity; it may slow,
-//! hang, or refuse.
+//! A fake of the dependency that all servers share: calls take the time given by the world, longer above its capacity. It can be
+//! made slow, hanging or unavailable.
 use std::collections::VecDeque;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,20 +10,20 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::lines::command;
+use super::lines::parse_command;
 use crate::world::Dependency;
 
-/// What troubles do to it.
+/// Faults injected into the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Plight {
+pub struct StoreFaults {
     pub slow: f64,
     pub hangs: bool,
     pub dead: bool,
 }
 
-impl Default for Plight {
-    fn default() -> Plight {
-        Plight {
+impl Default for StoreFaults {
+    fn default() -> StoreFaults {
+        StoreFaults {
             slow: 1.0,
             hangs: false,
             dead: false,
@@ -31,22 +31,22 @@
     }
 }
 
-/// A call that hangs is let go after so long, or when the store is.
-const HANGS: Duration = Duration::from_secs(20);
+/// Maximum time that a hanging call stays open.
+const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Shared {
     dependency: Dependency,
-    plight: Mutex<Plight>,
-    in_hand: AtomicU64,
+    faults: Mutex<StoreFaults>,
+    in_flight: AtomicU64,
     stop: AtomicBool,
     chance: Mutex<SmallRng>,
-    /// When each call came, since the start; the last ones.
-    asked: Mutex<VecDeque<Duration>>,
+    /// Arrival times of the last calls, since the start.
+    call_times: Mutex<VecDeque<Duration>>,
     began: Instant,
 }
 
-/// Calls whose times are kept.
-const ASKED: usize = 500_000;
+/// Number of calls whose arrival times are kept.
+const MAX_CALL_TIMES: usize = 500_000;
 
 pub struct Store {
     pub address: SocketAddr,
@@ -56,7 +56,7 @@
 impl Drop for Store {
     fn drop(&mut self) {
         self.shared.stop.store(true, Ordering::SeqCst);
-        // Wakes the thread that accepts.
+        // Wakes the accepting thread.
         let _ = TcpStream::connect(self.address);
     }
 }
@@ -67,11 +67,11 @@
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
             dependency: dependency.clone(),
-            plight: Mutex::default(),
-            in_hand: AtomicU64::new(0),
+            faults: Mutex::default(),
+            in_flight: AtomicU64::new(0),
             stop: AtomicBool::new(false),
             chance: Mutex::new(SmallRng::seed_from_u64(seed)),
-            asked: Mutex::default(),
+            call_times: Mutex::default(),
             began: Instant::now(),
         });
         let all = shared.clone();
@@ -81,40 +81,45 @@
                     return;
                 }
                 let shared = all.clone();
-                std::thread::spawn(move || drop(answer(stream, &shared)));
+                std::thread::spawn(move || drop(serve_call(stream, &shared)));
             }
         });
         Ok(Store { address, shared })
     }
 
-    /// Time since the start, as [`Store::asked`] counts.
-    pub fn clock(&self) -> Duration {
+    /// Returns the time since the start, the clock of [`Store::call_times`].
+    pub fn elapsed(&self) -> Duration {
         self.shared.began.elapsed()
     }
 
-    /// When each call came that did so from `since` on.
-    pub fn asked(&self, since: Duration) -> Vec<Duration> {
-        let asked = super::lock(&self.shared.asked);
-        asked.iter().copied().filter(|at| *at >= since).collect()
+    /// Returns the arrival times of the calls since `since`.
+    pub fn call_times(&self, since: Duration) -> Vec<Duration> {
+        let call_times = super::lock(&self.shared.call_times);
+        call_times
+            .iter()
+            .copied()
+            .filter(|at| *at >= since)
+            .collect()
     }
 
-    pub fn now(&self, change: impl FnOnce(&mut Plight)) {
+    /// Changes the injected faults.
+    pub fn change_faults(&self, change: impl FnOnce(&mut StoreFaults)) {
         change(
             &mut self
                 .shared
-                .plight
+                .faults
                 .lock()
                 .unwrap_or_else(|poisoned| poisoned.into_inner()),
         );
     }
 }
 
-fn answer(mut stream: TcpStream, shared: &Shared) -> std::io::Result<()> {
+fn serve_call(mut stream: TcpStream, shared: &Shared) -> std::io::Result<()> {
     stream.set_read_timeout(Some(Duration::from_secs(2)))?;
     stream.set_nodelay(true)?;
     let mut bytes = Vec::new();
     let (line, _, _) = loop {
-        if let Some(command) = command(&bytes)? {
+        if let Some(command) = parse_command(&bytes)? {
             break command;
         }
         let mut more = [0; 1024];
@@ -123,31 +128,31 @@
             count => bytes.extend_from_slice(&more[..count]),
         }
     };
-    shared.in_hand.fetch_add(1, Ordering::SeqCst);
+    shared.in_flight.fetch_add(1, Ordering::SeqCst);
     {
-        let mut asked = super::lock(&shared.asked);
-        if asked.len() >= ASKED {
-            asked.pop_front();
+        let mut call_times = super::lock(&shared.call_times);
+        if call_times.len() >= MAX_CALL_TIMES {
+            call_times.pop_front();
         }
-        asked.push_back(shared.began.elapsed());
+        call_times.push_back(shared.began.elapsed());
     }
-    let said = says(&line, shared);
-    shared.in_hand.fetch_sub(1, Ordering::SeqCst);
-    stream.write_all(said.as_bytes())
+    let answer = answer_line(&line, shared);
+    shared.in_flight.fetch_sub(1, Ordering::SeqCst);
+    stream.write_all(answer.as_bytes())
 }
 
-fn says(line: &str, shared: &Shared) -> String {
-    let plight = *shared
-        .plight
+fn answer_line(line: &str, shared: &Shared) -> String {
+    let faults = *shared
+        .faults
         .lock()
         .unwrap_or_else(|poisoned| poisoned.into_inner());
     let id = line.split(' ').nth(1).unwrap_or("");
-    if plight.dead {
+    if faults.dead {
         return format!("{id} VOID\r\n");
     }
     let of = &shared.dependency;
-    if plight.hangs || of.capacity <= 0.0 {
-        let steps = HANGS.as_millis() / 20;
+    if faults.hangs || of.capacity <= 0.0 {
+        let steps = HANG_TIMEOUT.as_millis() / 20;
         for _ in 0..steps {
             if shared.stop.load(Ordering::SeqCst) {
                 break;
@@ -156,7 +161,7 @@
         }
         return String::new();
     }
-    let crowd = (shared.in_hand.load(Ordering::SeqCst) as f64 / of.capacity).max(1.0);
+    let crowd = (shared.in_flight.load(Ordering::SeqCst) as f64 / of.capacity).max(1.0);
     let (ms, fails) = {
         let mut chance = shared
             .chance
@@ -168,7 +173,7 @@
         )
     };
     std::thread::sleep(Duration::from_secs_f64(
-        (ms * plight.slow * crowd / 1000.0).min(HANGS.as_secs_f64()),
+        (ms * faults.slow * crowd / 1000.0).min(HANG_TIMEOUT.as_secs_f64()),
     ));
     if fails {
         format!("{id} ERR\r\n")
--- a/crates/coralstep-lab/src/emulate/wire.rs
+++ b/crates/coralstep-lab/src/emulate/wire.rs
@@ -1,4 +1,4 @@
-//! Faults on the wire: a relay between two ends that delays, cuts, garbles, resets, leaves half-open or doubles what it carries.
+//! Network fault injection: a TCP relay that delays, truncates, corrupts, resets, leaves half-open or duplicates what it forwards.
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -8,7 +8,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// What may happen to a chunk, each with its chance.
+/// Probability of each fault per forwarded chunk.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Faults {
     pub delay: f64,
@@ -19,11 +19,11 @@
     pub duplicate: f64,
 }
 
-/// How long a delayed chunk waits.
-const DELAY: Duration = Duration::from_millis(50);
+/// Delay of a delayed chunk.
+const CHUNK_DELAY: Duration = Duration::from_millis(50);
 
 impl Faults {
-    /// `KIND=PART` with commas between.
+    /// Parses a comma-separated list of `KIND=PART`.
     pub fn parse(text: &str) -> Result<Faults, String> {
         let mut faults = Faults::default();
         for word in text.split(',').filter(|word| !word.is_empty()) {
@@ -34,7 +34,7 @@
                 .parse()
                 .ok()
                 .filter(|part| (0.0..=1.0).contains(part))
-                .ok_or_else(|| format!("{word}: no part from 0 to 1"))?;
+                .ok_or_else(|| format!("{word}: PART must be from 0 to 1"))?;
             match kind {
                 "delay" => faults.delay = part,
                 "cut" => faults.cut = part,
@@ -52,8 +52,8 @@
         Ok(faults)
     }
 
-    /// Without those that change bytes.
-    pub fn honest(self) -> Faults {
+    /// Returns the faults without those that change bytes.
+    pub fn without_corruption(self) -> Faults {
         Faults {
             garble: 0.0,
             duplicate: 0.0,
@@ -91,31 +91,33 @@
     Duplicate,
 }
 
-pub struct Wire {
+/// A relay that injects faults into the connections to one address.
+pub struct FaultyRelay {
     pub address: SocketAddr,
     pub faults: Arc<Mutex<Faults>>,
-    /// How many were made.
-    pub made: Arc<AtomicU64>,
+    /// Number of faults injected.
+    pub injected: Arc<AtomicU64>,
     stop: Arc<AtomicBool>,
 }
 
-impl Drop for Wire {
+impl Drop for FaultyRelay {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
         let _ = TcpStream::connect(self.address);
     }
 }
 
-impl Wire {
-    pub fn to(to: SocketAddr, seed: u64) -> std::io::Result<Wire> {
+impl FaultyRelay {
+    /// Starts a relay to an address.
+    pub fn start(to: SocketAddr, seed: u64) -> std::io::Result<FaultyRelay> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let (faults, made) = (
+        let (faults, injected) = (
             Arc::new(Mutex::new(Faults::default())),
             Arc::new(AtomicU64::new(0)),
         );
         let stop = Arc::new(AtomicBool::new(false));
-        let (all, count, end) = (faults.clone(), made.clone(), stop.clone());
+        let (all, count, end) = (faults.clone(), injected.clone(), stop.clone());
         std::thread::spawn(move || {
             for (number, near) in listener.incoming().map_while(Result::ok).enumerate() {
                 if end.load(Ordering::SeqCst) {
@@ -133,45 +135,45 @@
                 };
                 let reset = Arc::new(AtomicBool::new(false));
                 for (from, out, seed) in [(near, far_out, seed), (far, near_out, seed + 1)] {
-                    let relay = Relay {
+                    let relay = Direction {
                         faults: all.clone(),
-                        made: count.clone(),
+                        injected: count.clone(),
                         stop: end.clone(),
                         reset: reset.clone(),
                         chance: SmallRng::seed_from_u64(seed),
                     };
-                    std::thread::spawn(move || relay.carry(from, out));
+                    std::thread::spawn(move || relay.forward(from, out));
                 }
             }
         });
-        Ok(Wire {
+        Ok(FaultyRelay {
             address,
             faults,
-            made,
+            injected,
             stop,
         })
     }
 }
 
-struct Relay {
+struct Direction {
     faults: Arc<Mutex<Faults>>,
-    made: Arc<AtomicU64>,
+    injected: Arc<AtomicU64>,
     stop: Arc<AtomicBool>,
-    /// The other direction was reset.
+    /// Set when the other direction of the connection was reset.
     reset: Arc<AtomicBool>,
     chance: SmallRng,
 }
 
-impl Relay {
-    /// One direction of a connection.
-    fn carry(mut self, mut from: TcpStream, mut out: TcpStream) {
+impl Direction {
+    /// Forwards one direction of a connection.
+    fn forward(mut self, mut from: TcpStream, mut out: TcpStream) {
         let _ = (
             from.set_nodelay(true),
             out.set_nodelay(true),
             from.set_read_timeout(Some(Duration::from_millis(100))),
         );
         let mut bytes = [0; 8192];
-        let mut dumb = false;
+        let mut discard = false;
         loop {
             let count = match from.read(&mut bytes) {
                 Ok(0) => break,
@@ -187,7 +189,7 @@
                 }
                 Err(_) => break,
             };
-            if dumb {
+            if discard {
                 continue;
             }
             let faults = *self
@@ -195,13 +197,13 @@
                 .lock()
                 .unwrap_or_else(|poisoned| poisoned.into_inner());
             let fault = faults.draw(&mut self.chance);
-            self.made
+            self.injected
                 .fetch_add(u64::from(fault != Fault::None), Ordering::SeqCst);
             let chunk = &mut bytes[..count];
             let wrote = match fault {
                 Fault::None => out.write_all(chunk),
                 Fault::Delay => {
-                    std::thread::sleep(DELAY);
+                    std::thread::sleep(CHUNK_DELAY);
                     out.write_all(chunk)
                 }
                 Fault::Garble => {
@@ -217,12 +219,12 @@
                 Fault::Reset => {
                     let _ = socket2::SockRef::from(&out).set_linger(Some(Duration::ZERO));
                     let _ = socket2::SockRef::from(&from).set_linger(Some(Duration::ZERO));
-                    // An orderly end would hide the reset; the other direction lets go of its halves, too.
+                    // An orderly shutdown would hide the reset, so the other direction closes its halves without one.
                     return self.reset.store(true, Ordering::SeqCst);
                 }
-                // Nothing more comes through, and nobody is told.
+                // Silently discards everything from now on.
                 Fault::HalfOpen => {
-                    dumb = true;
+                    discard = true;
                     Ok(())
                 }
             };
--- a/crates/coralstep-lab/src/explore/module.rs
+++ b/crates/coralstep-lab/src/explore/module.rs
@@ -9,7 +9,7 @@
 };
 
 use super::Play;
-use crate::acts::{Act, Acts};
+use crate::acts::{Action, RecordedActions};
 use crate::rules::{AnswerKind, Rules};
 
 /// RPCs of one history.
@@ -155,8 +155,8 @@
 }
 
 impl Module {
-    fn tell(&mut self, what: impl FnOnce(&mut Scheduler, Time, &mut Acts)) {
-        let (now, mut acts) = (Time(self.now), Acts::default());
+    fn tell(&mut self, what: impl FnOnce(&mut Scheduler, Time, &mut RecordedActions)) {
+        let (now, mut acts) = (Time(self.now), RecordedActions::default());
         what(&mut self.server, now, &mut acts);
         for act in acts.0 {
             self.act(act);
@@ -179,10 +179,10 @@
         }
     }
 
-    fn act(&mut self, act: Act) {
+    fn act(&mut self, act: Action) {
         let now = self.now;
         match act {
-            Act::Admit(id) => {
+            Action::Admit(id) => {
                 if let Some(live) = self.live.get_mut(&id.0) {
                     live.running = true;
                     let token = (live.method == usize::from(PAY))
@@ -190,8 +190,8 @@
                     self.rules.record_start(now, u64::from(id.0), token);
                 }
             }
-            Act::PushBack(id, ..) => self.answered(id, AnswerKind::PushedBack),
-            Act::Abort(id) => {
+            Action::Reject(id, ..) => self.answered(id, AnswerKind::PushedBack),
+            Action::Fail(id) => {
                 let trial = self.state == "half-open" && !self.leaving;
                 let since = self.since;
                 if let Some(live) = self.live.get_mut(&id.0) {
@@ -205,7 +205,7 @@
                     self.ending.push(id);
                 }
             }
-            Act::Skip(id) => {
+            Action::SkipCall(id) => {
                 self.live
                     .get_mut(&id.0)
                     .into_iter()
@@ -214,14 +214,18 @@
                     self.called(id, Span::ms(300));
                 }
             }
-            Act::Call(id, patience) => self.called(id, patience),
-            Act::Preempt(id) => self.settle(id, Outcome::Cancelled),
-            Act::Release(id) => {
+            Action::Call(id, patience) => self.called(id, patience),
+            Action::Preempt(id) => self.settle(id, Outcome::Cancelled),
+            Action::ReleaseId(id) => {
                 self.live.remove(&id.0);
                 self.rules.record_release(now, u64::from(id.0));
             }
-            Act::Turn(turn) => self.turned(turn),
-            Act::Keep(_) | Act::Drop(_) | Act::Replay(_) | Act::Health(_) | Act::Timer(_) => {}
+            Action::BreakerTransition(turn) => self.turned(turn),
+            Action::RetainKey(_)
+            | Action::ReleaseKey(_)
+            | Action::Replay(_)
+            | Action::SetHealth(_)
+            | Action::SetTimer(_) => {}
         }
     }
 
@@ -498,7 +502,7 @@
 
     fn start(scope: &Scope) -> Module {
         let cold = scope.prelude == Prelude::Cold;
-        let (terms, mut acts) = (terms(cold), Acts::default());
+        let (terms, mut acts) = (terms(cold), RecordedActions::default());
         let server = Scheduler::start(&terms, 7, Time(START), &mut acts);
         let mut module = Module {
             server,
--- a/crates/coralstep-lab/src/explore/shares.rs
+++ b/crates/coralstep-lab/src/explore/shares.rs
@@ -10,7 +10,7 @@
 use coralstep_quota::lease::lengthen_by_drift;
 
 use super::Play;
-use crate::shares::{Cheat, World, limit};
+use crate::shares::{Defect, QuotaSimulation, limit};
 
 const SERVERS: usize = 3;
 pub const LEASE: u64 = 4_000;
@@ -29,11 +29,11 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Scope {
     pub prelude: Prelude,
-    pub cheat: Cheat,
+    pub cheat: Defect,
 }
 
 pub struct Shares {
-    world: World,
+    world: QuotaSimulation,
 }
 
 const KINDS: [&str; 12] = [
@@ -67,13 +67,13 @@
             limit(LimitKind::InFlight(5), CutOff::Strict),
             limit(LimitKind::Rate { rps: 4.0, burst: 8 }, CutOff::Strict),
         ];
-        let mut world = World::new(SERVERS, SERVERS, &limits, LEASE, 7, scope.cheat);
+        let mut world = QuotaSimulation::new(SERVERS, SERVERS, &limits, LEASE, 7, scope.cheat);
         if scope.prelude == Prelude::Settled {
-            world.pass(lengthen_by_drift(LEASE) + max_failover_time() + 1_000);
+            world.advance(lengthen_by_drift(LEASE) + max_failover_time() + 1_000);
             let mut shares = Shares { world };
             for _ in 0..6 {
                 (0..SERVERS).for_each(|server| shares.rpcs(server, 2));
-                shares.world.pass(250);
+                shares.world.advance(250);
             }
             return shares;
         }
@@ -86,7 +86,7 @@
             match kind {
                 // One of a kind: these concern no server.
                 0 | 1 | 2 | 4 | 10 => what.is_multiple_of(SERVERS as u8),
-                5 | 6 => what.is_multiple_of(SERVERS as u8) && self.world.under_way() > 0,
+                5 | 6 => what.is_multiple_of(SERVERS as u8) && self.world.messages_in_transit() > 0,
                 _ => true,
             }
         };
@@ -98,13 +98,13 @@
     fn step(&mut self, what: u8) {
         let (kind, server) = (what / SERVERS as u8, usize::from(what) % SERVERS);
         match kind {
-            0 => self.world.pass(50),
-            1 => self.world.pass(700),
-            2 => self.world.pass(3_000),
+            0 => self.world.advance(50),
+            1 => self.world.advance(700),
+            2 => self.world.advance(3_000),
             3 => self.rpcs(server, 6),
             4 => (0..SERVERS).for_each(|server| self.rpcs(server, 3)),
-            5 => self.world.lose_next(),
-            6 => self.world.double_next(5_000),
+            5 => self.world.drop_next_message(),
+            6 => self.world.duplicate_next_message(5_000),
             7 => self.world.start(server),
             8 => self.world.pause(server, self.world.is_up(server)),
             9 => {
@@ -115,7 +115,7 @@
             _ => self.world.leave(server),
         }
         // What follows from it at once is looked at, too.
-        self.world.pass(10);
+        self.world.advance(10);
     }
 
     fn digest(&self) -> u64 {
@@ -125,7 +125,7 @@
     }
 
     fn broken(&self) -> Option<&str> {
-        self.world.broken.as_deref()
+        self.world.violation.as_deref()
     }
 
     fn comes_free(mut self) -> Option<String> {
@@ -136,17 +136,17 @@
         // Who left is replaced.
         (0..SERVERS).for_each(|server| self.world.start(server));
         self.world
-            .pass(max_failover_time() + lengthen_by_drift(TERM_MS));
-        let kept = self.world.keeper().is_some();
-        self.world.pass(max_reclaim_time(LEASE, 500));
+            .advance(max_failover_time() + lengthen_by_drift(TERM_MS));
+        let kept = self.world.leader().is_some();
+        self.world.advance(max_reclaim_time(LEASE, 500));
         // All demand is at one: it gets all.
         let mut most = 0;
         for _ in 0..24 {
             while self.world.rpc(1, HOLDS).is_ok() {}
-            self.world.pass(250);
+            self.world.advance(250);
             most = most.max(self.world.units(1));
         }
-        let broken = self.world.broken.clone();
+        let broken = self.world.violation.clone();
         let stuck = (!kept).then(|| "nobody gives".to_owned());
         broken
             .or(stuck)
--- a/crates/coralstep-lab/src/explore/shares/tests.rs
+++ b/crates/coralstep-lab/src/explore/shares/tests.rs
@@ -22,10 +22,10 @@
         );
     }
     for (cheat, wanted) in [
-        (Cheat::StaleClock, ""),
-        (Cheat::Forgets, "give at the same time"),
-        (Cheat::Drifts, ""),
-        (Cheat::Admits, ""),
+        (Defect::StaleClock, ""),
+        (Defect::Forgets, "are leaders at the same time"),
+        (Defect::Drifts, ""),
+        (Defect::Admits, ""),
     ] {
         let scope = Scope {
             prelude: Prelude::Settled,
--- a/crates/coralstep-lab/src/fleet/processes.rs
+++ b/crates/coralstep-lab/src/fleet/processes.rs
@@ -11,9 +11,9 @@
 use serde_json::{Value, json};
 
 use super::{Links, Programs};
-use crate::emulate::engine::{Engine, EngineTerms, Plight, Work};
+use crate::emulate::engine::{Engine, EngineConfig, EngineFaults, Workload};
 use crate::emulate::lock;
-use crate::emulate::wire::{Faults, Wire};
+use crate::emulate::wire::{Faults, FaultyRelay};
 
 /// The longest that a process may take to come up or to answer.
 const LIMIT: Duration = Duration::from_secs(15);
@@ -43,7 +43,7 @@
 pub struct Setup {
     /// Further keys of the site file's `fleet`; null for processes that have none.
     pub fleet: Value,
-    /// Work of each run, in milliseconds of a core; each engine has two.
+    /// Workload of each run, in milliseconds of a core; each engine has two.
     pub work_ms: f64,
     /// The store that `read` calls; each process has a way of its own to it.
     pub store: Option<SocketAddr>,
@@ -85,8 +85,8 @@
     crowd: Arc<Mutex<Crowd>>,
 }
 
-impl Work for Even {
-    fn begins(&mut self, _id: &str, method: &str, _body: &[u8]) -> Option<(f64, Option<f64>)> {
+impl Workload for Even {
+    fn start_run(&mut self, _id: &str, method: &str, _body: &[u8]) -> Option<(f64, Option<f64>)> {
         let calls = self.calls && method == METHODS[1];
         Some(if calls {
             (self.ms / 2.0, Some(self.ms / 2.0))
@@ -95,7 +95,7 @@
         })
     }
 
-    fn crowd(&mut self, running: usize) {
+    fn report_running(&mut self, running: usize) {
         let mut crowd = lock(&self.crowd);
         crowd.running[self.at] = running;
         crowd.most = crowd.most.max(crowd.running.iter().sum());
@@ -131,7 +131,7 @@
     processes: Vec<Option<Process>>,
     setup: Setup,
     /// Each process's way to the store.
-    ways: Vec<Wire>,
+    ways: Vec<FaultyRelay>,
     /// Of the engines, not of what the processes say.
     pub crowd: Arc<Mutex<Crowd>>,
     control: UdpSocket,
@@ -176,11 +176,10 @@
         setup: Setup,
     ) -> std::io::Result<Fleet> {
         let programs = programs.into();
-        let ways = setup
-            .store
-            .iter()
-            .flat_map(|store| (0..count).map(move |at| Wire::to(*store, seed ^ at as u64)));
-        let ways = ways.collect::<std::io::Result<Vec<Wire>>>()?;
+        let ways = setup.store.iter().flat_map(|store| {
+            (0..count).map(move |at| FaultyRelay::start(*store, seed ^ at as u64))
+        });
+        let ways = ways.collect::<std::io::Result<Vec<FaultyRelay>>>()?;
         let links = Links::start(count, seed)?;
         let place = links.addresses.first().map_or(0, SocketAddr::port);
         let folder =
@@ -219,7 +218,7 @@
     /// Starts process `at`, in place of the one that was there.
     pub fn boot(&mut self, at: usize) -> std::io::Result<()> {
         self.processes[at] = None;
-        let terms = EngineTerms {
+        let terms = EngineConfig {
             cores: 2,
             crowd: 8.0,
             speed: 1.0,
@@ -227,7 +226,7 @@
             breaks: None,
             never_ends: false,
         };
-        let plight: Arc<Mutex<Plight>> = Arc::default();
+        let faults: Arc<Mutex<EngineFaults>> = Arc::default();
         let store = self.ways.get(at).map(|way| way.address);
         lock(&self.crowd).running[at] = 0;
         let work = Even {
@@ -240,7 +239,7 @@
             std::net::TcpListener::bind("127.0.0.1:0")?,
             terms,
             work,
-            plight,
+            faults,
         )?;
         let settings = json!({
             "classes": [
--- a/crates/coralstep-lab/src/load.rs
+++ b/crates/coralstep-lab/src/load.rs
@@ -1,6 +1,6 @@
-//! The load tool: an open loop. Requests are due at moments set beforehand, whatever has become of the earlier ones, and each
-//! answer's time counts from the moment its request was due (no coordinated omission). Whether the tool itself kept its rate
-//! is judged by [`Pace`]; a figure of a rate that was not sent is void.
+//! Open-loop load generator. Requests are due at planned times, whatever became of the earlier ones, and latency counts from the time
+//! a request was due (no coordinated omission). [`Pace`] checks whether the generator itself kept its rate; results at a rate that
+//! wasn't sent are void.
 use std::cell::RefCell;
 use std::io::{IsTerminal, Write};
 use std::net::SocketAddr;
@@ -14,20 +14,20 @@
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
 
-use crate::caller::{Ask, Protocol, Said, Way};
+use crate::caller::{Connection, OutgoingRpc, Protocol, RpcOutcome};
 
-/// Requests on their way at once; past that none is sent, which voids the figure.
-pub const OPEN_MOST: usize = 20_000;
-/// A request that left so much later than it was due, in milliseconds, was not sent at its rate.
-pub const LATE_MS: f64 = 20.0;
-/// Part of the requests that may be late or unsent.
-pub const LATE_PART: f64 = 0.01;
+/// Maximum number of requests in flight; beyond it requests aren't sent, which voids the results.
+pub const MAX_IN_FLIGHT: usize = 20_000;
+/// Delay after the planned time beyond which a request counts as sent late, in milliseconds.
+pub const MAX_SEND_DELAY_MS: f64 = 20.0;
+/// Maximum fraction of requests sent late or not at all.
+pub const MAX_LATE_FRACTION: f64 = 0.01;
 
-/// A request of a plan.
+/// A planned request.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Due {
-    /// From the start.
+    /// Time from the start.
     pub at_ms: f64,
     pub method: String,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -36,8 +36,8 @@
     pub tenant: String,
 }
 
-/// A recorded stream: one JSON object a line, in order of time.
-pub fn recorded(text: &str) -> Result<Vec<Due>, String> {
+/// Parses a recorded stream of requests: one JSON object per line, in order of time.
+pub fn parse_recorded(text: &str) -> Result<Vec<Due>, String> {
     let mut plan: Vec<Due> = Vec::new();
     for (number, line) in text
         .lines()
@@ -59,8 +59,9 @@
     Ok(plan)
 }
 
-/// A plan at `rate` a second for `seconds`, gaps by chance; methods by their shares. Nothing where all shares are 0.
-pub fn at_rate(rate: f64, seconds: f64, methods: &[(String, f64)], seed: u64) -> Vec<Due> {
+/// Plans `rate` requests per second for `seconds`, with exponential gaps and with methods drawn by their shares. Empty if all
+/// shares are 0.
+pub fn plan_at_rate(rate: f64, seconds: f64, methods: &[(String, f64)], seed: u64) -> Vec<Due> {
     let mut chance = SmallRng::seed_from_u64(seed);
     let shares: f64 = methods.iter().map(|(_, share)| share).sum();
     let (mut at, mut plan) = (0.0, Vec::new());
@@ -91,7 +92,7 @@
     plan
 }
 
-/// Whether the tool sent what it was to send when it was to send it.
+/// Counts the requests that were sent late or not at all.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Pace {
     due: u64,
@@ -101,32 +102,33 @@
 }
 
 impl Pace {
-    pub fn sent(&mut self, late_ms: f64) {
+    /// Records a request that was sent `late_ms` after its planned time.
+    pub fn record_sent(&mut self, late_ms: f64) {
         self.due += 1;
-        self.late += u64::from(late_ms > LATE_MS);
+        self.late += u64::from(late_ms > MAX_SEND_DELAY_MS);
         self.worst_ms = self.worst_ms.max(late_ms);
     }
 
-    /// Due, and never sent.
-    pub fn unsent(&mut self) {
+    /// Records a request that was due but not sent.
+    pub fn record_unsent(&mut self) {
         self.due += 1;
         self.unsent += 1;
     }
 
-    /// Why the figures are void, where they are.
-    pub fn void(&self) -> Option<String> {
+    /// Returns the reason why the results are void, or `None` if they are valid.
+    pub fn void_reason(&self) -> Option<String> {
         let bad = self.late + self.unsent;
-        (bad as f64 > LATE_PART * self.due as f64).then(|| {
+        (bad as f64 > MAX_LATE_FRACTION * self.due as f64).then(|| {
             format!(
-                "void: of {} requests {} left more than {LATE_MS} ms late (the latest {:.0} ms) and {} not at all; \
-                 the tool can't send this rate here",
+                "void: of {} requests {} were sent more than {MAX_SEND_DELAY_MS} ms late (at most {:.0} ms) and {} not at all; \
+                 the load generator can't keep this rate on this machine",
                 self.due, self.late, self.worst_ms, self.unsent
             )
         })
     }
 }
 
-/// What came of it.
+/// Results of a load run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
     pub due: u64,
@@ -136,29 +138,29 @@
     pub refused: u64,
     pub broken: u64,
     pub timed_out: u64,
-    /// Answered well a second.
+    /// Successful answers per second.
     pub ok_rate: f64,
     pub p50_ms: f64,
     pub p90_ms: f64,
     pub p99_ms: f64,
     pub p999_ms: f64,
     pub most_ms: f64,
-    /// Why none of this counts, where it doesn't.
+    /// Reason why the results are void.
     pub void: Option<String>,
 }
 
-pub struct Terms {
+pub struct LoadOptions {
     pub protocol: Protocol,
     pub targets: Vec<SocketAddr>,
-    /// Connections to each, by Thrift.
+    /// Thrift connections to each target.
     pub connections: usize,
-    /// When a caller gives up.
+    /// Time after which a caller gives up.
     pub deadline: Duration,
     pub body: Vec<u8>,
     pub json: bool,
 }
 
-struct Seen {
+struct LoadState {
     figures: Figures,
     took: Histogram<u64>,
     open: usize,
@@ -169,7 +171,7 @@
     since.map_or(0, |since| since.as_millis() as u64)
 }
 
-impl Seen {
+impl LoadState {
     fn figures(&self, pace: &Pace, ran: Duration) -> Figures {
         let ms = |quantile: f64| self.took.value_at_quantile(quantile) as f64 / 1000.0;
         let mut figures = self.figures.clone();
@@ -178,28 +180,28 @@
             (figures.p999_ms, figures.most_ms) = (ms(0.999), self.took.max() as f64 / 1000.0);
         }
         figures.ok_rate = figures.ok as f64 / ran.as_secs_f64().max(1e-9);
-        figures.void = pace.void();
+        figures.void = pace.void_reason();
         figures
     }
 
-    fn said(&mut self, said: &Said, took: Duration) {
+    fn record_outcome(&mut self, outcome: &RpcOutcome, took: Duration) {
         let figures = &mut self.figures;
-        match said {
-            Said::Ok(_) => {
+        match outcome {
+            RpcOutcome::Ok(_) => {
                 figures.ok += 1;
                 self.took.saturating_record(took.as_micros() as u64);
             }
-            Said::PushedBack { .. } => figures.pushed_back += 1,
-            Said::Aborted => figures.aborted += 1,
-            Said::Refused => figures.refused += 1,
-            Said::Broken => figures.broken += 1,
-            Said::TimedOut => figures.timed_out += 1,
+            RpcOutcome::PushedBack { .. } => figures.pushed_back += 1,
+            RpcOutcome::Aborted => figures.aborted += 1,
+            RpcOutcome::Refused => figures.refused += 1,
+            RpcOutcome::Broken => figures.broken += 1,
+            RpcOutcome::TimedOut => figures.timed_out += 1,
         }
     }
 }
 
-/// A line of what is known so far.
-fn progress(
+/// Writes a progress line.
+fn write_progress(
     out: &mut impl Write,
     json: bool,
     at: Duration,
@@ -222,72 +224,72 @@
     )
 }
 
-/// Sends a plan and waits for what is open at its end, at most until its deadline.
-pub fn drive(terms: &Terms, plan: &[Due], mut show: impl Write) -> std::io::Result<Figures> {
+/// Sends the planned requests, then waits for open ones until their deadlines.
+pub fn run(options: &LoadOptions, plan: &[Due], mut show: impl Write) -> std::io::Result<Figures> {
     let executor = Rc::new(LocalExecutor::new());
-    let ways: Vec<Way> = terms
+    let connections: Vec<Connection> = options
         .targets
         .iter()
-        .flat_map(|target| std::iter::repeat_n(*target, terms.connections.max(1)))
-        .map(|target| Way::new(terms.protocol, target, &executor))
+        .flat_map(|target| std::iter::repeat_n(*target, options.connections.max(1)))
+        .map(|target| Connection::new(options.protocol, target, &executor))
         .collect();
-    if ways.is_empty() {
-        return Err(std::io::Error::other("no target"));
+    if connections.is_empty() {
+        return Err(std::io::Error::other("no target server"));
     }
-    // A microsecond to an hour, three digits: what is created so can't fail.
-    let took = Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("sound bounds");
-    let seen = Rc::new(RefCell::new(Seen {
+    // 1 us to an hour with three significant digits: these constant bounds are valid.
+    let took = Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("histogram bounds are valid");
+    let seen = Rc::new(RefCell::new(LoadState {
         figures: Figures::default(),
         took,
         open: 0,
     }));
     let (start, terminal) = (Instant::now(), std::io::stderr().is_terminal());
-    // References and tokens of two runs must not meet at one server.
+    // Ids and idempotency keys start at the time of day, so that two runs against one server never share them.
     let first = now_ms() << 20;
     let mut pace = Pace::default();
     let all = async {
         let mut shown = start;
         for (number, due) in plan.iter().enumerate() {
             let at = start + Duration::from_secs_f64(due.at_ms / 1000.0);
-            // Guards against one that wakes for each request: what is due is sent in a row.
+            // Guards against one timer wake-up per request: all due requests are sent in a row.
             if at > Instant::now() {
                 Timer::at(at).await;
             }
             seen.borrow_mut().figures.due += 1;
-            if seen.borrow().open >= OPEN_MOST {
-                pace.unsent();
+            if seen.borrow().open >= MAX_IN_FLIGHT {
+                pace.record_unsent();
                 continue;
             }
             seen.borrow_mut().open += 1;
-            let ask = Ask {
+            let rpc = OutgoingRpc {
                 method: due.method.clone(),
                 reference: first + number as u64,
                 token: due.token,
                 tenant: due.tenant.clone(),
                 since_ms: now_ms(),
-                room_kb: 1.0 + terms.body.len() as f64 / 1024.0,
+                room_kb: 1.0 + options.body.len() as f64 / 1024.0,
                 retry: false,
-                body: terms.body.clone(),
+                body: options.body.clone(),
             };
-            let (way, told, until) = (
-                ways[number % ways.len()].clone(),
+            let (connection, state, until) = (
+                connections[number % connections.len()].clone(),
                 seen.clone(),
-                at + terms.deadline,
+                at + options.deadline,
             );
-            pace.sent((Instant::now() - at).as_secs_f64() * 1000.0);
+            pace.record_sent((Instant::now() - at).as_secs_f64() * 1000.0);
             executor
                 .spawn(async move {
-                    let said = way.ask(&ask, until).await;
-                    let mut told = told.borrow_mut();
-                    told.open -= 1;
-                    told.said(&said, Instant::now() - at);
+                    let outcome = connection.send(&rpc, until).await;
+                    let mut state = state.borrow_mut();
+                    state.open -= 1;
+                    state.record_outcome(&outcome, Instant::now() - at);
                 })
                 .detach();
             if shown.elapsed() >= Duration::from_secs(1) {
                 shown = Instant::now();
                 let seen = seen.borrow();
-                let json = terms.json || !terminal;
-                let _ = progress(
+                let json = options.json || !terminal;
+                let _ = write_progress(
                     &mut show,
                     json,
                     start.elapsed(),
@@ -296,10 +298,10 @@
                 );
                 let _ = show.flush();
             }
-            // Answers are read though more is due.
+            // Lets answers be read even while more requests are due.
             futures_lite::future::yield_now().await;
         }
-        let ends = Instant::now() + terms.deadline + Duration::from_millis(500);
+        let ends = Instant::now() + options.deadline + Duration::from_millis(500);
         while seen.borrow().open > 0 && Instant::now() < ends {
             Timer::after(Duration::from_millis(5)).await;
         }
--- a/crates/coralstep-lab/src/load/tests.rs
+++ b/crates/coralstep-lab/src/load/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 #[test]
-fn a_recorded_stream_is_read_and_a_faulty_line_named() {
+fn recorded_stream_is_parsed_and_error_names_line() {
     let good = "{\"at_ms\":0,\"method\":\"read\"}\n\n{\"at_ms\":2.5,\"method\":\"pay\",\"token\":7,\"tenant\":\"north\"}\n";
-    let plan = recorded(good).unwrap();
+    let plan = parse_recorded(good).unwrap();
     assert_eq!(
         (plan.len(), plan[1].token, plan[1].tenant.as_str()),
         (2, Some(7), "north")
@@ -20,34 +20,37 @@
         ),
         ("what", "line 1: expected value"),
     ] {
-        let told = recorded(bad).unwrap_err();
-        assert!(told.starts_with(why), "{told}");
+        let error = parse_recorded(bad).unwrap_err();
+        assert!(error.starts_with(why), "{error}");
     }
 }
 
 #[test]
-fn a_plan_has_its_rate_its_shares_and_is_the_same_for_a_seed() {
+fn plan_keeps_rate_and_shares_and_is_reproducible() {
     let methods = [("read".to_owned(), 3.0), ("pay".to_owned(), 1.0)];
-    let plan = at_rate(1_000.0, 20.0, &methods, 1);
+    let plan = plan_at_rate(1_000.0, 20.0, &methods, 1);
     assert!((19_000..21_000).contains(&plan.len()), "{}", plan.len());
     let reads = plan.iter().filter(|due| due.method == "read").count() as f64 / plan.len() as f64;
     assert!((0.73..0.77).contains(&reads), "{reads}");
     assert!(plan.windows(2).all(|two| two[0].at_ms <= two[1].at_ms));
-    assert_eq!(plan, at_rate(1_000.0, 20.0, &methods, 1));
-    assert!(at_rate(0.0, 20.0, &methods, 1).is_empty() && at_rate(9.0, 9.0, &[], 1).is_empty());
+    assert_eq!(plan, plan_at_rate(1_000.0, 20.0, &methods, 1));
+    assert!(
+        plan_at_rate(0.0, 20.0, &methods, 1).is_empty()
+            && plan_at_rate(9.0, 9.0, &[], 1).is_empty()
+    );
 }
 
 #[test]
-fn a_rate_that_was_not_sent_voids_the_figures() {
+fn results_are_void_if_rate_was_not_kept() {
     let mut pace = Pace::default();
-    (0..990).for_each(|_| pace.sent(1.0));
-    (0..10).for_each(|_| pace.sent(LATE_MS + 1.0));
-    assert_eq!(pace.void(), None);
-    pace.unsent();
+    (0..990).for_each(|_| pace.record_sent(1.0));
+    (0..10).for_each(|_| pace.record_sent(MAX_SEND_DELAY_MS + 1.0));
+    assert_eq!(pace.void_reason(), None);
+    pace.record_unsent();
     assert!(
-        pace.void()
+        pace.void_reason()
             .unwrap()
-            .starts_with("void: of 1001 requests 10 left more than 20 ms late")
+            .starts_with("void: of 1001 requests 10 were sent more than 20 ms late")
     );
-    assert_eq!(Pace::default().void(), None);
+    assert_eq!(Pace::default().void_reason(), None);
 }
--- a/crates/coralstep-lab/src/main.rs
+++ b/crates/coralstep-lab/src/main.rs
@@ -6,7 +6,7 @@
 use coralstep_lab::World;
 use coralstep_lab::baseline::Policy;
 use coralstep_lab::caller::Protocol;
-use coralstep_lab::emulate::Terms;
+use coralstep_lab::emulate::EmulationOptions;
 use coralstep_lab::emulate::wire::Faults;
 use coralstep_lab::world::WORLDS;
 use lexopt::Arg::{Long, Short, Value};
@@ -164,7 +164,8 @@
             Long("policy") => {
                 let name = parser.value()?.string()?;
                 call.policies.push(
-                    Policy::named(&name).ok_or_else(|| format!("--policy: {name:?} is none"))?,
+                    Policy::from_name(&name)
+                        .ok_or_else(|| format!("--policy: {name:?} is none"))?,
                 );
             }
             Long("method") => {
@@ -252,7 +253,7 @@
         } else {
             Protocol::Thrift
         };
-        let terms = Terms {
+        let terms = EmulationOptions {
             program: cli::sockets::program(self.server.clone())?,
             protocol,
             applications: self.applications,
--- a/crates/coralstep-lab/src/shares.rs
+++ b/crates/coralstep-lab/src/shares.rs
@@ -1,6 +1,6 @@
-//! Limits of a whole fleet in virtual time, on the real decisions: servers with clocks that run apart, letters that are lost, late, doubled,
-//! cuts, stops, kills. Judged at every moment by the formulas of `coralstep_quota::guarantees` alone: what all admit together, and that no
-//! more than one gives.
+//! Simulates fleet-wide limits in virtual time with the real `QuotaExtension`: clock drift, lost, delayed and duplicated messages,
+//! partitions, paused and killed servers. After every step the fleet-wide admissions are checked against the formulas of
+//! `coralstep_quota::guarantees`, and that at most one server is the leader.
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -14,68 +14,69 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Between two ticks of a server, on its own clock; and the step of the world.
-const TICK: u64 = 50;
+/// Interval between two timeouts of a server, in ms of its own clock.
+const TIMEOUT_INTERVAL: u64 = 50;
+/// Step of the simulation, in ms.
 pub const STEP: u64 = 25;
 
-/// A promise broken by intent, so that the checks show that they catch it.
+/// Violates one guarantee on purpose, to test the checks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Cheat {
+pub enum Defect {
     #[default]
     None,
-    /// A clock that stands still while the process is stopped.
+    /// The clock stands still while the process is stopped.
     StaleClock,
-    /// A voter that was started anew promises at once, and a keeper knows no wake.
+    /// A restarted server behaves as if it had run for a minute: it votes and leads without the wait after a restart.
     Forgets,
-    /// Clocks run apart by more than is stated.
+    /// Clocks drift by more than `MAX_CLOCK_DRIFT`.
     Drifts,
-    /// One server admits what it has no share for.
+    /// One server admits requests that its share doesn't cover.
     Admits,
 }
 
 struct Server {
-    part: QuotaExtension,
+    quota: QuotaExtension,
     member: Member,
-    /// Its clock's speed, and what it showed at the start of the world.
+    /// Speed of its clock; 1 is exact.
     rate: f64,
     paused: Option<u64>,
-    /// What its clock has missed: none, but for a clock that stands still with the process.
+    /// Time that its clock has missed; not 0 only if the clock stands still while the process is paused.
     missed: u64,
-    ticked: u64,
-    /// RPCs in hand: until when, by the world's clock.
-    hands: Vec<(u64, QuotaPermit)>,
+    last_timeout: u64,
+    /// RPCs in flight with their end, in simulation time.
+    in_flight: Vec<(u64, QuotaPermit)>,
     leaving: bool,
 }
 
-/// What one limit has seen.
+/// Admissions under one limit.
 #[derive(Clone, Debug, Default)]
-struct Seen {
-    /// Of a rate: what is over the rate so far, as a bucket that leaks.
+struct LimitStats {
+    /// Excess over the rate so far, as the level of a leaky bucket; for rate limits only.
     level: f64,
     at: u64,
-    greatest: f64,
+    maximum: f64,
     admitted: u64,
-    turned_away: u64,
+    rejected: u64,
 }
 
-pub struct World {
+pub struct QuotaSimulation {
     pub now: u64,
-    pub cheat: Cheat,
+    pub defect: Defect,
     pub loss: f64,
     pub delay: (u64, u64),
-    pub doubled: f64,
+    pub duplication: f64,
     servers: BTreeMap<usize, Server>,
     keepers: Vec<String>,
     pub limits: Vec<Limit>,
     lease: u64,
-    way: BTreeMap<(u64, u64), (usize, usize, Vec<u8>)>,
+    in_transit: BTreeMap<(u64, u64), (usize, usize, Vec<u8>)>,
     cut: BTreeSet<(usize, usize)>,
     sent: u64,
     pub bytes: u64,
     chance: SmallRng,
-    seen: BTreeMap<u64, Seen>,
-    pub broken: Option<String>,
-    starts: u64,
+    seen: BTreeMap<u64, LimitStats>,
+    pub violation: Option<String>,
+    start_count: u64,
 }
 
 fn at(server: usize) -> SocketAddr {
@@ -91,7 +92,7 @@
     usize::from(high) * 250 + usize::from(low) - 1
 }
 
-/// A limit on all RPCs of the one method there is.
+/// Returns a limit on all RPCs of the only method.
 pub fn limit(kind: LimitKind, cut_off: CutOff) -> Limit {
     let key = if matches!(kind, LimitKind::Rate { .. }) {
         1
@@ -111,82 +112,82 @@
 }
 
 impl Server {
-    /// Its own clock.
+    /// Returns the time of the server's own clock.
     fn local(&self, now: u64) -> u64 {
         (now.saturating_sub(self.missed) as f64 * self.rate) as u64
     }
 }
 
-impl World {
+impl QuotaSimulation {
     pub fn new(
         count: usize,
         keepers: usize,
         limits: &[Limit],
         lease: u64,
         seed: u64,
-        cheat: Cheat,
-    ) -> World {
-        let mut world = World {
+        defect: Defect,
+    ) -> QuotaSimulation {
+        let mut world = QuotaSimulation {
             now: 0,
-            cheat,
+            defect,
             loss: 0.0,
             delay: (0, 2),
-            doubled: 0.0,
+            duplication: 0.0,
             servers: BTreeMap::new(),
             keepers: (0..keepers).map(|at| format!("n{at}")).collect(),
             limits: limits.to_vec(),
             lease,
-            way: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             cut: BTreeSet::new(),
             sent: 0,
             bytes: 0,
             chance: SmallRng::seed_from_u64(seed),
             seen: BTreeMap::new(),
-            broken: None,
-            starts: 0,
+            violation: None,
+            start_count: 0,
         };
         (0..count).for_each(|server| world.start(server));
         world
     }
 
-    fn breaks(&mut self, why: String) {
+    fn record_violation(&mut self, why: String) {
         let now = self.now;
-        self.broken
+        self.violation
             .get_or_insert_with(|| format!("at {now} ms: {why}"));
     }
 
-    /// Starts a server, in place of the one that was there.
+    /// Starts a server, replacing the present one.
     pub fn start(&mut self, server: usize) {
-        self.starts += 1;
-        let member = Member::new(&format!("n{server}"), at(server), self.starts);
-        let spread = if self.cheat == Cheat::Drifts {
+        self.start_count += 1;
+        let member = Member::new(&format!("n{server}"), at(server), self.start_count);
+        let spread = if self.defect == Defect::Drifts {
             0.3
         } else {
             MAX_CLOCK_DRIFT / 2.0
         };
-        let rate = [1.0 - spread, 1.0, 1.0 + spread][(self.starts % 3) as usize];
+        let rate = [1.0 - spread, 1.0, 1.0 + spread][(self.start_count % 3) as usize];
         let local = (self.now as f64 * rate) as u64;
-        let begins = if self.cheat == Cheat::Forgets {
+        let begins = if self.defect == Defect::Forgets {
             local.saturating_sub(60_000)
         } else {
             local
         };
-        let mut part = QuotaExtension::new(
+        let mut quota = QuotaExtension::new(
             &member,
             &self.keepers,
             self.lease,
             self.chance.random_range(1..u64::MAX),
             begins,
         );
-        part.set_limits(local, &self.limits);
+        quota.set_limits(local, &self.limits);
         let server_ = Server {
-            part,
+            quota,
             member,
             rate,
             paused: None,
             missed: 0,
-            ticked: 0,
-            hands: Vec::new(),
+            last_timeout: 0,
+            in_flight: Vec::new(),
             leaving: false,
         };
         self.servers.insert(server, server_);
@@ -207,7 +208,7 @@
         if let Some(server) = self.servers.get_mut(&server) {
             let was = server.paused.take();
             server.paused = paused.then(|| was.unwrap_or(now));
-            if let (Cheat::StaleClock, Some(was), false) = (self.cheat, was, paused) {
+            if let (Defect::StaleClock, Some(was), false) = (self.defect, was, paused) {
                 server.missed += now - was;
             }
         }
@@ -232,52 +233,53 @@
         self.cut.clear();
     }
 
-    /// Other figures from now on, at one server.
-    pub fn set(&mut self, server: usize, limits: &[Limit]) {
+    /// Changes the limits at one server.
+    pub fn set_limits(&mut self, server: usize, limits: &[Limit]) {
         let now = self.now;
         if let Some(server) = self.servers.get_mut(&server) {
-            server.part.set_limits(server.local(now), limits);
+            server.quota.set_limits(server.local(now), limits);
         }
     }
 
-    fn post(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
+    fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         let to = server_at(to);
         self.bytes += bytes.len() as u64;
         if self.cut.contains(&(from, to)) || self.chance.random_bool(self.loss) {
             return;
         }
-        let copies = 1 + usize::from(self.chance.random_bool(self.doubled));
+        let copies = 1 + usize::from(self.chance.random_bool(self.duplication));
         for _ in 0..copies {
             let late = self.chance.random_range(self.delay.0..=self.delay.1);
             self.sent += 1;
-            self.way
+            self.in_transit
                 .insert((self.now + late, self.sent), (from, to, bytes.clone()));
         }
     }
 
-    /// Letters under way, and what may happen to the next one.
-    pub fn under_way(&self) -> usize {
-        self.way.len()
+    /// Returns the number of messages in transit.
+    pub fn messages_in_transit(&self) -> usize {
+        self.in_transit.len()
     }
 
-    pub fn lose_next(&mut self) {
-        self.way.pop_first();
+    pub fn drop_next_message(&mut self) {
+        self.in_transit.pop_first();
     }
 
-    /// The next letter comes a second time, so much later.
-    pub fn double_next(&mut self, late: u64) {
-        if let Some((_, letter)) = self
-            .way
+    /// Delivers the next message a second time, `late` ms from now.
+    pub fn duplicate_next_message(&mut self, late: u64) {
+        if let Some((_, message)) = self
+            .in_transit
             .first_key_value()
-            .map(|(at, letter)| (*at, letter.clone()))
+            .map(|(at, message)| (*at, message.clone()))
         {
             self.sent += 1;
-            self.way.insert((self.now + late, self.sent), letter);
+            self.in_transit
+                .insert((self.now + late, self.sent), message);
         }
     }
 
-    /// So much time passes.
-    pub fn pass(&mut self, ms: u64) {
+    /// Advances the simulation by `ms`.
+    pub fn advance(&mut self, ms: u64) {
         let until = self.now + ms;
         while self.now < until {
             self.now += STEP;
@@ -287,7 +289,7 @@
 
     fn step(&mut self) {
         while let Some(entry) = self
-            .way
+            .in_transit
             .first_entry()
             .filter(|entry| entry.key().0 <= self.now)
         {
@@ -300,17 +302,18 @@
                 continue;
             };
             if server.paused.is_some() {
-                // It lies in the socket until the process goes on.
+                // The message stays in the socket buffer until the process resumes.
                 self.sent += 1;
-                self.way.insert((now + TICK, self.sent), (from, to, bytes));
+                self.in_transit
+                    .insert((now + TIMEOUT_INTERVAL, self.sent), (from, to, bytes));
                 continue;
             }
-            let letters = server
-                .part
+            let messages = server
+                .quota
                 .handle_message(server.local(now), &member, &bytes);
-            letters
+            messages
                 .into_iter()
-                .for_each(|message| self.post(to, message.to, message.payload));
+                .for_each(|message| self.send(to, message.to, message.payload));
         }
         let all: Vec<(usize, Member)> = self
             .servers
@@ -324,17 +327,18 @@
             .filter(|(_, server)| server.paused.is_none())
         {
             let over: Vec<QuotaPermit> = server
-                .hands
+                .in_flight
                 .extract_if(.., |(until, _)| *until <= now)
-                .map(|(_, pass)| pass)
+                .map(|(_, permit)| permit)
                 .collect();
-            over.into_iter().for_each(|pass| server.part.release(pass));
+            over.into_iter()
+                .for_each(|permit| server.quota.release(permit));
             let local = server.local(now);
-            if local < server.ticked + TICK {
+            if local < server.last_timeout + TIMEOUT_INTERVAL {
                 continue;
             }
-            server.ticked = local;
-            // Who is cut off is still taken for a member for a while; that it can't be reached is found out by silence.
+            server.last_timeout = local;
+            // A partitioned server still counts as a member for a while; its peers find out by its silence that it is unreachable.
             let present: Vec<&Member> = all
                 .iter()
                 .filter(|(other, _)| other != at)
@@ -350,54 +354,55 @@
             };
             out.extend(
                 server
-                    .part
+                    .quota
                     .handle_timeout(local, &view)
                     .into_iter()
                     .map(|message| (*at, message.to, message.payload)),
             );
         }
         for (from, to, bytes) in out {
-            self.post(from, to, bytes);
+            self.send(from, to, bytes);
         }
-        self.judge();
+        self.check_invariants();
     }
 
-    /// At every moment: one gives at the most, and what is in hand is within the limit.
-    fn judge(&mut self) {
+    /// Checks that there is at most one leader and that the RPCs in flight are within their limits.
+    fn check_invariants(&mut self) {
         let now = self.now;
-        let gives =
-            |server: &&Server| server.paused.is_none() && server.part.is_leader(server.local(now));
-        let keepers: Vec<String> = self
+        let is_leader =
+            |server: &&Server| server.paused.is_none() && server.quota.is_leader(server.local(now));
+        let leaders: Vec<String> = self
             .servers
             .values()
-            .filter(gives)
+            .filter(is_leader)
             .map(|server| server.member.name.clone())
             .collect();
-        if keepers.len() > 1 {
-            self.breaks(format!("{keepers:?} give at the same time"));
+        if leaders.len() > 1 {
+            self.record_violation(format!("{leaders:?} are leaders at the same time"));
         }
         for limit in self.limits.clone() {
             if let LimitKind::InFlight(most) = limit.kind {
-                let hands = |server: &Server| {
+                let in_flight = |server: &Server| {
                     server
-                        .hands
+                        .in_flight
                         .iter()
                         .filter(|(until, _)| *until > now)
                         .count()
                 };
-                let hands: usize = self.servers.values().map(hands).sum();
+                let in_flight: usize = self.servers.values().map(in_flight).sum();
                 let seen = self.seen.entry(limit.key.0).or_default();
-                seen.greatest = seen.greatest.max(hands as f64);
-                if hands as f64 > max_admitted(limit.kind, 0) && limit.cut_off == CutOff::Strict {
-                    self.breaks(format!("{hands} in hand of {most}"));
+                seen.maximum = seen.maximum.max(in_flight as f64);
+                if in_flight as f64 > max_admitted(limit.kind, 0) && limit.cut_off == CutOff::Strict
+                {
+                    self.record_violation(format!("{in_flight} RPCs in flight, limit {most}"));
                 }
             }
         }
     }
 
-    /// An RPC comes to `server`, and is answered within `holds`. Whether it was admitted.
+    /// Sends an RPC that takes `holds` ms to `server`. Returns the Retry-After in ms if it is rejected.
     pub fn rpc(&mut self, server: usize, holds: u64) -> Result<(), u64> {
-        let (now, cheat) = (self.now, self.cheat);
+        let (now, defect) = (self.now, self.defect);
         let Some(of) = self
             .servers
             .get_mut(&server)
@@ -406,86 +411,84 @@
             return Err(0);
         };
         let local = of.local(now);
-        let admitted = of.part.admit(local, RequestKey::default(), holds);
+        let admitted = of.quota.admit(local, RequestKey::default(), holds);
         let admitted = match admitted {
-            Err(_) if cheat == Cheat::Admits && server == 0 => Ok(QuotaPermit::default()),
+            Err(_) if defect == Defect::Admits && server == 0 => Ok(QuotaPermit::default()),
             other => other,
         };
-        let pass = match admitted {
-            Ok(pass) => pass,
+        let permit = match admitted {
+            Ok(permit) => permit,
             Err(exhausted) => {
-                self.seen
-                    .values_mut()
-                    .for_each(|seen| seen.turned_away += 1);
+                self.seen.values_mut().for_each(|seen| seen.rejected += 1);
                 return Err(exhausted.retry_after_ms);
             }
         };
-        of.hands.push((now + holds, pass));
+        of.in_flight.push((now + holds, permit));
         for limit in self.limits.clone() {
             let seen = self.seen.entry(limit.key.0).or_default();
             seen.admitted += 1;
             if let LimitKind::Rate { rps, burst } = limit.kind {
-                // For every window at once: what is over the rate never exceeds the burst.
+                // A leaky bucket checks all time windows at once: the excess over the rate must never exceed the burst.
                 let leaks = rps * (1.0 + MAX_CLOCK_DRIFT) * (now - seen.at) as f64 / 1000.0;
                 (seen.level, seen.at) = ((seen.level - leaks).max(0.0) + 1.0, now);
-                seen.greatest = seen.greatest.max(seen.level);
+                seen.maximum = seen.maximum.max(seen.level);
                 if seen.level > f64::from(burst) + 1e-6 && limit.cut_off == CutOff::Strict {
                     let level = seen.level;
-                    self.breaks(format!("{level:.2} over the rate, {burst} may be"));
+                    self.record_violation(format!("{level:.2} over the rate, burst {burst}"));
                 }
             }
         }
-        self.judge();
+        self.check_invariants();
         Ok(())
     }
 
-    /// Who gives now.
-    pub fn keeper(&self) -> Option<usize> {
+    /// Returns the present leader.
+    pub fn leader(&self) -> Option<usize> {
         let now = self.now;
-        let gives = |(_, server): &(&usize, &Server)| server.part.is_leader(server.local(now));
+        let is_leader = |(_, server): &(&usize, &Server)| server.quota.is_leader(server.local(now));
         self.servers
             .iter()
             .filter(|(_, server)| server.paused.is_none())
-            .find(gives)
+            .find(is_leader)
             .map(|(at, _)| *at)
     }
 
-    /// Waits for somebody to give; the time it took.
-    pub fn until_kept(&mut self, most: u64) -> u64 {
+    /// Advances until there is a leader, for at most `most` ms, and returns the time it took.
+    pub fn wait_for_leader(&mut self, most: u64) -> u64 {
         let start = self.now;
-        while self.keeper().is_none() && self.now < start + most {
-            self.pass(STEP);
+        while self.leader().is_none() && self.now < start + most {
+            self.advance(STEP);
         }
         self.now - start
     }
 
-    /// Admitted, turned away, and the greatest ever over the rate or in hand.
-    pub fn figures(&self, key: u64) -> (u64, u64, f64) {
+    /// Returns the admitted and the rejected RPCs of a limit, and its maximum excess over the rate or number of RPCs in flight.
+    pub fn totals(&self, key: u64) -> (u64, u64, f64) {
         self.seen.get(&key).map_or((0, 0, 0.0), |seen| {
-            (seen.admitted, seen.turned_away, seen.greatest)
+            (seen.admitted, seen.rejected, seen.maximum)
         })
     }
 
-    /// Units in the hands of a server.
+    /// Returns the units that a server holds.
     pub fn units(&self, server: usize) -> u32 {
         let Some(server) = self.servers.get(&server) else {
             return 0;
         };
         server
-            .part
+            .quota
             .client()
             .statuses(server.local(self.now))
             .iter()
-            .map(|have| have.units)
+            .map(|status| status.units)
             .sum()
     }
 
-    /// RPCs in hand of all servers.
-    pub fn in_hand(&self) -> usize {
+    /// Returns the number of RPCs in flight on all servers.
+    pub fn in_flight(&self) -> usize {
         let now = self.now;
         self.servers
             .values()
-            .flat_map(|server| &server.hands)
+            .flat_map(|server| &server.in_flight)
             .filter(|(until, _)| *until > now)
             .count()
     }
@@ -497,21 +500,21 @@
     pub fn digest_text(&self) -> String {
         let of = |(at, server): (&usize, &Server)| {
             let local = server.local(self.now);
-            let have = server.part.client().statuses(local);
+            let status = server.quota.client().statuses(local);
             format!(
-                "{at} {have:?} {} {} {}",
+                "{at} {status:?} {} {} {}",
                 server.paused.is_some(),
-                server.hands.len(),
-                server.part.is_leader(local)
+                server.in_flight.len(),
+                server.quota.is_leader(local)
             )
         };
-        let way: Vec<_> = self
-            .way
+        let in_transit: Vec<_> = self
+            .in_transit
             .iter()
             .map(|((due, _), (from, to, bytes))| (due - self.now.min(*due), from, to, bytes))
             .collect();
         format!(
-            "{:?} {way:?} {:?} {}",
+            "{:?} {in_transit:?} {:?} {}",
             self.servers.iter().map(of).collect::<Vec<_>>(),
             self.cut,
             self.now
--- a/crates/coralstep-lab/src/simulate/clockwork.rs
+++ b/crates/coralstep-lab/src/simulate/clockwork.rs
@@ -87,7 +87,7 @@
                 );
                 self.nodes[node].unlisted_from = self.now + self.health_propagation_time();
                 self.with_server(node, |server, now, out| {
-                    server.wind_down(now, Time(stop), out)
+                    server.begin_drain(now, Time(stop), out)
                 });
                 let life = self.nodes[node].life;
                 self.push(stop, Event::Stop(node, life));
--- a/crates/coralstep-lab/src/simulate/engine.rs
+++ b/crates/coralstep-lab/src/simulate/engine.rs
@@ -188,7 +188,9 @@
             };
             if rpc.calls {
                 rpc.calls = false;
-                self.with_server(at, |server, now, out| server.needs_call(now, id, out));
+                self.with_server(at, |server, now, out| {
+                    server.handle_call_needed(now, id, out)
+                });
             } else {
                 self.handle_answer(at, id, AnswerKind::Ok, None);
                 self.complete_run(at, id, Outcome::Ok);
@@ -250,7 +252,7 @@
                 .record_call(at, self.now, outcome != Outcome::Ok);
         }
         self.with_server(at, |server, now, out| {
-            server.called(now, id, outcome, took, out)
+            server.handle_call_result(now, id, outcome, took, out)
         });
         let answered = self.rpc(at, id).is_some_and(|rpc| rpc.answered);
         if outcome == Outcome::Ok {
--- a/crates/coralstep-lab/src/simulate/gateways.rs
+++ b/crates/coralstep-lab/src/simulate/gateways.rs
@@ -182,7 +182,9 @@
             tenant,
             ..coralstep::Request::default()
         };
-        self.with_server(at, |server, now, out| server.rpc(now, arrival, out));
+        self.with_server(at, |server, now, out| {
+            server.handle_request(now, arrival, out)
+        });
     }
 
     pub(super) fn method_of(&self, request: usize) -> Option<&'a crate::world::OneMethod> {
--- a/crates/coralstep-lab/src/simulate/mod.rs
+++ b/crates/coralstep-lab/src/simulate/mod.rs
@@ -13,7 +13,7 @@
 use serde::Serialize;
 
 use self::sharing::Sharing;
-use crate::baseline::{Decider, Policy};
+use crate::baseline::{Policy, ServerScheduler};
 use crate::queue::Wheel;
 use crate::record::Record;
 use crate::rules::Rules;
@@ -123,7 +123,7 @@
 }
 
 struct Node {
-    server: Option<Decider>,
+    server: Option<ServerScheduler>,
     levels: Option<LevelStateMachine>,
     /// Whether the server is at a degraded service level.
     reduced: bool,
@@ -228,7 +228,7 @@
     hot: Option<(f64, usize)>,
     affected: Vec<Vec<usize>>,
     policy: Policy,
-    cheat: Cheat,
+    defect: Defect,
     gaps: Option<Gamma<f64>>,
     record: Record,
     /// Number of servers whose breaker isn't closed, and number of servers at a degraded level.
@@ -297,7 +297,7 @@
 
 /// Defects injected into the servers to test the rule checker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Cheat {
+pub enum Defect {
     #[default]
     None,
     /// Rejected requests get no answer.
@@ -313,9 +313,9 @@
 }
 
 /// Simulates a world with a defect injected into its servers.
-pub fn cheated(world: &World, seed: u64, cheat: Cheat) -> Day {
+pub fn simulate_with_defect(world: &World, seed: u64, defect: Defect) -> Day {
     let mut sim = Simulation::new(world, seed, Policy::Module, Record::new(world));
-    sim.cheat = cheat;
+    sim.defect = defect;
     sim.play().0
 }
 
@@ -353,7 +353,7 @@
             tail: None,
             hot: None,
             policy,
-            cheat: Cheat::None,
+            defect: Defect::None,
             // Mean 1, which keeps the world's rate. `None`: exponential gaps.
             gaps: Gamma::new(world.gap_shape, 1.0 / world.gap_shape)
                 .ok()
