--- a/crates/coralstep-lab/src/simulate/server.rs
+++ b/crates/coralstep-lab/src/simulate/server.rs
@@ -6,18 +6,18 @@
 use coralstep_degradation::LevelStateMachine;
 use rand::Rng;
 
-use super::{Cheat, Event, Rpc, Simulation, scheduler_config, ticks_from_ms};
-use crate::acts::{Act, Acts};
-use crate::baseline::Decider;
+use super::{Defect, Event, Rpc, Simulation, scheduler_config, ticks_from_ms};
+use crate::acts::{Action, RecordedActions};
+use crate::baseline::ServerScheduler;
 use crate::record::Loss;
 use crate::rules::AnswerKind;
 use crate::world::Effect;
 
 impl Simulation<'_> {
     pub(super) fn start_server(&mut self, at: usize, cold: bool) {
-        let mut acts = Acts::default();
+        let mut acts = RecordedActions::default();
         let seed = self.chance.random();
-        let server = Decider::start(
+        let server = ServerScheduler::start(
             self.policy,
             &scheduler_config(self.world, cold),
             seed,
@@ -70,9 +70,9 @@
     pub(super) fn with_server(
         &mut self,
         at: usize,
-        what: impl FnOnce(&mut Decider, Time, &mut Acts),
+        what: impl FnOnce(&mut ServerScheduler, Time, &mut RecordedActions),
     ) {
-        let (now, mut acts) = (Time(self.now), Acts::default());
+        let (now, mut acts) = (Time(self.now), RecordedActions::default());
         if let Some(server) = self.nodes[at].server.as_mut() {
             what(server, now, &mut acts);
         }
@@ -91,7 +91,7 @@
         let node = &mut self.nodes[at];
         let (Some(levels), Some(signals)) = (
             node.levels.as_mut(),
-            node.server.as_ref().and_then(Decider::signals),
+            node.server.as_ref().and_then(ServerScheduler::signals),
         ) else {
             return;
         };
@@ -101,7 +101,9 @@
             self.reduced -= u32::from(node.reduced);
             self.reduced += u32::from(reduced);
             node.reduced = reduced;
-            self.with_server(at, |server, now, out| server.level(now, effect, out));
+            self.with_server(at, |server, now, out| {
+                server.set_degradation(now, effect, out)
+            });
         }
     }
 
@@ -109,21 +111,21 @@
         self.nodes[at].rpcs.get_mut(id.0 as usize)?.as_mut()
     }
 
-    pub(super) fn apply_actions(&mut self, at: usize, acts: Acts) {
+    pub(super) fn apply_actions(&mut self, at: usize, acts: RecordedActions) {
         for act in acts.0 {
             match act {
-                Act::Admit(id) => self.start_run(at, id),
-                Act::PushBack(..) if self.cheat == Cheat::Silent => {}
-                Act::PushBack(id, ..) if self.cheat == Cheat::RunAll => self.start_run(at, id),
-                Act::PushBack(id, after, last) => {
-                    let after = if self.cheat == Cheat::NoAdvice {
+                Action::Admit(id) => self.start_run(at, id),
+                Action::Reject(..) if self.defect == Defect::Silent => {}
+                Action::Reject(id, ..) if self.defect == Defect::RunAll => self.start_run(at, id),
+                Action::Reject(id, after, last) => {
+                    let after = if self.defect == Defect::NoAdvice {
                         Span::ZERO
                     } else {
                         after
                     };
                     self.handle_answer(at, id, AnswerKind::PushedBack, Some((after, last)));
                 }
-                Act::Abort(id) if self.cheat == Cheat::PushBackRan => {
+                Action::Fail(id) if self.defect == Defect::PushBackRan => {
                     self.handle_answer(
                         at,
                         id,
@@ -131,31 +133,31 @@
                         Some((Span::ms(250), false)),
                     );
                 }
-                Act::Abort(id) => self.handle_answer(at, id, AnswerKind::Aborted, None),
-                Act::Call(id, patience) => self.start_call(at, id, patience),
-                Act::Skip(id) => {
+                Action::Fail(id) => self.handle_answer(at, id, AnswerKind::Aborted, None),
+                Action::Call(id, patience) => self.start_call(at, id, patience),
+                Action::SkipCall(id) => {
                     if let Some(rpc) = self.rpc(at, id) {
                         (rpc.bare, rpc.calls) = (true, false);
                     }
                     self.run_next_part(at, id);
                 }
-                Act::Preempt(id) => {
+                Action::Preempt(id) => {
                     self.advance_service(at);
                     self.nodes[at].jobs.retain(|(job, _)| *job != id);
                     self.schedule_completion(at);
                     self.complete_run(at, id, Outcome::Cancelled);
                 }
-                Act::Keep(id) => {
+                Action::RetainKey(id) => {
                     let request = self.rpc(at, id).map(|rpc| rpc.request);
                     let token = request
                         .and_then(|request| self.requests[request].as_ref())
                         .map(|request| request.token);
                     token.map(|token| self.nodes[at].tokens.insert(token, id));
                 }
-                Act::Drop(id) => self.nodes[at].tokens.retain(|_, of| *of != id),
-                Act::Replay(id) => self.replay_result(at, id),
-                Act::Release(id) => self.release_rpc(at, id),
-                Act::Health(good) => {
+                Action::ReleaseKey(id) => self.nodes[at].tokens.retain(|_, of| *of != id),
+                Action::Replay(id) => self.replay_result(at, id),
+                Action::ReleaseId(id) => self.release_rpc(at, id),
+                Action::SetHealth(good) => {
                     let node = &mut self.nodes[at];
                     let seen = self.now + ticks_from_ms(self.world.gateways.health_ms);
                     match good {
@@ -163,13 +165,13 @@
                         false => node.unlisted_from = node.unlisted_from.min(seen),
                     }
                 }
-                Act::Timer(span) => {
+                Action::SetTimer(span) => {
                     let node = &mut self.nodes[at];
                     node.beat += 1;
                     let (life, beat) = (node.life, node.beat);
                     self.push(self.now + span.0, Event::Timer(at, life, beat));
                 }
-                Act::Turn(turn) => {
+                Action::BreakerTransition(turn) => {
                     self.day.breaker_turns += 1;
                     let shut = turn.to != coralstep::BreakerState::Closed;
                     self.shut -= u32::from(self.nodes[at].shut);
@@ -191,7 +193,7 @@
                 .then(|| (request.token, self.now + ticks_from_ms(of.window_ms)))
         });
         self.rules.record_start(self.now, attempt, token);
-        if self.cheat == Cheat::Again {
+        if self.defect == Defect::Again {
             self.rules.record_start(self.now, attempt, token);
             self.run_next_part(at, id);
         }
@@ -208,7 +210,9 @@
         rpc.running = false;
         rpc.ended = Some(outcome == Outcome::Ok);
         let waiting = std::mem::take(&mut rpc.waiting);
-        self.with_server(at, |server, now, out| server.settled(now, id, outcome, out));
+        self.with_server(at, |server, now, out| {
+            server.handle_completion(now, id, outcome, out)
+        });
         for id in waiting {
             self.answer_replay(at, id, outcome == Outcome::Ok);
         }
@@ -242,7 +246,9 @@
             None,
         );
         let outcome = if good { Outcome::Ok } else { Outcome::Error };
-        self.with_server(at, |server, now, out| server.settled(now, id, outcome, out));
+        self.with_server(at, |server, now, out| {
+            server.handle_completion(now, id, outcome, out)
+        });
     }
 
     pub(super) fn release_rpc(&mut self, at: usize, id: RpcId) {
@@ -279,7 +285,9 @@
             cpu_busy: busy,
             open_connections: None,
         };
-        self.with_server(at, |server, now, out| server.timer(now, gauges, out));
+        self.with_server(at, |server, now, out| {
+            server.handle_timeout(now, gauges, out)
+        });
         // A run whose RPC was answered while it waited for a call ends there.
         let ended: Vec<RpcId> = self.nodes[at]
             .rpcs
--- a/crates/coralstep-lab/src/simulate/sharing.rs
+++ b/crates/coralstep-lab/src/simulate/sharing.rs
@@ -131,7 +131,7 @@
             let state = self.nodes[at]
                 .server
                 .as_ref()
-                .and_then(|server| server.breaker());
+                .and_then(|server| server.breaker_state());
             self.sharing.sample(at, now, state);
         }
         let seen: Vec<HealthSample> = self.sharing.nodes.iter().map(|node| node.seen).collect();
@@ -146,7 +146,7 @@
             let advice = self.sharing.advise(at, now);
             let left = advice.cooldown_left_ms.map(Span::ms);
             self.with_server(at, |server, now, _| {
-                server.hear(now, advice.min_outcomes, left)
+                server.apply_peer_reports(now, advice.min_outcomes, left)
             });
         }
     }
--- a/crates/coralstep-lab/src/world.rs
+++ b/crates/coralstep-lab/src/world.rs
@@ -1,4 +1,4 @@
-//! A world: a fleet of servers, what they depend on, who asks, and what goes wrong. JSON of one shape; messages name the key.
+//! Worlds: the JSON description of a fleet, its dependency, its callers and its troubles (injected faults). Errors name the faulty key.
 use coralstep_degradation::DegradationConfig;
 use rand::Rng;
 use rand_distr::{Distribution, Exp, Gamma, LogNormal, Pareto, Weibull};
@@ -203,7 +203,7 @@
             Amount::Fixed(amount) => amount,
             Amount::Uniform([least, most]) if least < most => chance.random_range(least..most),
             Amount::Uniform([least, _]) => least,
-            // What `check` lets through has a distribution.
+            // `check` admits only parameters of a valid distribution.
             Amount::Exponential(mean) => {
                 Exp::new(1.0 / mean).map_or(mean, |exp| exp.sample(chance))
             }
@@ -230,7 +230,7 @@
             Amount::LogNormal([median, spread]) => {
                 median > 0.0 && median.is_finite() && (0.0..=4.0).contains(&spread)
             }
-            // With a shape of 1 or less there is no mean.
+            // The mean is infinite at a shape of 1 or less.
             Amount::Pareto([least, shape]) => {
                 least > 0.0 && least.is_finite() && (1.05..=100.0).contains(&shape)
             }
@@ -241,7 +241,7 @@
         if good {
             Ok(())
         } else {
-            Err(format!("{key}: {self:?} is no amount"))
+            Err(format!("{key}: {self:?} is not a valid amount"))
         }
     }
 }
@@ -292,14 +292,14 @@
     pub size: f64,
 }
 
-/// What runs are served by on each server: its own cores, or those of its applications.
 impl Applications {
+    /// Returns the total number of cores of a server's applications.
     pub fn all_cores(&self) -> f64 {
         self.count as f64 * f64::from(self.cores)
     }
 }
 
-fn within(key: &str, value: f64, least: f64, most: f64) -> Result<(), String> {
+fn check_range(key: &str, value: f64, least: f64, most: f64) -> Result<(), String> {
     if value >= least && value <= most {
         Ok(())
     } else {
@@ -308,6 +308,7 @@
 }
 
 impl World {
+    /// Parses and checks a world; an error names the faulty key.
     pub fn parse(text: &str) -> Result<World, String> {
         let mut reader = serde_json::Deserializer::from_str(text);
         let world: World = serde_path_to_error::deserialize(&mut reader).map_err(|why| {
@@ -325,57 +326,57 @@
     }
 
     pub fn check(&self) -> Result<(), String> {
-        within("seconds", self.seconds, 0.1, 86_400.0)?;
-        within("load", self.load, 0.0, 100.0)?;
-        within("servers.count", self.servers.count as f64, 1.0, 10_000.0)?;
-        within("servers.cores", f64::from(self.servers.cores), 1.0, 1_024.0)?;
-        within("servers.speed[0]", self.servers.speed[0], 0.01, 100.0)?;
-        within(
+        check_range("seconds", self.seconds, 0.1, 86_400.0)?;
+        check_range("load", self.load, 0.0, 100.0)?;
+        check_range("servers.count", self.servers.count as f64, 1.0, 10_000.0)?;
+        check_range("servers.cores", f64::from(self.servers.cores), 1.0, 1_024.0)?;
+        check_range("servers.speed[0]", self.servers.speed[0], 0.01, 100.0)?;
+        check_range(
             "servers.speed[1]",
             self.servers.speed[1],
             self.servers.speed[0],
             100.0,
         )?;
-        within("servers.cold_speed", self.servers.cold_speed, 0.01, 1.0)?;
-        within("servers.warm_ms", self.servers.warm_ms, 0.0, 600_000.0)?;
-        within("servers.crowd", self.servers.crowd, 1.0, 1_000.0)?;
-        within("servers.memory_kb", self.servers.memory_kb, 1.0, 1e9)?;
-        within(
+        check_range("servers.cold_speed", self.servers.cold_speed, 0.01, 1.0)?;
+        check_range("servers.warm_ms", self.servers.warm_ms, 0.0, 600_000.0)?;
+        check_range("servers.crowd", self.servers.crowd, 1.0, 1_000.0)?;
+        check_range("servers.memory_kb", self.servers.memory_kb, 1.0, 1e9)?;
+        check_range(
             "servers.held_kb",
             self.servers.held_kb,
             0.0,
             self.servers.memory_kb,
         )?;
-        within("servers.run_factor", self.servers.run_factor, 1.0, 1_000.0)?;
-        within("servers.key_kb", self.servers.key_kb, 0.0, 1e6)?;
-        within("servers.stop_ms", self.servers.stop_ms, 500.0, 600_000.0)?;
-        within(
+        check_range("servers.run_factor", self.servers.run_factor, 1.0, 1_000.0)?;
+        check_range("servers.key_kb", self.servers.key_kb, 0.0, 1e6)?;
+        check_range("servers.stop_ms", self.servers.stop_ms, 500.0, 600_000.0)?;
+        check_range(
             "servers.grace_ms",
             self.servers.grace_ms,
             0.0,
             self.servers.stop_ms,
         )?;
-        within("gateways.count", self.gateways.count as f64, 1.0, 100_000.0)?;
-        within(
+        check_range("gateways.count", self.gateways.count as f64, 1.0, 100_000.0)?;
+        check_range(
             "gateways.retries",
             f64::from(self.gateways.retries),
             0.0,
             20.0,
         )?;
-        within("gateways.heed", self.gateways.heed, 0.0, 1.0)?;
-        within("gateways.pause_ms", self.gateways.pause_ms, 0.0, 60_000.0)?;
-        within(
+        check_range("gateways.heed", self.gateways.heed, 0.0, 1.0)?;
+        check_range("gateways.pause_ms", self.gateways.pause_ms, 0.0, 60_000.0)?;
+        check_range(
             "gateways.health_ms",
             self.gateways.health_ms,
             0.0,
             600_000.0,
         )?;
-        within("gateways.by_subject", self.gateways.by_subject, 0.0, 1.0)?;
-        within("gap_shape", self.gap_shape, 0.05, 100.0)?;
-        within("over_share", self.over_share, 0.0, 1.0)?;
+        check_range("gateways.by_subject", self.gateways.by_subject, 0.0, 1.0)?;
+        check_range("gap_shape", self.gap_shape, 0.05, 100.0)?;
+        check_range("over_share", self.over_share, 0.0, 1.0)?;
         for (at, tenant) in self.tenants.iter().enumerate() {
-            within(&format!("tenants[{at}].share"), tenant.share, 0.0, 1e6)?;
-            within(&format!("tenants[{at}].rate"), tenant.rate, 0.0, 1e9)?;
+            check_range(&format!("tenants[{at}].share"), tenant.share, 0.0, 1e6)?;
+            check_range(&format!("tenants[{at}].rate"), tenant.rate, 0.0, 1e9)?;
         }
         if !self.tenants.is_empty()
             && self.tenants.iter().map(|tenant| tenant.share).sum::<f64>() <= 0.0
@@ -383,52 +384,52 @@
             return Err("tenants: all shares are 0".to_owned());
         }
         if let Some(applications) = &self.applications {
-            within(
+            check_range(
                 "applications.count",
                 applications.count as f64,
                 1.0,
                 1_000.0,
             )?;
-            within(
+            check_range(
                 "applications.each_most",
                 f64::from(applications.each_most),
                 1.0,
                 10_000.0,
             )?;
-            within(
+            check_range(
                 "applications.cores",
                 f64::from(applications.cores),
                 1.0,
                 1_024.0,
             )?;
-            within("applications.fails", applications.fails, 0.0, 1.0)?;
+            check_range("applications.fails", applications.fails, 0.0, 1.0)?;
         }
         if let Some(levels) = &self.levels {
             levels.validate().map_err(|why| format!("levels: {why}"))?;
         }
         if let Some(dependency) = &self.dependency {
-            within("dependency.capacity", dependency.capacity, 0.0, 1e9)?;
-            within("dependency.fails", dependency.fails, 0.0, 1.0)?;
+            check_range("dependency.capacity", dependency.capacity, 0.0, 1e9)?;
+            check_range("dependency.fails", dependency.fails, 0.0, 1.0)?;
             dependency.call_ms.check("dependency.call_ms")?;
         }
         if self.methods.is_empty() {
-            return Err("methods: none".to_owned());
+            return Err("methods: at least one is required".to_owned());
         }
         for (at, method) in self.methods.iter().enumerate() {
             let key = |name: &str| format!("methods[{at}].{name}");
-            within(&key("share"), method.share, 0.0, 1e6)?;
+            check_range(&key("share"), method.share, 0.0, 1e6)?;
             method.work_ms.check(&key("work_ms"))?;
-            within(&key("target_ms"), method.target_ms, 1.0, 3_600_000.0)?;
-            within(
+            check_range(&key("target_ms"), method.target_ms, 1.0, 3_600_000.0)?;
+            check_range(
                 &key("deadline_ms"),
                 method.deadline_ms,
                 method.target_ms,
                 3_600_000.0,
             )?;
-            within(&key("window_ms"), method.window_ms, 0.0, 3_600_000.0)?;
-            within(&key("criticality"), method.criticality, 0.0, 1e6)?;
-            within(&key("late"), method.late, 0.0, 1.0)?;
-            within(&key("skip"), method.skip, 0.0, 1.0)?;
+            check_range(&key("window_ms"), method.window_ms, 0.0, 3_600_000.0)?;
+            check_range(&key("criticality"), method.criticality, 0.0, 1e6)?;
+            check_range(&key("late"), method.late, 0.0, 1.0)?;
+            check_range(&key("skip"), method.skip, 0.0, 1.0)?;
             if method.calls && self.dependency.is_none() {
                 return Err(format!("{}: there is no dependency", key("calls")));
             }
@@ -438,15 +439,15 @@
         }
         for (at, trouble) in self.troubles.iter().enumerate() {
             let key = |name: &str| format!("troubles[{at}].{name}");
-            within(&key("at_s"), trouble.at_s, -86_400.0, 86_400.0)?;
-            within(&key("for_s"), trouble.for_s, 0.0, 172_800.0)?;
-            within(&key("part"), trouble.part, 0.0, 1.0)?;
-            within(&key("size"), trouble.size, 0.01, 1_000.0)?;
+            check_range(&key("at_s"), trouble.at_s, -86_400.0, 86_400.0)?;
+            check_range(&key("for_s"), trouble.for_s, 0.0, 172_800.0)?;
+            check_range(&key("part"), trouble.part, 0.0, 1.0)?;
+            check_range(&key("size"), trouble.size, 0.01, 1_000.0)?;
         }
         Ok(())
     }
 
-    /// Mean work of a request, in milliseconds.
+    /// Returns the mean work of a request, in milliseconds.
     pub fn work_ms(&self) -> f64 {
         let shares: f64 = self.methods.iter().map(|method| method.share).sum();
         self.methods
@@ -456,7 +457,7 @@
             / shares
     }
 
-    /// Requests a second that are asked for, without troubles.
+    /// Returns the request rate per second without troubles.
     pub fn rate(&self) -> f64 {
         let speed = (self.servers.speed[0] + self.servers.speed[1]) / 2.0;
         let own = f64::from(self.servers.cores);
@@ -468,13 +469,14 @@
         self.load * cores * 1000.0 / self.work_ms().max(0.01)
     }
 
-    /// As it is read.
+    /// Returns the world as JSON, in the format that `parse` reads.
     pub fn text(&self) -> String {
         let mut text = serde_json::to_string_pretty(self).unwrap_or_default();
         text.push('\n');
         text
     }
 
+    /// Returns the JSON schema of worlds.
     pub fn schema() -> String {
         let mut text =
             serde_json::to_string_pretty(&schemars::schema_for!(World)).unwrap_or_default();
@@ -483,7 +485,7 @@
     }
 }
 
-/// The worlds that come with the laboratory, by name.
+/// The built-in worlds by name.
 pub const WORLDS: [(&str, &str); 13] = [
     ("calm-3", include_str!("../worlds/calm-3.json")),
     ("crowd-4", include_str!("../worlds/crowd-4.json")),
--- a/crates/coralstep-lab/src/world/tests.rs
+++ b/crates/coralstep-lab/src/world/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_worlds_that_come_with_it_are_sound_and_named_so() {
+fn built_in_worlds_are_valid_and_match_their_names() {
     for (name, text) in WORLDS {
         assert_eq!(
             World::parse(text).map(|world| world.name),
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_message_names_the_faulty_key() {
+fn parse_error_names_faulty_key() {
     let text = WORLDS[0].1;
     for (good, bad, why) in [
         ("\"seconds\"", "\"second\"", "second: unknown field"),
@@ -39,17 +39,17 @@
         (
             "\"fixed\": 50",
             "\"fixed\": -5",
-            "methods[0].work_ms: Fixed(-5.0) is no amount",
+            "methods[0].work_ms: Fixed(-5.0) is not a valid amount",
         ),
     ] {
         assert!(text.contains(good), "{good}");
-        let told = World::parse(&text.replacen(good, bad, 1)).unwrap_err();
-        assert!(told.starts_with(why), "{told}");
+        let error = World::parse(&text.replacen(good, bad, 1)).unwrap_err();
+        assert!(error.starts_with(why), "{error}");
     }
 }
 
 #[test]
-fn amounts_have_their_means() {
+fn drawn_amounts_match_their_mean() {
     use rand::SeedableRng;
     let mut chance = rand::rngs::SmallRng::seed_from_u64(1);
     for amount in [
--- a/crates/coralstep-lab/tests/days.rs
+++ b/crates/coralstep-lab/tests/days.rs
@@ -1,6 +1,6 @@
 //! Days of small worlds: the same verdict each time, and the edges at which a simulator goes wrong.
 use coralstep_lab::baseline::POLICIES;
-use coralstep_lab::simulate::{Cheat, cheated, play};
+use coralstep_lab::simulate::{Defect, play, simulate_with_defect};
 use coralstep_lab::world::WORLDS;
 use coralstep_lab::{Day, World, simulate};
 
@@ -173,15 +173,15 @@
         json["methods"][1]["effect"] = "non_idempotent".into()
     });
     for (world, cheat, rule) in [
-        (&deploy, Cheat::Silent, "Lost"),
-        (&deploy, Cheat::Again, "Twice"),
-        (&hung, Cheat::PushBackRan, "Twice"),
-        (&deploy, Cheat::RunAll, "FallOver"),
-        (&deploy, Cheat::RunAll, "Drain"),
-        (&deploy, Cheat::NoAdvice, "Advice"),
+        (&deploy, Defect::Silent, "Lost"),
+        (&deploy, Defect::Again, "Twice"),
+        (&hung, Defect::PushBackRan, "Twice"),
+        (&deploy, Defect::RunAll, "FallOver"),
+        (&deploy, Defect::RunAll, "Drain"),
+        (&deploy, Defect::NoAdvice, "Advice"),
     ] {
-        assert_eq!(cheated(world, 1, Cheat::None).breaches, 0);
-        let day = cheated(world, 1, cheat);
+        assert_eq!(simulate_with_defect(world, 1, Defect::None).breaches, 0);
+        let day = simulate_with_defect(world, 1, cheat);
         assert!(
             day.by_rule
                 .iter()
--- a/crates/coralstep-lab/tests/limits.rs
+++ b/crates/coralstep-lab/tests/limits.rs
@@ -4,7 +4,7 @@
 //!     cargo test --release -p coralstep-lab --test limits -- --ignored --nocapture
 use std::collections::BTreeMap;
 
-use coralstep_lab::shares::{Cheat, World, limit};
+use coralstep_lab::shares::{Defect, QuotaSimulation, limit};
 use coralstep_quota::LimitKind;
 use coralstep_quota::config::CutOff;
 use coralstep_quota::guarantees::{max_excess_while_cut_off, max_failover_time, max_reclaim_time};
@@ -20,24 +20,24 @@
 }
 
 /// A fleet in which somebody gives, and what was out before is over.
-fn settled(count: usize, kind: LimitKind, seed: u64) -> World {
-    let mut world = World::new(
+fn settled(count: usize, kind: LimitKind, seed: u64) -> QuotaSimulation {
+    let mut world = QuotaSimulation::new(
         count,
         3,
         &[limit(kind, CutOff::Strict)],
         LEASE,
         seed,
-        Cheat::None,
+        Defect::None,
     );
-    world.pass(lengthen_by_drift(LEASE) + max_failover_time());
-    world.until_kept(20_000);
-    assert!(world.keeper().is_some());
+    world.advance(lengthen_by_drift(LEASE) + max_failover_time());
+    world.wait_for_leader(20_000);
+    assert!(world.leader().is_some());
     world
 }
 
 /// Callers of each server, each with an RPC every `every` ms; those turned away come back when they were told to. The longest that one
 /// waited, how many were served, and how many times they were turned away.
-fn served(world: &mut World, every: u64, lasts: u64, seed: u64) -> (u64, u64, u64) {
+fn served(world: &mut QuotaSimulation, every: u64, lasts: u64, seed: u64) -> (u64, u64, u64) {
     let mut chance = SmallRng::seed_from_u64(seed);
     let count = world.count();
     // When a server's next RPC comes, and since when it is wanted.
@@ -48,7 +48,7 @@
     }
     let (end, mut longest, mut ok, mut away) = (world.now + lasts, 0, 0, 0);
     while world.now < end {
-        world.pass(25);
+        world.advance(25);
         while let Some(entry) = next
             .first_entry()
             .filter(|entry| entry.key().0 <= world.now)
@@ -82,7 +82,7 @@
     // Sixty servers with an RPC each ten seconds, six a second, where four may pass.
     let mut world = settled(60, rate(4.0, 16), 1);
     let (longest, ok, away) = served(&mut world, 10_000, 60_000, 2);
-    assert_eq!(world.broken, None);
+    assert_eq!(world.violation, None);
     assert!(
         ok as f64 >= 4.0 * 60.0 * 0.8,
         "{ok} of {}, {away} turned away",
@@ -94,11 +94,11 @@
 #[test]
 fn shares_follow_demand_and_come_back_from_the_dead() {
     let mut world = settled(12, LimitKind::InFlight(24), 3);
-    let all = |world: &mut World, server: usize| {
+    let all = |world: &mut QuotaSimulation, server: usize| {
         let start = world.now;
         while world.units(server) < 24 && world.now < start + 60_000 {
             while world.rpc(server, 1_000).is_ok() {}
-            world.pass(100);
+            world.advance(100);
         }
         world.now - start
     };
@@ -112,19 +112,19 @@
     );
     assert!(first <= 5_000 && moved <= 8_000, "{first}, {moved}");
     assert!(after <= max_reclaim_time(LEASE, 3_000), "{after}");
-    let keeper = world.keeper().unwrap();
+    let keeper = world.leader().unwrap();
     world.kill(keeper);
     assert!(
-        world.until_kept(20_000) <= max_failover_time(),
+        world.wait_for_leader(20_000) <= max_failover_time(),
         "somebody else gives"
     );
-    assert_eq!(world.broken, None);
+    assert_eq!(world.violation, None);
 }
 
 #[test]
 fn a_limit_lowered_in_the_middle_of_a_cut_holds_after_a_lease_and_one_raised_is_used_at_once() {
     let mut world = settled(9, LimitKind::InFlight(40), 7);
-    let busy = |world: &mut World, ms: u64| {
+    let busy = |world: &mut QuotaSimulation, ms: u64| {
         let mut most = 0;
         for _ in 0..ms / 50 {
             for server in 0..9 {
@@ -132,8 +132,8 @@
                     let _ = world.rpc(server, 400);
                 }
             }
-            world.pass(50);
-            most = most.max(world.in_hand());
+            world.advance(50);
+            most = most.max(world.in_flight());
         }
         most
     };
@@ -143,16 +143,18 @@
     let low = [limit(LimitKind::InFlight(4), CutOff::Strict)];
     [0, 1, 3, 4]
         .into_iter()
-        .for_each(|server| world.set(server, &low));
+        .for_each(|server| world.set_limits(server, &low));
     let after = busy(&mut world, max_reclaim_time(LEASE, 2_000));
     assert!(after <= 40, "{after}");
     // All that the old one had given is over, on both sides.
     let held = busy(&mut world, 4_000);
     assert!(held <= 4, "{held} in hand of 4");
     world.heal();
-    (0..9).for_each(|server| world.set(server, &[limit(LimitKind::InFlight(40), CutOff::Strict)]));
+    (0..9).for_each(|server| {
+        world.set_limits(server, &[limit(LimitKind::InFlight(40), CutOff::Strict)])
+    });
     assert!(busy(&mut world, 8_000) >= 30);
-    assert_eq!(world.broken, None);
+    assert_eq!(world.violation, None);
 }
 
 #[test]
@@ -161,21 +163,22 @@
         per_server: 2.0,
         fleet_total: 6.0,
     };
-    let mut world = World::new(6, 3, &[limit(rate(30.0, 30), open)], LEASE, 8, Cheat::None);
-    world.pass(lengthen_by_drift(LEASE) + max_failover_time());
+    let mut world =
+        QuotaSimulation::new(6, 3, &[limit(rate(30.0, 30), open)], LEASE, 8, Defect::None);
+    world.advance(lengthen_by_drift(LEASE) + max_failover_time());
     for _ in 0..20 {
         (0..6).for_each(|server| _ = world.rpc(server, 100));
-        world.pass(100);
+        world.advance(100);
     }
     world.cut(&[5], &[0, 1, 2, 3, 4]);
     // Its tokens run out, then it takes itself for cut off.
-    world.pass(6_000);
-    let (before, ..) = world.figures(1);
+    world.advance(6_000);
+    let (before, ..) = world.totals(1);
     for _ in 0..200 {
         let _ = world.rpc(5, 100);
-        world.pass(50);
+        world.advance(50);
     }
-    let (after, ..) = world.figures(1);
+    let (after, ..) = world.totals(1);
     let most = max_excess_while_cut_off(1, 2.0, 6.0, 6, 10_000);
     assert!(
         (after - before) as f64 <= most && after - before >= 5,
@@ -186,19 +189,19 @@
 
 /// One history of faults under load; what broke.
 fn history(count: usize, seed: u64, acts: usize) -> Option<String> {
-    played(count, seed, acts, CutOff::Strict).broken
+    played(count, seed, acts, CutOff::Strict).violation
 }
 
 /// The fleet after one history of faults under load.
-fn played(count: usize, seed: u64, acts: usize, cut_off: CutOff) -> World {
+fn played(count: usize, seed: u64, acts: usize, cut_off: CutOff) -> QuotaSimulation {
     let mut chance = SmallRng::seed_from_u64(seed);
     let limits = [
         limit(rate(20.0, 20), cut_off),
         limit(LimitKind::InFlight(15), cut_off),
     ];
-    let mut world = World::new(count, 5, &limits, LEASE, seed, Cheat::None);
-    (world.loss, world.delay, world.doubled) = (0.1, (0, 300), 0.1);
-    world.pass(3_000);
+    let mut world = QuotaSimulation::new(count, 5, &limits, LEASE, seed, Defect::None);
+    (world.loss, world.delay, world.duplication) = (0.1, (0, 300), 0.1);
+    world.advance(3_000);
     for _ in 0..acts {
         let (one, other) = (chance.random_range(0..count), chance.random_range(0..count));
         match chance.random_range(0..7) {
@@ -215,7 +218,7 @@
             // The keepers are where it hurts.
             5 => world.start(chance.random_range(0..5)),
             _ => {
-                let keeper = world.keeper().unwrap_or(0);
+                let keeper = world.leader().unwrap_or(0);
                 world.pause(keeper, true);
             }
         }
@@ -225,9 +228,9 @@
                 let server = chance.random_range(0..count);
                 let _ = world.rpc(server, chance.random_range(50..1_500));
             }
-            world.pass(50);
+            world.advance(50);
         }
-        if world.broken.is_some() {
+        if world.violation.is_some() {
             break;
         }
     }
@@ -245,8 +248,8 @@
 
 fn history_figures(seed: u64, cut_off: CutOff) -> HistoryFigures {
     let world = played(9, seed, 25, cut_off);
-    let (admitted, rejected, _) = world.figures(1);
-    let (_, _, most_in_flight) = world.figures(2);
+    let (admitted, rejected, _) = world.totals(1);
+    let (_, _, most_in_flight) = world.totals(2);
     HistoryFigures {
         bytes_sent: world.bytes,
         admitted,
@@ -324,13 +327,13 @@
         let (start, bytes) = (world.now, world.bytes);
         let (longest, ok, away) = served(&mut world, every, 30_000, 6);
         let span = (world.now - start) as f64 / 1000.0;
-        let (_, _, greatest) = world.figures(1);
+        let (_, _, greatest) = world.totals(1);
         println!(
             "{count} servers, an RPC each {every} ms, {rps} a second may pass, burst of {burst} s: {:.0}% of it used, longest wait {longest} ms, {away} turned away, \
              greatest over the rate {greatest:.1} of {rps}, {:.0} bytes a second and server, broken: {:?}",
             100.0 * ok as f64 / (rps * span).min(count as f64 * span * 1000.0 / every as f64),
             (world.bytes - bytes) as f64 / span / count as f64,
-            world.broken
+            world.violation
         );
     }
 }
