--- a/crates/coralstep-lab/benches/queue.rs
+++ b/crates/coralstep-lab/benches/queue.rs
@@ -2,7 +2,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use coralstep_lab::queue::Wheel;
+use coralstep_lab::queue::TimingWheel;
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -11,7 +11,7 @@
     let mut group = criterion.benchmark_group("queue");
     for count in [100u64, 10_000, 1_000_000] {
         let mut chance = SmallRng::seed_from_u64(1);
-        let mut wheel = Wheel::default();
+        let mut wheel = TimingWheel::default();
         (0..count).for_each(|_| wheel.push(chance.random_range(0..20_000), chance.random(), 0u32));
         group.bench_function(BenchmarkId::new("wheel: one out, one in", count), |b| {
             b.iter(|| {
--- a/crates/coralstep-lab/src/baseline.rs
+++ b/crates/coralstep-lab/src/baseline.rs
@@ -46,7 +46,7 @@
 pub enum ServerScheduler {
     Module(Box<Scheduler>),
     NoBreaker(Box<Scheduler>),
-    Pool(Box<Pool>),
+    WorkerPool(Box<WorkerPool>),
 }
 
 impl ServerScheduler {
@@ -64,7 +64,7 @@
             Policy::NoBreaker => {
                 ServerScheduler::NoBreaker(Box::new(Scheduler::start(config, seed, now, out)))
             }
-            _ => ServerScheduler::Pool(Box::new(Pool::start(policy, config, out))),
+            _ => ServerScheduler::WorkerPool(Box::new(WorkerPool::start(policy, config, out))),
         }
     }
 
@@ -73,7 +73,7 @@
             ServerScheduler::Module(server) | ServerScheduler::NoBreaker(server) => {
                 server.handle_request(now, arrival, out)
             }
-            ServerScheduler::Pool(pool) => pool.handle_request(now, arrival, out),
+            ServerScheduler::WorkerPool(pool) => pool.handle_request(now, arrival, out),
         }
     }
 
@@ -88,7 +88,7 @@
             ServerScheduler::Module(server) | ServerScheduler::NoBreaker(server) => {
                 server.handle_completion(now, id, outcome, out)
             }
-            ServerScheduler::Pool(pool) => pool.handle_completion(now, id, out),
+            ServerScheduler::WorkerPool(pool) => pool.handle_completion(now, id, out),
         }
     }
 
@@ -97,7 +97,7 @@
             ServerScheduler::Module(server) | ServerScheduler::NoBreaker(server) => {
                 server.handle_call_needed(now, id, out)
             }
-            ServerScheduler::Pool(pool) => pool.handle_call_needed(now, id, out),
+            ServerScheduler::WorkerPool(pool) => pool.handle_call_needed(now, id, out),
         }
     }
 
@@ -117,7 +117,7 @@
             ServerScheduler::NoBreaker(server) => {
                 server.handle_call_result(now, id, Outcome::Ok, took, out)
             }
-            ServerScheduler::Pool(pool) => pool.handle_call_result(now, id, outcome, out),
+            ServerScheduler::WorkerPool(pool) => pool.handle_call_result(now, id, outcome, out),
         }
     }
 
@@ -126,7 +126,7 @@
             ServerScheduler::Module(server) | ServerScheduler::NoBreaker(server) => {
                 server.begin_drain(now, stop, out)
             }
-            ServerScheduler::Pool(pool) => pool.begin_drain(now, stop, out),
+            ServerScheduler::WorkerPool(pool) => pool.begin_drain(now, stop, out),
         }
     }
 
@@ -135,7 +135,7 @@
             ServerScheduler::Module(server) | ServerScheduler::NoBreaker(server) => {
                 server.handle_timeout(now, gauges, out)
             }
-            ServerScheduler::Pool(pool) => pool.handle_timeout(now, out),
+            ServerScheduler::WorkerPool(pool) => pool.handle_timeout(now, out),
         }
     }
 
@@ -159,7 +159,7 @@
             ServerScheduler::Module(server) | ServerScheduler::NoBreaker(server) => {
                 Some(server.signals())
             }
-            ServerScheduler::Pool(_) => None,
+            ServerScheduler::WorkerPool(_) => None,
         }
     }
 
@@ -198,7 +198,7 @@
 }
 
 /// A worker pool of fixed size with a queue.
-pub struct Pool {
+pub struct WorkerPool {
     methods: Vec<Method>,
     /// Maximum number of concurrent runs, of queued RPCs and of concurrent calls.
     limit: usize,
@@ -218,8 +218,8 @@
     leaving: Option<(Time, Time)>,
 }
 
-impl Pool {
-    fn start(policy: Policy, config: &SchedulerConfig, out: &mut dyn Actions) -> Pool {
+impl WorkerPool {
+    fn start(policy: Policy, config: &SchedulerConfig, out: &mut dyn Actions) -> WorkerPool {
         let cores = config.cores.max(1) as usize;
         let share = config.dependency.share().map_or(usize::MAX, |share| {
             (share * STATIC_SHARE_FRACTION).max(1.0) as usize
@@ -239,7 +239,7 @@
             _ => (cores * 4, cores * 4, usize::MAX),
         };
         out.set_timer(TIMER_INTERVAL);
-        Pool {
+        WorkerPool {
             methods: config.methods.clone(),
             limit: limit.min(room),
             max_queued: max_queued.min(room * 4),
--- a/crates/coralstep-lab/src/bound.rs
+++ b/crates/coralstep-lab/src/bound.rs
@@ -7,7 +7,7 @@
 //! with the least work of its group. Every simplification relaxes the problem, so no real schedule does better.
 use microlp::{ComparisonOp, OptimizationDirection, Problem, Variable};
 
-use crate::record::{Asked, Record};
+use crate::record::{Record, RecordedRequest};
 use crate::world::World;
 
 /// Number of slices in the linear program; the record's slices are merged to this number.
@@ -19,7 +19,7 @@
 
 /// Results as fractions of the total criticality of all requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Split {
+pub struct BoundComparison {
     pub kept: f64,
     pub greedy: f64,
     pub bound: f64,
@@ -74,19 +74,19 @@
         plan
     }
 
-    fn slice(&self, at_ms: f64) -> usize {
+    fn slice_at(&self, at_ms: f64) -> usize {
         ((at_ms / self.slice_ms) as usize).min(self.work.len() - 1)
     }
 
     /// Returns the last slice in which a request that arrived in `slice` may finish within `span_ms`; it may have arrived at the slice's end.
-    fn until(&self, slice: usize, span_ms: f64) -> usize {
-        self.slice((slice + 1) as f64 * self.slice_ms + span_ms)
+    fn last_slice(&self, slice: usize, span_ms: f64) -> usize {
+        self.slice_at((slice + 1) as f64 * self.slice_ms + span_ms)
     }
 
-    fn groups(&self, requests: &[Asked]) -> Vec<Group> {
+    fn group_requests(&self, requests: &[RecordedRequest]) -> Vec<Group> {
         let mut groups: std::collections::BTreeMap<(usize, usize, i32), Group> = Default::default();
         for asked in requests {
-            let slice = self.slice(asked.at_ms);
+            let slice = self.slice_at(asked.at_ms);
             let bin = (asked.work_ms.max(0.01).ln() / GROUP_FACTOR.ln()).floor() as i32;
             let group = groups.entry((asked.method, slice, bin)).or_insert(Group {
                 method: asked.method,
@@ -127,7 +127,7 @@
         let worth = world.methods[group.method].criticality;
         let mut all = Vec::new();
         for (until, part, calls_too) in answer_options(world, group.method) {
-            for slice in group.slice..=plan.until(group.slice, until) {
+            for slice in group.slice..=plan.last_slice(group.slice, until) {
                 // Guards against a solver that doesn't terminate: a slice without capacity gets no variable bounded by zero.
                 if plan.work[slice] < 1e-9 || (calls_too && plan.calls[slice] < 1e-9) {
                     continue;
@@ -159,10 +159,11 @@
 
 /// Returns the criticality earned by a greedy planner that knows all requests in advance: it takes those with the highest value per
 /// work first and serves each whole, in the first slice with enough capacity.
-fn greedy_value(world: &World, plan: &Plan, requests: &[Asked]) -> f64 {
+fn greedy_value(world: &World, plan: &Plan, requests: &[RecordedRequest]) -> f64 {
     let (mut work, mut calls) = (plan.work.clone(), plan.calls.clone());
-    let mut order: Vec<&Asked> = requests.iter().collect();
-    let dense = |asked: &Asked| world.methods[asked.method].criticality / asked.work_ms.max(0.01);
+    let mut order: Vec<&RecordedRequest> = requests.iter().collect();
+    let dense =
+        |asked: &RecordedRequest| world.methods[asked.method].criticality / asked.work_ms.max(0.01);
     order.sort_by(|one, other| {
         dense(other)
             .total_cmp(&dense(one))
@@ -170,9 +171,9 @@
     });
     let mut kept = 0.0;
     for asked in order {
-        let slice = plan.slice(asked.at_ms);
+        let slice = plan.slice_at(asked.at_ms);
         'served: for (until, part, calls_too) in answer_options(world, asked.method) {
-            for at in slice..=plan.until(slice, until) {
+            for at in slice..=plan.last_slice(slice, until) {
                 let calls_left = !calls_too || calls[at] >= 1.0;
                 if work[at] >= asked.work_ms && calls_left {
                     work[at] -= asked.work_ms;
@@ -187,22 +188,22 @@
 }
 
 /// Compares a run with the greedy plan and the upper bound. Returns `None` if the record has no requests or the solver fails.
-pub fn split(world: &World, record: &Record, kept: f64) -> Option<Split> {
+pub fn compare_with_bound(world: &World, record: &Record, kept: f64) -> Option<BoundComparison> {
     let requests = record.requests.as_ref()?;
     let asked: f64 = requests
         .iter()
         .map(|asked| world.methods[asked.method].criticality)
         .sum();
     if asked <= 0.0 {
-        return Some(Split {
+        return Some(BoundComparison {
             kept: 1.0,
             greedy: 1.0,
             bound: 1.0,
         });
     }
     let plan = Plan::new(world, record);
-    let bound = upper_bound(world, &plan, &plan.groups(requests))?;
-    Some(Split {
+    let bound = upper_bound(world, &plan, &plan.group_requests(requests))?;
+    Some(BoundComparison {
         kept,
         greedy: greedy_value(world, &plan, requests) / asked,
         bound: (bound / asked).min(1.0),
--- a/crates/coralstep-lab/src/bound/tests.rs
+++ b/crates/coralstep-lab/src/bound/tests.rs
@@ -12,7 +12,7 @@
     for name in ["calm-3", "crowd-4", "store-6", "apps-5"] {
         let world = world(name);
         let (day, record) = play(&world, 1, Default::default(), true);
-        let split = split(&world, &record, day.kept).unwrap();
+        let split = compare_with_bound(&world, &record, day.kept).unwrap();
         assert!(
             split.bound >= split.greedy - 1e-9 && split.bound >= split.kept - 1e-9,
             "{name} {split:?}"
@@ -25,12 +25,12 @@
 fn bound_is_total_value_with_enough_capacity_and_zero_without() {
     let world = world("calm-3");
     let asked = [
-        Asked {
+        RecordedRequest {
             at_ms: 5.0,
             method: 0,
             work_ms: 50.0,
         },
-        Asked {
+        RecordedRequest {
             at_ms: 900.0,
             method: 0,
             work_ms: 50.0,
@@ -43,10 +43,13 @@
     };
     let worth = world.methods[0].criticality;
     let all = plan(100.0);
-    assert!((upper_bound(&world, &all, &all.groups(&asked)).unwrap() - 2.0 * worth).abs() < 1e-6);
+    assert!(
+        (upper_bound(&world, &all, &all.group_requests(&asked)).unwrap() - 2.0 * worth).abs()
+            < 1e-6
+    );
     let none = plan(0.0);
     assert!(
-        upper_bound(&world, &none, &none.groups(&asked))
+        upper_bound(&world, &none, &none.group_requests(&asked))
             .unwrap()
             .abs()
             < 1e-6
@@ -65,12 +68,12 @@
     ) {
         let world = world("store-6");
         let methods = world.methods.len();
-        let asked: Vec<Asked> = asked
+        let asked: Vec<RecordedRequest> = asked
             .into_iter()
-            .map(|(at_ms, method, work_ms)| Asked { at_ms, method: method % methods, work_ms })
+            .map(|(at_ms, method, work_ms)| RecordedRequest { at_ms, method: method % methods, work_ms })
             .collect();
         let plan = Plan { slice_ms: 700.0, work, calls };
-        let bound = upper_bound(&world, &plan, &plan.groups(&asked)).unwrap();
+        let bound = upper_bound(&world, &plan, &plan.group_requests(&asked)).unwrap();
         let greedy = greedy_value(&world, &plan, &asked);
         prop_assert!(bound >= greedy - 1e-6, "{} {}", bound, greedy);
     }
--- a/crates/coralstep-lab/src/caller/thrift.rs
+++ b/crates/coralstep-lab/src/caller/thrift.rs
@@ -126,13 +126,13 @@
     ))
 }
 
-type Waiting = Rc<RefCell<HashMap<i32, Sender<RpcOutcome>>>>;
+type PendingRpcs = Rc<RefCell<HashMap<i32, Sender<RpcOutcome>>>>;
 
 /// A connection that is opened on demand and reopened after it broke.
 pub struct ThriftConnection {
     address: SocketAddr,
     executor: Rc<LocalExecutor<'static>>,
-    open: RefCell<Option<(Sender<Vec<u8>>, Waiting)>>,
+    open: RefCell<Option<(Sender<Vec<u8>>, PendingRpcs)>>,
     seq: Cell<i32>,
 }
 
@@ -147,13 +147,13 @@
     }
 
     /// Returns the queue of frames to write and the waiting RPCs, connecting if necessary.
-    fn open(&self) -> (Sender<Vec<u8>>, Waiting) {
+    fn open(&self) -> (Sender<Vec<u8>>, PendingRpcs) {
         let mut open = self.open.borrow_mut();
         if let Some((out, waiting)) = open.as_ref().filter(|(out, _)| !out.is_closed()) {
             return (out.clone(), waiting.clone());
         }
         let (out, frames) = unbounded::<Vec<u8>>();
-        let waiting = Waiting::default();
+        let waiting = PendingRpcs::default();
         let (address, answers, ended) = (self.address, waiting.clone(), out.clone());
         let exchange = async move {
             let stream = Rc::new(Async::<TcpStream>::connect(address).await?);
@@ -194,7 +194,7 @@
     }
 }
 
-struct RemoveOnDrop(Waiting, i32);
+struct RemoveOnDrop(PendingRpcs, i32);
 
 impl Drop for RemoveOnDrop {
     fn drop(&mut self) {
@@ -203,7 +203,7 @@
 }
 
 /// Reads answers and passes each to the RPC that waits for it.
-async fn read_answers(stream: &Async<TcpStream>, waiting: &Waiting) -> std::io::Result<()> {
+async fn read_answers(stream: &Async<TcpStream>, waiting: &PendingRpcs) -> std::io::Result<()> {
     let (mut bytes, mut buffer) = (Vec::new(), [0; 16 * 1024]);
     loop {
         let count = (&*stream).read(&mut buffer).await?;
--- a/crates/coralstep-lab/src/cli/experiment.rs
+++ b/crates/coralstep-lab/src/cli/experiment.rs
@@ -221,7 +221,8 @@
         // A broken rule is worse than any loss.
         let broken = if day.breaches > 0 { 10.0 } else { 0.0 };
         broken
-            + bound::split(world, &record, day.kept).map_or(0.0, |split| split.bound - split.kept)
+            + bound::compare_with_bound(world, &record, day.kept)
+                .map_or(0.0, |split| split.bound - split.kept)
     };
     let told = |tries: u64, bad: f64| eprintln!("try {tries}: {bad:.4} under the bound");
     let mut found = search::search(start, tries, seed, badness, told);
--- a/crates/coralstep-lab/src/cli/simulate.rs
+++ b/crates/coralstep-lab/src/cli/simulate.rs
@@ -95,7 +95,8 @@
 /// How far a day was from the best, and what was lost why.
 pub fn bound(world: &World, policy: Policy, seed: u64, json: bool) -> Result<bool, String> {
     let (day, record) = play(world, seed, policy, true);
-    let split = bound::split(world, &record, day.kept).ok_or("the solver found no end")?;
+    let split =
+        bound::compare_with_bound(world, &record, day.kept).ok_or("the solver found no end")?;
     let asked: f64 = record
         .slices
         .iter()
@@ -142,7 +143,7 @@
     // but the list of requests does.
     let small = world.rate() * world.seconds < 2e6;
     let (day, record) = play(world, seed, policy, small);
-    let split = bound::split(world, &record, day.kept);
+    let split = bound::compare_with_bound(world, &record, day.kept);
     let page = report::page(
         "virtual time, by coralstep-lab simulate",
         &day,
--- a/crates/coralstep-lab/src/emulate/engine.rs
+++ b/crates/coralstep-lab/src/emulate/engine.rs
@@ -191,7 +191,7 @@
     body: Vec<u8>,
     /// Remaining work before the call or the end, in milliseconds of a core of speed 1.
     left: f64,
-    /// Workload after the call, if the call is still to be made.
+    /// Work after the call, if the call is still to be made.
     behind: Option<f64>,
     /// Time since which it has been waiting for its call result.
     waits: Option<Instant>,
--- a/crates/coralstep-lab/src/emulate/mod.rs
+++ b/crates/coralstep-lab/src/emulate/mod.rs
@@ -422,7 +422,7 @@
         results.asked += of.criticality;
         results
             .record
-            .asked(callers.observer.now(), method, of.criticality);
+            .record_request(callers.observer.now(), method, of.criticality);
         // Starting at the time of day keeps the keys of two emulations apart.
         callers.first + results.day.requests
     };
@@ -456,7 +456,7 @@
                 results
                     .took
                     .saturating_record(((took * 10.0) as u64).max(1));
-                results.record.ok(
+                results.record.record_success(
                     callers.observer.now(),
                     server,
                     method,
@@ -498,7 +498,7 @@
         *count += 1;
         results
             .record
-            .lost(callers.observer.now(), server, method, loss, of.criticality);
+            .record_loss(callers.observer.now(), server, method, loss, of.criticality);
     }
 }
 
--- a/crates/coralstep-lab/src/emulate/store.rs
+++ b/crates/coralstep-lab/src/emulate/store.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// Maximum time that a hanging call stays open.
+/// Maximum time that a hanging call stays open; it ends earlier when the store is dropped.
 const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Shared {
--- a/crates/coralstep-lab/src/load.rs
+++ b/crates/coralstep-lab/src/load.rs
@@ -23,10 +23,10 @@
 /// Maximum fraction of requests sent late or not at all.
 pub const MAX_LATE_FRACTION: f64 = 0.01;
 
-/// A planned request.
+/// A request to send at a planned time.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
-#[serde(deny_unknown_fields)]
-pub struct Due {
+#[serde(deny_unknown_fields, rename = "Due")]
+pub struct PlannedRequest {
     /// Time from the start.
     pub at_ms: f64,
     pub method: String,
@@ -37,14 +37,14 @@
 }
 
 /// Parses a recorded stream of requests: one JSON object per line, in order of time.
-pub fn parse_recorded(text: &str) -> Result<Vec<Due>, String> {
-    let mut plan: Vec<Due> = Vec::new();
+pub fn parse_recorded(text: &str) -> Result<Vec<PlannedRequest>, String> {
+    let mut plan: Vec<PlannedRequest> = Vec::new();
     for (number, line) in text
         .lines()
         .enumerate()
         .filter(|(_, line)| !line.trim().is_empty())
     {
-        let due: Due =
+        let due: PlannedRequest =
             serde_json::from_str(line).map_err(|why| format!("line {}: {why}", number + 1))?;
         let before = plan.last().map_or(0.0, |last| last.at_ms);
         if !(due.at_ms >= before && due.at_ms <= 86_400_000.0) {
@@ -61,7 +61,12 @@
 
 /// Plans `rate` requests per second for `seconds`, with exponential gaps and with methods drawn by their shares. Empty if all
 /// shares are 0.
-pub fn plan_at_rate(rate: f64, seconds: f64, methods: &[(String, f64)], seed: u64) -> Vec<Due> {
+pub fn plan_at_rate(
+    rate: f64,
+    seconds: f64,
+    methods: &[(String, f64)],
+    seed: u64,
+) -> Vec<PlannedRequest> {
     let mut chance = SmallRng::seed_from_u64(seed);
     let shares: f64 = methods.iter().map(|(_, share)| share).sum();
     let (mut at, mut plan) = (0.0, Vec::new());
@@ -82,7 +87,7 @@
             .or(methods.last())
             .map(|(name, _)| name.clone())
             .unwrap_or_default();
-        plan.push(Due {
+        plan.push(PlannedRequest {
             at_ms: at * 1000.0,
             method,
             token: None,
@@ -130,7 +135,7 @@
 
 /// Results of a load run.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Figures {
+pub struct LoadResults {
     pub due: u64,
     pub ok: u64,
     pub pushed_back: u64,
@@ -161,7 +166,7 @@
 }
 
 struct LoadState {
-    figures: Figures,
+    results: LoadResults,
     took: Histogram<u64>,
     open: usize,
 }
@@ -172,30 +177,30 @@
 }
 
 impl LoadState {
-    fn figures(&self, pace: &Pace, ran: Duration) -> Figures {
+    fn results(&self, pace: &Pace, ran: Duration) -> LoadResults {
         let ms = |quantile: f64| self.took.value_at_quantile(quantile) as f64 / 1000.0;
-        let mut figures = self.figures.clone();
+        let mut results = self.results.clone();
         if !self.took.is_empty() {
-            (figures.p50_ms, figures.p90_ms, figures.p99_ms) = (ms(0.5), ms(0.9), ms(0.99));
-            (figures.p999_ms, figures.most_ms) = (ms(0.999), self.took.max() as f64 / 1000.0);
+            (results.p50_ms, results.p90_ms, results.p99_ms) = (ms(0.5), ms(0.9), ms(0.99));
+            (results.p999_ms, results.most_ms) = (ms(0.999), self.took.max() as f64 / 1000.0);
         }
-        figures.ok_rate = figures.ok as f64 / ran.as_secs_f64().max(1e-9);
-        figures.void = pace.void_reason();
-        figures
+        results.ok_rate = results.ok as f64 / ran.as_secs_f64().max(1e-9);
+        results.void = pace.void_reason();
+        results
     }
 
     fn record_outcome(&mut self, outcome: &RpcOutcome, took: Duration) {
-        let figures = &mut self.figures;
+        let results = &mut self.results;
         match outcome {
             RpcOutcome::Ok(_) => {
-                figures.ok += 1;
+                results.ok += 1;
                 self.took.saturating_record(took.as_micros() as u64);
             }
-            RpcOutcome::PushedBack { .. } => figures.pushed_back += 1,
-            RpcOutcome::Aborted => figures.aborted += 1,
-            RpcOutcome::Refused => figures.refused += 1,
-            RpcOutcome::Broken => figures.broken += 1,
-            RpcOutcome::TimedOut => figures.timed_out += 1,
+            RpcOutcome::PushedBack { .. } => results.pushed_back += 1,
+            RpcOutcome::Aborted => results.aborted += 1,
+            RpcOutcome::Refused => results.refused += 1,
+            RpcOutcome::Broken => results.broken += 1,
+            RpcOutcome::TimedOut => results.timed_out += 1,
         }
     }
 }
@@ -206,7 +211,7 @@
     json: bool,
     at: Duration,
     open: usize,
-    now: &Figures,
+    now: &LoadResults,
 ) -> std::io::Result<()> {
     if json {
         let line = serde_json::json!({"at_s": at.as_secs_f64(), "open": open, "so_far": now});
@@ -225,7 +230,11 @@
 }
 
 /// Sends the planned requests, then waits for open ones until their deadlines.
-pub fn run(options: &LoadOptions, plan: &[Due], mut show: impl Write) -> std::io::Result<Figures> {
+pub fn run(
+    options: &LoadOptions,
+    plan: &[PlannedRequest],
+    mut show: impl Write,
+) -> std::io::Result<LoadResults> {
     let executor = Rc::new(LocalExecutor::new());
     let connections: Vec<Connection> = options
         .targets
@@ -239,7 +248,7 @@
     // 1 us to an hour with three significant digits: these constant bounds are valid.
     let took = Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("histogram bounds are valid");
     let seen = Rc::new(RefCell::new(LoadState {
-        figures: Figures::default(),
+        results: LoadResults::default(),
         took,
         open: 0,
     }));
@@ -255,7 +264,7 @@
             if at > Instant::now() {
                 Timer::at(at).await;
             }
-            seen.borrow_mut().figures.due += 1;
+            seen.borrow_mut().results.due += 1;
             if seen.borrow().open >= MAX_IN_FLIGHT {
                 pace.record_unsent();
                 continue;
@@ -294,7 +303,7 @@
                     json,
                     start.elapsed(),
                     seen.open,
-                    &seen.figures(&pace, start.elapsed()),
+                    &seen.results(&pace, start.elapsed()),
                 );
                 let _ = show.flush();
             }
@@ -308,8 +317,8 @@
     };
     block_on(executor.run(all));
     let ran = plan.last().map_or(0.0, |last| last.at_ms / 1000.0);
-    let figures = seen.borrow().figures(&pace, Duration::from_secs_f64(ran));
-    Ok(figures)
+    let results = seen.borrow().results(&pace, Duration::from_secs_f64(ran));
+    Ok(results)
 }
 
 #[cfg(test)]
--- a/crates/coralstep-lab/src/queue.rs
+++ b/crates/coralstep-lab/src/queue.rs
@@ -65,7 +65,7 @@
 }
 
 /// Priority queue of events by time and tie-breaker.
-pub struct Wheel<T> {
+pub struct TimingWheel<T> {
     now: u64,
     slots: Vec<Vec<Entry<T>>>,
     maps: [SlotBitmap; WHEELS],
@@ -76,9 +76,9 @@
     len: usize,
 }
 
-impl<T> Default for Wheel<T> {
-    fn default() -> Wheel<T> {
-        Wheel {
+impl<T> Default for TimingWheel<T> {
+    fn default() -> TimingWheel<T> {
+        TimingWheel {
             now: 0,
             slots: (0..SLOTS * WHEELS).map(|_| Vec::new()).collect(),
             maps: Default::default(),
@@ -89,7 +89,7 @@
     }
 }
 
-impl<T> Wheel<T> {
+impl<T> TimingWheel<T> {
     /// Adds an event; a time in the past counts as now.
     pub fn push(&mut self, at: u64, tie: u64, item: T) {
         self.len += 1;
--- a/crates/coralstep-lab/src/queue/tests.rs
+++ b/crates/coralstep-lab/src/queue/tests.rs
@@ -10,7 +10,7 @@
     /// The wheel pops the same events as a binary heap ordered by time and tie-breaker.
     #[test]
     fn wheel_pops_same_order_as_heap(steps in prop::collection::vec((0u8..5, 0u32..48, any::<u64>(), 0u64..4), 1..300)) {
-        let (mut wheel, mut heap, mut now) = (Wheel::default(), BinaryHeap::new(), 0u64);
+        let (mut wheel, mut heap, mut now) = (TimingWheel::default(), BinaryHeap::new(), 0u64);
         for (number, (what, bits, span, tie)) in steps.into_iter().enumerate() {
             if what < 3 {
                 let at = now + (span & ((1 << bits) - 1));
@@ -34,7 +34,7 @@
 
 #[test]
 fn event_in_the_past_is_due_now() {
-    let mut wheel = Wheel::default();
+    let mut wheel = TimingWheel::default();
     wheel.push(1_000_000, 1, "first");
     assert_eq!(wheel.pop(), Some((1_000_000, "first")));
     wheel.push(5, 1, "late");
--- a/crates/coralstep-lab/src/record.rs
+++ b/crates/coralstep-lab/src/record.rs
@@ -73,7 +73,7 @@
 
 /// A request as an input of `bound`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Asked {
+pub struct RecordedRequest {
     pub at_ms: f64,
     pub method: usize,
     /// Work in ms on a core of speed 1.
@@ -91,7 +91,7 @@
     /// Lost criticality by method and reason.
     pub by_method: Vec<[f64; LOSSES.len()]>,
     /// All requests, if they are recorded.
-    pub requests: Option<Vec<Asked>>,
+    pub requests: Option<Vec<RecordedRequest>>,
 }
 
 impl Record {
@@ -112,19 +112,20 @@
     }
 
     /// Returns the slice of a time, given in ticks from the start.
-    pub fn at(&self, ticks: u64) -> usize {
+    pub fn slice_index(&self, ticks: u64) -> usize {
         ((ticks as f64 / 10.0 / self.slice_ms) as usize).min(SLICES)
     }
 
-    pub fn asked(&mut self, now: u64, _method: usize, worth: f64) {
-        let at = self.at(now);
+    /// Records a request of the criticality `worth`.
+    pub fn record_request(&mut self, now: u64, _method: usize, worth: f64) {
+        let at = self.slice_index(now);
         self.slices[at].asked += 1;
         self.slices[at].worth += worth;
     }
 
     /// Records a successful answer that earned `kept` of the criticality `worth`.
     #[allow(clippy::too_many_arguments)]
-    pub fn ok(
+    pub fn record_success(
         &mut self,
         now: u64,
         server: usize,
@@ -133,36 +134,37 @@
         kept: f64,
         worth: f64,
     ) {
-        let at = self.at(now);
+        let at = self.slice_index(now);
         self.slices[at].ok += 1;
         self.slices[at].kept += kept;
         self.took[at].saturating_record((took_ms * 10.0).max(1.0) as u64);
-        self.answered(server, at, 0);
-        self.part(method, Loss::Late, worth - kept);
+        self.count_answer(server, at, 0);
+        self.record_partial_loss(method, Loss::Late, worth - kept);
     }
 
-    fn answered(&mut self, server: usize, at: usize, which: usize) {
+    fn count_answer(&mut self, server: usize, at: usize, which: usize) {
         if at < SLICES {
             self.servers[server * SLICES + at][which] += 1;
         }
     }
 
     /// Records lost criticality without counting an answer, as for the part that a late or reduced answer loses.
-    pub fn part(&mut self, method: usize, loss: Loss, worth: f64) {
+    pub fn record_partial_loss(&mut self, method: usize, loss: Loss, worth: f64) {
         self.losses[loss as usize] += worth;
         self.by_method[method][loss as usize] += worth;
     }
 
-    pub fn lost(&mut self, now: u64, server: usize, method: usize, loss: Loss, worth: f64) {
-        let at = self.at(now);
+    /// Records a request that ended without a successful answer.
+    pub fn record_loss(&mut self, now: u64, server: usize, method: usize, loss: Loss, worth: f64) {
+        let at = self.slice_index(now);
         let slice = &mut self.slices[at];
         match loss {
             Loss::Unreached | Loss::Open => slice.unreached += 1,
             Loss::Late | Loss::Dependency => slice.aborted += 1,
             _ => slice.pushed_back += 1,
         }
-        self.answered(server, at, 1);
-        self.part(method, loss, worth);
+        self.count_answer(server, at, 1);
+        self.record_partial_loss(method, loss, worth);
     }
 
     /// Computes the percentiles of each slice; called once, at the end.
--- a/crates/coralstep-lab/src/report.rs
+++ b/crates/coralstep-lab/src/report.rs
@@ -5,7 +5,7 @@
 
 use plotters::prelude::*;
 
-use crate::bound::Split;
+use crate::bound::BoundComparison;
 use crate::experiment::Compared;
 use crate::record::{LOSSES, Record, SLICES};
 use crate::simulate::Day;
@@ -268,7 +268,7 @@
     kind: &str,
     day: &Day,
     record: &Record,
-    split: Option<&Split>,
+    split: Option<&BoundComparison>,
     compared: &[Compared],
 ) -> Result<String, Failed> {
     let seconds = record.slice_ms * SLICES as f64 / 1000.0;
--- a/crates/coralstep-lab/src/rules.rs
+++ b/crates/coralstep-lab/src/rules.rs
@@ -118,7 +118,7 @@
         self.servers.len() - 1
     }
 
-    fn breach(&mut self, rule: Rule, at: u64, what: String) {
+    fn report(&mut self, rule: Rule, at: u64, what: String) {
         self.count += 1;
         *self.by_rule.entry(rule).or_default() += 1;
         if self.breaches.len() < MAX_REPORTED_BREACHES {
@@ -151,16 +151,16 @@
     /// Records that a run started. `token` is the idempotency key and the end of its retry window, in which a second run is a breach.
     pub fn record_start(&mut self, at: u64, attempt: Attempt, token: Option<(u64, u64)>) {
         let Some(open) = self.open.get_mut(&attempt) else {
-            return self.breach(Rule::Lost, at, format!("{attempt} runs but was never read"));
+            return self.report(Rule::Lost, at, format!("{attempt} runs but was never read"));
         };
         let (server, again, effect, refused) =
             (open.server, open.ran, open.effect, open.pushed_back);
         open.ran = true;
         if again && effect {
-            self.breach(Rule::Twice, at, format!("{attempt} ran again"));
+            self.report(Rule::Twice, at, format!("{attempt} ran again"));
         }
         if refused {
-            self.breach(
+            self.report(
                 Rule::Twice,
                 at,
                 format!("{attempt} runs after it was rejected"),
@@ -172,7 +172,7 @@
                 .get(&(server, token))
                 .is_some_and(|until| *until > at)
             {
-                self.breach(
+                self.report(
                     Rule::Twice,
                     at,
                     format!("idempotency key {token} ran again, as {attempt}"),
@@ -183,7 +183,7 @@
         let grace = self.servers[server].grace;
         let arrived = self.arrived.get(&attempt).copied().unwrap_or(at);
         if grace.is_some_and(|grace| arrived > grace) {
-            self.breach(
+            self.report(
                 Rule::Drain,
                 at,
                 format!("{attempt} runs although it arrived after the drain grace"),
@@ -197,7 +197,7 @@
 
     pub fn record_answer(&mut self, at: u64, attempt: Attempt, answer: AnswerKind) {
         let Some(open) = self.open.get_mut(&attempt) else {
-            return self.breach(
+            return self.report(
                 Rule::Lost,
                 at,
                 format!("{attempt} was answered but never read"),
@@ -207,21 +207,21 @@
         let (ran, effect) = (open.ran, open.effect);
         (open.answered, open.pushed_back) = (true, answer == AnswerKind::PushedBack);
         if again {
-            self.breach(
+            self.report(
                 Rule::Lost,
                 at,
                 format!("{attempt} got a second answer, {answer:?}"),
             );
         }
         if late {
-            self.breach(
+            self.report(
                 Rule::Lost,
                 at,
                 format!("{attempt} was answered after its deadline"),
             );
         }
         if answer == AnswerKind::PushedBack && ran && effect {
-            self.breach(
+            self.report(
                 Rule::Twice,
                 at,
                 format!("{attempt} was rejected after it ran"),
@@ -239,14 +239,14 @@
         retry: bool,
     ) {
         if after == 0 {
-            self.breach(
+            self.report(
                 Rule::Advice,
                 at,
                 format!("server {server} rejected a request without Retry-After"),
             );
         }
         if after > MAX_RETRY_AFTER_TICKS {
-            self.breach(
+            self.report(
                 Rule::Advice,
                 at,
                 format!("server {server} sent a Retry-After of {} ms", after / 10),
@@ -254,7 +254,7 @@
         }
         // A retry may have run out of servers, but a first attempt can still go to every server that isn't draining.
         if nowhere && !retry && self.servers[server].grace.is_some_and(|grace| at > grace) {
-            self.breach(
+            self.report(
                 Rule::Advice,
                 at,
                 format!("server {server} is draining but said that no other server is better"),
@@ -268,7 +268,7 @@
         if let Some(open) = self.open.remove(&attempt)
             && !open.answered
         {
-            self.breach(
+            self.report(
                 Rule::Lost,
                 at,
                 format!("{attempt} was released without an answer"),
@@ -287,7 +287,7 @@
     /// Records that a server crashed without an injected fault. Its open attempts are no further breaches.
     pub fn record_self_inflicted_crash(&mut self, at: u64, server: usize) {
         self.record_stop(at, server, true);
-        self.breach(
+        self.report(
             Rule::FallOver,
             at,
             format!("server {server} crashed without an injected fault"),
@@ -296,7 +296,7 @@
 
     /// Records that a draining server still runs after its stop time.
     pub fn record_overdue_stop(&mut self, at: u64) {
-        self.breach(
+        self.report(
             Rule::Drain,
             at,
             "a draining server still runs after its stop time".to_owned(),
@@ -333,7 +333,7 @@
             self.arrived.remove(&attempt);
             let open = self.open.remove(&attempt);
             if !crash && open.is_some_and(|open| !open.answered) {
-                self.breach(
+                self.report(
                     Rule::Drain,
                     at,
                     format!("{attempt} has no answer when its server stops"),
@@ -356,14 +356,14 @@
         let (over, most) = (memory_kb > state.memory_kb, state.memory_kb);
         if crowded && at - since > MAX_OVERLOAD_TICKS {
             state.crowded = Some(at);
-            self.breach(
+            self.report(
                 Rule::FallOver,
                 at,
                 format!("server {server} had too many concurrent runs for 3 s, {runs} now"),
             );
         }
         if over {
-            self.breach(
+            self.report(
                 Rule::FallOver,
                 at,
                 format!("server {server} uses {memory_kb:.0} KB of {most:.0} KB"),
@@ -382,7 +382,7 @@
             .collect();
         left.sort_unstable();
         left.into_iter().for_each(|attempt| {
-            self.breach(
+            self.report(
                 Rule::Lost,
                 at,
                 format!("{attempt} has no answer at the end"),
--- a/crates/coralstep-lab/src/shares.rs
+++ b/crates/coralstep-lab/src/shares.rs
@@ -79,7 +79,7 @@
     start_count: u64,
 }
 
-fn at(server: usize) -> SocketAddr {
+fn address_of(server: usize) -> SocketAddr {
     SocketAddr::from((
         [127, 1, (server / 250) as u8, (server % 250) as u8 + 1],
         7946,
@@ -113,7 +113,7 @@
 
 impl Server {
     /// Returns the time of the server's own clock.
-    fn local(&self, now: u64) -> u64 {
+    fn local_time(&self, now: u64) -> u64 {
         (now.saturating_sub(self.missed) as f64 * self.rate) as u64
     }
 }
@@ -159,7 +159,7 @@
     /// Starts a server, replacing the present one.
     pub fn start(&mut self, server: usize) {
         self.start_count += 1;
-        let member = Member::new(&format!("n{server}"), at(server), self.start_count);
+        let member = Member::new(&format!("n{server}"), address_of(server), self.start_count);
         let spread = if self.defect == Defect::Drifts {
             0.3
         } else {
@@ -237,7 +237,7 @@
     pub fn set_limits(&mut self, server: usize, limits: &[Limit]) {
         let now = self.now;
         if let Some(server) = self.servers.get_mut(&server) {
-            server.quota.set_limits(server.local(now), limits);
+            server.quota.set_limits(server.local_time(now), limits);
         }
     }
 
@@ -310,7 +310,7 @@
             }
             let messages = server
                 .quota
-                .handle_message(server.local(now), &member, &bytes);
+                .handle_message(server.local_time(now), &member, &bytes);
             messages
                 .into_iter()
                 .for_each(|message| self.send(to, message.to, message.payload));
@@ -333,7 +333,7 @@
                 .collect();
             over.into_iter()
                 .for_each(|permit| server.quota.release(permit));
-            let local = server.local(now);
+            let local = server.local_time(now);
             if local < server.last_timeout + TIMEOUT_INTERVAL {
                 continue;
             }
@@ -369,8 +369,9 @@
     /// Checks that there is at most one leader and that the RPCs in flight are within their limits.
     fn check_invariants(&mut self) {
         let now = self.now;
-        let is_leader =
-            |server: &&Server| server.paused.is_none() && server.quota.is_leader(server.local(now));
+        let is_leader = |server: &&Server| {
+            server.paused.is_none() && server.quota.is_leader(server.local_time(now))
+        };
         let leaders: Vec<String> = self
             .servers
             .values()
@@ -410,7 +411,7 @@
         else {
             return Err(0);
         };
-        let local = of.local(now);
+        let local = of.local_time(now);
         let admitted = of.quota.admit(local, RequestKey::default(), holds);
         let admitted = match admitted {
             Err(_) if defect == Defect::Admits && server == 0 => Ok(QuotaPermit::default()),
@@ -445,7 +446,8 @@
     /// Returns the present leader.
     pub fn leader(&self) -> Option<usize> {
         let now = self.now;
-        let is_leader = |(_, server): &(&usize, &Server)| server.quota.is_leader(server.local(now));
+        let is_leader =
+            |(_, server): &(&usize, &Server)| server.quota.is_leader(server.local_time(now));
         self.servers
             .iter()
             .filter(|(_, server)| server.paused.is_none())
@@ -477,7 +479,7 @@
         server
             .quota
             .client()
-            .statuses(server.local(self.now))
+            .statuses(server.local_time(self.now))
             .iter()
             .map(|status| status.units)
             .sum()
@@ -499,7 +501,7 @@
 
     pub fn digest_text(&self) -> String {
         let of = |(at, server): (&usize, &Server)| {
-            let local = server.local(self.now);
+            let local = server.local_time(self.now);
             let status = server.quota.client().statuses(local);
             format!(
                 "{at} {status:?} {} {} {}",
--- a/crates/coralstep-lab/src/simulate/clockwork.rs
+++ b/crates/coralstep-lab/src/simulate/event_loop.rs
@@ -146,7 +146,7 @@
                 * SAMPLE_INTERVAL as f64
                 / 10.0;
         }
-        let at = self.record.at(now - ORIGIN);
+        let at = self.record.slice_index(now - ORIGIN);
         let slice = &mut self.record.slices[at];
         slice.capacity += possible_work;
         slice.calls += calls;
@@ -166,7 +166,8 @@
         self.record.finish();
         for request in self.requests.iter().flatten() {
             let worth = self.world.methods[request.method].criticality;
-            self.record.part(request.method, Loss::Open, worth);
+            self.record
+                .record_partial_loss(request.method, Loss::Open, worth);
         }
         let ms = |quantile: f64| self.took.value_at_quantile(quantile) as f64 / 10.0;
         if !self.took.is_empty() {
--- a/crates/coralstep-lab/src/simulate/gateways.rs
+++ b/crates/coralstep-lab/src/simulate/gateways.rs
@@ -4,7 +4,7 @@
 use rand_distr::Distribution;
 
 use super::{Event, ORIGIN, Request, Rpc, SUBJECTS, Simulation, ticks_from_ms};
-use crate::record::{Asked, Loss};
+use crate::record::{Loss, RecordedRequest};
 use crate::rules::AnswerKind;
 use crate::world::Effect;
 
@@ -49,7 +49,7 @@
         self.day.requests += 1;
         self.asked += methods[method].criticality;
         self.record
-            .asked(self.now - ORIGIN, method, methods[method].criticality);
+            .record_request(self.now - ORIGIN, method, methods[method].criticality);
         let index = match self.free.pop() {
             Some(index) => {
                 self.requests[index] = Some(request);
@@ -132,7 +132,7 @@
             work *= size;
         }
         if !retry && let Some(requests) = &mut self.record.requests {
-            requests.push(Asked {
+            requests.push(RecordedRequest {
                 at_ms: (self.now - ORIGIN) as f64 / 10.0,
                 method,
                 work_ms: work,
@@ -258,9 +258,10 @@
                 self.good += kept;
                 // The loss by the skipped call is recorded apart from the loss by lateness.
                 let skipped = of.criticality * (1.0 - part);
-                self.record.part(request.method, Loss::Skipped, skipped);
+                self.record
+                    .record_partial_loss(request.method, Loss::Skipped, skipped);
                 let took_ms = took as f64 / 10.0;
-                self.record.ok(
+                self.record.record_success(
                     now - ORIGIN,
                     at,
                     request.method,
@@ -336,7 +337,7 @@
             return self.push(self.now + pause, Event::StartAttempt(index));
         }
         self.record
-            .lost(self.now - ORIGIN, at, request.method, loss, of.criticality);
+            .record_loss(self.now - ORIGIN, at, request.method, loss, of.criticality);
         self.requests[index] = None;
         self.free.push(index);
         match loss {
--- a/crates/coralstep-lab/src/simulate/mod.rs
+++ b/crates/coralstep-lab/src/simulate/mod.rs
@@ -14,13 +14,13 @@
 
 use self::sharing::Sharing;
 use crate::baseline::{Policy, ServerScheduler};
-use crate::queue::Wheel;
+use crate::queue::TimingWheel;
 use crate::record::Record;
 use crate::rules::Rules;
 use crate::world::{Effect, World};
 
-mod clockwork;
 mod engine;
+mod event_loop;
 mod gateways;
 mod server;
 mod sharing;
@@ -122,7 +122,7 @@
     pick: Option<Pick>,
 }
 
-struct Node {
+struct SimulatedServer {
     server: Option<ServerScheduler>,
     levels: Option<LevelStateMachine>,
     /// Whether the server is at a degraded service level.
@@ -208,9 +208,9 @@
 struct Simulation<'a> {
     world: &'a World,
     chance: SmallRng,
-    queue: Wheel<Event>,
+    queue: TimingWheel<Event>,
     now: u64,
-    nodes: Vec<Node>,
+    nodes: Vec<SimulatedServer>,
     requests: Vec<Option<Request>>,
     free: Vec<usize>,
     heeds: Vec<bool>,
@@ -336,7 +336,7 @@
         let crowd = servers.crowd * f64::from(servers.cores);
         let mut sim = Simulation {
             world,
-            queue: Wheel::default(),
+            queue: TimingWheel::default(),
             now: ORIGIN,
             nodes: Vec::new(),
             requests: Vec::new(),
@@ -379,7 +379,7 @@
             } else {
                 least
             };
-            sim.nodes.push(Node {
+            sim.nodes.push(SimulatedServer {
                 server: None,
                 levels: None,
                 reduced: false,
--- a/crates/coralstep-lab/src/simulate/sharing.rs
+++ b/crates/coralstep-lab/src/simulate/sharing.rs
@@ -29,11 +29,11 @@
 }
 
 pub(super) struct Sharing {
-    nodes: Vec<Node>,
+    nodes: Vec<ServerHealth>,
     samples: VecDeque<Vec<HealthSample>>,
 }
 
-struct Node {
+struct ServerHealth {
     aggregator: Aggregator,
     calls: VecDeque<(u64, bool)>,
     seen: HealthSample,
@@ -41,7 +41,7 @@
 
 impl Sharing {
     pub(super) fn new(count: usize, seed: u64) -> Sharing {
-        let node = |at: usize| Node {
+        let node = |at: usize| ServerHealth {
             aggregator: Aggregator::new(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ at as u64),
             calls: VecDeque::new(),
             seen: HealthSample::default(),
