--- a/crates/coralstep-lab/src/caller/scgi.rs
+++ b/crates/coralstep-lab/src/caller/scgi.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// Encodes a request, or returns `None` if it is too long.
+/// Encodes a request, or returns `None` if that fails.
 pub fn encode_request(rpc: &OutgoingRpc) -> Option<Vec<u8>> {
     let path = format!("/{}", rpc.method);
     let (number, room) = (format_id(rpc.reference), format!("{:.3}", rpc.room_kb));
