--- a/crates/coralstep-server/src/decisions/request_table.rs
+++ b/crates/coralstep-server/src/decisions/rpc_table.rs
@@ -1,12 +1,12 @@
-//! The RPCs known to the scheduler, by its ids: decisions that their tasks have not taken yet, and
-//! the results kept for repeats.
+//! Table of the RPCs known to the scheduler, indexed by its ids. Holds decisions until the RPC's
+//! task receives them, and results for repeats.
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 
 use coralstep::{RpcId, Span};
 
-use crate::decisions::idempotency_keys::{Fingerprint, IdempotencyKey};
+use crate::decisions::idempotency_keys::{IdempotencyKey, PayloadFingerprint};
 use crate::decisions::request::{AdmissionError, Decision, RunOutcome};
 
 /// How the run of an RPC with an idempotency key ended.
@@ -14,54 +14,54 @@
 enum RunResult {
     #[default]
     Pending,
-    /// It failed, or its result was not kept.
+    /// The run failed, or its result was not kept.
     Unavailable,
     Kept(Rc<[u8]>),
 }
 
-/// One RPC in the table.
+/// Entry of one RPC.
 #[derive(Default)]
-pub(super) struct RequestEntry {
+pub(super) struct RpcEntry {
     decisions: VecDeque<Decision>,
     waker: Option<Waker>,
-    /// Nobody waits for decisions any more.
+    /// The RPC's ticket was dropped, so no task receives its decisions.
     abandoned: bool,
     pub(super) idempotency_key: Option<IdempotencyKey>,
-    pub(super) fingerprint: Fingerprint,
+    pub(super) fingerprint: PayloadFingerprint,
     result: RunResult,
-    /// The RPC that it repeats.
-    repeats: Option<RpcId>,
-    /// Repeats of it that wait for its result.
+    /// The RPC that this one repeats.
+    repeat_of: Option<RpcId>,
+    /// Repeats that wait for the result of this RPC.
     waiting_repeats: Vec<RpcId>,
-    /// Its run cannot be tried again sooner.
+    /// Minimum time before this server can try the run again.
     pub(super) retry_after: Span,
 }
 
-impl RequestEntry {
-    /// The entry of an RPC that repeats `repeats`, where it does.
+impl RpcEntry {
+    /// Creates the entry of an RPC that repeats `repeat_of`, if any.
     pub(super) fn new(
         idempotency_key: Option<IdempotencyKey>,
-        fingerprint: Fingerprint,
-        repeats: Option<RpcId>,
-    ) -> RequestEntry {
-        RequestEntry {
+        fingerprint: PayloadFingerprint,
+        repeat_of: Option<RpcId>,
+    ) -> RpcEntry {
+        RpcEntry {
             idempotency_key,
             fingerprint,
-            repeats,
-            ..RequestEntry::default()
+            repeat_of,
+            ..RpcEntry::default()
         }
     }
 }
 
-/// A repeat that has come to its end, with the result of what it repeats where there is one.
+/// A repeat whose original RPC has ended, with the original's result if it is available.
 pub(super) struct CompletedRepeat {
     pub(super) id: RpcId,
     pub(super) result: Option<Rc<[u8]>>,
 }
 
-/// All RPCs known to the scheduler.
-pub(super) struct RequestTable {
-    entries: Vec<Option<RequestEntry>>,
+/// Table of all RPCs known to the scheduler, and of the results kept for repeats.
+pub(super) struct RpcTable {
+    entries: Vec<Option<RpcEntry>>,
     free_ids: Vec<u32>,
     max_entries: usize,
     completed_repeats: VecDeque<CompletedRepeat>,
@@ -69,9 +69,9 @@
     max_kept_bytes: usize,
 }
 
-impl RequestTable {
-    pub(super) fn new(max_entries: usize, max_kept_bytes: usize) -> RequestTable {
-        RequestTable {
+impl RpcTable {
+    pub(super) fn new(max_entries: usize, max_kept_bytes: usize) -> RpcTable {
+        RpcTable {
             entries: Vec::new(),
             free_ids: Vec::new(),
             max_entries,
@@ -81,7 +81,7 @@
         }
     }
 
-    pub(super) fn insert(&mut self, entry: RequestEntry) -> Result<RpcId, AdmissionError> {
+    pub(super) fn insert(&mut self, entry: RpcEntry) -> Result<RpcId, AdmissionError> {
         let id = match self.free_ids.pop() {
             Some(id) => RpcId(id),
             None if self.entries.len() >= self.max_entries => {
@@ -96,7 +96,7 @@
         Ok(id)
     }
 
-    pub(super) fn get_mut(&mut self, id: RpcId) -> Option<&mut RequestEntry> {
+    pub(super) fn get_mut(&mut self, id: RpcId) -> Option<&mut RpcEntry> {
         self.entries.get_mut(id.0 as usize)?.as_mut()
     }
 
@@ -112,7 +112,7 @@
             return Poll::Ready(Decision::Finished);
         };
         match entry.decisions.front() {
-            // It stays in the queue: what it stands for is freed with the ticket.
+            // Stays in the queue: `abandon` frees the entry when the ticket is dropped.
             Some(Decision::Finished) => Poll::Ready(Decision::Finished),
             Some(_) => Poll::Ready(entry.decisions.pop_front().unwrap_or(Decision::Finished)),
             None => {
@@ -122,7 +122,8 @@
         }
     }
 
-    /// The scheduler is done with `id`: frees it, unless its task has still to take that decision.
+    /// Marks `id` as finished by the scheduler. Frees the entry unless its task still has to receive
+    /// this decision.
     pub(super) fn finish(&mut self, id: RpcId) {
         self.push_decision(id, Decision::Finished);
         if self.get_mut(id).is_some_and(|entry| entry.abandoned) {
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Nobody waits for decisions on `id` any more: frees it, unless the scheduler still holds it.
+    /// Marks `id` as abandoned by its task. Frees the entry unless the scheduler still uses the id.
     pub(super) fn abandon(&mut self, id: RpcId) {
         let Some(entry) = self.get_mut(id) else {
             return;
@@ -146,8 +147,8 @@
         let Some(entry) = self.entries.get_mut(id.0 as usize).and_then(Option::take) else {
             return;
         };
-        // Guards against a late result that goes to whatever RPC has this index by then.
-        if let Some(repeated) = entry.repeats.and_then(|repeated| self.get_mut(repeated)) {
+        // Guards against a late result that is delivered to another RPC which reuses this id.
+        if let Some(repeated) = entry.repeat_of.and_then(|repeated| self.get_mut(repeated)) {
             repeated.waiting_repeats.retain(|waiting| *waiting != id);
         }
         if let RunResult::Kept(result) = entry.result {
@@ -157,7 +158,8 @@
         self.free_ids.push(id.0);
     }
 
-    /// Keeps the result of an RPC with an idempotency key for its repeats, while there is room.
+    /// Records the outcome of an RPC with an idempotency key and completes the repeats that wait for
+    /// it. Keeps the result for later repeats if it fits into the memory limit.
     pub(super) fn record_result(&mut self, id: RpcId, outcome: &RunOutcome) {
         let free_bytes = self.max_kept_bytes.saturating_sub(self.kept_bytes);
         let Some(entry) = self.get_mut(id) else {
@@ -166,7 +168,7 @@
         if entry.idempotency_key.is_none() || !matches!(entry.result, RunResult::Pending) {
             return;
         }
-        // Repeats that wait get it even where it is not kept.
+        // Waiting repeats get the result even if it is not kept.
         let result = match outcome {
             RunOutcome::Ok(result) => Some(result.clone()),
             _ => None,
@@ -178,9 +180,9 @@
         self.complete_repeats(waiting, result);
     }
 
-    /// Answers `id` with the result of the RPC that it repeats, now or when that has ended.
+    /// Completes `id` with the result of the RPC that it repeats, at once or when that RPC ends.
     pub(super) fn replay(&mut self, id: RpcId) {
-        let repeated = self.get_mut(id).and_then(|entry| entry.repeats);
+        let repeated = self.get_mut(id).and_then(|entry| entry.repeat_of);
         let result = match repeated.and_then(|repeated| self.get_mut(repeated)) {
             Some(entry) => match &entry.result {
                 RunResult::Pending => return entry.waiting_repeats.push(id),
--- a/crates/coralstep-server/src/fleet/quotas.rs
+++ b/crates/coralstep-server/src/fleet/quotas.rs
@@ -45,14 +45,14 @@
 }
 
 impl QuotaLimiter for FleetService {
-    fn take(&self, request: RequestKey, covers_ms: u64) -> Result<QuotaPermit, QuotaExhausted> {
+    fn acquire(&self, request: RequestKey, covers_ms: u64) -> Result<QuotaPermit, QuotaExhausted> {
         let Some(quota) = &self.quota else {
             return Ok(QuotaPermit::default());
         };
         quota.borrow_mut().admit(self.now(), request, covers_ms)
     }
 
-    fn give_back(&self, permit: QuotaPermit) {
+    fn release(&self, permit: QuotaPermit) {
         if let Some(quota) = &self.quota {
             quota.borrow_mut().release(permit);
         }
--- a/crates/coralstep-server/src/operators/listener.rs
+++ b/crates/coralstep-server/src/operators/ops.rs
@@ -309,13 +309,13 @@
         return json!({"error": "this server has no levels: its site file names none"});
     };
     match request {
-        OperatorRequest::Levels => json!({ "levels": levels.view() }),
+        OperatorRequest::Levels => json!({ "levels": levels.status() }),
         OperatorRequest::History => json!({ "history": levels.history() }),
-        OperatorRequest::Hold { level, ms } => match levels.hold(&level, ms) {
+        OperatorRequest::Hold { level, ms } => match levels.set_override(&level, ms) {
             Ok(()) => json!({"held": level, "ms": ms}),
             Err(error) => json!({ "error": error.to_string() }),
         },
-        OperatorRequest::Release => json!({ "released": levels.release() }),
+        OperatorRequest::Release => json!({ "released": levels.clear_override() }),
         _ => json!({"error": "not a request about levels"}),
     }
 }
--- a/crates/coralstep-server/src/runs/request_handler.rs
+++ b/crates/coralstep-server/src/runs/request_handler.rs
@@ -1,9 +1,9 @@
 //! The lifecycle of one RPC, from the moment it is read to its end.
 //!
-//! An RPC passes four stages before anything runs, each a function of [`RequestHandler`]: its id is
-//! claimed, its run is registered at the backend, its quota is reserved, and the scheduler admits
-//! it. From then on an `ActiveRequest` carries out the scheduler's decisions, one event at a
-//! time. No gateway protocol shows here, so any front can use it.
+//! An RPC passes four stages before it runs, each a function of [`RequestHandler`]: its id is
+//! claimed, its run is registered at the backend, its quota permit is acquired, and the scheduler
+//! decides on it. From then on an `ActiveRequest` executes the scheduler's decisions, one event at a
+//! time. The handler is independent of the callers' protocols.
 use std::hash::{BuildHasher, RandomState};
 use std::pin::pin;
 use std::rc::Rc;
@@ -25,14 +25,14 @@
 use crate::runs::request_ids::{ClaimError, IdClaim, RequestIds};
 use crate::runs::{Backend, Run, RunRequest};
 
-/// Why an RPC was answered before the scheduler decided anything about it.
+/// Error for which an RPC is answered without a decision by the scheduler.
 #[derive(Debug, thiserror::Error)]
-enum NotAdmitted {
+enum RequestError {
     #[error("the id is in use, or its RPC may have run")]
     DuplicateId,
     #[error("the table of request ids is full")]
     RequestIdsFull,
-    #[error("a run of this id is registered")]
+    #[error("a run with this id is already registered")]
     RunRegistered,
     #[error(transparent)]
     Quota(#[from] QuotaExhausted),
@@ -40,14 +40,14 @@
     Admission(#[from] AdmissionError),
 }
 
-impl NotAdmitted {
+impl RequestError {
     fn reply(&self) -> Reply<'static> {
         let retry_after_ms = match self {
-            NotAdmitted::DuplicateId
-            | NotAdmitted::RunRegistered
-            | NotAdmitted::Admission(AdmissionError::KeyConflict) => return Reply::Aborted,
-            NotAdmitted::RequestIdsFull | NotAdmitted::Admission(AdmissionError::TableFull) => 0,
-            NotAdmitted::Quota(QuotaExhausted { retry_after_ms }) => *retry_after_ms,
+            RequestError::DuplicateId
+            | RequestError::RunRegistered
+            | RequestError::Admission(AdmissionError::KeyConflict) => return Reply::Failed,
+            RequestError::RequestIdsFull | RequestError::Admission(AdmissionError::TableFull) => 0,
+            RequestError::Quota(QuotaExhausted { retry_after_ms }) => *retry_after_ms,
         };
         Reply::Rejected {
             retry_after_ms,
@@ -57,31 +57,31 @@
 
     fn log(&self, id: RequestId) {
         match self {
-            NotAdmitted::DuplicateId => note!(client: rpc_id = %id, "duplicate request id"),
-            NotAdmitted::RequestIdsFull => note!(rpc_id = %id, "request id table full"),
-            NotAdmitted::Admission(AdmissionError::TableFull) => {
+            RequestError::DuplicateId => note!(client: rpc_id = %id, "duplicate request id"),
+            RequestError::RequestIdsFull => note!(rpc_id = %id, "request id table full"),
+            RequestError::Admission(AdmissionError::TableFull) => {
                 note!(rpc_id = %id, "request table full");
             }
-            NotAdmitted::Admission(AdmissionError::KeyConflict) => {
+            RequestError::Admission(AdmissionError::KeyConflict) => {
                 note!(client: rpc_id = %id, "idempotency key conflict");
             }
-            NotAdmitted::RunRegistered | NotAdmitted::Quota(_) => {}
+            RequestError::RunRegistered | RequestError::Quota(_) => {}
         }
     }
 }
 
-/// Handles the RPCs of all fronts.
+/// Handles RPCs of all protocols.
 pub struct RequestHandler {
     scheduler: Rc<SchedulerHandle>,
     backend: Rc<dyn Backend>,
     store: StoreClient,
     request_ids: Rc<RequestIds>,
-    /// Keyed, so that nobody can foresee the digest of a body.
+    /// Random keys, so that the digest of a body is unpredictable.
     digest_keys: RandomState,
 }
 
-/// An RPC that the scheduler has taken in. Fields are released in this order.
-struct Admitted {
+/// An RPC that was submitted to the scheduler. Fields are dropped in this order.
+struct SubmittedRpc {
     ticket: RequestTicket,
     quota: QuotaGuard,
     run: Box<dyn Run>,
@@ -90,7 +90,7 @@
 }
 
 impl RequestHandler {
-    /// A handler that runs RPCs on `backend` and makes their calls to `store`.
+    /// Creates a handler that runs RPCs on `backend` and makes their calls to `store`.
     pub fn new(
         scheduler: Rc<SchedulerHandle>,
         backend: Rc<dyn Backend>,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The id that a caller's text stands for; without a text, one that no other RPC has.
+    /// Returns the id for a caller's text, or a new unique id without one.
     pub fn request_id(&self, text: Option<&str>) -> RequestId {
         text.map_or_else(
             || self.request_ids.generate(),
@@ -114,22 +114,22 @@
         )
     }
 
-    /// Serves one RPC to its end. `reply` is called at most once, with the answer; `caller_gone`
-    /// ends when the caller has left.
+    /// Serves one RPC to its end. `reply` is called at most once, with the answer.
+    /// `caller_disconnected` completes when the caller disconnects.
     pub async fn handle(
         &self,
         request: RpcRequest,
         id: RequestId,
         body: Vec<u8>,
-        caller_gone: impl Future<Output = ()>,
+        caller_disconnected: impl Future<Output = ()>,
         reply: impl FnOnce(Reply<'_>),
     ) {
         let (method, tenant) = (request.method, request.tenant);
         let idempotency_key = request.idempotency_key.clone();
-        let deadline = Instant::now() + self.time_left(&request);
+        let deadline = Instant::now() + self.remaining_time(&request);
         let idempotency = self.scheduler.idempotency(method);
-        let admitted = match self.admit(request, id, &body).await {
-            Ok(admitted) => admitted,
+        let submitted = match self.admit(request, id, &body).await {
+            Ok(submitted) => submitted,
             Err(error) => return reply(error.reply()),
         };
         let run_request = RunRequest {
@@ -143,23 +143,23 @@
         let active = ActiveRequest {
             store: &self.store,
             run_request,
-            claim_after_start: (idempotency == Idempotency::NonIdempotent)
+            claim_duration: (idempotency == Idempotency::NonIdempotent)
                 .then(|| self.scheduler.deadline(method)),
             call_body: Vec::new(),
             call: None,
             reply: Some(reply),
-            ticket: admitted.ticket,
-            quota: Some(admitted.quota),
-            run: admitted.run,
-            claim: admitted.claim,
+            ticket: submitted.ticket,
+            quota: Some(submitted.quota),
+            run: submitted.run,
+            claim: submitted.claim,
         };
         active
-            .serve(admitted.first_decision, pin!(caller_gone))
+            .serve(submitted.first_decision, pin!(caller_disconnected))
             .await;
     }
 
-    /// How long the caller of `request` still waits.
-    fn time_left(&self, request: &RpcRequest) -> Duration {
+    /// Returns the time for which the caller of `request` still waits.
+    fn remaining_time(&self, request: &RpcRequest) -> Duration {
         let method_deadline = self.scheduler.deadline(request.method);
         let timeout = request.timeout.map_or(method_deadline, |timeout| {
             clock::duration(timeout).min(method_deadline)
@@ -172,18 +172,18 @@
         request: RpcRequest,
         id: RequestId,
         body: &[u8],
-    ) -> Result<Admitted, NotAdmitted> {
+    ) -> Result<SubmittedRpc, RequestError> {
         let claim = self
             .claim_id(&request, id)
             .inspect_err(|error| error.log(id))?;
         let id = claim.id();
         let run = self.register_run(id)?;
-        let quota = self.reserve_quota(&request)?;
+        let quota = self.acquire_quota(&request)?;
         let (ticket, first_decision) = self
             .submit(request, body)
             .await
             .inspect_err(|error| error.log(id))?;
-        Ok(Admitted {
+        Ok(SubmittedRpc {
             ticket,
             quota,
             run,
@@ -192,39 +192,39 @@
         })
     }
 
-    /// Guards against a second run under one id, by whichever front it comes.
-    fn claim_id(&self, request: &RpcRequest, id: RequestId) -> Result<IdClaim, NotAdmitted> {
+    /// Guards against a second run with the same id, even if it arrives by another protocol.
+    fn claim_id(&self, request: &RpcRequest, id: RequestId) -> Result<IdClaim, RequestError> {
         let now = Instant::now();
         let mut claim = self.request_ids.claim(now, id);
-        // Such a front keeps an id over its attempts: the idempotency key, not the id, tells
-        // whether it has run.
-        let may_take_another = request.accepts_new_id
+        // With `accepts_new_id`, callers use one id for all attempts: the idempotency key, not the
+        // id, identifies a repeat.
+        let may_assign_new_id = request.accepts_new_id
             && self.scheduler.idempotency(request.method) != Idempotency::NonIdempotent;
-        if may_take_another && matches!(claim, Err(ClaimError::Duplicate)) {
+        if may_assign_new_id && matches!(claim, Err(ClaimError::Duplicate)) {
             claim = self.request_ids.claim(now, self.request_ids.generate());
         }
         claim.map_err(|error| match error {
-            ClaimError::Duplicate => NotAdmitted::DuplicateId,
-            ClaimError::Full => NotAdmitted::RequestIdsFull,
+            ClaimError::Duplicate => RequestError::DuplicateId,
+            ClaimError::Full => RequestError::RequestIdsFull,
         })
     }
 
-    fn register_run(&self, id: RequestId) -> Result<Box<dyn Run>, NotAdmitted> {
+    fn register_run(&self, id: RequestId) -> Result<Box<dyn Run>, RequestError> {
         let backend = self.backend.clone();
-        backend.register(id).ok_or(NotAdmitted::RunRegistered)
+        backend.register(id).ok_or(RequestError::RunRegistered)
     }
 
-    /// Comes before the scheduler: an RPC beyond the fleet's quotas is not the scheduler's to
-    /// weigh.
-    fn reserve_quota(&self, request: &RpcRequest) -> Result<QuotaGuard, NotAdmitted> {
-        Ok(self.scheduler.reserve_quota(request)?)
+    /// Acquires the quota permit before the RPC is submitted, so that the scheduler never sees an
+    /// RPC that exceeds the fleet-wide quotas.
+    fn acquire_quota(&self, request: &RpcRequest) -> Result<QuotaGuard, RequestError> {
+        Ok(self.scheduler.acquire_quota(request)?)
     }
 
     async fn submit(
         &self,
         mut request: RpcRequest,
         body: &[u8],
-    ) -> Result<(RequestTicket, Decision), NotAdmitted> {
+    ) -> Result<(RequestTicket, Decision), RequestError> {
         if request.idempotency_key.is_some() {
             request.body_digest = self.digest_keys.hash_one(body);
         }
