--- a/crates/coralstep-server/tests/emulate.rs
+++ b/crates/coralstep-server/tests/emulate.rs
@@ -8,7 +8,7 @@
 use coralstep_lab::World;
 use coralstep_lab::caller::Protocol;
 use coralstep_lab::emulate::wire::Faults;
-use coralstep_lab::emulate::{Terms, emulate};
+use coralstep_lab::emulate::{EmulationOptions, emulate};
 use coralstep_lab::load;
 
 mod stand_ins;
@@ -32,8 +32,8 @@
     World::parse(&world.replace("TROUBLES", troubles)).unwrap()
 }
 
-fn terms(seed: u64) -> Terms {
-    Terms {
+fn terms(seed: u64) -> EmulationOptions {
+    EmulationOptions {
         program: PathBuf::from(env!("CARGO_BIN_EXE_coralstep")),
         protocol: Protocol::Thrift,
         applications: false,
@@ -59,7 +59,7 @@
         (13, Protocol::Scgi, true),
     ] {
         let troubles = r#"{"kind": "deploy", "at_s": 2, "for_s": 1, "part": 0.5}"#;
-        let terms = Terms {
+        let terms = EmulationOptions {
             protocol,
             applications,
             ..terms(seed)
@@ -80,7 +80,7 @@
     let crash = r#"{"kind": "crash", "at_s": 1, "for_s": 1, "part": 0.5}"#;
     let faults =
         Faults::parse("delay=0.02,cut=0.01,reset=0.01,garble=0.02,duplicate=0.02").unwrap();
-    let terms = Terms {
+    let terms = EmulationOptions {
         faults,
         ..terms(14)
     };
@@ -108,7 +108,11 @@
     };
     let (day, _) = emulate(&world(""), &terms(15), &never, kill).unwrap();
     assert_eq!(day.breaches, 1, "{:?}", day.told);
-    assert!(day.told[0].contains("died by itself"), "{:?}", day.told);
+    assert!(
+        day.told[0].contains("crashed without an injected fault"),
+        "{:?}",
+        day.told
+    );
     assert!(day.ok > 50, "{day:?}");
     assert_eq!(left(15), "");
 }
@@ -132,8 +136,8 @@
         (Protocol::Thrift, rig.address),
         (Protocol::Scgi, rig.scgi.unwrap()),
     ] {
-        let plan = load::at_rate(50.0, 2.0, &[("lock".to_owned(), 1.0)], 1);
-        let terms = load::Terms {
+        let plan = load::plan_at_rate(50.0, 2.0, &[("lock".to_owned(), 1.0)], 1);
+        let terms = load::LoadOptions {
             protocol,
             targets: vec![target],
             connections: 2,
@@ -142,7 +146,7 @@
             json: true,
         };
         let mut lines = Vec::new();
-        let figures = load::drive(&terms, &plan, &mut lines).unwrap();
+        let figures = load::run(&terms, &plan, &mut lines).unwrap();
         let all = figures.ok + figures.pushed_back + figures.aborted;
         assert_eq!(
             (figures.due as usize, all as usize),
--- a/crates/coralstep-server/tests/hung.rs
+++ b/crates/coralstep-server/tests/hung.rs
@@ -7,7 +7,7 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-use coralstep_lab::emulate::engine::EngineTerms;
+use coralstep_lab::emulate::engine::EngineConfig;
 use stand_ins::engine::Cores;
 use stand_ins::{Rig, SETTINGS, Said, id};
 
@@ -29,7 +29,7 @@
         .replace("\"cores\":2", "\"cores\":4")
         .replace("\"call_share\":20.0", &format!("\"call_share\":{share:.1}"));
     let rig = Rig::settings(&settings);
-    let terms = EngineTerms {
+    let terms = EngineConfig {
         never_ends: true,
         ..Cores::terms(4)
     };
--- a/crates/coralstep-server/tests/stand_ins/engine.rs
+++ b/crates/coralstep-server/tests/stand_ins/engine.rs
@@ -5,8 +5,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use coralstep_lab::emulate::engine::{Engine, EngineTerms, Work};
-use coralstep_lab::emulate::lines::command;
+use coralstep_lab::emulate::engine::{Engine, EngineConfig, Workload};
+use coralstep_lab::emulate::lines::parse_command;
 
 /// A run that began.
 #[derive(Clone, Debug)]
@@ -29,8 +29,8 @@
     began: Arc<Mutex<Vec<Began>>>,
 }
 
-impl Work for Even {
-    fn begins(&mut self, id: &str, method: &str, body: &[u8]) -> Option<(f64, Option<f64>)> {
+impl Workload for Even {
+    fn start_run(&mut self, id: &str, method: &str, body: &[u8]) -> Option<(f64, Option<f64>)> {
         let (id, method, body) = (id.to_owned(), method.to_owned(), body.to_owned());
         let calls = method != "pay";
         self.began.lock().unwrap().push(Began {
@@ -53,7 +53,7 @@
     pub fn start(listener: TcpListener, cores: u32, work: f64, breaks: Duration) -> Cores {
         Cores::with(
             listener,
-            EngineTerms {
+            EngineConfig {
                 breaks: Some(breaks),
                 ..Cores::terms(cores)
             },
@@ -62,8 +62,8 @@
     }
 
     /// An engine of `cores` that does nothing out of the way.
-    pub fn terms(cores: u32) -> EngineTerms {
-        EngineTerms {
+    pub fn terms(cores: u32) -> EngineConfig {
+        EngineConfig {
             cores,
             crowd: f64::MAX,
             speed: 1.0,
@@ -73,7 +73,7 @@
         }
     }
 
-    pub fn with(listener: TcpListener, terms: EngineTerms, work: f64) -> Cores {
+    pub fn with(listener: TcpListener, terms: EngineConfig, work: f64) -> Cores {
         let began: Arc<Mutex<Vec<Began>>> = Arc::default();
         let even = Even {
             work_ms: work * 1000.0,
@@ -110,7 +110,7 @@
 ) -> std::io::Result<()> {
     let mut bytes = Vec::new();
     let (line, _, _) = loop {
-        if let Some(command) = command(&bytes)? {
+        if let Some(command) = parse_command(&bytes)? {
             break command;
         }
         let mut more = [0; 1024];
--- a/crates/coralstep-server/tests/verdicts.rs
+++ b/crates/coralstep-server/tests/verdicts.rs
@@ -104,14 +104,14 @@
             drive.calls(scope, fleet, at, threads, every, "read", lasts);
         }
         std::thread::sleep(before);
-        hung = store.clock();
-        store.now(|plight| plight.hangs = true);
+        hung = store.elapsed();
+        store.change_faults(|faults| faults.hangs = true);
         std::thread::sleep(hangs);
-        store.now(|plight| plight.hangs = false);
-        healed = store.clock();
+        store.change_faults(|faults| faults.hangs = false);
+        healed = store.elapsed();
         healed_ms = drive.now_ms();
     });
-    let asked = store.asked(Duration::ZERO);
+    let asked = store.call_times(Duration::ZERO);
     let burned = |from: Duration| {
         asked
             .iter()
