--- a/crates/coralstep-state/src/background.rs
+++ b/crates/coralstep-state/src/background.rs
@@ -48,7 +48,7 @@
 
 /// Minimum weight of a task.
 pub const MIN_WEIGHT: f64 = 0.01;
-/// A task that has waited for this long runs next regardless of its weight, in ms.
+/// Time in ms after which a waiting task runs next, whatever its weight.
 pub const MAX_WAIT_MS: f64 = 10_000.0;
 
 /// Fraction of the budget that remains while the server is busy.
@@ -57,17 +57,19 @@
 const BUSY_UTILIZATION: f64 = 0.5;
 /// Utilization of the server at which the budget would be 0 without [`MIN_BUDGET_FRACTION`].
 const FULL_UTILIZATION: f64 = 0.95;
-/// Unused budget is kept for this long, in seconds.
+/// Maximum unused budget that is saved, in seconds of the full budget.
 const MAX_SAVED_BUDGET_S: f64 = 2.0;
-/// A task without a step for this long loses its claim to unused budget, in ms.
+/// Time in ms since its last step after which a task counts as idle. It then can't make up for the
+/// budget that it left unused.
 const IDLE_AFTER_MS: f64 = 1_000.0;
-/// Guards against a division by zero if the budget is 0.
+/// Minimum divisor of a cost. Guards against a division by zero if the budget is 0.
 const MIN_BUDGET: f64 = 1e-9;
 
 #[derive(Clone, Debug)]
 struct Task {
     config: TaskConfig,
-    /// Used fraction of a second's budget divided by the weight; the task with the lowest is next.
+    /// Sum of the fractions of a second's budget that its steps used, divided by its weight. The
+    /// waiting task with the lowest value is next. Raised when the task requests a step after idling.
     weighted_usage: f64,
     /// Since when the task has a step to run, in ms.
     waiting_since_ms: Option<f64>,
@@ -117,7 +119,8 @@
         };
         let was_idle =
             task.waiting_since_ms.is_none() && now_ms - task.last_done_ms >= IDLE_AFTER_MS;
-        // Guards against a task that uses the whole budget after a long idle time.
+        // Guards against a task that uses the whole budget after a long idle time, because its usage
+        // is far below that of the other tasks.
         if was_idle && min_usage < f64::MAX {
             task.weighted_usage = task.weighted_usage.max(min_usage);
         }
@@ -191,7 +194,8 @@
             .min_by(|a, b| a.weighted_usage.total_cmp(&b.weighted_usage))
     }
 
-    /// Returns the largest fraction of a second's budget that this cost uses, of time, CPU and bytes.
+    /// Returns the fraction of a second's budget that this cost uses: the largest of those of time, CPU
+    /// and bytes.
     fn largest_budget_fraction(&self, cost: StepCost) -> f64 {
         let fraction = |cost: f64, per_second: f64| cost / per_second.max(MIN_BUDGET);
         fraction(cost.time_ms, self.budget.time_ms)
--- a/crates/coralstep-state/src/faulty_storage.rs
+++ b/crates/coralstep-state/src/faulty_storage.rs
@@ -73,7 +73,7 @@
 pub struct Faults {
     /// Index of the operation at which the power is cut; it and all later ones fail.
     pub power_cut_at: Option<u64>,
-    /// Index of a single operation that fails.
+    /// Index of the only operation that fails.
     pub error_at: Option<u64>,
     /// Syncs report success without effect.
     pub ignore_syncs: bool,
@@ -96,7 +96,7 @@
     inodes: Vec<Inode>,
     names: Names,
     durable_names: Names,
-    /// Names after each change since the last sync of the directory, in order.
+    /// A copy of `names` for each change since the last sync of the directory, in order.
     unsynced_names: Vec<Names>,
 }
 
--- a/crates/coralstep-state/src/snapshot.rs
+++ b/crates/coralstep-state/src/snapshot.rs
@@ -210,7 +210,7 @@
     }
 }
 
-/// Rejects a snapshot of another server, or of an age that has no confidence.
+/// Rejects a snapshot that another server wrote, or whose age leaves no confidence in it.
 fn validate_origin_and_age(
     stored: &Stored,
     current: &ConfigFingerprint,
--- a/crates/coralstep-state/src/snapshot/inspection.rs
+++ b/crates/coralstep-state/src/snapshot/inspection.rs
@@ -27,7 +27,7 @@
 }
 
 impl SnapshotSummary {
-    fn of_stored(file: &str, stored: Stored, now_s: u64) -> SnapshotSummary {
+    fn from_stored(file: &str, stored: Stored, now_s: u64) -> SnapshotSummary {
         let age_s = stored.age_s(now_s);
         SnapshotSummary {
             file: file.to_owned(),
@@ -38,7 +38,7 @@
         }
     }
 
-    fn of_unusable(file: &str, error: &SnapshotError) -> SnapshotSummary {
+    fn from_unusable(file: &str, error: &SnapshotError) -> SnapshotSummary {
         SnapshotSummary {
             file: file.to_owned(),
             sequence_number: None,
@@ -76,8 +76,8 @@
         Err(error) => Err(error.into()),
     };
     Some(match decoded {
-        Ok(stored) => SnapshotSummary::of_stored(file, stored, now_s),
-        Err(error) => SnapshotSummary::of_unusable(file, &error),
+        Ok(stored) => SnapshotSummary::from_stored(file, stored, now_s),
+        Err(error) => SnapshotSummary::from_unusable(file, &error),
     })
 }
 
--- a/crates/coralstep-state/src/wal.rs
+++ b/crates/coralstep-state/src/wal.rs
@@ -91,7 +91,7 @@
     },
     /// Keys are protected again.
     Protected,
-    /// A segment has corrupt bytes, whose entries are lost.
+    /// A segment is partly or wholly corrupt; the entries in its corrupt bytes are lost.
     Corrupt {
         /// Name of the segment's file.
         file: String,
@@ -208,7 +208,7 @@
         if !self.index.contains(key) {
             return;
         }
-        let entry = LogEntry::of_outcome(key, outcome);
+        let entry = LogEntry::from_outcome(key, outcome);
         if self.is_protected() {
             self.batch.push(&entry, now_ms);
         }
@@ -224,8 +224,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`WalError`] if the entries are not durable. Runs that wait for this commit must
-    /// then not start, and keys become unprotected.
+    /// Returns a [`WalError`] if the entries are not durable. The runs that wait for
+    /// this commit must not start then, and keys become unprotected.
     pub fn commit(&mut self, now_ms: u64) -> Result<(), WalError> {
         if self.batch.is_empty() {
             return Ok(());
@@ -289,8 +289,8 @@
         };
         match segment::parse_contents(bytes) {
             SegmentContents::Records(scanned) => {
-                // A power cut may tear the end of the last segment. The runs recorded there had not
-                // started.
+                // The end of the last segment is not reported: a power cut may tear it, and the runs
+                // recorded there had not started.
                 if scanned.corrupt_bytes > 0 && !self.is_recovered() {
                     self.report_corrupt(file.name, scanned.corrupt_bytes);
                 }
--- a/crates/coralstep-state/src/wal/entry.rs
+++ b/crates/coralstep-state/src/wal/entry.rs
@@ -23,7 +23,7 @@
 }
 
 impl LogEntry {
-    pub(super) fn of_outcome(key: &[u8], outcome: RecordedOutcome) -> LogEntry {
+    pub(super) fn from_outcome(key: &[u8], outcome: RecordedOutcome) -> LogEntry {
         let key = key.to_vec();
         match outcome {
             RecordedOutcome::Succeeded(result) => LogEntry::Ended {
