--- a/crates/coralstep-degradation/src/replay.rs
+++ b/crates/coralstep-degradation/src/replay.rs
@@ -8,8 +8,7 @@
 use crate::config::{DegradationConfig, DegradationConfigError};
 use crate::state_machine::LevelStateMachine;
 
-/// Maximum interval between observations in milliseconds. If two samples are further apart, the earlier one is repeated
-/// in between.
+/// Interval in milliseconds at which a sample is repeated until the next one.
 const OBSERVATION_INTERVAL_MS: u64 = 100;
 /// Maximum gap between two samples, in milliseconds, that is filled by repeating the earlier one.
 const MAX_GAP_MS: u64 = 5_000;
--- a/crates/coralstep-degradation/src/smoothing.rs
+++ b/crates/coralstep-degradation/src/smoothing.rs
@@ -1,14 +1,14 @@
 //! Smooths the signals so that a process pause, a burst of arrivals or missing seconds alone change no level.
 use coralstep::{Span, Time};
 
-/// Maximum time that a single observation stands for.
-/// Guards against an observation after a pause or missing seconds counting for the whole gap.
+/// Maximum time between two observations that is counted.
+/// Guards against an observation after a pause or missing seconds that counts for the whole gap.
 pub(crate) const MAX_STEP: Span = Span::ms(500);
 /// Time without an observation after which a smoothed value expires.
 /// Guards against staying at a level because of a signal that is no longer observed.
 const VALUE_EXPIRY: Span = Span::ms(10_000);
 
-/// Exponentially weighted mean; the last half-life has half of the weight.
+/// Exponentially weighted mean; observations of the last half-life have half of the total weight.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SmoothedValue {
     value: Option<f64>,
@@ -16,8 +16,8 @@
 }
 
 impl SmoothedValue {
-    /// Adds an observation that stands for `span`. A missing, negative or non-finite observation leaves the mean
-    /// unchanged until it expires.
+    /// Adds an observation, weighted by `span`, the counted time since the previous one. A missing, negative or
+    /// non-finite observation leaves the mean unchanged until it expires.
     pub(crate) fn add(&mut self, observation: Option<f64>, span: Span, half_life: Span) {
         let Some(value) = observation.filter(|value| value.is_finite() && *value >= 0.0) else {
             self.missing_for = self.missing_for + span;
@@ -40,7 +40,7 @@
     }
 }
 
-/// Measures the time between observations.
+/// Measures the time between observations, without pauses and backward jumps of the clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ObservedClock {
     last: Option<Time>,
--- a/crates/coralstep-degradation/src/state_machine.rs
+++ b/crates/coralstep-degradation/src/state_machine.rs
@@ -23,8 +23,9 @@
 }
 
 impl ConditionTimer {
-    /// Adds `step` to the time met or cleared, or resets it. Without a value, because it was never observed or has
-    /// expired, the condition counts as cleared.
+    /// Adds `step` to the time for which the condition has been met, or resets that time if it is not met; likewise for
+    /// the time cleared. Between the thresholds, the condition is neither. Without a value, because none was observed
+    /// or it has expired, the condition counts as cleared.
     fn advance(&mut self, condition: &Condition, value: Option<f64>, step: Span) {
         let is_met = value.is_some_and(|value| value > condition.enter);
         let is_cleared = value.is_none_or(|value| value <= condition.leave);
