--- a/crates/coralstep-server/src/app.rs
+++ b/crates/coralstep-server/src/app.rs
@@ -390,13 +390,13 @@
         };
         timer.or(sooner).await;
         if is_started {
-            // Guards against a panic in the scheduler that ends the process and all its RPCs.
-            let tick = AssertUnwindSafe(|| {
+            // Guards against a panic in the scheduler, which would end the process and all its RPCs.
+            let timeout_handler = AssertUnwindSafe(|| {
                 engine.poll_gauges();
                 scheduler.handle_timeout(&engine.gauge_readings());
             });
-            if catch_unwind(tick).is_err() {
-                note!("scheduler tick panicked");
+            if catch_unwind(timeout_handler).is_err() {
+                note!("scheduler timeout handler panicked");
             }
         }
     }
--- a/crates/coralstep-server/src/fleet/event_log.rs
+++ b/crates/coralstep-server/src/fleet/event_log.rs
@@ -19,7 +19,9 @@
             let (server, address, state) = (&member.name, member.address, state.name());
             info!(target: "fleet", %server, %address, %state, "fleet: member state changed");
         }
-        Event::Rejoined => info!(target: "fleet", "fleet: rejoined after being taken for failed"),
+        Event::Rejoined => {
+            info!(target: "fleet", "fleet: rejoined after other members declared this server down")
+        }
         Event::DuplicateName { known, joined } => {
             let (server, known, joined) = (&known.name, known.address, joined.address);
             info!(target: "fleet", %server, %known, %joined, "fleet: duplicate server name");
--- a/crates/coralstep-server/src/runs/request_ids.rs
+++ b/crates/coralstep-server/src/runs/request_ids.rs
@@ -12,7 +12,7 @@
 use crate::base::request_id::RequestId;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Entry {
+enum IdState {
     /// The RPC is in progress; its id is free again when it ends.
     Active,
     /// The RPC is in progress and may have run. It must not run again before this time.
@@ -38,7 +38,7 @@
     /// Random keys, so that generated ids are unpredictable.
     hash_keys: RandomState,
     generated: Cell<u64>,
-    entries: RefCell<HashMap<RequestId, Entry>>,
+    entries: RefCell<HashMap<RequestId, IdState>>,
     /// Ids whose RPC has ended, ordered by the time at which they may be forgotten.
     expiries: RefCell<BinaryHeap<Reverse<(Instant, RequestId)>>>,
     max_ids: usize,
@@ -73,7 +73,7 @@
         if entries.len() >= self.max_ids {
             return Err(ClaimError::Full);
         }
-        entries.insert(id, Entry::Active);
+        entries.insert(id, IdState::Active);
         Ok(IdClaim {
             table: self.clone(),
             id,
@@ -88,7 +88,7 @@
                 break;
             }
             expiries.pop();
-            if entries.get(&id) == Some(&Entry::Ended(expiry)) {
+            if entries.get(&id) == Some(&IdState::Ended(expiry)) {
                 entries.remove(&id);
             }
         }
@@ -111,7 +111,7 @@
         self.entries.borrow().len()
     }
 
-    fn set(&self, id: RequestId, entry: Entry) {
+    fn set(&self, id: RequestId, entry: IdState) {
         self.entries.borrow_mut().insert(id, entry);
     }
 }
@@ -124,23 +124,23 @@
 
     /// Records that the RPC may have run and must not run again before `until`.
     pub fn mark_started(&self, until: Instant) {
-        self.table.set(self.id, Entry::Started(until));
+        self.table.set(self.id, IdState::Started(until));
     }
 
     /// Records that the RPC is known not to have run.
     pub fn mark_never_started(&self) {
-        self.table.set(self.id, Entry::Active);
+        self.table.set(self.id, IdState::Active);
     }
 }
 
 impl Drop for IdClaim {
     fn drop(&mut self) {
         let mut entries = self.table.entries.borrow_mut();
-        let Some(Entry::Started(until)) = entries.get(&self.id).copied() else {
+        let Some(IdState::Started(until)) = entries.get(&self.id).copied() else {
             entries.remove(&self.id);
             return;
         };
-        entries.insert(self.id, Entry::Ended(until));
+        entries.insert(self.id, IdState::Ended(until));
         let mut expiries = self.table.expiries.borrow_mut();
         expiries.push(Reverse((until, self.id)));
     }
