--- a/crates/coralstep-server/src/callers/connections.rs
+++ b/crates/coralstep-server/src/callers/connections.rs
@@ -21,9 +21,9 @@
 use crate::note;
 use crate::runs::request_handler::RequestHandler;
 
-/// Pause of a listener that can't accept connections, unless one closes sooner.
+/// Delay after which a listener that can't accept connections tries again, unless one closes sooner.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// A connection younger than this may not have had time to send its first message.
+/// Age up to which a connection without a message is shed last, since it may not have had time to send one.
 const FIRST_MESSAGE_GRACE: Duration = Duration::from_millis(50);
 /// Interval between two checks for idle connections; shorter than any idle limit.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
@@ -163,12 +163,14 @@
         }
     }
 
-    /// Closes the least useful idle connection; returns `false` if all connections have open requests.
+    /// Closes one idle connection; returns `false` if all connections have open requests or are closing.
     ///
-    /// Connections that never sent a message come first, then other idle ones, then silent ones younger than
-    /// [`FIRST_MESSAGE_GRACE`]; within each group, the one idle longest. Guards against silent clients that lock out
-    /// gateways. Among silent connections, one of the protocol with the most of them is closed. Guards against a flood at
-    /// one protocol that leaves callers of another no time for a first message.
+    /// Silent connections, which never sent a message, are closed first, so that silent clients can't lock out gateways.
+    /// Other idle connections come next, and silent ones younger than [`FIRST_MESSAGE_GRACE`] last. Within each group, the
+    /// connection idle longest is closed.
+    ///
+    /// Silent connections of the protocol with the most of them come before those of other protocols, so that a flood at
+    /// one protocol leaves callers of another time for a first message.
     fn shed_idle_connection(&self) -> bool {
         let connections = self.connections.borrow();
         let is_idle =
--- a/crates/coralstep-server/src/decisions/handle.rs
+++ b/crates/coralstep-server/src/decisions/handle.rs
@@ -149,7 +149,8 @@
         if let Some(restored) = self.restored.take() {
             started.restore(&restored.learned, restored.confidence);
         }
-        // Guards against an early start of the engine that is mistaken for a stall of the cores.
+        // The scheduler starts at the engine's start, which may be long ago. This first timeout guards
+        // against that time being mistaken for a stall of the cores.
         started.handle_timeout(self.clock.now(), Gauges::default(), actions);
         *scheduler = Some(started);
         self.earlier_timeout.notify(usize::MAX);
--- a/crates/coralstep-server/src/decisions/idempotency_keys.rs
+++ b/crates/coralstep-server/src/decisions/idempotency_keys.rs
@@ -108,7 +108,7 @@
         Lookup::Unknown
     }
 
-    /// Retains `key` for `rpc`, whose repeats are recognized if they arrive until `until`.
+    /// Retains `key` for `rpc`, whose retry window ends at `until`.
     pub fn retain(
         &mut self,
         key: IdempotencyKey,
@@ -145,8 +145,11 @@
         }
     }
 
-    /// Releases `key`, which no longer needs to be retained for `rpc`. An attempt with this key may be
-    /// read up to `max_read_delay` after its arrival.
+    /// Releases `key`, which no longer needs to be retained for `rpc`.
+    ///
+    /// If the RPC ran, the key is remembered until `max_read_delay` after its retry window: an attempt
+    /// that arrives within the window may be read that late. Beyond the maximum number of released
+    /// keys, the one released first is forgotten early.
     pub fn release(&mut self, now: Time, key: &IdempotencyKey, rpc: RpcId, max_read_delay: Span) {
         self.forget_expired(now, max_read_delay);
         if self
--- a/crates/coralstep-server/src/fleet/health_exchange.rs
+++ b/crates/coralstep-server/src/fleet/health_exchange.rs
@@ -23,7 +23,7 @@
 /// Reports the status of the named dependency's circuit breaker and returns the advice derived from peers' reports.
 pub type ExchangeHealth<'a> = &'a mut dyn FnMut(&str, BreakerStatus) -> PeerAdvice;
 
-/// Exchanges the health of all dependencies except the store.
+/// Calls the given function for each dependency except the store, and applies the returned advice.
 pub type HealthSources = Box<dyn Fn(ExchangeHealth<'_>)>;
 
 impl FleetService {
--- a/crates/coralstep-server/src/runs/engine/connection.rs
+++ b/crates/coralstep-server/src/runs/engine/connection.rs
@@ -25,7 +25,8 @@
 const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(200);
 /// Maximum time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Maximum time until the engine has read everything on an old link, before a new one replaces it.
+/// Maximum time to wait until the engine has read everything on the old link before a new one replaces
+/// it.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(300);
 /// Half of the read buffer's size, in bytes. A message must fit into the buffer.
 const READ_SIZE: usize = 64 * 1024;
--- a/crates/coralstep-server/src/runs/engine/in_flight.rs
+++ b/crates/coralstep-server/src/runs/engine/in_flight.rs
@@ -10,7 +10,8 @@
 use crate::runs::engine::protocol::Command;
 use crate::runs::{RunEvent, RunEvents};
 
-/// Time after which an answer has reached the gateway and the engine knows that the RPC is answered.
+/// Time after an answer by which it has reached the gateway, and the engine knows that the RPC is
+/// answered.
 pub(super) const ANSWER_PROPAGATION_TIME: Duration = Duration::from_secs(1);
 
 /// The last command of a run.
@@ -131,8 +132,8 @@
         }
     }
 
-    /// Resends the start command of runs in doubt whose RPC is answered: the engine no longer starts
-    /// them and reports their end.
+    /// Resends the start command of each run in doubt whose RPC is answered. The engine no longer starts
+    /// such a run, but reports its end.
     ///
     /// Guards against a run that never started but counts as in progress forever.
     pub(super) fn resolve_in_doubt(&mut self, link: &Link) {
@@ -152,8 +153,8 @@
         });
     }
 
-    /// Updates the state of all commands when `link` ends. The other commands are in doubt until the
-    /// notifications are replayed.
+    /// Updates the state of all commands when `link` ends. Commands that are neither unsent nor known to
+    /// be read are in doubt until the missed notifications are read.
     pub(super) fn handle_link_lost(&mut self, link: &Link) {
         let commands = self
             .runs
--- a/crates/coralstep-server/src/runs/engine/link.rs
+++ b/crates/coralstep-server/src/runs/engine/link.rs
@@ -7,7 +7,7 @@
 use crate::runs::engine::in_flight::PendingCommand;
 use crate::runs::engine::protocol::Command;
 
-/// Time after which a link is replaced if the engine doesn't answer a request for the gauges. It also
+/// Time for the engine to answer a request for the gauges; after that, the link is replaced. It also
 /// bounds the delay after a pause of the machine.
 const GAUGES_TIMEOUT: Duration = Duration::from_secs(2);
 
