--- a/crates/coralstep-server/tests/stand_ins/scgi.rs
+++ b/crates/coralstep-server/tests/stand_ins/scgi.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for both ends of SCGI, written from its public description and sharing no code with the program: a caller, and an
-//! application that does as it is told.
+//! Stand-ins for both ends of SCGI, written from its public specification and sharing no code with the server:
+//! a caller and an application.
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,12 +9,12 @@
 
 use super::LIMIT;
 
-/// Where callers come in, and nothing else.
+/// Site file with SCGI callers only.
 pub const FRONT: &str = r#"{"scgi": {"listen": ["127.0.0.1:0"], "trusted": ["127.0.0.1/32"],
   "routes": [{"verb": "POST", "path": "/read/*", "method": "read"}, {"verb": "POST", "path": "/book", "method": "book"},
     {"verb": "POST", "path": "/pay", "method": "pay"}, {"verb": "POST", "path": "/lock", "method": "lock"}]}}"#;
 
-/// The same, and RPCs run on these applications; `more` are further keys of theirs.
+/// `FRONT` with these applications; `more` are further keys of the `applications` section.
 pub fn site(applications: &[SocketAddr], more: &str) -> String {
     let addresses: Vec<String> = applications
         .iter()
@@ -27,7 +27,7 @@
     FRONT.trim_end().strip_suffix('}').unwrap().to_owned() + &section
 }
 
-/// A request as any client writes it.
+/// Encodes a request.
 pub fn request(verb: &str, path: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut head = format!(
         "CONTENT_LENGTH\0{}\0SCGI\x001\0REQUEST_METHOD\0{verb}\0REQUEST_URI\0{path}\0",
@@ -68,7 +68,7 @@
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// The whole answer, up to the end of the connection; `None` where there is none.
+    /// Reads the whole answer, up to the end of the connection; `None` if there is none.
     pub fn answer(mut self) -> Option<Answer> {
         let mut bytes = Vec::new();
         match self.stream.read_to_end(&mut bytes) {
@@ -86,7 +86,7 @@
             let (name, value) = line.split_once(": ").unwrap();
             assert!(
                 fields.insert(name.to_owned(), value.to_owned()).is_none(),
-                "{name} twice"
+                "header {name} occurs twice"
             );
         }
         let body = bytes[end + 4..].to_vec();
@@ -105,51 +105,51 @@
 
 /// What an application does with a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Habit {
-    /// Answers `ran` and the body.
-    Works,
-    /// Answers with these bytes and closes.
-    Says(&'static str),
-    /// Reads so many bytes and resets.
-    Resets(usize),
-    /// Reads all and says nothing, for as long as the caller stays.
-    Hangs,
+pub enum AppBehavior {
+    /// Answers with `ran ` and the body of the request.
+    Echo,
+    /// Answers with these bytes and closes the connection.
+    Reply(&'static str),
+    /// Reads this number of bytes and resets the connection.
+    Reset(usize),
+    /// Reads the request and sends nothing until the caller closes.
+    Hang,
 }
 
-/// An application on loopback; what it does can change at any time.
+/// An application on loopback, whose behavior can be changed at any time.
 pub struct Application {
     pub address: SocketAddr,
-    habit: Arc<Mutex<Habit>>,
-    /// Bodies of all that came whole, in order.
-    pub ran: Arc<Mutex<Vec<Vec<u8>>>>,
+    behavior: Arc<Mutex<AppBehavior>>,
+    /// Bodies of all requests received in full, in order.
+    pub received: Arc<Mutex<Vec<Vec<u8>>>>,
     pub connections: Arc<AtomicUsize>,
     pub open: Arc<AtomicUsize>,
 }
 
 impl Application {
-    pub fn start(habit: Habit) -> Application {
+    pub fn start(behavior: AppBehavior) -> Application {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let habit = Arc::new(Mutex::new(habit));
-        let (ran, connections, open) = (
+        let behavior = Arc::new(Mutex::new(behavior));
+        let (received, connections, open) = (
             Arc::default(),
             Arc::new(AtomicUsize::new(0)),
             Arc::new(AtomicUsize::new(0)),
         );
         let application = Application {
             address,
-            habit: habit.clone(),
-            ran: Arc::clone(&ran),
+            behavior: behavior.clone(),
+            received: Arc::clone(&received),
             connections: connections.clone(),
             open: open.clone(),
         };
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 connections.fetch_add(1, Ordering::SeqCst);
-                let (habit, ran, open) = (habit.clone(), ran.clone(), open.clone());
+                let (behavior, received, open) = (behavior.clone(), received.clone(), open.clone());
                 std::thread::spawn(move || {
                     open.fetch_add(1, Ordering::SeqCst);
-                    let _ = serve(stream, &habit, &ran);
+                    let _ = serve(stream, &behavior, &received);
                     open.fetch_sub(1, Ordering::SeqCst);
                 });
             }
@@ -157,32 +157,32 @@
         application
     }
 
-    /// An address at which nobody listens, each time another. On a part of loopback that no stand-in uses: guards against a
-    /// port that was free a moment ago and is another test's by now.
-    pub fn nowhere() -> SocketAddr {
+    /// Returns a new address at which nobody listens. It lies in a part of loopback that no stand-in uses:
+    /// guards against a port that another test has bound since it was found free.
+    pub fn unused_address() -> SocketAddr {
         static NEXT: AtomicUsize = AtomicUsize::new(1);
         let number = NEXT.fetch_add(1, Ordering::SeqCst) as u8;
         SocketAddr::from(([127, 254, 0, number], 1))
     }
 
-    pub fn now(&self, habit: Habit) {
-        *self.habit.lock().unwrap() = habit;
+    pub fn set_behavior(&self, behavior: AppBehavior) {
+        *self.behavior.lock().unwrap() = behavior;
     }
 
-    pub fn runs(&self) -> usize {
-        self.ran.lock().unwrap().len()
+    pub fn run_count(&self) -> usize {
+        self.received.lock().unwrap().len()
     }
 }
 
 fn serve(
     mut stream: TcpStream,
-    habit: &Mutex<Habit>,
-    ran: &Mutex<Vec<Vec<u8>>>,
+    behavior: &Mutex<AppBehavior>,
+    received: &Mutex<Vec<Vec<u8>>>,
 ) -> std::io::Result<()> {
     stream.set_read_timeout(Some(LIMIT * 6))?;
-    if let Habit::Resets(count) = *habit.lock().unwrap() {
+    if let AppBehavior::Reset(count) = *behavior.lock().unwrap() {
         stream.read_exact(&mut vec![0; count])?;
-        // Unread bytes make it a reset.
+        // Closing with unread bytes resets the connection.
         std::thread::sleep(Duration::from_millis(20));
         return Ok(());
     }
@@ -197,23 +197,23 @@
             break body;
         }
     };
-    ran.lock().unwrap().push(body.clone());
-    let habit = *habit.lock().unwrap();
-    match habit {
-        Habit::Works => {
+    received.lock().unwrap().push(body.clone());
+    let behavior = *behavior.lock().unwrap();
+    match behavior {
+        AppBehavior::Echo => {
             let head = format!(
                 "Status: 200 OK\r\nContent-Type: text/plain\r\nContent-Length: {}\r\n\r\nran ",
                 body.len() + 4
             );
             stream.write_all(&[head.as_bytes(), &body].concat())
         }
-        Habit::Says(text) => stream.write_all(text.as_bytes()),
-        // Until the other end closes.
+        AppBehavior::Reply(text) => stream.write_all(text.as_bytes()),
+        // Waits until the other end closes.
         _ => stream.read(&mut [0]).map(|_| ()),
     }
 }
 
-/// The body of a whole request.
+/// Returns the body of a request once it is complete.
 fn body(bytes: &[u8]) -> Option<Vec<u8>> {
     let colon = bytes.iter().position(|byte| *byte == b':')?;
     let length: usize = std::str::from_utf8(&bytes[..colon])
--- a/crates/coralstep-server/tests/start.rs
+++ b/crates/coralstep-server/tests/start.rs
@@ -1,4 +1,4 @@
-//! Restarts: when a server is ready, and what it does not wait for.
+//! Server start: when a server is ready, and which peers it does not wait for.
 mod stand_ins;
 
 use std::io::{BufRead, BufReader};
@@ -6,9 +6,9 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use stand_ins::{LIMIT, Rig, SETTINGS};
+use stand_ins::{LIMIT, SETTINGS, TestServer};
 
-/// A program that is ended with its test.
+/// A server process that is killed when dropped.
 struct Program(Child);
 
 impl Drop for Program {
@@ -18,9 +18,9 @@
     }
 }
 
-/// Starts so many programs in one moment, with neither engine nor control plane there, and gives the seconds until each was ready: a health
-/// check was answered.
-fn restart(count: usize) -> Vec<f64> {
+/// Starts `count` servers at once, without engine and control plane, and returns the sorted seconds until each
+/// was ready, that is, answered a health check.
+fn start_servers(count: usize) -> Vec<f64> {
     let folder =
         std::env::temp_dir().join(format!("coralstep-start-{}-{count}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
@@ -47,13 +47,13 @@
             Program(program.spawn().unwrap())
         })
         .collect();
-    let asked: Vec<_> = programs
+    let threads: Vec<_> = programs
         .iter_mut()
         .map(|program| {
-            let mut said = BufReader::new(program.0.stderr.take().unwrap());
+            let mut stderr = BufReader::new(program.0.stderr.take().unwrap());
             std::thread::spawn(move || {
                 let mut line = String::new();
-                said.read_line(&mut line).unwrap();
+                stderr.read_line(&mut line).unwrap();
                 let address = line
                     .trim_end()
                     .rsplit_once("listens on ")
@@ -61,16 +61,16 @@
                     .1
                     .parse()
                     .unwrap();
-                assert!(stand_ins::Gate::at(address).unwrap().ping());
-                (start.elapsed().as_secs_f64(), said)
+                assert!(stand_ins::Gateway::connect(address).unwrap().ping());
+                (start.elapsed().as_secs_f64(), stderr)
             })
         })
         .collect();
-    let done: Vec<_> = asked
+    let results: Vec<_> = threads
         .into_iter()
-        .map(|asked| asked.join().unwrap())
+        .map(|threads| threads.join().unwrap())
         .collect();
-    let mut ready: Vec<f64> = done.iter().map(|(ready, _)| *ready).collect();
+    let mut ready: Vec<f64> = results.iter().map(|(ready, _)| *ready).collect();
     drop(programs);
     let _ = std::fs::remove_dir_all(&folder);
     ready.sort_by(f64::total_cmp);
@@ -78,15 +78,15 @@
 }
 
 #[test]
-fn a_restarted_server_is_ready_without_engine_and_control_plane() {
-    let ready = restart(12);
+fn server_is_ready_without_engine_and_control_plane() {
+    let ready = start_servers(12);
     assert!(ready[12 * 9 / 10] < 10.0, "{ready:?}");
 }
 
 #[test]
-#[ignore = "by hand: three hundred processes"]
-fn by_hand_three_hundred_restarts_at_once() {
-    let ready = restart(300);
+#[ignore = "manual: three hundred processes"]
+fn manual_three_hundred_simultaneous_starts() {
+    let ready = start_servers(300);
     println!(
         "ready: first {:.2} s, half {:.2}, nine in ten {:.2}, last {:.2}",
         ready[0], ready[150], ready[270], ready[299]
@@ -95,22 +95,22 @@
 }
 
 #[test]
-fn a_control_plane_that_comes_late_or_back_hears_of_the_server_at_once() {
-    let mut rig = Rig::start();
-    // Nobody is there when the engine comes up, and the reports go nowhere.
-    let at = rig.control.local_addr().unwrap();
-    rig.control = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let mut engine = rig.engine(0, "new 5");
-    engine.sleep(Duration::from_millis(700));
+fn late_or_restarted_control_plane_receives_lease() {
+    let mut server = TestServer::start();
+    // The control plane is down when the engine comes up, so the leases are lost.
+    let at = server.control.local_addr().unwrap();
+    server.control = UdpSocket::bind("127.0.0.1:0").unwrap();
+    let mut engine = server.engine(0, "new 5");
+    engine.serve_idle_for(Duration::from_millis(700));
     for _ in 0..2 {
-        let plane = UdpSocket::bind(at).unwrap();
-        plane.set_read_timeout(Some(LIMIT)).unwrap();
+        let control_plane = UdpSocket::bind(at).unwrap();
+        control_plane.set_read_timeout(Some(LIMIT)).unwrap();
         let mut lease = [0; 64];
-        let count = plane.recv(&mut lease).unwrap();
+        let count = control_plane.recv(&mut lease).unwrap();
         assert_eq!(&lease[..count], b"lease n3 Ready");
-        drop(plane);
-        // Down once more, for longer than between two reports.
-        engine.sleep(Duration::from_millis(400));
+        drop(control_plane);
+        // Down again, for longer than the interval between two leases.
+        engine.serve_idle_for(Duration::from_millis(400));
     }
-    assert!(rig.gate().ping());
+    assert!(server.gateway().ping());
 }
--- a/crates/coralstep-server/tests/state.rs
+++ b/crates/coralstep-server/tests/state.rs
@@ -1,9 +1,9 @@
-//! What is kept over a restart: the program with a folder in its site file.
+//! State that is kept across restarts, with a state folder in the site file.
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
 mod stand_ins;
-use stand_ins::{Rig, Said, id};
+use stand_ins::{Reply, TestServer, id};
 
 fn folder(name: &str) -> PathBuf {
     let folder =
@@ -16,7 +16,7 @@
     serde_json::json!({"state": {"folder": folder, "every_s": 1}}).to_string()
 }
 
-/// `coralstep state` with these words: its exit status and what it printed.
+/// Runs `coralstep state` with these arguments: its exit status and standard output.
 fn state(words: &[&str]) -> (i32, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_coralstep"))
         .arg("state")
@@ -29,21 +29,23 @@
     )
 }
 
-/// One RPC that runs and ends well, so that there is something to learn.
-fn serves(rig: &Rig, index: u64) {
-    let mut gate = rig.gate();
-    let seq = gate.invoke("pay", &id(index), b"", &[]);
-    assert!(matches!(gate.said(), Said::Answer { seq: of, .. } if of == seq));
+/// Sends one RPC that runs and succeeds, so that there is something to learn.
+fn serve_rpc(server: &TestServer, index: u64) {
+    let mut gateway = server.gateway();
+    let seq = gateway.invoke("pay", &id(index), b"", &[]);
+    assert!(matches!(gateway.read_reply(), Reply::Answer { seq: of, .. } if of == seq));
 }
 
 #[test]
-fn what_was_learned_is_there_after_a_stop_and_after_a_kill() {
+fn learned_state_survives_stop_and_kill() {
     let folder = folder("restart");
-    let mut rig = Rig::site(&site(&folder));
-    let runs = rig.engine(0, "old 1000").go_on("0.5 1 0.1 3", true);
-    (1..=3).for_each(|index| serves(&rig, index));
-    rig.terminate();
-    assert_eq!(rig.ended().code(), Some(0));
+    let mut server = TestServer::with_site(&site(&folder));
+    let runs = server
+        .engine(0, "old 1000")
+        .serve_in_background("0.5 1 0.1 3", true);
+    (1..=3).for_each(|index| serve_rpc(&server, index));
+    server.terminate();
+    assert_eq!(server.wait_for_exit().code(), Some(0));
     drop(runs);
     let (status, shown) = state(&["show", folder.to_str().unwrap(), "--json"]);
     let view: serde_json::Value = serde_json::from_str(shown.lines().next().unwrap()).unwrap();
@@ -54,7 +56,7 @@
     );
     let (_, all) = state(&["export", folder.to_str().unwrap()]);
     let all: serde_json::Value = serde_json::from_str(&all).unwrap();
-    // The third method ran thrice.
+    // The third method ran three times.
     let bins = all["runs"][2]
         .as_array()
         .unwrap()
@@ -62,11 +64,13 @@
         .map(|bin| bin.as_u64().unwrap())
         .sum::<u64>();
     assert_eq!(bins, 3 * 8, "{all}");
-    // Killed, not stopped: the snapshot of an interval is there.
-    let mut rig = Rig::site(&site(&folder));
-    let restored = rig.logged("snapshot restored sequence_number=");
+    // After a kill the periodic snapshot is there.
+    let mut server = TestServer::with_site(&site(&folder));
+    let restored = server.wait_for_log("snapshot restored sequence_number=");
     assert!(restored.contains("confidence=1.00"), "{restored}");
-    let runs = rig.engine(0, "old 1000").go_on("0.5 1 0.1 3", true);
+    let runs = server
+        .engine(0, "old 1000")
+        .serve_in_background("0.5 1 0.1 3", true);
     let number = || state(&["export", folder.to_str().unwrap()]).1;
     let before = number();
     let start = std::time::Instant::now();
@@ -74,18 +78,18 @@
         assert!(start.elapsed() < stand_ins::LIMIT, "no further snapshot");
         std::thread::sleep(std::time::Duration::from_millis(50));
     }
-    rig.child.kill().unwrap();
-    rig.child.wait().unwrap();
-    drop((rig, runs));
-    let rig = Rig::site(&site(&folder));
-    let restored = rig.logged("snapshot restored sequence_number=");
+    server.child.kill().unwrap();
+    server.child.wait().unwrap();
+    drop((server, runs));
+    let server = TestServer::with_site(&site(&folder));
+    let restored = server.wait_for_log("snapshot restored sequence_number=");
     assert!(restored.contains("confidence=1.00"), "{restored}");
-    drop(rig);
+    drop(server);
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
-fn a_wrong_file_is_told_and_never_believed() {
+fn invalid_snapshots_are_reported_and_ignored() {
     let folder = folder("wrong");
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::write(folder.join("learned.0"), b"CORALST\n\x01\x09\x00later").unwrap();
@@ -99,15 +103,17 @@
         ),
         (0, 1, 1)
     );
-    let mut rig = Rig::site(&site(&folder));
-    rig.logged("snapshot of a later version, left alone file=\"learned.0\" version=9");
-    rig.logged("snapshot corrupt file=\"learned.1\"");
-    let runs = rig.engine(0, "old 1000").go_on("0.5 1 0.1 3", true);
-    serves(&rig, 1);
-    rig.terminate();
-    assert_eq!(rig.ended().code(), Some(0));
+    let mut server = TestServer::with_site(&site(&folder));
+    server.wait_for_log("snapshot of a later version, left alone file=\"learned.0\" version=9");
+    server.wait_for_log("snapshot corrupt file=\"learned.1\"");
+    let runs = server
+        .engine(0, "old 1000")
+        .serve_in_background("0.5 1 0.1 3", true);
+    serve_rpc(&server, 1);
+    server.terminate();
+    assert_eq!(server.wait_for_exit().code(), Some(0));
     drop(runs);
-    // The later version's is untouched, and the spoilt one gave way.
+    // The snapshot of the later version is untouched, and the corrupt one was replaced.
     assert_eq!(
         std::fs::read(folder.join("learned.0")).unwrap(),
         b"CORALST\n\x01\x09\x00later"
@@ -117,20 +123,22 @@
 }
 
 #[test]
-fn a_folder_that_is_another_process_s_or_none_costs_snapshots_and_no_rpc() {
+fn unavailable_state_folder_disables_snapshots_only() {
     let folder = folder("two");
-    let first = Rig::site(&site(&folder));
-    let second = Rig::site(&site(&folder));
-    let told = second.logged("state folder unavailable, keeping no snapshots");
+    let first = TestServer::with_site(&site(&folder));
+    let second = TestServer::with_site(&site(&folder));
+    let line = second.wait_for_log("state folder unavailable, keeping no snapshots");
     assert!(
-        told.contains("error=another process has this folder"),
-        "{told}"
+        line.contains("error=another process has this folder"),
+        "{line}"
     );
-    let none = Rig::site(&site(Path::new("/dev/null/nowhere")));
-    none.logged("state folder unavailable, keeping no snapshots");
-    for rig in [&first, &second, &none] {
-        let runs = rig.engine(0, "old 1000").go_on("0.5 1 0.1 3", true);
-        serves(rig, 1);
+    let none = TestServer::with_site(&site(Path::new("/dev/null/nowhere")));
+    none.wait_for_log("state folder unavailable, keeping no snapshots");
+    for server in [&first, &second, &none] {
+        let runs = server
+            .engine(0, "old 1000")
+            .serve_in_background("0.5 1 0.1 3", true);
+        serve_rpc(server, 1);
         drop(runs);
     }
     drop((first, second, none));
@@ -138,21 +146,23 @@
 }
 
 #[test]
-fn a_folder_that_goes_away_under_a_server_is_told_once_and_comes_back() {
+fn removed_state_folder_is_reported_and_recovers() {
     let folder = folder("gone");
-    let rig = Rig::site(&site(&folder));
-    let runs = rig.engine(0, "old 1000").go_on("0.5 1 0.1 3", true);
+    let server = TestServer::with_site(&site(&folder));
+    let runs = server
+        .engine(0, "old 1000")
+        .serve_in_background("0.5 1 0.1 3", true);
     std::fs::remove_dir_all(&folder).unwrap();
-    rig.logged("snapshot not written, retrying at each interval error=");
-    serves(&rig, 1);
+    server.wait_for_log("snapshot not written, retrying at each interval error=");
+    serve_rpc(&server, 1);
     std::fs::create_dir_all(&folder).unwrap();
-    rig.logged("snapshots are written again");
-    drop((rig, runs));
+    server.wait_for_log("snapshots are written again");
+    drop((server, runs));
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
-fn calls_that_are_none_are_told_so() {
+fn invalid_state_commands_exit_with_usage_error() {
     for words in [&[][..], &["fly"], &["show"], &["show", "a", "b"]] {
         assert_eq!(state(words).0, 2, "{words:?}");
     }
--- a/crates/coralstep-server/tests/texts/faults.rs
+++ b/crates/coralstep-server/tests/texts/faults.rs
@@ -1,17 +1,17 @@
-//! Faulty files: what `coralstep check` says of each, and its exit code.
+//! Faulty configuration files: the message and exit code of `coralstep check`.
 use serde_json::{Value, json};
 
 use crate::stand_ins::SETTINGS;
 use crate::{Folder, golden, run, run_with};
 
-/// A pointer into the good file, and what stands there instead, as JSON; nothing: the key is left out.
-type Row = (&'static str, &'static str);
+/// A JSON pointer into the valid file, and the JSON that replaces the value; an empty text removes the key.
+type Case = (&'static str, &'static str);
 
-/// Longer values are cut in the golden file.
-const SHOWN: usize = 120;
+/// Longer values are truncated in the golden file.
+const MAX_SHOWN_LENGTH: usize = 120;
 
-const CONFIG: &[Row] = &[
-    // Of this process.
+const CONFIG: &[Case] = &[
+    // Process.
     ("/name", ""),
     ("/name", "3"),
     ("/name", "\"\""),
@@ -125,7 +125,7 @@
     ("/settings/domain/passes_deadline", "\"1\""),
     ("/settings/domain/fresh_start", "2"),
     ("/settings/domain/fresh_start", "\"true\""),
-    // Safety, goal and what else stands at the top.
+    // Safety, goal and other top-level keys.
     ("/settings/safety/cold_from", "1.5"),
     ("/settings/safety/cold_from", "\"0.3\""),
     ("/settings/safety/warm_after", "-1"),
@@ -144,7 +144,7 @@
     ("/settings/over_share_worth", "[1,2]"),
 ];
 
-const SITE: &[Row] = &[
+const SITE: &[Case] = &[
     ("/fly", "1"),
     ("/$schema", "3"),
     // SCGI.
@@ -398,8 +398,8 @@
     ("/levels/list/0/does", "{\"value\": 0}"),
 ];
 
-/// Files that are no objects of their kind at all.
-const TEXTS: [&str; 6] = [
+/// Files that are not an object at all.
+const NOT_OBJECTS: [&str; 6] = [
     "",
     "nothing",
     "[]",
@@ -430,8 +430,8 @@
     })
 }
 
-/// The file with `value` at `pointer`; an index past the end of a list adds to it.
-fn edited(file: &Value, pointer: &str, value: &str) -> String {
+/// Returns the file with `value` at `pointer`; an index past the end of an array appends to it.
+fn with_value(file: &Value, pointer: &str, value: &str) -> String {
     let mut file = file.clone();
     let (parent, key) = pointer.rsplit_once('/').unwrap();
     let value: Option<Value> = (!value.is_empty()).then(|| serde_json::from_str(value).unwrap());
@@ -454,8 +454,8 @@
     file.to_string()
 }
 
-/// Lists that are too long to be written out: pointer, and how many of which element, `#` its number.
-const LONG: [(&str, usize, &str); 8] = [
+/// Arrays that are too long to write out: pointer, length and element, in which `#` is the element's number.
+const LONG_ARRAYS: [(&str, usize, &str); 8] = [
     ("/scgi/listen", 17, "\"127.0.0.1:#\""),
     (
         "/scgi/routes",
@@ -478,27 +478,27 @@
     ),
 ];
 
-fn long(count: usize, element: &str) -> String {
+fn long_array(count: usize, element: &str) -> String {
     let items: Vec<String> = (1..=count)
         .map(|at| element.replace('#', &at.to_string()))
         .collect();
     format!("[{}]", items.join(","))
 }
 
-fn shown(value: &str) -> String {
-    match value.char_indices().nth(SHOWN) {
+fn truncated(value: &str) -> String {
+    match value.char_indices().nth(MAX_SHOWN_LENGTH) {
         Some((at, _)) => format!("{}… ({} bytes)", &value[..at], value.len()),
         None => value.to_owned(),
     }
 }
 
-/// `coralstep check` on the good files, but for one that holds `text`.
-fn checked(folder: &Folder, file: &str, text: &str) -> String {
+/// Runs `coralstep check` on valid files, except for `file`, which contains `text`.
+fn check_file(folder: &Folder, file: &str, text: &str) -> String {
     folder.write("config.json", config().to_string());
     folder.write("site.json", site().to_string());
     folder.write(file, text);
     let files = ["--config", "config.json", "--site", "site.json"];
-    // What may be left out beside a site file is missing without one.
+    // Keys that may be missing with a site file are required without one.
     let words = if file == "config.json" {
         &files[..2]
     } else {
@@ -508,53 +508,53 @@
     format!("    {code} {out}{errors}")
 }
 
-/// Guards against a refusal that is lost, or has another exit code, key or message.
+/// Guards against a lost error, or a changed exit code, key or message.
 #[test]
-fn what_is_said_of_faulty_files_stays() {
+fn messages_about_faulty_files_match_golden_file() {
     let folder = Folder::new("faults");
     let mut text = String::new();
     for (name, file, rows) in [
         ("config.json", config(), CONFIG),
         ("site.json", site(), SITE),
     ] {
-        text += &format!("{name}\n{}", checked(&folder, name, &file.to_string()));
-        for content in TEXTS {
-            text += &format!("{name} {content:?}\n{}", checked(&folder, name, content));
+        text += &format!("{name}\n{}", check_file(&folder, name, &file.to_string()));
+        for content in NOT_OBJECTS {
+            text += &format!("{name} {content:?}\n{}", check_file(&folder, name, content));
         }
         for (pointer, value) in rows {
-            let said = checked(&folder, name, &edited(&file, pointer, value));
+            let output = check_file(&folder, name, &with_value(&file, pointer, value));
             let value = if value.is_empty() {
                 "left out".to_owned()
             } else {
-                shown(value)
+                truncated(value)
             };
-            text += &format!("{name} {pointer} {value}\n{said}");
+            text += &format!("{name} {pointer} {value}\n{output}");
         }
     }
-    for (pointer, count, element) in LONG {
-        let said = checked(
+    for (pointer, count, element) in LONG_ARRAYS {
+        let output = check_file(
             &folder,
             "site.json",
-            &edited(&site(), pointer, &long(count, element)),
+            &with_value(&site(), pointer, &long_array(count, element)),
         );
-        text += &format!("site.json {pointer} {count} times {element}\n{said}");
+        text += &format!("site.json {pointer} {count} times {element}\n{output}");
     }
-    golden::same("faulty-files.txt", &text);
+    golden::assert_matches("faulty-files.txt", &text);
 }
 
-/// Guards against a server that starts on faulty files, or ends with another code than `check`.
+/// Guards against a server that starts with faulty files, or exits with another code than `check`.
 #[test]
-fn a_server_does_not_start_on_faulty_files() {
+fn server_does_not_start_with_faulty_files() {
     let folder = Folder::new("serve");
-    let faulty = edited(&config(), "/seed", "\"xyz\"");
-    let checked = checked(&folder, "config.json", &faulty);
+    let faulty = with_value(&config(), "/seed", "\"xyz\"");
+    let check_file = check_file(&folder, "config.json", &faulty);
     let (code, out, errors) = run(&folder.0, &["serve", "--config", "config.json"]);
-    assert_eq!((code, format!("    {code} {out}{errors}")), (2, checked));
+    assert_eq!((code, format!("    {code} {out}{errors}")), (2, check_file));
 }
 
-/// Guards against environment variables that have another name, or win over what the file says.
+/// Guards against renamed environment variables, and against variables that override the file.
 #[test]
-fn variables_stand_in_for_what_the_file_leaves_out() {
+fn environment_variables_fill_missing_keys() {
     let folder = Folder::new("variables");
     let mut without = config();
     let members = without.as_object_mut().unwrap();
@@ -583,5 +583,5 @@
             variables.join(" ")
         );
     }
-    golden::same("variables.txt", &text);
+    golden::assert_matches("variables.txt", &text);
 }
--- a/crates/coralstep-server/tests/texts/golden.rs
+++ b/crates/coralstep-server/tests/texts/golden.rs
@@ -1,10 +1,10 @@
-//! Golden files of this test: `GOLDEN_WRITE=1` writes them anew, any other run compares with them.
+//! Golden files of this test: `GOLDEN_WRITE=1` rewrites them, any other run compares with them.
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// How long a live server may take until what it says has the expected shape.
+/// Maximum time until the output of a live server matches the golden file.
 const LIMIT: Duration = Duration::from_secs(90);
-/// How long a live server is left alone before its shape is written.
+/// Time that a live server is left alone before its output is written to the golden file.
 const SETTLE: Duration = Duration::from_secs(8);
 
 fn path(name: &str) -> PathBuf {
@@ -17,8 +17,8 @@
     std::env::var_os("GOLDEN_WRITE").is_some()
 }
 
-/// `text` is that of the golden file, byte for byte.
-pub fn same(name: &str, text: &str) {
+/// Asserts that `text` equals the golden file, byte for byte.
+pub fn assert_matches(name: &str, text: &str) {
     if writes() {
         std::fs::write(path(name), text).unwrap();
     }
@@ -33,8 +33,8 @@
     );
 }
 
-/// What `text` says of a live server becomes that of the golden file, and is so at one moment.
-pub fn becomes(name: &str, mut text: impl FnMut() -> String) {
+/// Waits until `text`, which describes a live server, equals the golden file at one moment.
+pub fn assert_eventually_matches(name: &str, mut text: impl FnMut() -> String) {
     if writes() {
         std::thread::sleep(SETTLE);
         std::fs::write(path(name), text()).unwrap();
@@ -44,5 +44,5 @@
     while text() != golden && start.elapsed() < LIMIT {
         std::thread::sleep(Duration::from_millis(100));
     }
-    same(name, &text());
+    assert_matches(name, &text());
 }
--- a/crates/coralstep-server/tests/texts/live.rs
+++ b/crates/coralstep-server/tests/texts/live.rs
@@ -1,4 +1,4 @@
-//! What a running server says by the operators' listener, through the command line.
+//! Output of the operator commands against a running server.
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
 use std::path::Path;
@@ -9,13 +9,13 @@
 use coralstep_lab::world::Dependency;
 use serde_json::{Value, json};
 
-use crate::stand_ins::Rig;
-use crate::{Folder, golden, kinds, run, said, words};
+use crate::stand_ins::TestServer;
+use crate::{Folder, golden, run, transcript_of, value_types, words};
 
 const LIMIT: Duration = Duration::from_secs(40);
-const HELD: &str = "levels hold essentials --for 600";
+const HOLD_COMMAND: &str = "levels hold essentials --for 600";
 
-/// Two servers with levels, limits, verdicts and a store, that know each other.
+/// Starts two servers with levels, limits, shared health and a store, and waits until they know each other.
 fn fleet() -> (Fleet, Store) {
     let store: Dependency =
         serde_json::from_value(json!({"capacity": 200, "call_ms": {"fixed": 20.0}, "fails": 0.0}))
@@ -32,12 +32,15 @@
         ..Setup::new(more)
     };
     let fleet = Fleet::set_up(Path::new(env!("CARGO_BIN_EXE_coralstep")), 2, 11, setup).unwrap();
-    let met = |fleet: &Fleet| (0..2).all(|at| fleet.alive(at).is_ok_and(|alive| alive == 2));
-    assert!(fleet.until(LIMIT, met).is_some(), "they don't meet");
+    let discovered = |fleet: &Fleet| (0..2).all(|at| fleet.alive(at).is_ok_and(|alive| alive == 2));
+    assert!(
+        fleet.until(LIMIT, discovered).is_some(),
+        "members did not discover each other"
+    );
     (fleet, store)
 }
 
-/// Versions that a server with levels and SCGI can't act on, but for the last.
+/// Versions that a server with levels and SCGI rejects, except for the last.
 const VERSIONS: [&str; 13] = [
     r#"[]"#,
     r#"{"fly": 1}"#,
@@ -54,8 +57,8 @@
     r#"{"levels": {"record_ms": 2000}}"#,
 ];
 
-/// Questions as they go over the operators' listener; those that are understood are answered by what the server lacks.
-const QUESTIONS: [&str; 19] = [
+/// Requests as sent to the operators' listener; valid ones are answered with what the server lacks.
+const OPERATOR_REQUESTS: [&str; 19] = [
     r#"{"ask":"levels"}"#,
     r#"{"ask":"history"}"#,
     r#"{"ask":"hold","level":"full","ms":5000}"#,
@@ -77,8 +80,8 @@
     "nothing",
 ];
 
-/// Publishes `content` at the server: why it is turned down, in the end, or that it is acted on.
-fn turned_down(folder: &Folder, at: &str, content: &str) -> String {
+/// Publishes `content` and returns the reason of its rejection, or that it was activated.
+fn rejection_reason(folder: &Folder, at: &str, content: &str) -> String {
     folder.write("version.json", content);
     let ask = |call: &str| {
         run(
@@ -106,23 +109,23 @@
     }
 }
 
-/// Guards against JSON keys, value kinds and table heads that change for whoever reads them, and against other answers to what is wrong.
+/// Guards against changed JSON keys, value types, table heads and answers to invalid requests.
 #[test]
-fn what_a_running_fleet_says_stays() {
+fn running_fleet_output_matches_golden_file() {
     let folder = Folder::new("live");
     let (fleet, _store) = fleet();
     let at = fleet.operator(0).unwrap().to_string();
     let ask = |call: &str| run(&folder.0, &[&words(call)[..], &["--at", &at]].concat());
-    let told = |call: &str| {
+    let transcript = |call: &str| {
         let (code, out, errors) = ask(call);
         format!("$ coralstep {call}\nexit {code}\n{out}{errors}\n")
     };
     let read = |fleet: &Fleet| (0..2).all(|at| fleet.call(at, "read", Some("north")) == Told::Ok);
-    assert!(fleet.until(LIMIT, read).is_some(), "no RPC ends well");
+    assert!(fleet.until(LIMIT, read).is_some(), "no RPC succeeded");
     folder.write("version.json", r#"{"levels": {"record_ms": 1000}}"#);
     let published = ask("fleet publish version.json --json");
     assert_eq!(
-        (published.0, kinds(&published.1)),
+        (published.0, value_types(&published.1)),
         (0, " object\n.published string\n".to_owned())
     );
     let version: Value = serde_json::from_str(&published.1).unwrap();
@@ -132,16 +135,16 @@
         "{version}"
     );
 
-    let by_hand = [
+    let operator_commands = [
         "fleet shut-out n1 --json",
         "fleet let-in n1 --json",
-        HELD,
+        HOLD_COMMAND,
         "levels release",
     ];
-    let mut answers = by_hand.map(told).concat();
-    answers += &told(&format!("{HELD} --json"));
-    // One change of level at the least is in the history, and the hold goes on.
-    golden::becomes("live-keys.txt", || {
+    let mut answers = operator_commands.map(transcript).concat();
+    answers += &transcript(&format!("{HOLD_COMMAND} --json"));
+    // The history contains at least one change of level, and the hold is still in effect.
+    golden::assert_eventually_matches("live-keys.txt", || {
         let shown = ["members", "versions", "audit", "limits", "verdicts"]
             .map(|what| format!("fleet {what}"));
         let levels = ["levels show", "levels history"].map(str::to_owned);
@@ -150,7 +153,7 @@
             let (code, out, errors) = ask(&format!("{call} --json"));
             text += &format!(
                 "$ coralstep {call} --json\nexit {code}\n{}{errors}",
-                kinds(&out)
+                value_types(&out)
             );
             let table = ask(call).1;
             let head = table.lines().next().unwrap_or_default();
@@ -163,11 +166,16 @@
         text
     });
 
-    answers += &["levels release --json"; 2].map(told).concat();
-    golden::same("by-hand.txt", &answers);
+    answers += &["levels release --json"; 2].map(transcript).concat();
+    golden::assert_matches("by-hand.txt", &answers);
 
     let mut text = VERSIONS
-        .map(|content| format!("{content}\n    {}\n", turned_down(&folder, &at, content)))
+        .map(|content| {
+            format!(
+                "{content}\n    {}\n",
+                rejection_reason(&folder, &at, content)
+            )
+        })
         .concat();
     let wrong = [
         "fleet shut-out nobody",
@@ -175,17 +183,17 @@
         "fleet audit --version x",
         "levels hold nowhere --for 5",
     ];
-    text += &wrong.map(told).concat();
-    golden::same("refused-by-server.txt", &text);
+    text += &wrong.map(transcript).concat();
+    golden::assert_matches("refused-by-server.txt", &text);
 }
 
-/// Guards against other words of a server that has neither a fleet nor levels.
+/// Guards against changed answers of a server that has neither a fleet nor levels.
 #[test]
-fn what_a_lone_server_refuses_stays() {
+fn lone_server_errors_match_golden_file() {
     let folder = Folder::new("lone");
     let socket = folder.0.join("operator.sock");
     let site = json!({"operator": {"listen": format!("unix:{}", socket.display())}}).to_string();
-    let _rig = Rig::site(&site);
+    let _server = TestServer::with_site(&site);
     let calls = [
         "fleet members",
         "fleet versions",
@@ -200,20 +208,18 @@
         "levels release",
     ];
     let call = |call: &str| {
-        said(
+        transcript_of(
             &folder.0,
             &words(&format!("{call} --json --at unix:operator.sock")),
         )
     };
     let mut text = calls.map(call).join("\n");
-    for question in QUESTIONS {
+    for request in OPERATOR_REQUESTS {
         let mut stream = UnixStream::connect(&socket).unwrap();
-        stream
-            .write_all(format!("{question}\n").as_bytes())
-            .unwrap();
+        stream.write_all(format!("{request}\n").as_bytes()).unwrap();
         let mut answer = String::new();
         stream.read_to_string(&mut answer).unwrap();
-        text += &format!("\n{question}\n{answer}");
+        text += &format!("\n{request}\n{answer}");
     }
-    golden::same("lone-server.txt", &text);
+    golden::assert_matches("lone-server.txt", &text);
 }
--- a/crates/coralstep-server/tests/texts/main.rs
+++ b/crates/coralstep-server/tests/texts/main.rs
@@ -1,4 +1,5 @@
-//! Texts that tools read stay as they are: schema, help, usage errors, JSON output, exit codes and messages of faulty files.
+//! Guards against changes of texts that tools read: schema, help, usage errors, JSON output, exit codes and
+//! messages about faulty files.
 mod faults;
 mod golden;
 mod live;
@@ -10,10 +11,11 @@
 use std::process::Command;
 
 use serde_json::Value;
-use stand_ins::{Rig, Said, id};
+use stand_ins::{Reply, TestServer, id};
 
-/// The program with these words, in `folder`: exit code, standard output and error as one text.
-fn said(folder: &Path, words: &[&str]) -> String {
+/// Runs the program with these arguments in `folder`: command line, exit code, standard output and standard
+/// error as one text.
+fn transcript_of(folder: &Path, words: &[&str]) -> String {
     let (code, out, errors) = run(folder, words);
     let call = [&["$ coralstep"], words].concat().join(" ");
     format!("{call}\nexit {code}\n{out}{errors}")
@@ -23,7 +25,7 @@
     run_with(folder, words, &[])
 }
 
-/// The same, and these variables are set.
+/// Like `run`, with these environment variables.
 fn run_with(folder: &Path, words: &[&str], variables: &[(&str, &str)]) -> (i32, String, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_coralstep"));
     command.current_dir(folder).args(words);
@@ -40,7 +42,7 @@
     )
 }
 
-/// An empty folder of this process, removed at the end.
+/// A temporary folder of this process, removed when dropped.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -63,10 +65,11 @@
     }
 }
 
-/// Masks values that vary: each key path of the JSON documents with the kinds of its values, sorted. Keys stay exactly as they are.
-fn kinds(documents: &str) -> String {
+/// Masks varying values: returns the sorted key paths of the JSON documents with the types of their values.
+/// Keys are unchanged.
+fn value_types(documents: &str) -> String {
     fn walk(path: String, value: &Value, all: &mut BTreeMap<String, BTreeSet<&'static str>>) {
-        let kind = match value {
+        let value_type = match value {
             Value::Null => "null",
             Value::Bool(_) => "bool",
             Value::Number(_) => "number",
@@ -74,7 +77,7 @@
             Value::Array(_) => "array",
             Value::Object(_) => "object",
         };
-        all.entry(path.clone()).or_default().insert(kind);
+        all.entry(path.clone()).or_default().insert(value_type);
         match value {
             Value::Array(items) => items
                 .iter()
@@ -96,25 +99,25 @@
         );
     }
     all.into_iter()
-        .map(|(path, kinds)| {
+        .map(|(path, value_types)| {
             format!(
                 "{path} {}\n",
-                kinds.into_iter().collect::<Vec<_>>().join("|")
+                value_types.into_iter().collect::<Vec<_>>().join("|")
             )
         })
         .collect()
 }
 
-/// Guards against a site file schema that names another key, range or text.
+/// Guards against a changed key, range or text in the schema of the site file.
 #[test]
-fn the_schema_stays() {
+fn schema_matches_golden_file() {
     let folder = Folder::new("schema");
-    golden::same("schema.json", &run(&folder.0, &["schema"]).1);
+    golden::assert_matches("schema.json", &run(&folder.0, &["schema"]).1);
 }
 
-/// Guards against help that lists other commands, words or options.
+/// Guards against help that lists other commands, arguments or options.
 #[test]
-fn help_of_each_command_stays() {
+fn help_matches_golden_file() {
     let folder = Folder::new("help");
     let calls: [&[&str]; 10] = [
         &["--help"],
@@ -128,9 +131,11 @@
         &["state", "--help"],
         &["state", "verify", "-h"],
     ];
-    golden::same(
+    golden::assert_matches(
         "help.txt",
-        &calls.map(|words| said(&folder.0, words)).join("\n"),
+        &calls
+            .map(|words| transcript_of(&folder.0, words))
+            .join("\n"),
     );
     let version = format!("coralstep {}\n", env!("CARGO_PKG_VERSION"));
     for words in ["version", "--version", "-V"] {
@@ -142,7 +147,7 @@
     }
 }
 
-/// Each line a call that is not understood, or that names what is not there.
+/// Command lines, one per row, that are invalid or name something that does not exist.
 const WRONG_CALLS: &str = "
 
 fly
@@ -211,25 +216,25 @@
 state export .
 ";
 
-/// Guards against usage errors with another exit code or message.
+/// Guards against a changed exit code or message of usage errors.
 #[test]
-fn usage_errors_stay() {
+fn usage_errors_match_golden_file() {
     let folder = Folder::new("usage");
     folder.write("nothing.json", "nothing\n");
     let calls = WRONG_CALLS
         .lines()
         .skip(1)
-        .map(|line| said(&folder.0, &words(line)));
-    golden::same("usage-errors.txt", &calls.collect::<Vec<_>>().join("\n"));
+        .map(|line| transcript_of(&folder.0, &words(line)));
+    golden::assert_matches("usage-errors.txt", &calls.collect::<Vec<_>>().join("\n"));
 }
 
 fn words(line: &str) -> Vec<&str> {
     line.split_whitespace().collect()
 }
 
-/// Guards against replays whose lines have other keys or texts.
+/// Guards against changed keys or texts in the output of a replay.
 #[test]
-fn replays_of_a_record_stay() {
+fn replay_matches_golden_file() {
     let folder = Folder::new("replay");
     let sample = |second: u64| {
         let bad = (10..40).contains(&second);
@@ -246,26 +251,30 @@
         "levels replay record.json --json",
         "levels replay record.json --site site.json --json",
     ];
-    golden::same(
+    golden::assert_matches(
         "levels-replay.txt",
-        &calls.map(|call| said(&folder.0, &words(call))).join("\n"),
+        &calls
+            .map(|call| transcript_of(&folder.0, &words(call)))
+            .join("\n"),
     );
 }
 
-/// Guards against keys of `state` that change, and against other verdicts on files that are spoilt.
+/// Guards against changed keys of `state` and changed verdicts on corrupt files.
 #[test]
-fn what_state_says_of_a_folder_stays() {
+fn state_output_matches_golden_file() {
     let folder = Folder::new("state");
     let site =
         serde_json::json!({"state": {"folder": folder.0.join("kept"), "every_s": 1}}).to_string();
-    let mut rig = Rig::site(&site);
-    let runs = rig.engine(0, "old 1000").go_on("0.5 1 0.1 3", true);
-    let mut gate = rig.gate();
-    let seq = gate.invoke("pay", &id(1), b"", &[]);
-    assert!(matches!(gate.said(), Said::Answer { seq: of, .. } if of == seq));
-    rig.terminate();
-    assert_eq!(rig.ended().code(), Some(0));
-    drop((rig, runs));
+    let mut server = TestServer::with_site(&site);
+    let runs = server
+        .engine(0, "old 1000")
+        .serve_in_background("0.5 1 0.1 3", true);
+    let mut gateway = server.gateway();
+    let seq = gateway.invoke("pay", &id(1), b"", &[]);
+    assert!(matches!(gateway.read_reply(), Reply::Answer { seq: of, .. } if of == seq));
+    server.terminate();
+    assert_eq!(server.wait_for_exit().code(), Some(0));
+    drop((server, runs));
     let mut text = String::new();
     for call in [
         "state show kept --json",
@@ -273,9 +282,12 @@
         "state export kept",
     ] {
         let (code, out, errors) = run(&folder.0, &words(call));
-        text += &format!("$ coralstep {call}\nexit {code}\n{}{errors}\n", kinds(&out));
+        text += &format!(
+            "$ coralstep {call}\nexit {code}\n{}{errors}\n",
+            value_types(&out)
+        );
     }
-    golden::same("state-keys.txt", &text);
+    golden::assert_matches("state-keys.txt", &text);
     std::fs::create_dir_all(folder.0.join("spoilt")).unwrap();
     folder.write("spoilt/learned.0", b"CORALST\n\x01\x09\x00later");
     folder.write("spoilt/learned.1", b"nothing that we know");
@@ -286,8 +298,10 @@
         "state verify spoilt --json",
         "state export spoilt",
     ];
-    golden::same(
+    golden::assert_matches(
         "state-spoilt.txt",
-        &calls.map(|call| said(&folder.0, &words(call))).join("\n"),
+        &calls
+            .map(|call| transcript_of(&folder.0, &words(call)))
+            .join("\n"),
     );
 }
--- a/crates/coralstep-server/tests/wire.rs
+++ b/crates/coralstep-server/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The bytes of the program on each of its connections, compared with golden files. `GOLDEN_WRITE=1` writes them anew.
+//! Compares the bytes on each of the server's connections with golden files. `GOLDEN_WRITE=1` rewrites the
+//! files.
 mod stand_ins;
 
 use std::io::{Read, Write};
@@ -7,28 +8,28 @@
 
 use stand_ins::golden::{Link, Transcript, accept, frame};
 use stand_ins::scgi::{Application, Caller, FRONT, request, site};
-use stand_ins::{Gate, LIMIT, Rig, id, now_ms};
+use stand_ins::{Gateway, LIMIT, TestServer, id, now_ms};
 
 const IDLE: &str = "0.5 1 0.1 3";
 const BUSY: &str = "1 2 0.1 3";
 
-/// What gateways say and are told, taken down.
-struct Gateway {
-    gate: Gate,
+/// A gateway whose messages in both directions are recorded.
+struct RecordedGateway {
+    gateway: Gateway,
     transcript: Transcript,
 }
 
-impl Gateway {
-    fn new(rig: &Rig, transcript: &Transcript) -> Gateway {
-        Gateway {
-            gate: rig.gate(),
+impl RecordedGateway {
+    fn new(server: &TestServer, transcript: &Transcript) -> RecordedGateway {
+        RecordedGateway {
+            gateway: server.gateway(),
             transcript: transcript.clone(),
         }
     }
 
     fn write(&mut self, bytes: &[u8]) {
         self.transcript.add("gateway -> server", bytes);
-        self.gate.write(bytes);
+        self.gateway.write(bytes);
     }
 
     fn invoke(&mut self, method: &str, index: u64, body: &[u8], more: &[(&str, &str)]) {
@@ -55,126 +56,129 @@
             ("room", "24.5"),
             ("class_rank", "0.6250"),
         ];
-        let bytes = self.gate.framed(&[&fields[..], &rest, more].concat(), body);
+        let bytes = self
+            .gateway
+            .encode_invoke(&[&fields[..], &rest, more].concat(), body);
         self.write(&bytes);
     }
 
     fn ping(&mut self) {
-        let bytes = self.gate.call("ping", b"\x02\x00\x01\x00");
+        let bytes = self.gateway.call("ping", b"\x02\x00\x01\x00");
         self.write(&bytes);
-        self.told();
+        self.record_reply();
     }
 
-    fn told(&mut self) {
+    fn record_reply(&mut self) {
         self.transcript
-            .add("server -> gateway", &frame(&mut self.gate.stream));
+            .add("server -> gateway", &frame(&mut self.gateway.stream));
     }
 }
 
-/// The next report to the control plane.
-fn lease(rig: &Rig) -> Vec<u8> {
-    let mut lease = [0; 256];
-    let count = rig.control.recv(&mut lease).unwrap();
-    lease[..count].to_vec()
+/// Returns the next lease sent to the control plane.
+fn receive_lease(server: &TestServer) -> Vec<u8> {
+    let mut receive_lease = [0; 256];
+    let count = server.control.recv(&mut receive_lease).unwrap();
+    receive_lease[..count].to_vec()
 }
 
 /// Guards against a renamed field, command or state that changes what gateways, engine, store or control plane read.
 #[test]
-fn a_conversation_with_gateway_engine_store_and_control_plane_keeps_its_bytes() {
-    let (mut rig, transcript) = (Rig::start(), Transcript::default());
-    let mut gateway = Gateway::new(&rig, &transcript);
-    gateway.ping();
-    let mut engine = Link::engine(&rig.engine_listener(), IDLE, &transcript);
-    transcript.add("server -> control", &lease(&rig));
-    // Ok, with a call to the store that is rejected once.
-    gateway.invoke("read", 1, b"\0\r\n\xff", &[]);
+fn conversation_with_all_peers_matches_golden_file() {
+    let (mut server, transcript) = (TestServer::start(), Transcript::default());
+    let mut recorded = RecordedGateway::new(&server, &transcript);
+    recorded.ping();
+    let mut engine = Link::engine(&server.engine_listener(), IDLE, &transcript);
+    transcript.add("server -> control", &receive_lease(&server));
+    // An RPC that succeeds; the store rejects its call once.
+    recorded.invoke("read", 1, b"\0\r\n\xff", &[]);
     engine.next();
     engine.send(&format!("NEED 1 {} 6\r\nwhich?\r\n", id(1)));
     for reply in ["BUSY\r\n", "OK 5\r\nthis.\r\n"] {
-        let mut store = Link::accept(&rig.store_listener(), "store", &transcript);
+        let mut store = Link::accept(&server.store_listener(), "store", &transcript);
         store.next();
         store.send(&format!("{} {reply}", id(1)));
     }
     engine.next();
     engine.send(&format!("DONE 2 {} good 7 4\r\na\r\nb\r\n", id(1)));
-    gateway.told();
-    // Aborted: by the run, and at a call that may have had its effect.
-    gateway.invoke("pay", 2, b"", &[]);
+    recorded.record_reply();
+    // RPCs that fail: in the run, and at a call that may have had its effect.
+    recorded.invoke("pay", 2, b"", &[]);
     engine.next();
     engine.send(&format!("DONE 3 {} bad 7 0\r\n\r\n", id(2)));
-    gateway.told();
-    gateway.invoke("book", 3, b"seat", &[]);
+    recorded.record_reply();
+    recorded.invoke("book", 3, b"seat", &[]);
     engine.next();
     engine.send(&format!("NEED 4 {} 1\r\nq\r\n", id(3)));
-    let mut store = Link::accept(&rig.store_listener(), "store", &transcript);
+    let mut store = Link::accept(&server.store_listener(), "store", &transcript);
     store.next();
     store.send(&format!("{} ERR\r\n", id(3)));
-    gateway.told();
+    recorded.record_reply();
     engine.send(&format!("DONE 5 {} cut 7 0\r\n\r\n", id(3)));
-    // A key: its run, its repeat, and another body under it.
+    // An idempotency key: the run, its repeat, and another body with the same key.
     let key = ("replay", "T-1");
-    gateway.invoke("pay", 4, b"a ride", &[key]);
+    recorded.invoke("pay", 4, b"a ride", &[key]);
     engine.next();
     engine.send(&format!("DONE 6 {} good 7 4\r\npaid\r\n", id(4)));
-    gateway.told();
+    recorded.record_reply();
     for (index, body) in [(5, &b"a ride"[..]), (6, b"another")] {
-        gateway.invoke("pay", index, body, &[key, ("dup", "1")]);
-        gateway.told();
+        recorded.invoke("pay", index, body, &[key, ("dup", "1")]);
+        recorded.record_reply();
     }
-    // The engine moves, and with it the control plane.
-    rig.moves();
+    // The engine and the control plane move.
+    server.move_backends();
     assert_eq!(engine.next(), "STAT settled\r\n");
     engine.send(&format!("STATS settled {IDLE}\r\n"));
-    let mut engine = Link::engine(&rig.engine_listener(), IDLE, &transcript);
-    transcript.add("server -> control", &lease(&rig));
-    // A gateway breaks off: an answer that nobody reads makes the end a reset.
-    let mut broken = Gateway::new(&rig, &transcript);
+    let mut engine = Link::engine(&server.engine_listener(), IDLE, &transcript);
+    transcript.add("server -> control", &receive_lease(&server));
+    // A gateway disconnects; the unread answer turns the close into a reset.
+    let mut broken = RecordedGateway::new(&server, &transcript);
     broken.invoke("read", 7, b"", &[]);
     engine.next();
-    let check = broken.gate.call("ping", b"\x02\x00\x01\x00");
+    let check = broken.gateway.call("ping", b"\x02\x00\x01\x00");
     broken.write(&check);
-    gateway.ping();
+    recorded.ping();
     drop(broken);
     engine.next();
     engine.send(&format!("DONE 7 {} cut 7 0\r\n\r\n", id(7)));
-    // It drains.
-    rig.terminate();
-    gateway.told();
-    gateway.invoke("read", 8, b"", &[]);
-    gateway.told();
-    gateway.ping();
-    drop(gateway);
-    assert_eq!(rig.ended().code(), Some(0));
+    // The server drains.
+    server.terminate();
+    recorded.record_reply();
+    recorded.invoke("read", 8, b"", &[]);
+    recorded.record_reply();
+    recorded.ping();
+    drop(recorded);
+    assert_eq!(server.wait_for_exit().code(), Some(0));
     transcript.compare("conversation.txt");
 }
 
-/// Guards against a rejection, of what is due or for want of room, that loses its advice.
+/// Guards against a rejection, at the deadline or for lack of capacity, that loses its Retry-After.
 #[test]
-fn rejections_of_what_is_due_or_has_no_room_keep_their_bytes() {
-    let (rig, transcript) = (Rig::site(FRONT), Transcript::default());
-    let mut engine = Link::engine(&rig.engine_listener(), BUSY, &transcript);
-    let mut gateway = Gateway::new(&rig, &transcript);
-    // Due long ago, as its gateway has it; the room is not needed for that.
+fn rejections_match_golden_file() {
+    let (server, transcript) = (TestServer::with_site(FRONT), Transcript::default());
+    let mut engine = Link::engine(&server.engine_listener(), BUSY, &transcript);
+    let mut recorded = RecordedGateway::new(&server, &transcript);
+    // By the gateway's timestamp the deadline passed long ago; the request is rejected even with free capacity.
     let since = (now_ms().parse::<u64>().unwrap() - 5_000).to_string();
-    gateway.invoke_since(&since, "lock", 9, b"", &[]);
-    gateway.told();
+    recorded.invoke_since(&since, "lock", 9, b"", &[]);
+    recorded.record_reply();
     for index in 1..=2 {
-        gateway.invoke("pay", index, b"", &[]);
+        recorded.invoke("pay", index, b"", &[]);
         engine.next();
     }
-    gateway.invoke("lock", 3, b"", &[]);
-    gateway.told();
-    // Both cores stand still: the list hears of it in time.
-    let not_ready =
-        (0..20).find_map(|_| Some(lease(&rig)).filter(|lease| lease != b"lease n3 Ready"));
+    recorded.invoke("lock", 3, b"", &[]);
+    recorded.record_reply();
+    // Both cores are blocked: after a while the lease reports the server as not ready.
+    let not_ready = (0..20).find_map(|_| {
+        Some(receive_lease(&server)).filter(|receive_lease| receive_lease != b"lease n3 Ready")
+    });
     transcript.add("server -> control", &not_ready.unwrap());
     transcript.compare("rejections.txt");
 }
 
 /// Guards against a changed wording or code of application exceptions, and of what ends a connection.
 #[test]
-fn messages_that_cannot_be_carried_out_draw_the_same_exceptions() {
-    let (rig, transcript) = (Rig::start(), Transcript::default());
+fn exceptions_for_invalid_messages_match_golden_file() {
+    let (server, transcript) = (TestServer::start(), Transcript::default());
     let (now, long) = (now_ms(), "x".repeat(257));
     let ref_one = id(1);
     let good = [
@@ -184,14 +188,14 @@
         ("room", "1"),
     ];
     let with = |key: &'static str, value: &str| {
-        let mut gateway = Gateway::new(&rig, &Transcript::default());
+        let mut recorded = RecordedGateway::new(&server, &Transcript::default());
         let mut fields: Vec<(&str, &str)> =
             good.into_iter().filter(|(name, _)| *name != key).collect();
         if value != "-" {
             fields.push((key, value));
         }
-        let bytes = gateway.gate.framed(&fields, b"");
-        (gateway, bytes)
+        let bytes = recorded.gateway.encode_invoke(&fields, b"");
+        (recorded, bytes)
     };
     let mut cases = Vec::new();
     for (key, value) in [
@@ -210,89 +214,89 @@
         ("class_rank", "1"),
         ("replay", &long),
     ] {
-        let (mut gateway, bytes) = with(key, value);
-        gateway.gate.write(&bytes);
-        cases.push((format!("{key} {:.4}", value), gateway));
+        let (mut recorded, bytes) = with(key, value);
+        recorded.gateway.write(&bytes);
+        cases.push((format!("{key} {:.4}", value), recorded));
     }
-    let (mut gateway, _) = with("dup", "1");
-    let bytes = gateway.gate.framed(&good, &[b'x'; 2049]);
-    gateway.gate.write(&bytes);
-    cases.push(("a long body".to_owned(), gateway));
+    let (mut recorded, _) = with("dup", "1");
+    let bytes = recorded.gateway.encode_invoke(&good, &[b'x'; 2049]);
+    recorded.gateway.write(&bytes);
+    cases.push(("a long body".to_owned(), recorded));
     for (name, arguments) in [
         ("novelty", &b""[..]),
         ("invoke", b""),
         ("invoke", b"\x63\x00\x01"),
     ] {
-        let (mut gateway, _) = with("dup", "1");
-        let bytes = gateway.gate.call(name, arguments);
-        gateway.gate.write(&bytes);
-        cases.push((format!("{name} {}", arguments.escape_ascii()), gateway));
+        let (mut recorded, _) = with("dup", "1");
+        let bytes = recorded.gateway.call(name, arguments);
+        recorded.gateway.write(&bytes);
+        cases.push((format!("{name} {}", arguments.escape_ascii()), recorded));
     }
-    let (mut gateway, _) = with("dup", "1");
-    let mut bytes = gateway.gate.call("ping", b"");
+    let (mut recorded, _) = with("dup", "1");
+    let mut bytes = recorded.gateway.call("ping", b"");
     bytes[7] = 2;
-    gateway.gate.write(&bytes);
-    cases.push(("a reply".to_owned(), gateway));
-    for (case, mut gateway) in cases {
-        transcript.add(&case, &frame(&mut gateway.gate.stream));
+    recorded.gateway.write(&bytes);
+    cases.push(("a reply".to_owned(), recorded));
+    for (case, mut recorded) in cases {
+        transcript.add(&case, &frame(&mut recorded.gateway.stream));
     }
-    // No engine is up: all of them stay open.
-    let mut full = Gateway::new(&rig, &Transcript::default());
+    // No engine is attached: all of these requests stay open.
+    let mut full = RecordedGateway::new(&server, &Transcript::default());
     for index in 1..=33 {
         full.invoke("pay", index, b"", &[]);
     }
-    transcript.add("33 open", &frame(&mut full.gate.stream));
-    let mut again = Gateway::new(&rig, &transcript);
+    transcript.add("33 open", &frame(&mut full.gateway.stream));
+    let mut again = RecordedGateway::new(&server, &transcript);
     again.ping();
-    again.gate.again();
-    let repeated = again.gate.call("ping", b"");
-    again.gate.write(&repeated);
+    again.gateway.reuse_sequence_number();
+    let repeated = again.gateway.call("ping", b"");
+    again.gateway.write(&repeated);
     let mut cut = vec![("a number again", again)];
     for (case, bytes) in [
         ("no length", &b"\0\0\0\0"[..]),
         ("a length over 16 KiB", b"\0\0\x40\x01"),
         ("no version", b"\0\0\0\x04abcd"),
     ] {
-        let mut gateway = Gateway::new(&rig, &Transcript::default());
-        gateway.gate.write(bytes);
-        cut.push((case, gateway));
+        let mut recorded = RecordedGateway::new(&server, &Transcript::default());
+        recorded.gateway.write(bytes);
+        cut.push((case, recorded));
     }
-    for (case, mut gateway) in cut {
+    for (case, mut recorded) in cut {
         let mut rest = Vec::new();
-        gateway.gate.stream.read_to_end(&mut rest).unwrap();
+        recorded.gateway.stream.read_to_end(&mut rest).unwrap();
         transcript.add(case, &rest);
     }
     transcript.compare("exceptions.txt");
 }
 
-/// The whole answer to a caller of SCGI.
-fn answered(mut caller: Caller) -> Vec<u8> {
+/// Reads the whole answer to an SCGI caller.
+fn read_answer(mut caller: Caller) -> Vec<u8> {
     let mut bytes = Vec::new();
     caller.stream.read_to_end(&mut bytes).unwrap();
     bytes
 }
 
-/// Guards against a changed status, header or reason in answers to callers of SCGI.
+/// Guards against a changed status, header or reason in answers to SCGI callers.
 #[test]
-fn answers_to_callers_of_scgi_keep_their_bytes() {
-    let (rig, transcript) = (Rig::site(FRONT), Transcript::default());
-    let mut engine = Link::engine(&rig.engine_listener(), BUSY, &transcript);
-    let tell = |case: &str, caller: Caller| transcript.add(case, &answered(caller));
+fn answers_to_scgi_callers_match_golden_file() {
+    let (server, transcript) = (TestServer::with_site(FRONT), Transcript::default());
+    let mut engine = Link::engine(&server.engine_listener(), BUSY, &transcript);
+    let record = |case: &str, caller: Caller| transcript.add(case, &read_answer(caller));
     let raw = |bytes: &[u8]| {
-        let mut caller = rig.connect();
+        let mut caller = server.connect();
         caller.write(bytes);
         caller
     };
     let with_id = |path: &str, index: u64, more: &[(&str, &str)], body: &[u8]| {
-        rig.ask(
+        server.send_scgi(
             path,
             &[&[("HTTP_X_REQUEST_ID", &id(index)[..])], more].concat(),
             body,
         )
     };
-    // Who never ends is told last.
+    // The incomplete request gets its answer last.
     let slow = raw(b"70:CONTENT_LENGTH");
-    tell("health", raw(&request("GET", "/health", &[], b"")));
+    record("health", raw(&request("GET", "/health", &[], b"")));
     let caller = with_id(
         "/read/a?b=c",
         1,
@@ -301,12 +305,12 @@
     );
     engine.next();
     engine.send(&format!("DONE 1 {} good 7 4\r\na\r\nb\r\n", id(1)));
-    tell("ok", caller);
+    record("ok", caller);
     let caller = with_id("/pay", 2, &[("HTTP_IDEMPOTENCY_KEY", "k")], b"once");
     engine.next();
     engine.send(&format!("DONE 2 {} bad 7 0\r\n\r\n", id(2)));
-    tell("aborted", caller);
-    tell(
+    record("aborted", caller);
+    record(
         "aborted, repeated",
         with_id(
             "/pay",
@@ -329,7 +333,7 @@
         request("POST", "/fly", &[], b""),
         request("GET", "/book", &[], b""),
     ] {
-        tell(&bytes.escape_ascii().to_string(), raw(&bytes));
+        record(&bytes.escape_ascii().to_string(), raw(&bytes));
     }
     let long = "x".repeat(257);
     for (header, value) in [
@@ -343,46 +347,46 @@
         ("HTTP_IDEMPOTENCY_KEY", &long),
         ("HTTP_X_REQUEST_ID", &long),
     ] {
-        tell(
+        record(
             &format!("{header} {value:.8}"),
-            rig.ask("/read/x", &[(header, value)], b""),
+            server.send_scgi("/read/x", &[(header, value)], b""),
         );
     }
     let running: Vec<Caller> = (4..=5)
         .map(|index| with_id("/pay", index, &[], b""))
         .collect();
     (4..=5).for_each(|_| drop(engine.next()));
-    tell("rejected", with_id("/lock", 6, &[], b""));
+    record("rejected", with_id("/lock", 6, &[], b""));
     drop(running);
-    tell("too slow", slow);
+    record("too slow", slow);
     transcript.compare("scgi_answers.txt");
 }
 
-/// Until answers carry the free value, which is first set a while after the start.
-fn known_value(rig: &Rig) {
-    let (mut gate, start) = (rig.gate(), Instant::now());
-    while gate.pressure.is_none() {
-        assert!(gate.ping() && start.elapsed() < LIMIT);
+/// Waits until replies carry the load report, which is first set some time after the start.
+fn wait_for_load_report(server: &TestServer) {
+    let (mut gateway, start) = (server.gateway(), Instant::now());
+    while gateway.pressure.is_none() {
+        assert!(gateway.ping() && start.elapsed() < LIMIT);
     }
 }
 
 /// Guards against a renamed header or path in what applications read.
 #[test]
-fn requests_to_applications_keep_their_bytes() {
+fn requests_to_applications_match_golden_file() {
     let (listener, transcript) = (
         TcpListener::bind("127.0.0.1:0").unwrap(),
         Transcript::default(),
     );
     let paths = ",\"paths\": {\"read\": \"/plan\"}";
-    let rig = Rig::site(&site(&[listener.local_addr().unwrap()], paths));
-    let mut gateway = Gateway::new(&rig, &transcript);
-    known_value(&rig);
-    let says = ["Status: 200 OK\r\n\r\nran", "Status: 404 no\r\n\r\n"];
+    let server = TestServer::with_site(&site(&[listener.local_addr().unwrap()], paths));
+    let mut recorded = RecordedGateway::new(&server, &transcript);
+    wait_for_load_report(&server);
+    let responses = ["Status: 200 OK\r\n\r\nran", "Status: 404 no\r\n\r\n"];
     for (index, (method, key)) in [("read", None), ("pay", Some(("replay", "T-1")))]
         .into_iter()
         .enumerate()
     {
-        gateway.invoke(method, index as u64 + 1, b"\0\r\n\xff", key.as_slice());
+        recorded.invoke(method, index as u64 + 1, b"\0\r\n\xff", key.as_slice());
         let mut stream = accept(&listener);
         let mut bytes = Vec::new();
         while !bytes.ends_with(b",\0\r\n\xff") {
@@ -391,17 +395,17 @@
             bytes.push(byte[0]);
         }
         transcript.add("server -> application", &bytes);
-        stream.write_all(says[index].as_bytes()).unwrap();
+        stream.write_all(responses[index].as_bytes()).unwrap();
         stream.shutdown(Shutdown::Write).unwrap();
         // Nothing follows the request.
         assert_eq!(stream.read(&mut [0]).unwrap(), 0);
-        gateway.told();
+        recorded.record_reply();
     }
-    // Nobody listens: proven not to have run.
-    let rig = Rig::site(&site(&[Application::nowhere()], paths));
-    known_value(&rig);
-    let mut gateway = Gateway::new(&rig, &transcript);
-    gateway.invoke("lock", 3, b"", &[]);
-    gateway.told();
+    // Nobody listens at the application's address, so the request is proven not to have run.
+    let server = TestServer::with_site(&site(&[Application::unused_address()], paths));
+    wait_for_load_report(&server);
+    let mut recorded = RecordedGateway::new(&server, &transcript);
+    recorded.invoke("lock", 3, b"", &[]);
+    recorded.record_reply();
     transcript.compare("applications.txt");
 }
