--- a/crates/coralstep-server/benches/front.rs
+++ b/crates/coralstep-server/benches/front.rs
@@ -44,7 +44,7 @@
     fn resume(&self, _result: &[u8]) {}
     fn mark_answered(&self) {}
     fn cancel(&self) {}
-    fn probe(&self, _request: &RunRequest<'_>) {}
+    fn query_status(&self, _request: &RunRequest<'_>) {}
     fn poll_event(&self, cx: &mut Context<'_>) -> Poll<RunEvent> {
         self.0.borrow_mut().poll(cx)
     }
--- a/crates/coralstep-server/src/decisions/quota.rs
+++ b/crates/coralstep-server/src/decisions/quota.rs
@@ -1,5 +1,5 @@
-//! The fleet's quotas: what an RPC takes of them before the scheduler weighs it, given back when it
-//! is answered.
+//! Fleet-wide quotas: an RPC acquires a permit before it is submitted to the scheduler and releases
+//! it when it is answered.
 use std::rc::Rc;
 
 use coralstep_quota::{QuotaExhausted, QuotaPermit, RequestKey};
@@ -8,51 +8,52 @@
 use crate::decisions::idempotency_keys::IdempotencyKey;
 use crate::decisions::request::RpcRequest;
 
-/// The fleet's quotas, as an RPC takes of them.
+/// Grants RPCs permits of the fleet-wide quotas.
 pub trait QuotaLimiter {
-    /// Takes a unit of each quota that holds for an RPC, which is answered within `covers_ms`
-    /// milliseconds.
+    /// Acquires one unit of each quota that applies to an RPC. The RPC is answered within
+    /// `timeout_ms` milliseconds.
     ///
     /// # Errors
     ///
-    /// A quota is used up.
-    fn take(&self, request: RequestKey, covers_ms: u64) -> Result<QuotaPermit, QuotaExhausted>;
+    /// Returns an error if a quota is exhausted.
+    fn acquire(&self, request: RequestKey, timeout_ms: u64) -> Result<QuotaPermit, QuotaExhausted>;
 
-    /// Gives back what an RPC took.
-    fn give_back(&self, permit: QuotaPermit);
+    /// Releases the permit of an RPC.
+    fn release(&self, permit: QuotaPermit);
 }
 
-struct Reservation {
+/// A permit and the limiter that granted it.
+struct AcquiredPermit {
     limiter: Rc<dyn QuotaLimiter>,
     permit: QuotaPermit,
 }
 
-/// What an RPC took of the fleet's quotas, if anything; given back when dropped.
-pub struct QuotaGuard(Option<Reservation>);
+/// The quota permit of an RPC, if it needs one; released when dropped.
+pub struct QuotaGuard(Option<AcquiredPermit>);
 
 impl Drop for QuotaGuard {
     fn drop(&mut self) {
-        if let Some(Reservation { limiter, permit }) = self.0.take() {
-            limiter.give_back(permit);
+        if let Some(AcquiredPermit { limiter, permit }) = self.0.take() {
+            limiter.release(permit);
         }
     }
 }
 
 impl SchedulerHandle {
-    /// The fleet's quotas hold from now on.
+    /// Enforces the fleet-wide quotas from now on.
     pub fn set_quota_limiter(&self, limiter: Rc<dyn QuotaLimiter>) {
         *self.quota_limiter.borrow_mut() = Some(limiter);
     }
 
-    /// Takes what `request` needs of the fleet's quotas, before anything else is decided of it. A
-    /// repeat of what is here, or has run, costs nothing: it is not run again.
+    /// Acquires the quota permit that `request` needs, before the scheduler decides on it. A repeat
+    /// of an RPC that is in progress or has run needs no permit, because it is not run again.
     ///
     /// # Errors
     ///
-    /// A quota is used up.
-    pub fn reserve_quota(&self, request: &RpcRequest) -> Result<QuotaGuard, QuotaExhausted> {
+    /// Returns an error if a quota is exhausted.
+    pub fn acquire_quota(&self, request: &RpcRequest) -> Result<QuotaGuard, QuotaExhausted> {
         let limiter = self.quota_limiter.borrow().clone();
-        let Some(limiter) = limiter.filter(|_| !self.fenced.get()) else {
+        let Some(limiter) = limiter.filter(|_| !self.excluded.get()) else {
             return Ok(QuotaGuard(None));
         };
         if self.is_repeat(request) {
@@ -67,9 +68,9 @@
         let timeout = request
             .timeout
             .map_or(method.deadline, |timeout| timeout.min(method.deadline));
-        let covers_ms = (timeout.0.saturating_sub(request.age.0)).div_ceil(10);
-        match limiter.take(key, covers_ms) {
-            Ok(permit) => Ok(QuotaGuard(Some(Reservation { limiter, permit }))),
+        let timeout_ms = (timeout.0.saturating_sub(request.age.0)).div_ceil(10);
+        match limiter.acquire(key, timeout_ms) {
+            Ok(permit) => Ok(QuotaGuard(Some(AcquiredPermit { limiter, permit }))),
             Err(error) => {
                 self.submitted.set(self.submitted.get() + 1);
                 Err(error)
@@ -86,6 +87,6 @@
             key,
         };
         let inner = self.inner.borrow();
-        inner.actions.idempotency_keys.is_kept(&key)
+        inner.actions.idempotency_keys.is_retained(&key)
     }
 }
