--- a/crates/coralstep-server/tests/limits.rs
+++ b/crates/coralstep-server/tests/limits.rs
@@ -1,5 +1,6 @@
-//! Limits that hold for a fleet of real processes with faults between them, judged by what callers were told and engines ran alone. Times are
-//! wide enough for a machine three times as slow; the formulas are those of `coralstep_quota::guarantees`.
+//! Fleet-wide limits held by real server processes with faults on the links between them, judged only by the
+//! answers to callers and the runs of the engines. Times are wide enough for a machine three times as slow; the
+//! formulas are those of `coralstep_quota::guarantees`.
 use std::path::Path;
 use std::time::{Duration, Instant};
 
@@ -22,7 +23,7 @@
 use serde_json::{Value, json};
 
 const LIMIT: Duration = Duration::from_secs(40);
-const LEASE: u64 = 6_000;
+const LEASE_MS: u64 = 6_000;
 const RPS: f64 = 40.0;
 const BURST: f64 = 40.0;
 
@@ -32,23 +33,26 @@
 
 fn fleet(count: usize, seed: u64, work_ms: f64, limits: Value) -> Fleet {
     let keepers: Vec<String> = (0..3).map(|at| format!("n{at}")).collect();
-    let more = json!({"keepers": keepers, "lease_ms": LEASE});
+    let more = json!({"keepers": keepers, "lease_ms": LEASE_MS});
     let setup = Setup {
         work_ms,
         limits,
         ..Setup::new(more)
     };
     let fleet = Fleet::set_up(program(), count, seed, setup).unwrap();
-    let met =
+    let discovered =
         |fleet: &Fleet| (0..count).all(|at| fleet.alive(at).is_ok_and(|alive| alive == count));
-    assert!(fleet.until(LIMIT, met).is_some(), "they don't meet");
-    let given = |fleet: &Fleet| (0..3).any(|at| fleet.logged(at, "this server gives shares"));
     assert!(
-        fleet.until(LIMIT, given).is_some(),
-        "nobody gives: {:?}",
+        fleet.until(LIMIT, discovered).is_some(),
+        "members did not discover each other"
+    );
+    let has_leader = |fleet: &Fleet| (0..3).any(|at| fleet.logged(at, "this server gives shares"));
+    assert!(
+        fleet.until(LIMIT, has_leader).is_some(),
+        "no quota leader: {:?}",
         fleet.log(0)
     );
-    // Tokens of a keeper before it, which there was none of, are waited for all the same.
+    // The first leader waits until units of an earlier leader would have expired, although there was none.
     std::thread::sleep(ms(lengthen_by_drift(TOKEN_LIFETIME_MS)));
     fleet
 }
@@ -57,8 +61,8 @@
     Duration::from_millis(ms)
 }
 
-/// Who gives, by the logs: the one that began last and has not ended.
-fn keeper(fleet: &Fleet) -> Option<usize> {
+/// Returns the quota leader according to the logs: the server that became leader and hasn't resigned since.
+fn quota_leader(fleet: &Fleet) -> Option<usize> {
     (0..3).find(|at| {
         let log = fleet.log(*at);
         let last = |text: &str| log.iter().rposition(|line| line.contains(text));
@@ -66,12 +70,12 @@
     })
 }
 
-fn rate() -> Value {
+fn rate_limit() -> Value {
     json!([{"name": "north", "tenant": "north", "rps": RPS, "burst": BURST as u32}])
 }
 
-/// The rate limit held in every window, and was not left idle in those given.
-fn held(drive: &Drive, used: &[(f64, f64)]) {
+/// Asserts that the rate limit held in every window, and that the capacity was used in the windows `used`.
+fn assert_rate_limit_held(drive: &Drive, used: &[(f64, f64)]) {
     let over = excess(&drive.answers(), RPS * (1.0 + MAX_CLOCK_DRIFT), BURST);
     assert!(over <= 0.0, "{over} over the limit in some window");
     for (from, to) in used {
@@ -87,36 +91,39 @@
 }
 
 #[test]
-fn a_rate_holds_while_demand_moves_from_one_server_to_another_and_back() {
-    let fleet = fleet(7, 41, 2.0, rate());
+fn rate_limit_holds_while_demand_moves_between_servers() {
+    let fleet = fleet(7, 41, 2.0, rate_limit());
     let drive = Drive::default();
     let mut used = Vec::new();
     for at in [1, 5, 4] {
         let from = drive.now_ms();
-        // Twice what may pass, all at one.
+        // Twice the limit, all at one server.
         std::thread::scope(|scope| drive.calls(scope, &fleet, at, 16, ms(200), "save", ms(3_000)));
         used.push((from + 1_000.0, from + 3_000.0));
     }
-    held(&drive, &used);
-    // What is turned away is told when to come back.
-    let backs = drive
+    assert_rate_limit_held(&drive, &used);
+    // Rejected requests carry a Retry-After.
+    let rejections = drive
         .answers()
         .iter()
         .filter(|answer| matches!(answer.told, Told::PushedBack(after) if after > 0))
         .count();
-    assert!(backs > 50, "{backs}");
-    // Who isn't north, and calls nothing that is limited, is untouched.
+    assert!(rejections > 50, "{rejections}");
+    // A tenant without a limit is not affected.
     assert!((0..20).all(|_| fleet.call(1, "save", Some("south")) == Told::Ok));
-    // A repeat of what has run costs nothing and is answered, whatever the limit says.
-    let again = || fleet.repeat(2, "save", Some("north"), "again");
-    let ran = fleet.until(LIMIT, |_| again() == Told::Ok);
-    assert!(ran.is_some(), "it was never let in");
-    let told: Vec<Told> = (0..200).map(|_| again()).collect();
-    assert!(told.iter().all(|told| *told == Told::Ok), "{told:?}");
+    // A repeat of an RPC that has run uses no unit and is answered even when the limit is reached.
+    let repeat = || fleet.repeat(2, "save", Some("north"), "again");
+    let ran = fleet.until(LIMIT, |_| repeat() == Told::Ok);
+    assert!(ran.is_some(), "never admitted");
+    let outcomes: Vec<Told> = (0..200).map(|_| repeat()).collect();
+    assert!(
+        outcomes.iter().all(|outcomes| *outcomes == Told::Ok),
+        "{outcomes:?}"
+    );
     // Any server shows all shares.
     let shown = |fleet: &Fleet| {
-        let said = fleet.ask(6, &json!({"ask": "fleet_limits"})).unwrap();
-        said["limits"]
+        let reply = fleet.ask(6, &json!({"ask": "fleet_limits"})).unwrap();
+        reply["limits"]
             .as_array()
             .unwrap()
             .iter()
@@ -130,18 +137,18 @@
 }
 
 #[test]
-fn a_rate_holds_when_the_one_that_gives_is_killed_cut_off_or_stopped() {
-    let mut fleet = fleet(7, 42, 2.0, rate());
+fn rate_limit_holds_when_leader_is_killed_isolated_or_paused() {
+    let mut fleet = fleet(7, 42, 2.0, rate_limit());
     let drive = Drive::default();
     let mut used = Vec::new();
     let gap = (max_failover_time() + lengthen_by_drift(TOKEN_LIFETIME_MS) + 1_500) as f64;
     for fault in ["killed", "cut off", "stopped"] {
-        let who = keeper(&fleet).unwrap();
-        let rest: Vec<usize> = (0..7).filter(|at| *at != who).collect();
+        let leader = quota_leader(&fleet).unwrap();
+        let rest: Vec<usize> = (0..7).filter(|at| *at != leader).collect();
         match fault {
-            "killed" => fleet.kill(who),
-            "cut off" => fleet.links.cut(&[who], &rest),
-            _ => fleet.pause(who, true).unwrap(),
+            "killed" => fleet.kill(leader),
+            "cut off" => fleet.links.cut(&[leader], &rest),
+            _ => fleet.pause(leader, true).unwrap(),
         }
         let from = drive.now_ms();
         std::thread::scope(|scope| {
@@ -156,12 +163,12 @@
                     ms(gap as u64 + 2_500),
                 );
             }
-            // The one that is cut off is asked, too: it has what its lease still covers, and then nothing.
+            // The isolated leader receives requests, too: it admits until its lease expires, and then nothing.
             if fault == "cut off" {
                 drive.calls(
                     scope,
                     &fleet,
-                    who,
+                    leader,
                     4,
                     ms(200),
                     "save",
@@ -171,65 +178,70 @@
         });
         used.push((from + gap, from + gap + 2_500.0));
         match fault {
-            "killed" => fleet.boot(who).unwrap(),
+            "killed" => fleet.boot(leader).unwrap(),
             "cut off" => fleet.links.heal(),
             _ => {
-                fleet.pause(who, false).unwrap();
-                // It gives nothing by what it knew before.
+                fleet.pause(leader, false).unwrap();
+                // The resumed leader grants nothing on the basis of its state before the pause.
                 std::thread::scope(|scope| {
-                    drive.calls(scope, &fleet, who, 8, ms(100), "save", ms(1_000))
+                    drive.calls(scope, &fleet, leader, 8, ms(100), "save", ms(1_000))
                 });
             }
         }
         let all = |fleet: &Fleet| {
             (0..7).all(|at| fleet.alive(at).is_ok_and(|alive| alive == 7))
-                && keeper(fleet).is_some()
+                && quota_leader(fleet).is_some()
         };
         assert!(fleet.until(LIMIT, all).is_some(), "after {fault}");
     }
-    held(&drive, &used);
+    assert_rate_limit_held(&drive, &used);
 }
 
 #[test]
-fn what_is_in_hand_holds_while_holders_are_stopped_killed_and_leave_and_links_fail() {
-    const MOST: usize = 6;
+fn concurrency_limit_holds_while_holders_and_links_fail() {
+    const MAX_CONCURRENT_RUNS: usize = 6;
     let mut fleet = fleet(
         6,
         43,
         300.0,
-        json!([{"name": "saves", "method": "save", "in_hand": MOST}]),
+        json!([{"name": "saves", "method": "save", "in_hand": MAX_CONCURRENT_RUNS}]),
     );
     let drive = Drive::default();
     let most = |fleet: &Fleet| fleet.crowd.lock().unwrap().most;
-    // The first keeper knows of none before it, and waits for their leases all the same.
-    std::thread::sleep(ms(lengthen_by_drift(LEASE)));
-    let load = |fleet: &Fleet, servers: &[usize], lasts: u64| {
+    // The first leader knows of no earlier one and still waits until leases of that would have expired.
+    std::thread::sleep(ms(lengthen_by_drift(LEASE_MS)));
+    let load = |fleet: &Fleet, servers: &[usize], duration_ms: u64| {
         let from = drive.now_ms();
         std::thread::scope(|scope| {
             servers
                 .iter()
-                .for_each(|at| drive.calls(scope, fleet, *at, 4, ms(100), "save", ms(lasts)));
+                .for_each(|at| drive.calls(scope, fleet, *at, 4, ms(100), "save", ms(duration_ms)));
         });
-        drive.ok(from + lasts as f64 / 2.0, from + lasts as f64, None)
+        drive.ok(
+            from + duration_ms as f64 / 2.0,
+            from + duration_ms as f64,
+            None,
+        )
     };
-    // All at one server: it gets all of it.
-    assert!(load(&fleet, &[3], 2_500) >= 4, "two cores of 300 ms");
+    // All requests at one server: it gets the whole limit.
+    assert!(load(&fleet, &[3], 2_500) >= 4, "two cores, 300 ms per run");
     assert!(load(&fleet, &[3, 4, 5], 2_500) >= 6);
     let all = fleet.until(LIMIT, |fleet| {
-        let said = fleet.ask(0, &json!({"ask": "fleet_limits"})).unwrap();
-        said["limits"].as_array().unwrap().len() >= 3
+        let reply = fleet.ask(0, &json!({"ask": "fleet_limits"})).unwrap();
+        reply["limits"].as_array().unwrap().len() >= 3
     });
     assert!(all.is_some());
-    // The holder of most is stopped for longer than its lease; the others get what it had, and it admits nothing by what has run out.
+    // The holder of most units is paused for longer than its lease; the others get its units, and it admits
+    // nothing on expired leases.
     fleet.pause(3, true).unwrap();
-    std::thread::sleep(ms(max_reclaim_time(LEASE, 500)));
+    std::thread::sleep(ms(max_reclaim_time(LEASE_MS, 500)));
     assert!(
         load(&fleet, &[4, 5], 2_000) >= 4,
-        "what the stopped one had is in use again"
+        "the units of the paused server must be in use again"
     );
     fleet.pause(3, false).unwrap();
     load(&fleet, &[3, 4, 5], 1_500);
-    // Lost, late and doubled letters; one that leaves, one that is killed, in the middle of it.
+    // Lost, delayed and duplicated datagrams; meanwhile one server leaves and one is killed.
     fleet.links.all(Fault {
         loss: 0.2,
         delay: (0, 300),
@@ -244,36 +256,46 @@
     let all = [0, 1, 2, 3];
     fleet.links.cut(&[0, 1], &[2, 3]);
     load(&fleet, &all, 2_000);
-    assert!(most(&fleet) <= MOST, "{} ran at once", most(&fleet));
+    assert!(
+        most(&fleet) <= MAX_CONCURRENT_RUNS,
+        "{} ran at once",
+        most(&fleet)
+    );
     assert!(most(&fleet) >= 4, "{}", most(&fleet));
     let start = Instant::now();
     fleet.links.heal();
-    // Room is in use again: all servers are served after the cut, within the lease.
+    // The capacity is in use again: after the partition all servers are served within the lease time.
     let mut served = 0;
     while served < 8 {
         served = load(&fleet, &all, 1_000);
         assert!(
             start.elapsed()
-                < ms(max_reclaim_time(LEASE, 500) + max_failover_time() + lengthen_by_drift(LEASE))
+                < ms(max_reclaim_time(LEASE_MS, 500)
+                    + max_failover_time()
+                    + lengthen_by_drift(LEASE_MS))
                     * 2,
             "{served}"
         );
     }
-    assert!(most(&fleet) <= MOST, "{} ran at once", most(&fleet));
+    assert!(
+        most(&fleet) <= MAX_CONCURRENT_RUNS,
+        "{} ran at once",
+        most(&fleet)
+    );
 }
 
 #[test]
-fn of_two_versions_in_a_wave_the_lower_limit_holds_also_where_the_other_is_acted_on() {
-    let fleet = fleet(6, 45, 2.0, rate());
+fn lower_limit_holds_for_all_servers_during_rollout() {
+    let fleet = fleet(6, 45, 2.0, rate_limit());
     let drive = Drive::default();
     let waves = [0.4f32, 1.0];
     let lower = json!({"limits": [{"name": "north", "tenant": "north", "rps": 10.0, "burst": 10}]});
     let version = fleet.publish(4, &lower, false, &waves, 8_000).unwrap();
-    let held = |fleet: &Fleet| {
+    let received = |fleet: &Fleet| {
         (0..6).all(|at| fleet.logged(at, &format!("fleet: version received version={version}")))
     };
-    assert!(fleet.until(LIMIT, held).is_some());
-    // What was out under the old one is over.
+    assert!(fleet.until(LIMIT, received).is_some());
+    // Units granted under the old version have expired.
     std::thread::sleep(ms(lengthen_by_drift(TOKEN_LIFETIME_MS) + 500));
     let early = (0..6)
         .filter(|at| fleet.acts_on(*at).is_ok_and(|on| on == version))
@@ -288,10 +310,10 @@
     );
     let on = |fleet: &Fleet| fleet.all_on(&version);
     assert!(fleet.until(LIMIT, on).is_some());
-    // One that can't be reached is turned down by all.
+    // An unreachable limit is rejected by all servers.
     let bad = json!({"limits": [{"name": "north", "tenant": "north", "rps": 100.0, "burst": 2}]});
     let bad = fleet.publish(0, &bad, false, &[], 0).unwrap();
-    let refused = |fleet: &Fleet| {
+    let rejected = |fleet: &Fleet| {
         (0..6).all(|at| {
             fleet.logged(
                 at,
@@ -299,16 +321,16 @@
             )
         })
     };
-    assert!(fleet.until(LIMIT, refused).is_some(), "{:?}", fleet.log(1));
+    assert!(fleet.until(LIMIT, rejected).is_some(), "{:?}", fleet.log(1));
 }
 
-/// Asks for all there is, and says that it has all there is.
-struct Greedy {
+/// Requests all units, and claims to hold all of them.
+struct GreedyMember {
     key: LimitKey,
     number: u32,
 }
 
-impl GossipExtension for Greedy {
+impl GossipExtension for GreedyMember {
     fn handle_timeout(&mut self, _now: u64, view: &MembershipView<'_>) -> Vec<Sent> {
         self.number += 1;
         let requests = vec![QuotaRequest {
@@ -330,8 +352,8 @@
 }
 
 #[test]
-fn a_member_that_asks_for_all_and_forges_what_it_has_gets_its_level_and_breaks_no_limit() {
-    let fleet = fleet(5, 46, 2.0, rate());
+fn greedy_member_with_forged_holdings_breaks_no_limit() {
+    let fleet = fleet(5, 46, 2.0, rate_limit());
     let owned = |names: &[&str]| {
         names
             .iter()
@@ -345,12 +367,12 @@
         tenants: &tenants,
         dependencies: &[],
     };
-    let terms: Vec<LimitConfig> = serde_json::from_value(rate()).unwrap();
+    let terms: Vec<LimitConfig> = serde_json::from_value(rate_limit()).unwrap();
     let key = resolve_limits(&terms, &names).unwrap()[0].key;
     let greedy = move |_: &Member| -> Registration {
         Registration::new(
             ExtensionId::Quota,
-            Rc::new(RefCell::new(Greedy { key, number: 0 })),
+            Rc::new(RefCell::new(GreedyMember { key, number: 0 })),
         )
     };
     let _guest = Guest::join(&fleet, "greedy", greedy).unwrap();
@@ -360,18 +382,20 @@
     std::thread::scope(|scope| {
         (0..5).for_each(|at| drive.calls(scope, &fleet, at, 6, ms(200), "save", ms(5_000)))
     });
-    held(&drive, &[]);
-    // It wants as much as all of them; five of six parts are the others'. What it takes lies idle: it uses nothing.
+    assert_rate_limit_held(&drive, &[]);
+    // The member requests as much as all others together; five of six shares go to the others. Its own share is
+    // unused.
     let ok = drive.ok(from + 1_000.0, from + 5_000.0, None) as f64;
     assert!(ok >= RPS * 4.0 * 0.2, "{ok} of {}", RPS * 4.0);
 }
 
-/// COUNT processes, one RPC a second each, half of which may pass; then all demand at one of them, then a tenth of them killed.
+/// COUNT processes with one RPC per second each, half of which may be admitted; then all requests at one of
+/// them, then a tenth of them killed, then the leader.
 ///
 ///     COUNT=50 cargo test --release -p coralstep-server --test limits -- --ignored --nocapture
 #[test]
-#[ignore = "minutes; figures for docs/limits.md"]
-fn by_hand_many_processes() {
+#[ignore = "takes minutes; figures for docs/limits.md"]
+fn manual_many_processes() {
     let count = std::env::var("COUNT").map_or(50, |count| count.parse::<usize>().unwrap());
     let rps = count as f64 / 2.0;
     let limits =
@@ -381,14 +405,22 @@
     let all: Vec<usize> = (0..count).collect();
     let mut spans = Vec::new();
     let mut load =
-        |fleet: &Fleet, name: &'static str, servers: &[usize], threads: u32, lasts: u64| {
+        |fleet: &Fleet, name: &'static str, servers: &[usize], threads: u32, duration_ms: u64| {
             let from = drive.now_ms();
             std::thread::scope(|scope| {
                 servers.iter().for_each(|at| {
-                    drive.calls(scope, fleet, *at, threads, ms(1_000), "save", ms(lasts))
+                    drive.calls(
+                        scope,
+                        fleet,
+                        *at,
+                        threads,
+                        ms(1_000),
+                        "save",
+                        ms(duration_ms),
+                    )
                 });
             });
-            spans.push((name, from, from + lasts as f64));
+            spans.push((name, from, from + duration_ms as f64));
         };
     load(&fleet, "even", &all, 1, 20_000);
     load(&fleet, "all at one", &[count / 2], count as u32 * 2, 10_000);
@@ -400,11 +432,11 @@
         1,
         10_000,
     );
-    if let Some(keeper) = keeper(&fleet) {
-        fleet.kill(keeper);
+    if let Some(leader) = quota_leader(&fleet) {
+        fleet.kill(leader);
     }
     let left = fleet.running();
-    load(&fleet, "the keeper killed", &left, 1, 15_000);
+    load(&fleet, "leader killed", &left, 1, 15_000);
     for (name, from, to) in &spans {
         let seconds = ((to - from) / 1000.0) as usize;
         let by_second: Vec<usize> = (0..seconds)
@@ -419,7 +451,7 @@
         println!("{count} processes, {rps} a second may pass, {name}: by second {by_second:?}");
     }
     let over = excess(&drive.answers(), rps * (1.0 + MAX_CLOCK_DRIFT), rps * 4.0);
-    println!("greatest over the limit in any window: {over:.1} (at or under nought: it held)");
+    println!("greatest over the limit in any window: {over:.1} (zero or less: the limit held)");
     let bytes: u64 = left.iter().map(|at| fleet.links.sent(*at).1).sum();
     println!(
         "{:.0} bytes a second and process",
--- a/crates/coralstep-server/tests/verdicts.rs
+++ b/crates/coralstep-server/tests/verdicts.rs
@@ -1,5 +1,6 @@
-//! What servers tell each other of a store, by real processes with faults between them: calls burned at a store that hangs, how all come
-//! back, and that one bad way shuts nobody else. Judged by the store's own books and by what callers were told.
+//! Health reports about a shared store, exchanged by real server processes with faults on the links between
+//! them: calls wasted on a hung store, recovery of all servers, and isolation of one server with a bad
+//! connection. Judged by the store's own records and the answers to callers.
 use std::path::Path;
 use std::time::{Duration, Instant};
 
@@ -34,16 +35,19 @@
     } else {
         json!({ "verdicts": verdicts })
     };
-    // Without levels: what is measured is the breaker.
+    // Without degradation levels, so that only the breaker acts.
     let setup = Setup {
         store: Some(store.address),
         levels: false,
         ..Setup::new(more)
     };
     let fleet = Fleet::set_up(program(), count, seed, setup).unwrap();
-    let met =
+    let discovered =
         |fleet: &Fleet| (0..count).all(|at| fleet.alive(at).is_ok_and(|alive| alive == count));
-    assert!(fleet.until(LIMIT * 2, met).is_some(), "they don't meet");
+    assert!(
+        fleet.until(LIMIT * 2, discovered).is_some(),
+        "members did not discover each other"
+    );
     fleet
 }
 
@@ -51,37 +55,38 @@
     Duration::from_millis(ms)
 }
 
-/// What an outage came to.
+/// Effects of an outage of the store.
 #[derive(Debug)]
 struct Outage {
-    /// Calls that came to the store while it hung, and of these those after the first five seconds.
-    burned: usize,
-    later: usize,
-    /// From the healing until nobody's second is under four fifths of the usual for good, in seconds.
-    back: f64,
-    /// The most calls in a tenth of a second in the ten seconds after the healing, and usually before.
-    worst: usize,
-    usual: usize,
+    /// Calls received by the store while it hung, and those of them after the first five seconds.
+    wasted: usize,
+    wasted_later: usize,
+    /// Seconds from the recovery of the store until every following second serves at least four fifths of the
+    /// usual rate.
+    recovery_seconds: f64,
+    /// Maximum number of calls in 100 ms during the ten seconds after the recovery, and before the outage.
+    max_calls_after: usize,
+    max_calls_before: usize,
 }
 
-/// The most in any 100 ms.
-fn worst(asked: &[Duration], from: Duration, to: Duration) -> usize {
-    let asked: Vec<f64> = asked
+/// Returns the maximum number of calls in any 100 ms.
+fn max_calls_per_100_ms(call_times: &[Duration], from: Duration, to: Duration) -> usize {
+    let call_times: Vec<f64> = call_times
         .iter()
         .filter(|at| **at >= from && **at < to)
         .map(|at| at.as_secs_f64())
         .collect();
     let within = |at: &f64| {
-        asked
+        call_times
             .iter()
             .filter(|other| **other >= *at && **other < at + 0.1)
             .count()
     };
-    asked.iter().map(within).max().unwrap_or(0)
+    call_times.iter().map(within).max().unwrap_or(0)
 }
 
-/// `rate` calls a second at each process; the store hangs for `hangs` in the middle.
-fn outage(
+/// Sends `rate` RPCs per second to each process; the store hangs for `hangs` in the middle.
+fn run_outage(
     fleet: &Fleet,
     store: &Store,
     rate: f64,
@@ -91,34 +96,34 @@
 ) -> Outage {
     let count = fleet.count();
     let drive = Drive::default();
-    // An RPC at a store that hangs may take its whole deadline.
+    // An RPC on a hung store may take its whole deadline.
     let threads = (rate * 4.0).ceil() as u32;
     let every = Duration::from_secs_f64(f64::from(threads) / rate);
-    let lasts = before + hangs + after;
+    let duration = before + hangs + after;
     let (mut hung, mut healed) = (Duration::ZERO, Duration::ZERO);
     let mut healed_ms = 0.0;
     std::thread::scope(|scope| {
-        // Their beats are spread, as callers' are.
+        // The periods of the servers' callers are staggered.
         for at in 0..count {
             std::thread::sleep(Duration::from_secs_f64(1.0 / rate / count as f64));
-            drive.calls(scope, fleet, at, threads, every, "read", lasts);
+            drive.calls(scope, fleet, at, threads, every, "read", duration);
         }
         std::thread::sleep(before);
         hung = store.clock();
-        store.now(|plight| plight.hangs = true);
+        store.now(|faults| faults.hangs = true);
         std::thread::sleep(hangs);
-        store.now(|plight| plight.hangs = false);
+        store.now(|faults| faults.hangs = false);
         healed = store.clock();
         healed_ms = drive.now_ms();
     });
-    let asked = store.asked(Duration::ZERO);
-    let burned = |from: Duration| {
-        asked
+    let call_times = store.asked(Duration::ZERO);
+    let wasted = |from: Duration| {
+        call_times
             .iter()
             .filter(|at| **at >= from && **at < healed)
             .count()
     };
-    // Whole seconds after the healing that are served as usual, up to the end.
+    // Whole seconds after the recovery that are served as usual, up to the end.
     let usual_ok = rate * count as f64;
     let seconds = after.as_secs() as usize;
     let served = |second: usize| {
@@ -133,35 +138,42 @@
         .find(|second| (served(*second) as f64) < usual_ok * 0.8);
     let warm = hung.saturating_sub(before * 3 / 4);
     Outage {
-        burned: burned(hung),
-        later: burned(hung + Duration::from_secs(5)),
-        back: short.map_or(0.0, |short| short as f64 + 1.0),
-        worst: worst(&asked, healed, healed + Duration::from_secs(10)),
-        usual: worst(&asked, warm, hung),
+        wasted: wasted(hung),
+        wasted_later: wasted(hung + Duration::from_secs(5)),
+        recovery_seconds: short.map_or(0.0, |short| short as f64 + 1.0),
+        max_calls_after: max_calls_per_100_ms(
+            &call_times,
+            healed,
+            healed + Duration::from_secs(10),
+        ),
+        max_calls_before: max_calls_per_100_ms(&call_times, warm, hung),
     }
 }
 
 #[test]
-fn a_store_that_hangs_costs_few_calls_and_all_are_back_soon() {
+fn hung_store_wastes_few_calls_and_all_servers_recover() {
     let store = store();
     let fleet = fleet(8, 51, &store, json!({}));
-    let came = outage(&fleet, &store, 2.0, ms(3_000), ms(8_000), ms(8_000));
-    println!("{came:?}");
-    // Alone each would need twenty outcomes of its own, ten seconds of them: no breaker would open within the eight.
+    let outage = run_outage(&fleet, &store, 2.0, ms(3_000), ms(8_000), ms(8_000));
+    println!("{outage:?}");
+    // On its own, each server would need twenty outcomes, ten seconds' worth: no breaker would open within the
+    // eight seconds.
     let opened = (0..8)
         .filter(|at| fleet.logged(*at, "from=\"closed\" to=\"open\""))
         .count();
-    let told: Vec<String> = (0..8)
+    let outcomes: Vec<String> = (0..8)
         .flat_map(|at| fleet.log(at))
         .filter(|line| line.contains("breaker"))
         .collect();
-    assert!(opened >= 6, "{opened}: {told:?}");
-    // Two failures each, what was under way meanwhile, and two trials a second; without news there are 16 RPCs a second, of two calls each.
-    assert!(came.burned < 120, "{came:?}");
-    assert!(came.back <= 5.0, "{came:?}");
+    assert!(opened >= 6, "{opened}: {outcomes:?}");
+    // Two failures per server, the calls in flight meanwhile, and two probe calls per second; without shared
+    // reports it would be 16 RPCs per second with two calls each.
+    assert!(outage.wasted < 120, "{outage:?}");
+    assert!(outage.recovery_seconds <= 5.0, "{outage:?}");
     assert!(
-        came.later <= came.burned && came.worst <= came.usual.max(4) * 4,
-        "{came:?}"
+        outage.wasted_later <= outage.wasted
+            && outage.max_calls_after <= outage.max_calls_before.max(4) * 4,
+        "{outage:?}"
     );
     assert!(
         (0..8).any(|at| fleet.logged(at, "store fails")),
@@ -177,10 +189,10 @@
 }
 
 #[test]
-fn one_bad_way_shuts_nobody_else_and_is_told_from_a_bad_store() {
+fn bad_connection_of_one_server_opens_no_other_breaker() {
     let store = store();
     let fleet = fleet(6, 52, &store, json!({}));
-    // Its bytes are swallowed: all its calls run out of time, and it says so to all.
+    // The bytes on its connection are dropped: all its calls time out, and it reports that to all servers.
     fleet.way(
         2,
         Faults {
@@ -203,19 +215,22 @@
     for at in [0, 1, 3, 4, 5] {
         assert!(
             !fleet.logged(at, "breaker"),
-            "hearsay alone opens none: {:?}",
+            "reports of other servers alone must not open a breaker: {:?}",
             fleet.log(at)
         );
-        let told: Vec<Told> = drive
+        let outcomes: Vec<Told> = drive
             .answers()
             .iter()
             .filter(|of| of.at == at)
             .map(|of| of.told)
             .collect();
-        let ok = told.iter().filter(|told| **told == Told::Ok).count();
-        assert!(ok * 10 >= told.len() * 8, "{at}: {told:?}");
+        let ok = outcomes
+            .iter()
+            .filter(|outcomes| **outcomes == Told::Ok)
+            .count();
+        assert!(ok * 10 >= outcomes.len() * 8, "{at}: {outcomes:?}");
     }
-    // Its way is mended: it comes back by its own trial.
+    // The connection works again: the server recovers by its own probe call.
     fleet.way(2, Faults::default());
     let start = Instant::now();
     while fleet.call(2, "read", None) != Told::Ok {
@@ -224,28 +239,32 @@
     }
 }
 
-/// What a liar says of the store, for ever.
+/// What the lying member always reports about the store.
 #[derive(Clone, Copy)]
-enum Lie {
+enum FalseReport {
     Fails,
     Serves,
 }
 
-struct Liar(SharedHealth, Lie);
+struct LyingMember(SharedHealth, FalseReport);
 
-impl GossipExtension for Liar {
+impl GossipExtension for LyingMember {
     fn next_gossip(&mut self, now: u64, room: usize) -> Option<Vec<u8>> {
         self.0.next_gossip(now, room)
     }
 
     fn handle_timeout(&mut self, now: u64, view: &MembershipView<'_>) -> Vec<Message> {
-        // It has just closed again, each second.
+        // Reports a breaker that has just closed, once per second.
         let state = match self.1 {
-            Lie::Fails => ReportedBreakerState::Open,
-            Lie::Serves if now % 1_000 < 100 => ReportedBreakerState::HalfOpen,
-            Lie::Serves => ReportedBreakerState::Closed,
+            FalseReport::Fails => ReportedBreakerState::Open,
+            FalseReport::Serves if now % 1_000 < 100 => ReportedBreakerState::HalfOpen,
+            FalseReport::Serves => ReportedBreakerState::Closed,
+        };
+        let failures = if matches!(self.1, FalseReport::Fails) {
+            20
+        } else {
+            0
         };
-        let failures = if matches!(self.1, Lie::Fails) { 20 } else { 0 };
         self.0.observe(
             now,
             "store",
@@ -260,56 +279,57 @@
 }
 
 #[test]
-fn a_member_that_lies_moves_the_rest_by_no_more_than_is_stated() {
-    for lie in [Lie::Fails, Lie::Serves] {
+fn lying_member_has_bounded_effect_on_others() {
+    for false_report in [FalseReport::Fails, FalseReport::Serves] {
         let store = store();
         let fleet = fleet(6, 54, &store, json!({}));
         let liar = move |own: &Member| -> Registration {
             Registration::new(
                 ExtensionId::SharedHealth,
-                Rc::new(RefCell::new(Liar(
+                Rc::new(RefCell::new(LyingMember(
                     SharedHealth::new(own, SharingConfig::default(), 9),
-                    lie,
+                    false_report,
                 ))),
             )
         };
         let _guest = Guest::join(&fleet, "liar", liar).unwrap();
-        let heard = |fleet: &Fleet| {
+        let received = |fleet: &Fleet| {
             (0..6).all(|at| {
-                let said = fleet.ask(at, &json!({"ask": "fleet_verdicts"})).unwrap();
-                said["verdicts"]
+                let reply = fleet.ask(at, &json!({"ask": "fleet_verdicts"})).unwrap();
+                reply["verdicts"]
                     .as_array()
                     .unwrap()
                     .iter()
                     .any(|row| row["server"] == "liar")
             })
         };
-        assert!(fleet.until(LIMIT, heard).is_some());
+        assert!(fleet.until(LIMIT, received).is_some());
         let drive = Drive::default();
-        if matches!(lie, Lie::Fails) {
+        if matches!(false_report, FalseReport::Fails) {
             std::thread::scope(|scope| {
                 (0..6)
                     .for_each(|at| drive.calls(scope, &fleet, at, 8, ms(1_000), "read", ms(4_000)));
             });
             assert!(
                 (0..6).all(|at| !fleet.logged(at, "breaker")),
-                "one that always says 'fails' opens none"
+                "one lying member must not open a breaker"
             );
             continue;
         }
-        let came = outage(&fleet, &store, 2.0, ms(3_000), ms(10_000), ms(6_000));
-        // Twelve calls a second would come. Until all are open some forty do, then 1.2 a second; the liar adds one each.
-        assert!(came.later < 45, "{came:?}");
-        assert!(came.back <= 5.0, "{came:?}");
+        let outage = run_outage(&fleet, &store, 2.0, ms(3_000), ms(10_000), ms(6_000));
+        // Twelve calls per second would arrive. Until all breakers are open there are some forty, then 1.2 per
+        // second; the lying member adds one each.
+        assert!(outage.wasted_later < 45, "{outage:?}");
+        assert!(outage.recovery_seconds <= 5.0, "{outage:?}");
     }
 }
 
-/// The figures of docs/verdicts.md: without sharing, with all of it, and with each part alone.
+/// Effects of an outage without shared health, with all of it, and with each part alone.
 ///
 ///     COUNT=60 RATE=1 cargo test --release -p coralstep-server --test verdicts -- --ignored --nocapture
 #[test]
-#[ignore = "minutes; figures for docs/verdicts.md"]
-fn by_hand_what_an_outage_costs() {
+#[ignore = "takes minutes; figures for docs/verdicts.md"]
+fn manual_effects_of_an_outage() {
     let number =
         |name: &str, absent: f64| std::env::var(name).map_or(absent, |text| text.parse().unwrap());
     let (count, rate, hangs) = (
@@ -336,7 +356,7 @@
         }
         let store = store();
         let fleet = fleet(count, 53, &store, verdicts);
-        let came = outage(
+        let outage = run_outage(
             &fleet,
             &store,
             rate,
@@ -344,7 +364,7 @@
             Duration::from_secs_f64(hangs),
             ms(25_000),
         );
-        println!("{count} servers, {rate} calls a second each, {name}: {came:?}");
+        println!("{count} servers, {rate} calls a second each, {name}: {outage:?}");
         if std::env::var("LOG").is_ok() {
             fleet.log(0).iter().for_each(|line| println!("  {line}"));
         }
