--- a/crates/coralstep-server/tests/mixed.rs
+++ b/crates/coralstep-server/tests/mixed.rs
@@ -39,7 +39,7 @@
     Rejected,
     Failed,
     /// The connection was closed or could not be opened.
-    NoResponse,
+    Unanswered,
 }
 
 #[derive(Clone, Debug)]
@@ -67,7 +67,7 @@
 
 fn send_over_thrift(addresses: ServerAddresses, sent: &SentRpc) -> Response {
     let Some(mut gateway) = addresses.gateway() else {
-        return Response::NoResponse;
+        return Response::Unanswered;
     };
     let mut more: Vec<(&str, &str)> = Vec::new();
     more.extend(
@@ -76,7 +76,7 @@
             .map(|idempotency_key| ("replay", idempotency_key)),
     );
     if !gateway.try_invoke(sent.method, &sent.id, &sent.body, &more) {
-        return Response::NoResponse;
+        return Response::Unanswered;
     }
     read_response(&mut gateway)
 }
@@ -91,7 +91,7 @@
             Some(Reply::Overloaded { .. }) => return Response::Rejected,
             Some(Reply::Internal { .. } | Reply::Exception { .. }) => return Response::Failed,
             Some(reply) => panic!("{reply:?}"),
-            None => return Response::NoResponse,
+            None => return Response::Unanswered,
         }
     }
 }
@@ -120,7 +120,7 @@
         Some(answer) if answer.status == 503 => Response::Rejected,
         Some(answer) if answer.status == 500 => Response::Failed,
         Some(answer) => panic!("{answer:?}"),
-        None => Response::NoResponse,
+        None => Response::Unanswered,
     }
 }
 
@@ -153,7 +153,7 @@
     );
     let store_call_ms = store(server.store_listener(), 3, 2, 2);
     // The server is up once its engine is, and the first run succeeds.
-    while send_over_thrift(server.addresses(), &sample_rpc(u64::MAX)) == Response::NoResponse {}
+    while send_over_thrift(server.addresses(), &sample_rpc(u64::MAX)) == Response::Unanswered {}
     let (gap, start) = (
         Duration::from_secs_f64(1.0 / (load * CAPACITY)),
         Instant::now(),
@@ -229,7 +229,7 @@
         idempotency_key: None,
         body: format!("body {number}").into_bytes(),
         at: Instant::now(),
-        response: Response::NoResponse,
+        response: Response::Unanswered,
         took: Duration::ZERO,
     }
 }
@@ -285,7 +285,7 @@
             Response::Failed => {}
             // Only a draining server leaves requests unanswered, and only those that it has not read: none of
             // them ran.
-            Response::NoResponse => {
+            Response::Unanswered => {
                 assert!(
                     sent.at + TOLERANCE > load_run.terminated_at && runs_of(sent).is_empty(),
                     "{sent:?}"
@@ -319,7 +319,7 @@
         fraction(|response| matches!(response, Response::Ok(_))),
         fraction(|response| *response == Response::Rejected),
         fraction(|response| *response == Response::Failed),
-        fraction(|response| *response == Response::NoResponse),
+        fraction(|response| *response == Response::Unanswered),
     ]
 }
 
@@ -379,7 +379,7 @@
 }
 
 #[test]
-#[should_panic(expected = "NoResponse")]
+#[should_panic(expected = "Unanswered")]
 fn check_detects_unanswered_rpc() {
     let sent = sample_rpc(1);
     assert_rules_hold(&LoadRun {
@@ -488,7 +488,7 @@
             RecordingEngine::start(server.engine_listener(), 2, 0.0, Duration::from_secs(600));
         store(server.store_listener(), 0, 0, 0).store(0, Ordering::SeqCst);
         let addresses = server.addresses();
-        while send_over_thrift(addresses, &sample_rpc(u64::MAX)) == Response::NoResponse {}
+        while send_over_thrift(addresses, &sample_rpc(u64::MAX)) == Response::Unanswered {}
         let before = server.cpu();
         for number in 0..1_000 {
             let sent = sample_rpc(number);
