--- a/crates/coralstep/src/measurements.rs
+++ b/crates/coralstep/src/measurements.rs
@@ -153,8 +153,8 @@
         self.last_call_end = now;
     }
 
-    /// Halves the counts once they cover two halving periods. From then on they count as those of one period, so
-    /// this happens once per period.
+    /// Halves the counts once they cover two halving periods. From then on they count as those of one period,
+    /// so this happens once per period.
     pub(crate) fn halve_if_due(&mut self, now: Time) {
         if now - self.counted_since < HALVING_PERIOD * 2 {
             return;
