--- a/crates/coralstep-lab/src/fleet/drive.rs
+++ b/crates/coralstep-lab/src/fleet/drive.rs
@@ -5,28 +5,28 @@
 use std::thread::Scope;
 use std::time::{Duration, Instant};
 
-use super::{Fleet, Told};
+use super::{Fleet, RpcOutcome};
 use crate::emulate::lock;
 
 /// One RPC as its caller saw it; times since the drive began.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer {
-    pub at: usize,
+    pub process: usize,
     pub sent_ms: f64,
-    pub got_ms: f64,
-    pub told: Told,
+    pub received_ms: f64,
+    pub outcome: RpcOutcome,
 }
 
 /// The callers of a play, until it is stopped.
-pub struct Drive {
+pub struct LoadGenerator {
     start: Instant,
     answers: Mutex<Vec<Answer>>,
     stop: AtomicBool,
 }
 
-impl Default for Drive {
-    fn default() -> Drive {
-        Drive {
+impl Default for LoadGenerator {
+    fn default() -> LoadGenerator {
+        LoadGenerator {
             start: Instant::now(),
             answers: Mutex::default(),
             stop: AtomicBool::new(false),
@@ -34,38 +34,38 @@
     }
 }
 
-impl Drive {
+impl LoadGenerator {
     pub fn now_ms(&self) -> f64 {
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// `threads` callers of process `at` for so long, each with an RPC every `every` unless the one before takes longer. Their ends are
-    /// spread over `every`.
+    /// `threads` callers of process `at` for so long, each with an RPC interval `interval` unless the one before takes longer. Their ends are
+    /// spread over `interval`.
     #[allow(clippy::too_many_arguments)]
-    pub fn calls<'scope, 'env>(
+    pub fn spawn_callers<'scope, 'env>(
         &'env self,
         scope: &'scope Scope<'scope, 'env>,
         fleet: &'env Fleet,
         at: usize,
         threads: u32,
-        every: Duration,
+        interval: Duration,
         method: &'static str,
-        lasts: Duration,
+        duration: Duration,
     ) {
-        let end = Instant::now() + lasts;
+        let end = Instant::now() + duration;
         for thread in 0..threads {
             scope.spawn(move || {
-                let mut next = Instant::now() + every * thread / threads;
+                let mut next = Instant::now() + interval * thread / threads;
                 while Instant::now() < end && !self.stop.load(Ordering::SeqCst) {
                     std::thread::sleep(next.saturating_duration_since(Instant::now()));
-                    next += every;
+                    next += interval;
                     let sent_ms = self.now_ms();
-                    let told = fleet.call(at, method, Some("north"));
+                    let outcome = fleet.call(at, method, Some("north"));
                     lock(&self.answers).push(Answer {
-                        at,
+                        process: at,
                         sent_ms,
-                        got_ms: self.now_ms(),
-                        told,
+                        received_ms: self.now_ms(),
+                        outcome,
                     });
                 }
             });
@@ -81,14 +81,15 @@
     }
 
     /// RPCs answered well that were sent within the span, by process where one is named.
-    pub fn ok(&self, from_ms: f64, to_ms: f64, at: Option<usize>) -> usize {
+    pub fn count_ok(&self, from_ms: f64, to_ms: f64, at: Option<usize>) -> usize {
         let within = |answer: &&Answer| answer.sent_ms >= from_ms && answer.sent_ms < to_ms;
-        let ours =
-            |answer: &&Answer| at.is_none_or(|at| answer.at == at) && answer.told == Told::Ok;
+        let of_process = |answer: &&Answer| {
+            at.is_none_or(|at| answer.process == at) && answer.outcome == RpcOutcome::Ok
+        };
         lock(&self.answers)
             .iter()
             .filter(within)
-            .filter(ours)
+            .filter(of_process)
             .count()
     }
 }
--- a/crates/coralstep-lab/src/fleet/guest.rs
+++ b/crates/coralstep-lab/src/fleet/guest.rs
@@ -36,7 +36,7 @@
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         socket.set_read_timeout(Some(TICK / 5))?;
         let at = socket.local_addr()?;
-        fleet.links.guest(at);
+        fleet.links.add_guest(at);
         let peers: Vec<SocketAddr> = fleet.links.addresses.iter().copied().take(4).collect();
         let unix = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
--- a/crates/coralstep-lab/src/fleet/judge.rs
+++ b/crates/coralstep-lab/src/fleet/judge.rs
@@ -3,11 +3,11 @@
 
 use serde::Serialize;
 
-use super::{Answer, Told};
+use super::{Answer, RpcOutcome};
 
 /// One process at one moment.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct Observation {
     pub at_ms: u64,
     pub process: usize,
     /// Rises with each start.
@@ -48,21 +48,21 @@
 pub const HELD: u64 = 3_000;
 
 #[derive(Default)]
-pub struct Judge {
-    last: HashMap<usize, Seen>,
+pub struct InvariantChecker {
+    last: HashMap<usize, Observation>,
     over: Option<u64>,
     pub breaches: Vec<Breach>,
     /// When a process went on after a stop, and the version that all others acted on then.
     resumed: HashMap<usize, (u64, u64)>,
 }
 
-impl Judge {
-    pub fn seen(&mut self, seen: Seen) {
+impl InvariantChecker {
+    pub fn seen(&mut self, seen: Observation) {
         if let Some(before) = self.last.get(&seen.process)
             && before.life == seen.life
             && before.acts_on > seen.acts_on
         {
-            let name = |of: &Seen| format!("{}-{}", of.acts_on.0, of.acts_on.1);
+            let name = |of: &Observation| format!("{}-{}", of.acts_on.0, of.acts_on.1);
             let (from, to) = (name(before), name(&seen));
             self.breaches.push(Breach::Back {
                 at_ms: seen.at_ms,
@@ -140,12 +140,12 @@
 pub fn excess(answers: &[Answer], rps: f64, burst: f64) -> f64 {
     let mut ok: Vec<&Answer> = answers
         .iter()
-        .filter(|answer| answer.told == Told::Ok)
+        .filter(|answer| answer.outcome == RpcOutcome::Ok)
         .collect();
     ok.sort_by(|a, b| a.sent_ms.total_cmp(&b.sent_ms));
     let mut most = f64::MIN;
     for (at, first) in ok.iter().enumerate() {
-        let mut ends: Vec<f64> = ok[at..].iter().map(|answer| answer.got_ms).collect();
+        let mut ends: Vec<f64> = ok[at..].iter().map(|answer| answer.received_ms).collect();
         ends.sort_by(f64::total_cmp);
         for (count, end) in ends.iter().enumerate() {
             most = most.max((count + 1) as f64 - burst - rps * (end - first.sent_ms) / 1000.0);
--- a/crates/coralstep-lab/src/fleet/mixed_builds.rs
+++ b/crates/coralstep-lab/src/fleet/mixed_builds.rs
@@ -10,7 +10,7 @@
 
 use super::judge::excess;
 use super::processes::{METHODS, TENANTS};
-use super::{Drive, Faults, Fleet, Programs, Setup, Told};
+use super::{Faults, Fleet, LoadGenerator, Programs, RpcOutcome, Setup};
 use crate::emulate::store::Store;
 use crate::world::Dependency;
 
@@ -45,7 +45,7 @@
 /// The settings of the versions in their order: `levels.record_ms`, in milliseconds.
 const RECORD_MS: [u64; 3] = [1_000, 2_000, 3_000];
 
-/// Runs the scenario; `told` hears of each step that came about, and `stop` ends it early.
+/// Runs the scenario; `progress` hears of each step that came about, and `stop` ends it early.
 ///
 /// # Errors
 /// The first event that did not come, and each limit or datagram count that did not hold.
@@ -53,9 +53,9 @@
     programs: &Programs,
     seed: u64,
     stop: &AtomicBool,
-    told: impl Fn(&str),
+    progress: impl Fn(&str),
 ) -> Result<Report, Failure> {
-    let mut scenario = Scenario::start(programs, seed, stop, &told)?;
+    let mut scenario = Scenario::start(programs, seed, stop, &progress)?;
     scenario.members_meet()?;
     scenario.versions_reach_all()?;
     scenario.limit_is_shared()?;
@@ -71,7 +71,7 @@
     _store: Store,
     programs: &'a Programs,
     stop: &'a AtomicBool,
-    told: &'a dyn Fn(&str),
+    progress: &'a dyn Fn(&str),
     report: Report,
 }
 
@@ -104,7 +104,7 @@
         programs: &'a Programs,
         seed: u64,
         stop: &'a AtomicBool,
-        told: &'a dyn Fn(&str),
+        progress: &'a dyn Fn(&str),
     ) -> Result<Scenario<'a>, Failure> {
         let failed = |source| Failure::Io {
             step: "start",
@@ -114,14 +114,14 @@
         let dependency: Dependency =
             serde_json::from_value(dependency).map_err(|why| failed(why.into()))?;
         let store = Store::start(&dependency, seed).map_err(failed)?;
-        let fleet =
-            Fleet::set_up(programs.clone(), MEMBERS, seed, setup(&store)).map_err(failed)?;
+        let fleet = Fleet::start_with_setup(programs.clone(), MEMBERS, seed, setup(&store))
+            .map_err(failed)?;
         Ok(Scenario {
             fleet,
             _store: store,
             programs,
             stop,
-            told,
+            progress,
             report: Report::default(),
         })
     }
@@ -135,7 +135,7 @@
         let stopped = || self.stop.load(Ordering::SeqCst);
         let took = self
             .fleet
-            .until(EVENT_LIMIT, |fleet| stopped() || done(fleet));
+            .wait_until(EVENT_LIMIT, |fleet| stopped() || done(fleet));
         if stopped() {
             return Err(Failure::Interrupted);
         }
@@ -145,7 +145,7 @@
                 limit: EVENT_LIMIT,
             })?
             .as_millis() as u64;
-        (self.told)(&format!("{step}: after {took} ms"));
+        (self.progress)(&format!("{step}: after {took} ms"));
         Ok(took)
     }
 
@@ -164,7 +164,7 @@
             .fleet
             .publish(member, &settings(record_ms), false, &[], 0);
         let id = published.map_err(|source| Failure::Io { step, source })?;
-        let all_on_ms = self.wait(step, |fleet| fleet.all_on(&id))?;
+        let all_on_ms = self.wait(step, |fleet| fleet.all_active_on(&id))?;
         self.report.versions.push(Published {
             id,
             member,
@@ -188,11 +188,11 @@
 
     /// All members have more callers than their share of the limit.
     fn limit_is_shared(&mut self) -> Result<(), Failure> {
-        let drive = Drive::default();
-        let limited = |_: &Fleet| (0..MEMBERS).all(|member| admits_and_rejects(&drive, member));
+        let load = LoadGenerator::default();
+        let limited = |_: &Fleet| (0..MEMBERS).all(|member| admits_and_rejects(&load, member));
         std::thread::scope(|scope| {
             for member in 0..MEMBERS {
-                drive.calls(
+                load.spawn_callers(
                     scope,
                     &self.fleet,
                     member,
@@ -203,22 +203,22 @@
                 );
             }
             let waited = self.wait("each member admits RPCs under the limit", limited);
-            drive.stop();
+            load.stop();
             waited
         })?;
-        for answer in drive.answers() {
-            let per_build = match answer.told {
-                Told::Ok => &mut self.report.admitted,
+        for answer in load.answers() {
+            let per_build = match answer.outcome {
+                RpcOutcome::Ok => &mut self.report.admitted,
                 _ => &mut self.report.rejected,
             };
-            *(if is_primary(answer.at) {
+            *(if is_primary(answer.process) {
                 &mut per_build.primary
             } else {
                 &mut per_build.other
             }) += 1;
         }
         let excess = excess(
-            &drive.answers(),
+            &load.answers(),
             LIMIT_RPS * (1.0 + MAX_CLOCK_DRIFT),
             f64::from(LIMIT_BURST),
         );
@@ -238,9 +238,9 @@
             ..Faults::default()
         };
         for member in [OTHER_MEMBER, PRIMARY_MEMBER] {
-            self.fleet.way(member, broken);
+            self.fleet.set_store_faults(member, broken);
             let received = self.verdicts_of(member, "failures");
-            self.fleet.way(member, Faults::default());
+            self.fleet.set_store_faults(member, Faults::default());
             received?;
         }
         Ok(())
@@ -248,7 +248,7 @@
 
     /// Calls the store through `member` until every member of the opposite build shows its count.
     fn verdicts_of(&mut self, member: usize, count: &'static str) -> Result<(), Failure> {
-        let drive = Drive::default();
+        let load = LoadGenerator::default();
         let observers = || (0..MEMBERS).filter(|other| is_primary(*other) != is_primary(member));
         let received =
             |fleet: &Fleet| observers().all(|other| shows_count(fleet, other, member, count));
@@ -259,7 +259,7 @@
             (false, _) => "the primary build shows failures of the other build",
         };
         std::thread::scope(|scope| {
-            drive.calls(
+            load.spawn_callers(
                 scope,
                 &self.fleet,
                 member,
@@ -269,7 +269,7 @@
                 EVENT_LIMIT,
             );
             let waited = self.wait(step, received);
-            drive.stop();
+            load.stop();
             waited
         })?;
         let received = &mut self.report.verdicts_received;
@@ -285,7 +285,7 @@
     fn datagrams_are_accepted(&mut self) -> Result<(), Failure> {
         const QUESTION: &str = "fleet_members";
         for member in 0..MEMBERS {
-            let asked = self.fleet.ask(member, &json!({"ask": QUESTION}));
+            let asked = self.fleet.query(member, &json!({"ask": QUESTION}));
             let answer = asked.map_err(|source| Failure::Io {
                 step: QUESTION,
                 source,
@@ -303,7 +303,7 @@
             }
             self.report.refused_datagrams += count;
         }
-        (self.told)("no member refused a datagram");
+        (self.progress)("no member refused a datagram");
         Ok(())
     }
 
@@ -320,7 +320,7 @@
         self.report.successor.rejoined_ms =
             self.wait("the successor is a member again", all_see_all)?;
         self.wait("all act on one version again", |fleet| {
-            fleet.all_on(&version)
+            fleet.all_active_on(&version)
         })?;
         self.publish(
             REPLACED_MEMBER,
@@ -343,10 +343,11 @@
         self.fleet.kill(REPLACED_MEMBER);
         // Guards against members that take the successor for the predecessor, which they never missed.
         let missed = |fleet: &Fleet| {
-            fleet
-                .running()
-                .into_iter()
-                .all(|at| fleet.alive(at).is_ok_and(|alive| alive == MEMBERS - 1))
+            fleet.running().into_iter().all(|at| {
+                fleet
+                    .count_alive(at)
+                    .is_ok_and(|alive| alive == MEMBERS - 1)
+            })
         };
         self.wait("the others miss the predecessor", missed)?;
         self.report.successor.predecessor_snapshot =
@@ -361,12 +362,16 @@
             .collect();
         self.fleet.links.cut(&[REPLACED_MEMBER], &rest);
         let program = self.programs.of(PRIMARY_MEMBER);
-        let started = self.fleet.boot_from(REPLACED_MEMBER, program);
+        let started = self.fleet.start_process_from(REPLACED_MEMBER, program);
         started.map_err(|source| Failure::Io {
             step: "start of the successor",
             source,
         })?;
-        let acts = |fleet: &Fleet| fleet.acts_on(REPLACED_MEMBER).is_ok_and(|on| on == version);
+        let acts = |fleet: &Fleet| {
+            fleet
+                .active_version(REPLACED_MEMBER)
+                .is_ok_and(|on| on == version)
+        };
         self.wait("the successor acts on the recorded version", acts)?;
         let directory = self.fleet.state_directory(REPLACED_MEMBER);
         let predecessor = self.report.successor.predecessor_snapshot;
@@ -375,7 +380,8 @@
                 && snapshots::newest(program, &directory).is_some_and(|number| number > predecessor)
         };
         // Its first RPC, of no tenant, is what lets it write a snapshot of its own.
-        let serves = |fleet: &Fleet| fleet.call(REPLACED_MEMBER, METHODS[1], None) == Told::Ok;
+        let serves =
+            |fleet: &Fleet| fleet.call(REPLACED_MEMBER, METHODS[1], None) == RpcOutcome::Ok;
         self.wait("the successor serves an RPC", serves)?;
         self.wait(
             "a snapshot of the successor holds what its predecessor learned",
@@ -390,27 +396,33 @@
 }
 
 fn all_see_all(fleet: &Fleet) -> bool {
-    (0..MEMBERS).all(|member| fleet.alive(member).is_ok_and(|alive| alive == MEMBERS))
+    (0..MEMBERS).all(|member| {
+        fleet
+            .count_alive(member)
+            .is_ok_and(|alive| alive == MEMBERS)
+    })
 }
 
 /// Whether the member has admitted its part, and rejected some of what came after the first.
-fn admits_and_rejects(drive: &Drive, member: usize) -> bool {
-    let mut answers = drive.answers();
-    answers.retain(|answer| answer.at == member);
+fn admits_and_rejects(load: &LoadGenerator, member: usize) -> bool {
+    let mut answers = load.answers();
+    answers.retain(|answer| answer.process == member);
     let admitted = answers
         .iter()
-        .filter(|answer| answer.told == Told::Ok)
+        .filter(|answer| answer.outcome == RpcOutcome::Ok)
         .count();
-    let after_first = answers.iter().skip_while(|answer| answer.told != Told::Ok);
+    let after_first = answers
+        .iter()
+        .skip_while(|answer| answer.outcome != RpcOutcome::Ok);
     let rejected = after_first
         .into_iter()
-        .any(|answer| matches!(answer.told, Told::PushedBack(_)));
+        .any(|answer| matches!(answer.outcome, RpcOutcome::Rejected(_)));
     admitted >= MIN_ADMITTED && rejected
 }
 
 /// Whether `observer` shows `count` of the store above zero for `reporter`.
 fn shows_count(fleet: &Fleet, observer: usize, reporter: usize, count: &str) -> bool {
-    let Ok(answer) = fleet.ask(observer, &json!({"ask": "fleet_verdicts"})) else {
+    let Ok(answer) = fleet.query(observer, &json!({"ask": "fleet_verdicts"})) else {
         return false;
     };
     let reporter = format!("n{reporter}");
--- a/crates/coralstep-lab/src/fleet/mod.rs
+++ b/crates/coralstep-lab/src/fleet/mod.rs
@@ -10,8 +10,8 @@
 pub mod programs;
 
 pub use crate::emulate::wire::Faults;
-pub use drive::{Answer, Drive};
+pub use drive::{Answer, LoadGenerator};
 pub use guest::Guest;
 pub use links::{Fault, Links};
-pub use processes::{Fleet, Setup, Told};
+pub use processes::{Fleet, RpcOutcome, Setup};
 pub use programs::Programs;
--- a/crates/coralstep-lab/src/fleet/play.rs
+++ b/crates/coralstep-lab/src/fleet/play.rs
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use super::judge::{Breach, Judge, Seen};
-use super::{Fault, Fleet, Programs, Told};
+use super::judge::{Breach, InvariantChecker, Observation};
+use super::{Fault, Fleet, Programs, RpcOutcome};
 
 /// Processes and steps at the most.
 const PROCESSES_MOST: usize = 400;
@@ -138,28 +138,28 @@
         text
     }
 
-    /// Plays it with `programs`; `told` hears what happens, and `stop` ends it early.
+    /// Plays it with `programs`; `progress` hears what happens, and `stop` ends it early.
     pub fn run(
         &self,
         programs: impl Into<Programs>,
         stop: &AtomicBool,
-        told: impl Fn(&str),
+        progress: impl Fn(&str),
     ) -> std::io::Result<Report> {
         let mut fleet = Fleet::start(programs, self.processes, self.seed, self.fleet.clone())?;
         let all = self.processes;
         let met = |fleet: &Fleet| {
             stop.load(Ordering::SeqCst)
-                || (0..all).all(|at| fleet.alive(at).is_ok_and(|alive| alive == all))
+                || (0..all).all(|at| fleet.count_alive(at).is_ok_and(|alive| alive == all))
         };
         let met = fleet
-            .until(TOGETHER * 3, met)
+            .wait_until(TOGETHER * 3, met)
             .ok_or_else(|| std::io::Error::other("they don't meet"))?;
-        told(&format!(
+        progress(&format!(
             "{all} processes met after {:.1} s",
             met.as_secs_f64()
         ));
         let mut run = Run {
-            judge: Judge::default(),
+            judge: InvariantChecker::default(),
             lives: vec![0; all],
             stopped: vec![None; all],
             report: Report::default(),
@@ -174,7 +174,7 @@
             }
             let at_s = start.elapsed().as_secs_f64();
             while let Some(step) = steps.get(next).filter(|step| step.at_s <= at_s) {
-                told(&format!("{at_s:.1} s: {}", json!(step.what)));
+                progress(&format!("{at_s:.1} s: {}", json!(step.what)));
                 run.does(&mut fleet, &step.what, (at_s * 1000.0) as u64)?;
                 next += 1;
             }
@@ -189,19 +189,19 @@
                 run.look(&fleet, start);
             }
         }
-        let bytes: u64 = (0..all).map(|at| fleet.links.sent(at).1).sum();
+        let bytes: u64 = (0..all).map(|at| fleet.links.sent_traffic(at).1).sum();
         run.report.bytes_a_second =
             bytes as f64 / (start.elapsed() + met).as_secs_f64() / all as f64;
         let one = |fleet: &Fleet| {
             let on: Vec<String> = fleet
                 .running()
                 .into_iter()
-                .filter_map(|at| fleet.acts_on(at).ok())
+                .filter_map(|at| fleet.active_version(at).ok())
                 .collect();
             on.windows(2).all(|two| two[0] == two[1])
         };
         run.report.together_ms = fleet
-            .until(TOGETHER, one)
+            .wait_until(TOGETHER, one)
             .map(|took| took.as_millis() as u64);
         run.look(&fleet, start);
         run.judge.end();
@@ -211,7 +211,7 @@
 }
 
 struct Run {
-    judge: Judge,
+    judge: InvariantChecker,
     lives: Vec<u64>,
     stopped: Vec<Option<Instant>>,
     report: Report,
@@ -229,13 +229,13 @@
             } => {
                 fleet.publish(*at, content, *must, waves, *pause_ms)?;
             }
-            What::Link { from, to, fault } => fleet.links.set(from, to, *fault),
-            What::All(fault) => fleet.links.all(*fault),
+            What::Link { from, to, fault } => fleet.links.set_faults(from, to, *fault),
+            What::All(fault) => fleet.links.set_default_fault(*fault),
             What::Cut { one, other } => fleet.links.cut(one, other),
             What::Heal => fleet.links.heal(),
             What::Stop(at) => {
                 self.stopped[*at] = Some(Instant::now());
-                fleet.pause(*at, true)?;
+                fleet.set_stopped(*at, true)?;
             }
             What::Continue(at) => {
                 let long = self.stopped[*at]
@@ -244,7 +244,7 @@
                 if long {
                     self.judge.resumed(at_ms, *at);
                 }
-                fleet.pause(*at, false)?;
+                fleet.set_stopped(*at, false)?;
             }
             What::Kill(at) => {
                 fleet.kill(*at);
@@ -252,7 +252,7 @@
             }
             What::Boot(at) => {
                 self.lives[*at] += 1;
-                fleet.boot(*at)?;
+                fleet.start_process(*at)?;
             }
         }
         Ok(())
@@ -264,22 +264,22 @@
             return;
         };
         match fleet.rpc(at) {
-            Told::Ok => {
+            RpcOutcome::Ok => {
                 self.report.ok += 1;
-                if let Ok(on) = fleet.acts_on(at) {
+                if let Ok(on) = fleet.active_version(at) {
                     self.judge
                         .ran(start.elapsed().as_millis() as u64, at, version(&on).0);
                 }
             }
-            Told::PushedBack(_) => self.report.pushed_back += 1,
-            Told::Aborted => self.report.aborted += 1,
-            Told::Nothing => self.judge.no_answer(start.elapsed().as_millis() as u64, at),
+            RpcOutcome::Rejected(_) => self.report.pushed_back += 1,
+            RpcOutcome::Failed => self.report.aborted += 1,
+            RpcOutcome::NoAnswer => self.judge.no_answer(start.elapsed().as_millis() as u64, at),
         }
     }
 
     fn look(&mut self, fleet: &Fleet, start: Instant) {
         for at in fleet.running() {
-            let Ok(said) = fleet.ask(at, &json!({"ask": "fleet_members"})) else {
+            let Ok(said) = fleet.query(at, &json!({"ask": "fleet_members"})) else {
                 continue;
             };
             let own = format!("n{at}");
@@ -294,7 +294,7 @@
                 version(on.unwrap_or("0")),
                 start.elapsed().as_millis() as u64,
             );
-            self.judge.seen(Seen {
+            self.judge.seen(Observation {
                 at_ms,
                 process: at,
                 life: self.lives[at],
--- a/crates/coralstep-lab/src/fleet/processes.rs
+++ b/crates/coralstep-lab/src/fleet/processes.rs
@@ -30,12 +30,12 @@
 
 /// How an RPC ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum RpcOutcome {
     Ok,
     /// With the time to return, in milliseconds.
-    PushedBack(u64),
-    Aborted,
-    Nothing,
+    Rejected(u64),
+    Failed,
+    NoAnswer,
 }
 
 /// What the processes of a play are given.
@@ -73,19 +73,19 @@
 
 /// What runs on all engines together: how much now, and the most there ever was.
 #[derive(Debug, Default)]
-pub struct Crowd {
+pub struct RunCounts {
     running: Vec<usize>,
-    pub most: usize,
+    pub max_total: usize,
 }
 
-struct Even {
+struct FixedWork {
     ms: f64,
     calls: bool,
     at: usize,
-    crowd: Arc<Mutex<Crowd>>,
+    concurrency: Arc<Mutex<RunCounts>>,
 }
 
-impl Work for Even {
+impl Work for FixedWork {
     fn begins(&mut self, _id: &str, method: &str, _body: &[u8]) -> Option<(f64, Option<f64>)> {
         let calls = self.calls && method == METHODS[1];
         Some(if calls {
@@ -96,9 +96,9 @@
     }
 
     fn crowd(&mut self, running: usize) {
-        let mut crowd = lock(&self.crowd);
-        crowd.running[self.at] = running;
-        crowd.most = crowd.most.max(crowd.running.iter().sum());
+        let mut counts = lock(&self.concurrency);
+        counts.running[self.at] = running;
+        counts.max_total = counts.max_total.max(counts.running.iter().sum());
     }
 }
 
@@ -133,11 +133,11 @@
     /// Each process's way to the store.
     ways: Vec<Wire>,
     /// Of the engines, not of what the processes say.
-    pub crowd: Arc<Mutex<Crowd>>,
+    pub concurrency: Arc<Mutex<RunCounts>>,
     control: UdpSocket,
     sent: AtomicU64,
     /// Processes that are booted from now on keep a folder over their restarts.
-    pub keeps: bool,
+    pub keeps_state: bool,
 }
 
 impl Drop for Fleet {
@@ -166,10 +166,10 @@
         seed: u64,
         more: Value,
     ) -> std::io::Result<Fleet> {
-        Fleet::set_up(programs, count, seed, Setup::new(more))
+        Fleet::start_with_setup(programs, count, seed, Setup::new(more))
     }
 
-    pub fn set_up(
+    pub fn start_with_setup(
         programs: impl Into<Programs>,
         count: usize,
         seed: u64,
@@ -193,31 +193,31 @@
             folder,
             links,
             processes,
-            keeps: setup.keeps_state,
+            keeps_state: setup.keeps_state,
             setup,
             ways,
-            crowd: Arc::new(Mutex::new(Crowd {
+            concurrency: Arc::new(Mutex::new(RunCounts {
                 running: vec![0; count],
-                most: 0,
+                max_total: 0,
             })),
             control,
             sent: AtomicU64::new(0),
         };
-        (0..count).try_for_each(|at| fleet.boot(at))?;
+        (0..count).try_for_each(|at| fleet.start_process(at))?;
         Ok(fleet)
     }
 
     /// All are killed and started again, with a folder that outlives them from now on.
-    pub fn reboot(&mut self) -> std::io::Result<()> {
-        self.keeps = true;
+    pub fn restart_all(&mut self) -> std::io::Result<()> {
+        self.keeps_state = true;
         self.processes
             .iter_mut()
             .for_each(|process| *process = None);
-        (0..self.count()).try_for_each(|at| self.boot(at))
+        (0..self.count()).try_for_each(|at| self.start_process(at))
     }
 
     /// Starts process `at`, in place of the one that was there.
-    pub fn boot(&mut self, at: usize) -> std::io::Result<()> {
+    pub fn start_process(&mut self, at: usize) -> std::io::Result<()> {
         self.processes[at] = None;
         let terms = EngineTerms {
             cores: 2,
@@ -229,12 +229,12 @@
         };
         let plight: Arc<Mutex<Plight>> = Arc::default();
         let store = self.ways.get(at).map(|way| way.address);
-        lock(&self.crowd).running[at] = 0;
-        let work = Even {
+        lock(&self.concurrency).running[at] = 0;
+        let work = FixedWork {
             ms: self.setup.work_ms,
             calls: store.is_some(),
             at,
-            crowd: self.crowd.clone(),
+            concurrency: self.concurrency.clone(),
         };
         let engine = Engine::serve(
             std::net::TcpListener::bind("127.0.0.1:0")?,
@@ -294,7 +294,7 @@
         if !self.setup.limits.is_null() {
             site["limits"] = self.setup.limits.clone();
         }
-        if self.keeps {
+        if self.keeps_state {
             site["state"] = json!({"folder": self.state_directory(at)});
             if self.setup.keeps_state {
                 site["state"]["every_s"] = json!(SNAPSHOT_INTERVAL_S);
@@ -357,7 +357,7 @@
             );
             if let (Some(scgi), Some(operator), Some(fleet)) = found {
                 (process.scgi, process.operator) = (scgi, operator);
-                self.links.listens(at, fleet);
+                self.links.set_listen_address(at, fleet);
                 break;
             }
             if start.elapsed() > LIMIT || process.child.try_wait()?.is_some() {
@@ -373,9 +373,9 @@
     }
 
     /// Starts process `at` from `program`, now and at each later boot.
-    pub fn boot_from(&mut self, at: usize, program: &Path) -> std::io::Result<()> {
+    pub fn start_process_from(&mut self, at: usize, program: &Path) -> std::io::Result<()> {
         program.clone_into(&mut self.programs[at]);
-        self.boot(at)
+        self.start_process(at)
     }
 
     /// Where process `at` keeps its state, if it does.
@@ -402,7 +402,7 @@
     }
 
     /// SIGSTOP, or SIGCONT.
-    pub fn pause(&mut self, at: usize, stopped: bool) -> std::io::Result<()> {
+    pub fn set_stopped(&mut self, at: usize, stopped: bool) -> std::io::Result<()> {
         let Some(process) = &mut self.processes[at] else {
             return Ok(());
         };
@@ -418,14 +418,14 @@
     }
 
     /// SIGTERM.
-    pub fn leave(&self, at: usize) -> std::io::Result<()> {
+    pub fn terminate(&self, at: usize) -> std::io::Result<()> {
         self.processes[at]
             .as_ref()
             .map_or(Ok(()), |process| signal(&process.child, "TERM"))
     }
 
     /// Asks process `at` as an operator does.
-    pub fn ask(&self, at: usize, question: &Value) -> std::io::Result<Value> {
+    pub fn query(&self, at: usize, question: &Value) -> std::io::Result<Value> {
         let Some(process) = &self.processes[at] else {
             return Err(std::io::Error::other("it doesn't run"));
         };
@@ -437,13 +437,13 @@
         Ok(serde_json::from_str(&said)?)
     }
 
-    pub fn operator(&self, at: usize) -> Option<SocketAddr> {
+    pub fn operator_address(&self, at: usize) -> Option<SocketAddr> {
         self.processes[at].as_ref().map(|process| process.operator)
     }
 
     /// The version that process `at` acts on, as it says itself.
-    pub fn acts_on(&self, at: usize) -> std::io::Result<String> {
-        let said = self.ask(at, &json!({"ask": "fleet_members"}))?;
+    pub fn active_version(&self, at: usize) -> std::io::Result<String> {
+        let said = self.query(at, &json!({"ask": "fleet_members"}))?;
         let own = format!("n{at}");
         let members = said["members"].as_array().cloned().unwrap_or_default();
         let version = members
@@ -456,8 +456,8 @@
     }
 
     /// How many members process `at` says are there.
-    pub fn alive(&self, at: usize) -> std::io::Result<usize> {
-        let said = self.ask(at, &json!({"ask": "fleet_members"}))?;
+    pub fn count_alive(&self, at: usize) -> std::io::Result<usize> {
+        let said = self.query(at, &json!({"ask": "fleet_members"}))?;
         let members = said["members"].as_array().cloned().unwrap_or_default();
         Ok(members
             .iter()
@@ -475,7 +475,7 @@
         pause_ms: u64,
     ) -> std::io::Result<String> {
         let question = json!({"ask": "fleet_publish", "content": content, "must": must, "waves": waves, "pause_ms": pause_ms});
-        let said = self.ask(at, &question)?;
+        let said = self.query(at, &question)?;
         said["published"]
             .as_str()
             .map(str::to_owned)
@@ -483,7 +483,11 @@
     }
 
     /// Waits until `done` says so, at most so long.
-    pub fn until(&self, limit: Duration, mut done: impl FnMut(&Fleet) -> bool) -> Option<Duration> {
+    pub fn wait_until(
+        &self,
+        limit: Duration,
+        mut done: impl FnMut(&Fleet) -> bool,
+    ) -> Option<Duration> {
         let start = Instant::now();
         while start.elapsed() < limit {
             if done(self) {
@@ -495,14 +499,14 @@
     }
 
     /// Whether all that run act on `version`.
-    pub fn all_on(&self, version: &str) -> bool {
+    pub fn all_active_on(&self, version: &str) -> bool {
         self.running()
             .into_iter()
-            .all(|at| self.acts_on(at).is_ok_and(|on| on == version))
+            .all(|at| self.active_version(at).is_ok_and(|on| on == version))
     }
 
     /// CPU seconds that process `at` has used.
-    pub fn cpu(&self, at: usize) -> f64 {
+    pub fn cpu_seconds(&self, at: usize) -> f64 {
         let Some(process) = &self.processes[at] else {
             return 0.0;
         };
@@ -518,7 +522,7 @@
             / 100.0
     }
 
-    pub fn logged(&self, at: usize, text: &str) -> bool {
+    pub fn log_contains(&self, at: usize, text: &str) -> bool {
         self.processes[at]
             .as_ref()
             .is_some_and(|process| lock(&process.log).iter().any(|line| line.contains(text)))
@@ -532,33 +536,44 @@
     }
 
     /// Sends an RPC to process `at` and waits for its answer.
-    pub fn rpc(&mut self, at: usize) -> Told {
+    pub fn rpc(&mut self, at: usize) -> RpcOutcome {
         self.call(at, METHODS[0], None)
     }
 
     /// The same of any method, for a tenant; from several threads at once, too.
-    pub fn call(&self, at: usize, method: &str, tenant: Option<&str>) -> Told {
+    pub fn call(&self, at: usize, method: &str, tenant: Option<&str>) -> RpcOutcome {
         let token = format!("token {}", self.sent.fetch_add(1, Ordering::SeqCst));
-        self.repeat(at, method, tenant, &token)
+        self.call_with_key(at, method, tenant, &token)
     }
 
     /// The same under a token of the caller's: a second time it is a repeat.
-    pub fn repeat(&self, at: usize, method: &str, tenant: Option<&str>, token: &str) -> Told {
+    pub fn call_with_key(
+        &self,
+        at: usize,
+        method: &str,
+        tenant: Option<&str>,
+        token: &str,
+    ) -> RpcOutcome {
         let Some(process) = &self.processes[at] else {
-            return Told::Nothing;
+            return RpcOutcome::NoAnswer;
         };
-        rpc(process.scgi, method, tenant, token).unwrap_or(Told::Nothing)
+        rpc(process.scgi, method, tenant, token).unwrap_or(RpcOutcome::NoAnswer)
     }
 
     /// What the way of process `at` to the store does from now on.
-    pub fn way(&self, at: usize, faults: Faults) {
+    pub fn set_store_faults(&self, at: usize, faults: Faults) {
         if let Some(way) = self.ways.get(at) {
             *lock(&way.faults) = faults;
         }
     }
 }
 
-fn rpc(at: SocketAddr, method: &str, tenant: Option<&str>, token: &str) -> std::io::Result<Told> {
+fn rpc(
+    at: SocketAddr,
+    method: &str,
+    tenant: Option<&str>,
+    token: &str,
+) -> std::io::Result<RpcOutcome> {
     let path = format!("/{method}");
     let mut stream = TcpStream::connect_timeout(&at, LIMIT)?;
     stream.set_read_timeout(Some(LIMIT))?;
@@ -585,9 +600,9 @@
             .ok()
     });
     Ok(match said.split_whitespace().nth(1) {
-        Some("200") => Told::Ok,
-        Some("503") => Told::PushedBack(retry.unwrap_or(0) * 1000),
-        Some(_) => Told::Aborted,
-        None => Told::Nothing,
+        Some("200") => RpcOutcome::Ok,
+        Some("503") => RpcOutcome::Rejected(retry.unwrap_or(0) * 1000),
+        Some(_) => RpcOutcome::Failed,
+        None => RpcOutcome::NoAnswer,
     })
 }
--- a/crates/coralstep-server/tests/fleet.rs
+++ b/crates/coralstep-server/tests/fleet.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use coralstep_lab::fleet::{Fault, Fleet, Setup, Told};
+use coralstep_lab::fleet::{Fault, Fleet, RpcOutcome, Setup};
 use serde_json::{Value, json};
 
 const LIMIT: Duration = Duration::from_secs(40);
@@ -15,14 +15,15 @@
 /// A fleet whose processes all know each other.
 fn fleet(count: usize, seed: u64, more: Value) -> Fleet {
     let fleet = Fleet::start(program(), count, seed, more).unwrap();
-    let met =
-        |fleet: &Fleet| (0..count).all(|at| fleet.alive(at).is_ok_and(|alive| alive == count));
-    let met = fleet.until(LIMIT, met);
+    let met = |fleet: &Fleet| {
+        (0..count).all(|at| fleet.count_alive(at).is_ok_and(|alive| alive == count))
+    };
+    let met = fleet.wait_until(LIMIT, met);
     println!("met after {met:?}");
     assert!(
         met.is_some(),
         "they don't meet: {:?}",
-        fleet.ask(0, &json!({"ask": "fleet_members"}))
+        fleet.query(0, &json!({"ask": "fleet_members"}))
     );
     fleet
 }
@@ -32,16 +33,16 @@
 }
 
 fn all_on(fleet: &Fleet, version: &str) {
-    let on = |fleet: &Fleet| fleet.all_on(version);
+    let on = |fleet: &Fleet| fleet.all_active_on(version);
     let members = || {
         fleet
             .running()
             .into_iter()
-            .map(|at| (at, fleet.acts_on(at)))
+            .map(|at| (at, fleet.active_version(at)))
             .collect::<Vec<_>>()
     };
     assert!(
-        fleet.until(LIMIT, on).is_some(),
+        fleet.wait_until(LIMIT, on).is_some(),
         "not all act on {version}: {:?}",
         members()
     );
@@ -49,7 +50,7 @@
 
 fn audit(fleet: &Fleet, at: usize) -> Vec<Value> {
     let question = json!({"ask": "fleet_audit", "version": null, "server": null, "at_ms": null});
-    fleet.ask(at, &question).unwrap()["audit"]
+    fleet.query(at, &question).unwrap()["audit"]
         .as_array()
         .unwrap()
         .clone()
@@ -58,11 +59,11 @@
 #[test]
 fn seven_processes_act_on_what_is_published_at_one_and_any_answers_for_all() {
     let mut fleet = fleet(7, 1, json!({}));
-    assert_eq!(fleet.rpc(2), Told::Ok);
+    assert_eq!(fleet.rpc(2), RpcOutcome::Ok);
     // By the command line, as an operator does.
     let file = std::env::temp_dir().join(format!("coralstep-version-{}.json", std::process::id()));
     std::fs::write(&file, levels(1.0).to_string()).unwrap();
-    let at = fleet.operator(3).unwrap().to_string();
+    let at = fleet.operator_address(3).unwrap().to_string();
     let call = |words: &[&str]| {
         let said = Command::new(program())
             .arg("fleet")
@@ -78,11 +79,16 @@
     let published: Value = serde_json::from_str(&published).unwrap();
     let version = published["published"].as_str().unwrap().to_owned();
     all_on(&fleet, &version);
-    assert_eq!(fleet.rpc(5), Told::Ok);
+    assert_eq!(fleet.rpc(5), RpcOutcome::Ok);
     // A reload of the site file doesn't take back what the version set.
     fleet.reload(5).unwrap();
-    let kept = |fleet: &Fleet| fleet.logged(5, "reload: sections of the fleet's version stay");
-    assert!(fleet.until(LIMIT, kept).is_some(), "{:?}", fleet.log(5));
+    let kept =
+        |fleet: &Fleet| fleet.log_contains(5, "reload: sections of the fleet's version stay");
+    assert!(
+        fleet.wait_until(LIMIT, kept).is_some(),
+        "{:?}",
+        fleet.log(5)
+    );
     let known = |fleet: &Fleet| {
         (0..7).all(|at| {
             let rows = audit(fleet, at);
@@ -96,7 +102,7 @@
         })
     };
     assert!(
-        fleet.until(LIMIT, known).is_some(),
+        fleet.wait_until(LIMIT, known).is_some(),
         "{:?}",
         audit(&fleet, 0)
     );
@@ -120,7 +126,7 @@
     assert_ne!(left, right);
     let sides = |fleet: &Fleet| {
         (0..6).all(|at| {
-            fleet.acts_on(at).is_ok_and(|on| {
+            fleet.active_version(at).is_ok_and(|on| {
                 on == if at < 3 {
                     left.as_str()
                 } else {
@@ -129,17 +135,17 @@
             })
         })
     };
-    assert!(fleet.until(LIMIT, sides).is_some());
+    assert!(fleet.wait_until(LIMIT, sides).is_some());
     fleet.links.heal();
     let (lost, wins) = (left.clone().min(right.clone()), left.max(right));
     all_on(&fleet, &wins);
     let fork = |fleet: &Fleet| {
         (0..6).any(|at| {
-            fleet.ask(at, &json!({"ask": "fleet_versions"})).unwrap()["forks"]
+            fleet.query(at, &json!({"ask": "fleet_versions"})).unwrap()["forks"]
                 == json!([[lost, wins]])
         })
     };
-    assert!(fleet.until(LIMIT, fork).is_some());
+    assert!(fleet.wait_until(LIMIT, fork).is_some());
     assert!(
         audit(&fleet, 0)
             .iter()
@@ -153,22 +159,22 @@
     let mut fleet = fleet(5, 3, json!({}));
     let first = fleet.publish(0, &levels(1.0), false, &[], 0).unwrap();
     all_on(&fleet, &first);
-    assert_eq!(fleet.rpc(4), Told::Ok);
-    fleet.pause(4, true).unwrap();
+    assert_eq!(fleet.rpc(4), RpcOutcome::Ok);
+    fleet.set_stopped(4, true).unwrap();
     std::thread::sleep(Duration::from_millis(2_500));
     let second = fleet.publish(0, &levels(2.0), false, &[], 0).unwrap();
     all_on(&fleet, &second);
     let last = fleet.publish(1, &levels(3.0), false, &[], 0).unwrap();
     all_on(&fleet, &last);
-    fleet.pause(4, false).unwrap();
+    fleet.set_stopped(4, false).unwrap();
     // Under load from the first moment on. Stated bound: three seconds after it goes on, and no RPC in between is let in.
     let start = Instant::now();
     let mut told = Vec::new();
     loop {
         let said = fleet.rpc(4);
-        let acts_on = fleet.acts_on(4).unwrap();
+        let acts_on = fleet.active_version(4).unwrap();
         told.push(said);
-        if said == Told::Ok {
+        if said == RpcOutcome::Ok {
             let late = start.elapsed() > Duration::from_secs(3);
             assert!(
                 acts_on == last || late,
@@ -183,11 +189,11 @@
         std::thread::sleep(Duration::from_millis(10));
     }
     assert!(
-        matches!(told[0], Told::PushedBack(back) if back > 0),
+        matches!(told[0], RpcOutcome::Rejected(back) if back > 0),
         "{told:?}"
     );
     assert!(
-        fleet.logged(4, "fleet: process paused pause_ms="),
+        fleet.log_contains(4, "fleet: process paused pause_ms="),
         "{:?}",
         fleet.log(4)
     );
@@ -208,33 +214,35 @@
         )
         .unwrap();
     let refused = |fleet: &Fleet| {
-        (0..5).all(|at| fleet.logged(at, &format!("fleet: version rejected version={bad}")))
+        (0..5).all(|at| fleet.log_contains(at, &format!("fleet: version rejected version={bad}")))
     };
-    assert!(fleet.until(LIMIT, refused).is_some());
-    let told = |fleet: &Fleet| (0..5).any(|at| fleet.logged(at, "fleet: exclusion limit reached"));
-    assert!(fleet.until(LIMIT, told).is_some());
+    assert!(fleet.wait_until(LIMIT, refused).is_some());
+    let told =
+        |fleet: &Fleet| (0..5).any(|at| fleet.log_contains(at, "fleet: exclusion limit reached"));
+    assert!(fleet.wait_until(LIMIT, told).is_some());
     let shut: Vec<usize> = (0..5)
-        .filter(|at| fleet.logged(*at, "fleet: server excluded reason=rejected_version"))
+        .filter(|at| fleet.log_contains(*at, "fleet: server excluded reason=rejected_version"))
         .collect();
     assert!(shut.len() <= 1, "{shut:?}");
     assert!(
-        (0..5).all(|at| fleet.acts_on(at).unwrap() == good),
+        (0..5).all(|at| fleet.active_version(at).unwrap() == good),
         "the last good one stays"
     );
-    let served = (0..5).filter(|at| fleet.rpc(*at) == Told::Ok).count();
+    let served = (0..5).filter(|at| fleet.rpc(*at) == RpcOutcome::Ok).count();
     assert!(served >= 4, "{served}");
     let back = fleet.publish(2, &levels(2.0), true, &[], 0).unwrap();
     all_on(&fleet, &back);
     let open = |fleet: &Fleet| {
-        (0..5).all(|at| fleet.ask(at, &json!({"ask": "fleet_members"})).unwrap()["shut"].is_null())
+        (0..5)
+            .all(|at| fleet.query(at, &json!({"ask": "fleet_members"})).unwrap()["shut"].is_null())
     };
-    assert!(fleet.until(LIMIT, open).is_some());
+    assert!(fleet.wait_until(LIMIT, open).is_some());
 }
 
 #[test]
 fn four_of_seven_are_replaced_under_loss_and_delay_while_a_version_spreads() {
     let mut fleet = fleet(7, 5, json!({}));
-    fleet.links.all(Fault {
+    fleet.links.set_default_fault(Fault {
         loss: 0.3,
         delay: (100, 500),
         doubled: 0.05,
@@ -247,10 +255,10 @@
     for at in 0..4 {
         fleet.kill(at);
         std::thread::sleep(Duration::from_millis(700));
-        fleet.boot(at).unwrap();
+        fleet.start_process(at).unwrap();
     }
     all_on(&fleet, &version);
-    assert!((0..7).all(|at| fleet.rpc(at) == Told::Ok));
+    assert!((0..7).all(|at| fleet.rpc(at) == RpcOutcome::Ok));
 }
 
 #[test]
@@ -258,7 +266,7 @@
     let mut fleet = fleet(3, 6, json!({}));
     let ask = |fleet: &Fleet, at: usize, ask: &str, server: &str| {
         fleet
-            .ask(at, &json!({"ask": ask, "server": server}))
+            .query(at, &json!({"ask": ask, "server": server}))
             .unwrap()
     };
     let unknown = ask(&fleet, 0, "fleet_shut_out", "n9");
@@ -270,16 +278,24 @@
         "{unknown}"
     );
     assert_eq!(ask(&fleet, 0, "fleet_shut_out", "n0")["shut_out"], "n0");
-    assert!(matches!(fleet.rpc(0), Told::PushedBack(back) if back > 0));
-    assert_eq!(fleet.rpc(1), Told::Ok);
+    assert!(matches!(fleet.rpc(0), RpcOutcome::Rejected(back) if back > 0));
+    assert_eq!(fleet.rpc(1), RpcOutcome::Ok);
     assert_eq!(ask(&fleet, 1, "fleet_shut_out", "n2")["shut_out"], "n2");
-    let shut = |fleet: &Fleet| fleet.logged(2, "fleet: server excluded reason=by_operator");
-    assert!(fleet.until(LIMIT, shut).is_some(), "{:?}", fleet.log(2));
-    assert!(matches!(fleet.rpc(2), Told::PushedBack(back) if back > 0));
+    let shut = |fleet: &Fleet| fleet.log_contains(2, "fleet: server excluded reason=by_operator");
+    assert!(
+        fleet.wait_until(LIMIT, shut).is_some(),
+        "{:?}",
+        fleet.log(2)
+    );
+    assert!(matches!(fleet.rpc(2), RpcOutcome::Rejected(back) if back > 0));
     // A restart doesn't let it in: it hears of the order again.
     fleet.kill(2);
-    fleet.boot(2).unwrap();
-    assert!(fleet.until(LIMIT, shut).is_some(), "{:?}", fleet.log(2));
+    fleet.start_process(2).unwrap();
+    assert!(
+        fleet.wait_until(LIMIT, shut).is_some(),
+        "{:?}",
+        fleet.log(2)
+    );
     // Both are let in by way of the third, though the orders were given elsewhere.
     for server in ["n0", "n2"] {
         assert_eq!(ask(&fleet, 1, "fleet_let_in", server)["let_in"], server);
@@ -287,10 +303,10 @@
     let open = |fleet: &Fleet| {
         [0, 2]
             .iter()
-            .all(|at| fleet.logged(*at, "fleet: server readmitted"))
+            .all(|at| fleet.log_contains(*at, "fleet: server readmitted"))
     };
-    assert!(fleet.until(LIMIT, open).is_some());
-    assert!((0..3).all(|at| fleet.rpc(at) == Told::Ok));
+    assert!(fleet.wait_until(LIMIT, open).is_some());
+    assert!((0..3).all(|at| fleet.rpc(at) == RpcOutcome::Ok));
 }
 
 #[test]
@@ -298,7 +314,7 @@
     let fleet = fleet(4, 11, json!({"clock_steps": true}));
     let step = |at: usize, offset_ms: i64| {
         let said = fleet
-            .ask(at, &json!({"ask": "fleet_clock", "offset_ms": offset_ms}))
+            .query(at, &json!({"ask": "fleet_clock", "offset_ms": offset_ms}))
             .unwrap();
         assert_eq!(said["offset_ms"], offset_ms);
     };
@@ -308,8 +324,8 @@
     all_on(&fleet, &first);
     assert!(
         fleet
-            .until(LIMIT, |fleet| fleet
-                .logged(0, "fleet: clock skewed server=n1"))
+            .wait_until(LIMIT, |fleet| fleet
+                .log_contains(0, "fleet: clock skewed server=n1"))
             .is_some()
     );
     // Under way the clock of the next publisher is stepped back; its version is the newer one all the same.
@@ -339,7 +355,7 @@
         .unwrap();
     let refused = |fleet: &Fleet| {
         (0..3).all(|at| {
-            fleet.logged(
+            fleet.log_contains(
                 at,
                 &format!(
                     "fleet: version rejected version={bad} reason=levels.list[0].does.least_criticality: starves"
@@ -347,19 +363,26 @@
             )
         })
     };
-    assert!(fleet.until(LIMIT, refused).is_some(), "{:?}", fleet.log(0));
-    assert!((0..3).all(|at| fleet.acts_on(at).unwrap() == good && fleet.rpc(at) == Told::Ok));
+    assert!(
+        fleet.wait_until(LIMIT, refused).is_some(),
+        "{:?}",
+        fleet.log(0)
+    );
+    assert!(
+        (0..3)
+            .all(|at| fleet.active_version(at).unwrap() == good && fleet.rpc(at) == RpcOutcome::Ok)
+    );
 }
 
 #[test]
 fn all_are_killed_and_started_and_one_comes_back_with_an_older_version() {
     let mut fleet = fleet(4, 7, json!({}));
-    fleet.reboot().unwrap();
+    fleet.restart_all().unwrap();
     let first = fleet.publish(0, &levels(1.0), false, &[], 0).unwrap();
     all_on(&fleet, &first);
     // Written by a thread of its own, which says nothing: what it wrote is what counts.
     std::thread::sleep(Duration::from_millis(300));
-    fleet.reboot().unwrap();
+    fleet.restart_all().unwrap();
     all_on(&fleet, &first);
     let kept = audit(&fleet, 2)
         .iter()
@@ -369,10 +392,10 @@
     fleet.kill(3);
     let second = fleet.publish(1, &levels(2.0), false, &[], 0).unwrap();
     all_on(&fleet, &second);
-    fleet.boot(3).unwrap();
+    fleet.start_process(3).unwrap();
     all_on(&fleet, &second);
     assert!(
-        fleet.logged(3, &format!("version {first} was active before the restart")),
+        fleet.log_contains(3, &format!("version {first} was active before the restart")),
         "{:?}",
         fleet.log(3)
     );
@@ -386,11 +409,11 @@
         ..Fault::default()
     };
     // Who hears but isn't heard; three parts; flapping.
-    fleet.links.set(&[0], &[1, 2, 3, 4, 5], cut);
+    fleet.links.set_faults(&[0], &[1, 2, 3, 4, 5], cut);
     std::thread::sleep(Duration::from_secs(2));
     let one = fleet.publish(3, &levels(1.0), false, &[], 0).unwrap();
-    let heard = |fleet: &Fleet| (1..6).all(|at| fleet.acts_on(at).is_ok_and(|on| on == one));
-    assert!(fleet.until(LIMIT, heard).is_some());
+    let heard = |fleet: &Fleet| (1..6).all(|at| fleet.active_version(at).is_ok_and(|on| on == one));
+    assert!(fleet.wait_until(LIMIT, heard).is_some());
     fleet.links.heal();
     all_on(&fleet, &one);
     fleet.links.cut(&[0, 1], &[2, 3, 4, 5]);
@@ -399,9 +422,9 @@
     let part = |fleet: &Fleet| {
         [2, 3]
             .iter()
-            .all(|at| fleet.acts_on(*at).is_ok_and(|on| on == two))
+            .all(|at| fleet.active_version(*at).is_ok_and(|on| on == two))
     };
-    assert!(fleet.until(LIMIT, part).is_some());
+    assert!(fleet.wait_until(LIMIT, part).is_some());
     fleet.links.heal();
     all_on(&fleet, &two);
     let three = fleet.publish(5, &levels(3.0), false, &[], 0).unwrap();
@@ -422,7 +445,7 @@
     let first = fleet.publish(1, &levels(1.0), false, &[], 0).unwrap();
     all_on(&fleet, &first);
     // Large, over links that lose a third: it takes a while to come.
-    fleet.links.all(Fault {
+    fleet.links.set_default_fault(Fault {
         loss: 0.3,
         delay: (50, 150),
         ..Fault::default()
@@ -436,25 +459,26 @@
     fleet.kill(0);
     fleet.links.heal();
     // Either some had it whole, then all come to act on it, or nobody does and the last good one stays.
-    let settled = |fleet: &Fleet| fleet.all_on(&second) || fleet.all_on(&first);
-    assert!(fleet.until(LIMIT, settled).is_some());
+    let settled = |fleet: &Fleet| fleet.all_active_on(&second) || fleet.all_active_on(&first);
+    assert!(fleet.wait_until(LIMIT, settled).is_some());
     let last = fleet.publish(2, &levels(3.0), false, &[], 0).unwrap();
     all_on(&fleet, &last);
     let open = |fleet: &Fleet| {
-        (1..5).all(|at| fleet.ask(at, &json!({"ask": "fleet_members"})).unwrap()["shut"].is_null())
+        (1..5)
+            .all(|at| fleet.query(at, &json!({"ask": "fleet_members"})).unwrap()["shut"].is_null())
     };
-    assert!(fleet.until(LIMIT, open).is_some());
+    assert!(fleet.wait_until(LIMIT, open).is_some());
     // One that leaves says so before it drains, also where it has just begun to fetch.
     fleet.publish(1, &content, false, &[], 0).unwrap();
-    fleet.leave(4).unwrap();
+    fleet.terminate(4).unwrap();
     let left = |fleet: &Fleet| {
-        let said = fleet.ask(1, &json!({"ask": "fleet_members"})).unwrap();
+        let said = fleet.query(1, &json!({"ask": "fleet_members"})).unwrap();
         let members = said["members"].as_array().unwrap();
         members
             .iter()
             .any(|member| member["server"] == "n4" && member["state"] == "leaving")
     };
-    assert!(fleet.until(LIMIT, left).is_some());
+    assert!(fleet.wait_until(LIMIT, left).is_some());
 }
 
 /// COUNT processes: when half and all act on a version, calm, rough, healed after a cut, and with six in ten replaced; bytes and CPU.
@@ -465,14 +489,18 @@
 fn by_hand_many_processes() {
     let count = std::env::var("COUNT").map_or(50, |count| count.parse().unwrap());
     let mut fleet = Fleet::start(program(), count, 11, json!({})).unwrap();
-    let met = |fleet: &Fleet| fleet.alive(count / 2).is_ok_and(|alive| alive == count);
-    println!("{count} met after {:?}", fleet.until(LIMIT * 3, met));
+    let met = |fleet: &Fleet| {
+        fleet
+            .count_alive(count / 2)
+            .is_ok_and(|alive| alive == count)
+    };
+    println!("{count} met after {:?}", fleet.wait_until(LIMIT * 3, met));
     std::thread::sleep(Duration::from_secs(10));
     let figures = |fleet: &Fleet| {
-        let bytes: u64 = (0..count).map(|at| fleet.links.sent(at).1).sum();
+        let bytes: u64 = (0..count).map(|at| fleet.links.sent_traffic(at).1).sum();
         (
             bytes as f64 / count as f64,
-            (0..count).map(|at| fleet.cpu(at)).sum::<f64>() / count as f64,
+            (0..count).map(|at| fleet.cpu_seconds(at)).sum::<f64>() / count as f64,
         )
     };
     let (before, start) = (figures(&fleet), Instant::now());
@@ -508,7 +536,7 @@
     .into_iter()
     .enumerate()
     {
-        fleet.links.all(fault);
+        fleet.links.set_default_fault(fault);
         let halves: (Vec<usize>, Vec<usize>) =
             ((0..count / 2).collect(), (count / 2..count).collect());
         if name == "cut" {
@@ -527,7 +555,7 @@
             "replaced" => {
                 let replaced = count * 6 / 10;
                 for at in 1..=replaced {
-                    fleet.boot(at).unwrap();
+                    fleet.start_process(at).unwrap();
                     let due = Duration::from_secs_f64(7.0 * at as f64 / replaced as f64);
                     std::thread::sleep(due.saturating_sub(start.elapsed()));
                 }
@@ -536,10 +564,10 @@
             _ => {}
         }
         let mut half = None;
-        let all = fleet.until(LIMIT * 5, |fleet| {
+        let all = fleet.wait_until(LIMIT * 5, |fleet| {
             let on = (0..count)
                 .filter(|at| {
-                    fleet.logged(*at, &format!("fleet: version activated version={version}"))
+                    fleet.log_contains(*at, &format!("fleet: version activated version={version}"))
                 })
                 .count();
             if on * 2 >= count {
@@ -565,12 +593,13 @@
         work_ms: 400.0,
         ..Setup::new(json!({}))
     };
-    let fleet = Fleet::set_up(program(), count, 21, setup).unwrap();
-    let met =
-        |fleet: &Fleet| (0..count).all(|at| fleet.alive(at).is_ok_and(|alive| alive == count));
-    assert!(fleet.until(LIMIT, met).is_some());
+    let fleet = Fleet::start_with_setup(program(), count, 21, setup).unwrap();
+    let met = |fleet: &Fleet| {
+        (0..count).all(|at| fleet.count_alive(at).is_ok_and(|alive| alive == count))
+    };
+    assert!(fleet.wait_until(LIMIT, met).is_some());
     let end = Instant::now() + Duration::from_secs(seconds);
-    let told: Vec<Told> = std::thread::scope(|scope| {
+    let told: Vec<RpcOutcome> = std::thread::scope(|scope| {
         for _ in 0..cores * 2 {
             scope.spawn(|| while Instant::now() < end {});
         }
@@ -594,10 +623,10 @@
             .flat_map(|caller| caller.join().unwrap())
             .collect()
     });
-    let ok = told.iter().filter(|told| **told == Told::Ok).count();
+    let ok = told.iter().filter(|told| **told == RpcOutcome::Ok).count();
     let pushed_back = told
         .iter()
-        .filter(|told| matches!(told, Told::PushedBack(_)))
+        .filter(|told| matches!(told, RpcOutcome::Rejected(_)))
         .count();
     let gone: usize = (0..count)
         .map(|at| {
@@ -637,7 +666,7 @@
         ] {
             let mut fleet = Fleet::start(program(), 7, 12 + round, more).unwrap();
             std::thread::sleep(Duration::from_secs(4));
-            let (cpu, start, mut times) = (fleet.cpu(3), Instant::now(), Vec::new());
+            let (cpu, start, mut times) = (fleet.cpu_seconds(3), Instant::now(), Vec::new());
             for number in 0..900 {
                 if name == "roll-outs" && number % 90 == 0 {
                     fleet
@@ -645,12 +674,12 @@
                         .unwrap();
                 }
                 let began = Instant::now();
-                assert_eq!(fleet.rpc(3), Told::Ok);
+                assert_eq!(fleet.rpc(3), RpcOutcome::Ok);
                 times.push(began.elapsed().as_secs_f64() * 1000.0);
             }
             times.sort_by(f64::total_cmp);
             let (middle, high) = (times[450], times[891]);
-            let cpu = (fleet.cpu(3) - cpu) / start.elapsed().as_secs_f64() * 100.0;
+            let cpu = (fleet.cpu_seconds(3) - cpu) / start.elapsed().as_secs_f64() * 100.0;
             println!(
                 "{name}: p50 {middle:.2} ms, p99 {high:.2} ms, {cpu:.1}% of a core at {:.0} a second",
                 900.0 / start.elapsed().as_secs_f64()
--- a/crates/coralstep-server/tests/limits.rs
+++ b/crates/coralstep-server/tests/limits.rs
@@ -12,7 +12,7 @@
 };
 use coralstep_lab::fleet::judge::excess;
 use coralstep_lab::fleet::processes::{METHODS, TENANTS};
-use coralstep_lab::fleet::{Drive, Fault, Fleet, Guest, Setup, Told};
+use coralstep_lab::fleet::{Fault, Fleet, Guest, LoadGenerator, RpcOutcome, Setup};
 use coralstep_quota::config::{KnownNames, resolve_limits};
 use coralstep_quota::guarantees::{max_admitted, max_failover_time, max_reclaim_time};
 use coralstep_quota::lease::{MAX_CLOCK_DRIFT, TOKEN_LIFETIME_MS, lengthen_by_drift};
@@ -38,13 +38,14 @@
         limits,
         ..Setup::new(more)
     };
-    let fleet = Fleet::set_up(program(), count, seed, setup).unwrap();
-    let met =
-        |fleet: &Fleet| (0..count).all(|at| fleet.alive(at).is_ok_and(|alive| alive == count));
-    assert!(fleet.until(LIMIT, met).is_some(), "they don't meet");
-    let given = |fleet: &Fleet| (0..3).any(|at| fleet.logged(at, "this server gives shares"));
+    let fleet = Fleet::start_with_setup(program(), count, seed, setup).unwrap();
+    let met = |fleet: &Fleet| {
+        (0..count).all(|at| fleet.count_alive(at).is_ok_and(|alive| alive == count))
+    };
+    assert!(fleet.wait_until(LIMIT, met).is_some(), "they don't meet");
+    let given = |fleet: &Fleet| (0..3).any(|at| fleet.log_contains(at, "this server gives shares"));
     assert!(
-        fleet.until(LIMIT, given).is_some(),
+        fleet.wait_until(LIMIT, given).is_some(),
         "nobody gives: {:?}",
         fleet.log(0)
     );
@@ -71,12 +72,12 @@
 }
 
 /// The rate limit held in every window, and was not left idle in those given.
-fn held(drive: &Drive, used: &[(f64, f64)]) {
+fn held(drive: &LoadGenerator, used: &[(f64, f64)]) {
     let over = excess(&drive.answers(), RPS * (1.0 + MAX_CLOCK_DRIFT), BURST);
     assert!(over <= 0.0, "{over} over the limit in some window");
     for (from, to) in used {
         let (ok, most) = (
-            drive.ok(*from, *to, None) as f64,
+            drive.count_ok(*from, *to, None) as f64,
             max_admitted(LimitKind::Rate { rps: RPS, burst: 0 }, (to - from) as u64),
         );
         assert!(
@@ -89,12 +90,14 @@
 #[test]
 fn a_rate_holds_while_demand_moves_from_one_server_to_another_and_back() {
     let fleet = fleet(7, 41, 2.0, rate());
-    let drive = Drive::default();
+    let drive = LoadGenerator::default();
     let mut used = Vec::new();
     for at in [1, 5, 4] {
         let from = drive.now_ms();
         // Twice what may pass, all at one.
-        std::thread::scope(|scope| drive.calls(scope, &fleet, at, 16, ms(200), "save", ms(3_000)));
+        std::thread::scope(|scope| {
+            drive.spawn_callers(scope, &fleet, at, 16, ms(200), "save", ms(3_000))
+        });
         used.push((from + 1_000.0, from + 3_000.0));
     }
     held(&drive, &used);
@@ -102,20 +105,20 @@
     let backs = drive
         .answers()
         .iter()
-        .filter(|answer| matches!(answer.told, Told::PushedBack(after) if after > 0))
+        .filter(|answer| matches!(answer.outcome, RpcOutcome::Rejected(after) if after > 0))
         .count();
     assert!(backs > 50, "{backs}");
     // Who isn't north, and calls nothing that is limited, is untouched.
-    assert!((0..20).all(|_| fleet.call(1, "save", Some("south")) == Told::Ok));
+    assert!((0..20).all(|_| fleet.call(1, "save", Some("south")) == RpcOutcome::Ok));
     // A repeat of what has run costs nothing and is answered, whatever the limit says.
-    let again = || fleet.repeat(2, "save", Some("north"), "again");
-    let ran = fleet.until(LIMIT, |_| again() == Told::Ok);
+    let again = || fleet.call_with_key(2, "save", Some("north"), "again");
+    let ran = fleet.wait_until(LIMIT, |_| again() == RpcOutcome::Ok);
     assert!(ran.is_some(), "it was never let in");
-    let told: Vec<Told> = (0..200).map(|_| again()).collect();
-    assert!(told.iter().all(|told| *told == Told::Ok), "{told:?}");
+    let told: Vec<RpcOutcome> = (0..200).map(|_| again()).collect();
+    assert!(told.iter().all(|told| *told == RpcOutcome::Ok), "{told:?}");
     // Any server shows all shares.
     let shown = |fleet: &Fleet| {
-        let said = fleet.ask(6, &json!({"ask": "fleet_limits"})).unwrap();
+        let said = fleet.query(6, &json!({"ask": "fleet_limits"})).unwrap();
         said["limits"]
             .as_array()
             .unwrap()
@@ -123,16 +126,16 @@
             .any(|row| row["limit"] == "north" && row["server"] == "n4")
     };
     assert!(
-        fleet.until(LIMIT, shown).is_some(),
+        fleet.wait_until(LIMIT, shown).is_some(),
         "{:?}",
-        fleet.ask(6, &json!({"ask": "fleet_limits"}))
+        fleet.query(6, &json!({"ask": "fleet_limits"}))
     );
 }
 
 #[test]
 fn a_rate_holds_when_the_one_that_gives_is_killed_cut_off_or_stopped() {
     let mut fleet = fleet(7, 42, 2.0, rate());
-    let drive = Drive::default();
+    let drive = LoadGenerator::default();
     let mut used = Vec::new();
     let gap = (max_failover_time() + lengthen_by_drift(TOKEN_LIFETIME_MS) + 1_500) as f64;
     for fault in ["killed", "cut off", "stopped"] {
@@ -141,12 +144,12 @@
         match fault {
             "killed" => fleet.kill(who),
             "cut off" => fleet.links.cut(&[who], &rest),
-            _ => fleet.pause(who, true).unwrap(),
+            _ => fleet.set_stopped(who, true).unwrap(),
         }
         let from = drive.now_ms();
         std::thread::scope(|scope| {
             for at in rest.iter().copied().filter(|at| *at >= 3) {
-                drive.calls(
+                drive.spawn_callers(
                     scope,
                     &fleet,
                     at,
@@ -158,7 +161,7 @@
             }
             // The one that is cut off is asked, too: it has what its lease still covers, and then nothing.
             if fault == "cut off" {
-                drive.calls(
+                drive.spawn_callers(
                     scope,
                     &fleet,
                     who,
@@ -171,21 +174,21 @@
         });
         used.push((from + gap, from + gap + 2_500.0));
         match fault {
-            "killed" => fleet.boot(who).unwrap(),
+            "killed" => fleet.start_process(who).unwrap(),
             "cut off" => fleet.links.heal(),
             _ => {
-                fleet.pause(who, false).unwrap();
+                fleet.set_stopped(who, false).unwrap();
                 // It gives nothing by what it knew before.
                 std::thread::scope(|scope| {
-                    drive.calls(scope, &fleet, who, 8, ms(100), "save", ms(1_000))
+                    drive.spawn_callers(scope, &fleet, who, 8, ms(100), "save", ms(1_000))
                 });
             }
         }
         let all = |fleet: &Fleet| {
-            (0..7).all(|at| fleet.alive(at).is_ok_and(|alive| alive == 7))
+            (0..7).all(|at| fleet.count_alive(at).is_ok_and(|alive| alive == 7))
                 && keeper(fleet).is_some()
         };
-        assert!(fleet.until(LIMIT, all).is_some(), "after {fault}");
+        assert!(fleet.wait_until(LIMIT, all).is_some(), "after {fault}");
     }
     held(&drive, &used);
 }
@@ -199,45 +202,45 @@
         300.0,
         json!([{"name": "saves", "method": "save", "in_hand": MOST}]),
     );
-    let drive = Drive::default();
-    let most = |fleet: &Fleet| fleet.crowd.lock().unwrap().most;
+    let drive = LoadGenerator::default();
+    let most = |fleet: &Fleet| fleet.concurrency.lock().unwrap().max_total;
     // The first keeper knows of none before it, and waits for their leases all the same.
     std::thread::sleep(ms(lengthen_by_drift(LEASE)));
     let load = |fleet: &Fleet, servers: &[usize], lasts: u64| {
         let from = drive.now_ms();
         std::thread::scope(|scope| {
-            servers
-                .iter()
-                .for_each(|at| drive.calls(scope, fleet, *at, 4, ms(100), "save", ms(lasts)));
+            servers.iter().for_each(|at| {
+                drive.spawn_callers(scope, fleet, *at, 4, ms(100), "save", ms(lasts))
+            });
         });
-        drive.ok(from + lasts as f64 / 2.0, from + lasts as f64, None)
+        drive.count_ok(from + lasts as f64 / 2.0, from + lasts as f64, None)
     };
     // All at one server: it gets all of it.
     assert!(load(&fleet, &[3], 2_500) >= 4, "two cores of 300 ms");
     assert!(load(&fleet, &[3, 4, 5], 2_500) >= 6);
-    let all = fleet.until(LIMIT, |fleet| {
-        let said = fleet.ask(0, &json!({"ask": "fleet_limits"})).unwrap();
+    let all = fleet.wait_until(LIMIT, |fleet| {
+        let said = fleet.query(0, &json!({"ask": "fleet_limits"})).unwrap();
         said["limits"].as_array().unwrap().len() >= 3
     });
     assert!(all.is_some());
     // The holder of most is stopped for longer than its lease; the others get what it had, and it admits nothing by what has run out.
-    fleet.pause(3, true).unwrap();
+    fleet.set_stopped(3, true).unwrap();
     std::thread::sleep(ms(max_reclaim_time(LEASE, 500)));
     assert!(
         load(&fleet, &[4, 5], 2_000) >= 4,
         "what the stopped one had is in use again"
     );
-    fleet.pause(3, false).unwrap();
+    fleet.set_stopped(3, false).unwrap();
     load(&fleet, &[3, 4, 5], 1_500);
     // Lost, late and doubled letters; one that leaves, one that is killed, in the middle of it.
-    fleet.links.all(Fault {
+    fleet.links.set_default_fault(Fault {
         loss: 0.2,
         delay: (0, 300),
         doubled: 0.3,
         ..Fault::default()
     });
     load(&fleet, &[3, 4, 5], 1_500);
-    fleet.leave(4).unwrap();
+    fleet.terminate(4).unwrap();
     fleet.kill(5);
     load(&fleet, &[1, 2, 3], 2_500);
     fleet.links.heal();
@@ -265,41 +268,46 @@
 #[test]
 fn of_two_versions_in_a_wave_the_lower_limit_holds_also_where_the_other_is_acted_on() {
     let fleet = fleet(6, 45, 2.0, rate());
-    let drive = Drive::default();
+    let drive = LoadGenerator::default();
     let waves = [0.4f32, 1.0];
     let lower = json!({"limits": [{"name": "north", "tenant": "north", "rps": 10.0, "burst": 10}]});
     let version = fleet.publish(4, &lower, false, &waves, 8_000).unwrap();
     let held = |fleet: &Fleet| {
-        (0..6).all(|at| fleet.logged(at, &format!("fleet: version received version={version}")))
+        (0..6)
+            .all(|at| fleet.log_contains(at, &format!("fleet: version received version={version}")))
     };
-    assert!(fleet.until(LIMIT, held).is_some());
+    assert!(fleet.wait_until(LIMIT, held).is_some());
     // What was out under the old one is over.
     std::thread::sleep(ms(lengthen_by_drift(TOKEN_LIFETIME_MS) + 500));
     let early = (0..6)
-        .filter(|at| fleet.acts_on(*at).is_ok_and(|on| on == version))
+        .filter(|at| fleet.active_version(*at).is_ok_and(|on| on == version))
         .count();
     std::thread::scope(|scope| {
-        (0..6).for_each(|at| drive.calls(scope, &fleet, at, 4, ms(200), "save", ms(3_000)))
+        (0..6).for_each(|at| drive.spawn_callers(scope, &fleet, at, 4, ms(200), "save", ms(3_000)))
     });
     let over = excess(&drive.answers(), 10.0 * (1.0 + MAX_CLOCK_DRIFT), 10.0);
     assert!(
         over <= 0.0,
         "{over} over the lower limit, while {early} of 6 acted on it"
     );
-    let on = |fleet: &Fleet| fleet.all_on(&version);
-    assert!(fleet.until(LIMIT, on).is_some());
+    let on = |fleet: &Fleet| fleet.all_active_on(&version);
+    assert!(fleet.wait_until(LIMIT, on).is_some());
     // One that can't be reached is turned down by all.
     let bad = json!({"limits": [{"name": "north", "tenant": "north", "rps": 100.0, "burst": 2}]});
     let bad = fleet.publish(0, &bad, false, &[], 0).unwrap();
     let refused = |fleet: &Fleet| {
         (0..6).all(|at| {
-            fleet.logged(
+            fleet.log_contains(
                 at,
                 &format!("fleet: version rejected version={bad} reason=limits[0].burst"),
             )
         })
     };
-    assert!(fleet.until(LIMIT, refused).is_some(), "{:?}", fleet.log(1));
+    assert!(
+        fleet.wait_until(LIMIT, refused).is_some(),
+        "{:?}",
+        fleet.log(1)
+    );
 }
 
 /// Asks for all there is, and says that it has all there is.
@@ -355,14 +363,14 @@
     };
     let _guest = Guest::join(&fleet, "greedy", greedy).unwrap();
     std::thread::sleep(ms(1_500));
-    let drive = Drive::default();
+    let drive = LoadGenerator::default();
     let from = drive.now_ms();
     std::thread::scope(|scope| {
-        (0..5).for_each(|at| drive.calls(scope, &fleet, at, 6, ms(200), "save", ms(5_000)))
+        (0..5).for_each(|at| drive.spawn_callers(scope, &fleet, at, 6, ms(200), "save", ms(5_000)))
     });
     held(&drive, &[]);
     // It wants as much as all of them; five of six parts are the others'. What it takes lies idle: it uses nothing.
-    let ok = drive.ok(from + 1_000.0, from + 5_000.0, None) as f64;
+    let ok = drive.count_ok(from + 1_000.0, from + 5_000.0, None) as f64;
     assert!(ok >= RPS * 4.0 * 0.2, "{ok} of {}", RPS * 4.0);
 }
 
@@ -377,7 +385,7 @@
     let limits =
         json!([{"name": "north", "tenant": "north", "rps": rps, "burst": (rps * 4.0) as u32}]);
     let mut fleet = fleet(count, 44, 2.0, limits);
-    let drive = Drive::default();
+    let drive = LoadGenerator::default();
     let all: Vec<usize> = (0..count).collect();
     let mut spans = Vec::new();
     let mut load =
@@ -385,7 +393,7 @@
             let from = drive.now_ms();
             std::thread::scope(|scope| {
                 servers.iter().for_each(|at| {
-                    drive.calls(scope, fleet, *at, threads, ms(1_000), "save", ms(lasts))
+                    drive.spawn_callers(scope, fleet, *at, threads, ms(1_000), "save", ms(lasts))
                 });
             });
             spans.push((name, from, from + lasts as f64));
@@ -409,7 +417,7 @@
         let seconds = ((to - from) / 1000.0) as usize;
         let by_second: Vec<usize> = (0..seconds)
             .map(|second| {
-                drive.ok(
+                drive.count_ok(
                     from + second as f64 * 1000.0,
                     from + (second + 1) as f64 * 1000.0,
                     None,
@@ -420,7 +428,7 @@
     }
     let over = excess(&drive.answers(), rps * (1.0 + MAX_CLOCK_DRIFT), rps * 4.0);
     println!("greatest over the limit in any window: {over:.1} (at or under nought: it held)");
-    let bytes: u64 = left.iter().map(|at| fleet.links.sent(*at).1).sum();
+    let bytes: u64 = left.iter().map(|at| fleet.links.sent_traffic(*at).1).sum();
     println!(
         "{:.0} bytes a second and process",
         bytes as f64 / left.len() as f64 / (drive.now_ms() / 1000.0)
--- a/crates/coralstep-server/tests/texts/live.rs
+++ b/crates/coralstep-server/tests/texts/live.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use coralstep_lab::emulate::store::Store;
-use coralstep_lab::fleet::{Fleet, Setup, Told};
+use coralstep_lab::fleet::{Fleet, RpcOutcome, Setup};
 use coralstep_lab::world::Dependency;
 use serde_json::{Value, json};
 
@@ -31,9 +31,10 @@
         limits,
         ..Setup::new(more)
     };
-    let fleet = Fleet::set_up(Path::new(env!("CARGO_BIN_EXE_coralstep")), 2, 11, setup).unwrap();
-    let met = |fleet: &Fleet| (0..2).all(|at| fleet.alive(at).is_ok_and(|alive| alive == 2));
-    assert!(fleet.until(LIMIT, met).is_some(), "they don't meet");
+    let fleet =
+        Fleet::start_with_setup(Path::new(env!("CARGO_BIN_EXE_coralstep")), 2, 11, setup).unwrap();
+    let met = |fleet: &Fleet| (0..2).all(|at| fleet.count_alive(at).is_ok_and(|alive| alive == 2));
+    assert!(fleet.wait_until(LIMIT, met).is_some(), "they don't meet");
     (fleet, store)
 }
 
@@ -111,14 +112,15 @@
 fn what_a_running_fleet_says_stays() {
     let folder = Folder::new("live");
     let (fleet, _store) = fleet();
-    let at = fleet.operator(0).unwrap().to_string();
+    let at = fleet.operator_address(0).unwrap().to_string();
     let ask = |call: &str| run(&folder.0, &[&words(call)[..], &["--at", &at]].concat());
     let told = |call: &str| {
         let (code, out, errors) = ask(call);
         format!("$ coralstep {call}\nexit {code}\n{out}{errors}\n")
     };
-    let read = |fleet: &Fleet| (0..2).all(|at| fleet.call(at, "read", Some("north")) == Told::Ok);
-    assert!(fleet.until(LIMIT, read).is_some(), "no RPC ends well");
+    let read =
+        |fleet: &Fleet| (0..2).all(|at| fleet.call(at, "read", Some("north")) == RpcOutcome::Ok);
+    assert!(fleet.wait_until(LIMIT, read).is_some(), "no RPC ends well");
     folder.write("version.json", r#"{"levels": {"record_ms": 1000}}"#);
     let published = ask("fleet publish version.json --json");
     assert_eq!(
@@ -128,7 +130,9 @@
     let version: Value = serde_json::from_str(&published.1).unwrap();
     let version = version["published"].as_str().unwrap();
     assert!(
-        fleet.until(LIMIT, |fleet| fleet.all_on(version)).is_some(),
+        fleet
+            .wait_until(LIMIT, |fleet| fleet.all_active_on(version))
+            .is_some(),
         "{version}"
     );
 
--- a/crates/coralstep-server/tests/verdicts.rs
+++ b/crates/coralstep-server/tests/verdicts.rs
@@ -11,7 +11,7 @@
     ExtensionId, GossipExtension, MembershipView, Message, Registration,
 };
 use coralstep_lab::emulate::store::Store;
-use coralstep_lab::fleet::{Drive, Faults, Fleet, Guest, Setup, Told};
+use coralstep_lab::fleet::{Faults, Fleet, Guest, LoadGenerator, RpcOutcome, Setup};
 use coralstep_lab::world::Dependency;
 use coralstep_shared_health::{LocalHealth, ReportedBreakerState, SharedHealth, SharingConfig};
 use serde_json::{Value, json};
@@ -40,10 +40,14 @@
         levels: false,
         ..Setup::new(more)
     };
-    let fleet = Fleet::set_up(program(), count, seed, setup).unwrap();
-    let met =
-        |fleet: &Fleet| (0..count).all(|at| fleet.alive(at).is_ok_and(|alive| alive == count));
-    assert!(fleet.until(LIMIT * 2, met).is_some(), "they don't meet");
+    let fleet = Fleet::start_with_setup(program(), count, seed, setup).unwrap();
+    let met = |fleet: &Fleet| {
+        (0..count).all(|at| fleet.count_alive(at).is_ok_and(|alive| alive == count))
+    };
+    assert!(
+        fleet.wait_until(LIMIT * 2, met).is_some(),
+        "they don't meet"
+    );
     fleet
 }
 
@@ -90,7 +94,7 @@
     after: Duration,
 ) -> Outage {
     let count = fleet.count();
-    let drive = Drive::default();
+    let drive = LoadGenerator::default();
     // An RPC at a store that hangs may take its whole deadline.
     let threads = (rate * 4.0).ceil() as u32;
     let every = Duration::from_secs_f64(f64::from(threads) / rate);
@@ -101,7 +105,7 @@
         // Their beats are spread, as callers' are.
         for at in 0..count {
             std::thread::sleep(Duration::from_secs_f64(1.0 / rate / count as f64));
-            drive.calls(scope, fleet, at, threads, every, "read", lasts);
+            drive.spawn_callers(scope, fleet, at, threads, every, "read", lasts);
         }
         std::thread::sleep(before);
         hung = store.clock();
@@ -122,7 +126,7 @@
     let usual_ok = rate * count as f64;
     let seconds = after.as_secs() as usize;
     let served = |second: usize| {
-        drive.ok(
+        drive.count_ok(
             healed_ms + second as f64 * 1000.0,
             healed_ms + (second + 1) as f64 * 1000.0,
             None,
@@ -149,7 +153,7 @@
     println!("{came:?}");
     // Alone each would need twenty outcomes of its own, ten seconds of them: no breaker would open within the eight.
     let opened = (0..8)
-        .filter(|at| fleet.logged(*at, "from=\"closed\" to=\"open\""))
+        .filter(|at| fleet.log_contains(*at, "from=\"closed\" to=\"open\""))
         .count();
     let told: Vec<String> = (0..8)
         .flat_map(|at| fleet.log(at))
@@ -164,11 +168,11 @@
         "{came:?}"
     );
     assert!(
-        (0..8).any(|at| fleet.logged(at, "store fails")),
+        (0..8).any(|at| fleet.log_contains(at, "store fails")),
         "{:?}",
         fleet.log(0)
     );
-    let rows = fleet.ask(3, &json!({"ask": "fleet_verdicts"})).unwrap();
+    let rows = fleet.query(3, &json!({"ask": "fleet_verdicts"})).unwrap();
     let rows = rows["verdicts"].as_array().unwrap();
     assert!(
         rows.len() >= 7 && rows.iter().all(|row| row["dependency"] == "store"),
@@ -181,44 +185,44 @@
     let store = store();
     let fleet = fleet(6, 52, &store, json!({}));
     // Its bytes are swallowed: all its calls run out of time, and it says so to all.
-    fleet.way(
+    fleet.set_store_faults(
         2,
         Faults {
             half_open: 1.0,
             ..Faults::default()
         },
     );
-    let drive = Drive::default();
+    let drive = LoadGenerator::default();
     std::thread::scope(|scope| {
         for at in 0..6 {
-            drive.calls(scope, &fleet, at, 16, ms(2_000), "read", ms(9_000));
+            drive.spawn_callers(scope, &fleet, at, 16, ms(2_000), "read", ms(9_000));
         }
     });
-    assert!(fleet.logged(2, "breaker"), "{:?}", fleet.log(2));
+    assert!(fleet.log_contains(2, "breaker"), "{:?}", fleet.log(2));
     assert!(
-        fleet.logged(2, "this server's path to store fails"),
+        fleet.log_contains(2, "this server's path to store fails"),
         "{:?}",
         fleet.log(2)
     );
     for at in [0, 1, 3, 4, 5] {
         assert!(
-            !fleet.logged(at, "breaker"),
+            !fleet.log_contains(at, "breaker"),
             "hearsay alone opens none: {:?}",
             fleet.log(at)
         );
-        let told: Vec<Told> = drive
+        let told: Vec<RpcOutcome> = drive
             .answers()
             .iter()
-            .filter(|of| of.at == at)
-            .map(|of| of.told)
+            .filter(|of| of.process == at)
+            .map(|of| of.outcome)
             .collect();
-        let ok = told.iter().filter(|told| **told == Told::Ok).count();
+        let ok = told.iter().filter(|told| **told == RpcOutcome::Ok).count();
         assert!(ok * 10 >= told.len() * 8, "{at}: {told:?}");
     }
     // Its way is mended: it comes back by its own trial.
-    fleet.way(2, Faults::default());
+    fleet.set_store_faults(2, Faults::default());
     let start = Instant::now();
-    while fleet.call(2, "read", None) != Told::Ok {
+    while fleet.call(2, "read", None) != RpcOutcome::Ok {
         assert!(start.elapsed() < LIMIT, "{:?}", fleet.log(2));
         std::thread::sleep(ms(100));
     }
@@ -276,7 +280,7 @@
         let _guest = Guest::join(&fleet, "liar", liar).unwrap();
         let heard = |fleet: &Fleet| {
             (0..6).all(|at| {
-                let said = fleet.ask(at, &json!({"ask": "fleet_verdicts"})).unwrap();
+                let said = fleet.query(at, &json!({"ask": "fleet_verdicts"})).unwrap();
                 said["verdicts"]
                     .as_array()
                     .unwrap()
@@ -284,15 +288,16 @@
                     .any(|row| row["server"] == "liar")
             })
         };
-        assert!(fleet.until(LIMIT, heard).is_some());
-        let drive = Drive::default();
+        assert!(fleet.wait_until(LIMIT, heard).is_some());
+        let drive = LoadGenerator::default();
         if matches!(lie, Lie::Fails) {
             std::thread::scope(|scope| {
-                (0..6)
-                    .for_each(|at| drive.calls(scope, &fleet, at, 8, ms(1_000), "read", ms(4_000)));
+                (0..6).for_each(|at| {
+                    drive.spawn_callers(scope, &fleet, at, 8, ms(1_000), "read", ms(4_000))
+                });
             });
             assert!(
-                (0..6).all(|at| !fleet.logged(at, "breaker")),
+                (0..6).all(|at| !fleet.log_contains(at, "breaker")),
                 "one that always says 'fails' opens none"
             );
             continue;
