--- a/crates/coralstep-lab/src/cli/explore.rs
+++ b/crates/coralstep-lab/src/cli/explore.rs
@@ -1,16 +1,18 @@
-//! `explore`: every small history, and long ones by chance.
+//! `explore`: exhaustive exploration of short histories, then random long ones.
 use coralstep_lab::explore::fleet::{Fleet, Scope as FleetScope};
-use coralstep_lab::explore::module::{Cheat, Module, PRELUDES, Prelude, Scope};
+use coralstep_lab::explore::module::{INITIAL_STATES, InitialState, InjectedFault, Module, Scope};
 use coralstep_lab::explore::pool::{Pool, Scope as PoolScope};
-use coralstep_lab::explore::shares::{Prelude as SharesPrelude, Scope as SharesScope, Shares};
-use coralstep_lab::explore::straggler::{Lag, Scope as LagScope};
-use coralstep_lab::explore::{Play, Walked, exhaust, wander};
+use coralstep_lab::explore::shares::{
+    InitialState as SharesInitialState, Scope as SharesScope, Shares,
+};
+use coralstep_lab::explore::straggler::{LaggingMember, Scope as LaggingMemberScope};
+use coralstep_lab::explore::{Exploration, Model, explore_exhaustively, explore_random};
 
 use super::side_by_side;
 
 pub struct Call {
     pub depth: usize,
-    pub most: u64,
+    pub max_states: u64,
     pub histories: u64,
     pub length: usize,
     pub seed: u64,
@@ -18,41 +20,45 @@
     pub json: bool,
 }
 
-/// One scope: its name, and how to walk it.
+/// Name of a scope, and the function that explores it.
 type Walk = (String, Walker);
-type Walker = Box<dyn Fn(&Call) -> (Walked, Option<String>) + Sync>;
+type Walker = Box<dyn Fn(&Call) -> (Exploration, Option<String>) + Sync>;
 
-fn walk<P: Play>(scope: P::Scope) -> Walker
+fn walk<P: Model>(scope: P::Scope) -> Walker
 where
     P::Scope: 'static,
 {
     Box::new(move |call| {
-        let mut walked = exhaust::<P>(&scope, call.depth, call.most, |_, _| {});
-        if walked.fault.is_none() {
-            let long = wander::<P>(&scope, call.histories, call.length, call.seed);
-            walked.fault = long.fault;
+        let mut exploration =
+            explore_exhaustively::<P>(&scope, call.depth, call.max_states, |_, _| {});
+        if exploration.violation.is_none() {
+            let long = explore_random::<P>(&scope, call.histories, call.length, call.seed);
+            exploration.violation = long.violation;
         }
-        let told = walked.fault.as_ref().map(|fault| fault.told::<P>());
-        (walked, told)
+        let told = exploration
+            .violation
+            .as_ref()
+            .map(|violation| violation.describe::<P>());
+        (exploration, told)
     })
 }
 
 pub fn explore(call: &Call) -> Result<bool, String> {
-    let module = |(name, prelude): (&str, Prelude)| -> Walk {
+    let module = |(name, initial_state): (&str, InitialState)| -> Walk {
         (
             format!("module, {name}"),
             walk::<Module>(Scope {
-                prelude,
+                initial_state,
                 prompt: false,
-                cheat: Cheat::None,
+                injected_fault: InjectedFault::None,
             }),
         )
     };
-    let mut walks: Vec<Walk> = PRELUDES.into_iter().map(module).collect();
+    let mut walks: Vec<Walk> = INITIAL_STATES.into_iter().map(module).collect();
     let prompt = Scope {
-        prelude: Prelude::Hung,
+        initial_state: InitialState::Hung,
         prompt: true,
-        cheat: Cheat::None,
+        injected_fault: InjectedFault::None,
     };
     walks.push((
         "module, hung, prompt engine".to_owned(),
@@ -63,52 +69,55 @@
         "fleet's versions".to_owned(),
         walk::<Fleet>(FleetScope::default()),
     ));
-    for (name, silent_shuts) in [
+    for (name, exclude_when_isolated) in [
         ("straggler, silent serves", false),
         ("straggler, silent shuts", true),
     ] {
         walks.push((
             name.to_owned(),
-            walk::<Lag>(LagScope {
-                silent_shuts,
-                ..LagScope::default()
+            walk::<LaggingMember>(LaggingMemberScope {
+                exclude_when_isolated,
+                ..LaggingMemberScope::default()
             }),
         ));
     }
-    for (name, prelude) in [
-        ("limits, fresh", SharesPrelude::Fresh),
-        ("limits, settled", SharesPrelude::Settled),
+    for (name, initial_state) in [
+        ("limits, fresh", SharesInitialState::Fresh),
+        ("limits, settled", SharesInitialState::Settled),
     ] {
         walks.push((
             name.to_owned(),
             walk::<Shares>(SharesScope {
-                prelude,
+                initial_state,
                 ..SharesScope::default()
             }),
         ));
     }
-    walks.push(("pool, shut".to_owned(), walk::<Pool>(PoolScope::Shut)));
+    walks.push((
+        "pool, shut".to_owned(),
+        walk::<Pool>(PoolScope::BreakersOpen),
+    ));
     let results = side_by_side(0..walks.len() as u64, call.threads, |at| {
         walks[at as usize].1(call)
     });
     let mut sound = true;
-    for ((name, _), (walked, told)) in walks.iter().zip(&results) {
+    for ((name, _), (exploration, told)) in walks.iter().zip(&results) {
         sound &= told.is_none();
         if call.json {
             println!(
                 "{}",
-                serde_json::json!({"scope": name, "walked": walked, "told": told})
+                serde_json::json!({"scope": name, "walked": exploration, "told": told})
             );
             continue;
         }
-        let cut = if walked.cut {
-            ", not all: the bound on states was met"
+        let cut = if exploration.truncated {
+            ", incomplete: the limit on states was reached"
         } else {
             ""
         };
         println!(
-            "{name}: {} states to depth {}, {} met again{cut}",
-            walked.states, call.depth, walked.again
+            "{name}: {} states to depth {}, {} revisited{cut}",
+            exploration.states, call.depth, exploration.revisited
         );
         match told {
             Some(told) => println!("  broken: {told}"),
--- a/crates/coralstep-lab/src/explore/fleet.rs
+++ b/crates/coralstep-lab/src/explore/fleet.rs
@@ -1,72 +1,72 @@
-//! VersionStore in a small scope: three servers on the real `VersionStore`, two of which may publish, with letters that are lost, doubled or spoilt,
-//! and servers that are killed and start with nothing. Whatever happens, two contents never pass under one id, an RPC is counted under
-//! the version it was read under, and when the trouble is over all who are there act on one version.
+//! Model of version distribution in a small scope: three servers with the real `VersionStore`, two of which may publish. Messages are
+//! lost or corrupted, and servers are killed and restart without state. Invariants: no two contents share an id, an RPC is counted
+//! under the version that was active when it was read, and all servers converge to one version after the faults end.
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use coralstep_fleet::versions::{Version, VersionMessage, VersionStore};
 use coralstep_fleet::{Member, VersionId};
 
-use super::Play;
+use super::Model;
 
 const SERVERS: usize = 3;
-/// Letters under way to one server; more are lost.
-const WAY_MOST: usize = 2;
-/// VersionStore of one history.
-const PUBLISHED_MOST: u8 = 2;
-/// Between two moves, in milliseconds: every question is due.
-const STEP: u64 = 10_000;
-/// Rounds of all questions and answers after which all have come together.
-const ROUNDS: usize = 8;
+/// Maximum number of messages in flight to one server; more are lost.
+const MAX_IN_FLIGHT: usize = 2;
+/// Maximum number of versions published in one history.
+const MAX_PUBLISHED: u8 = 2;
+/// Time between two actions, in milliseconds: long enough that every request is due.
+const STEP_MS: u64 = 10_000;
+/// Rounds of requests and replies after which all servers must have converged.
+const CONVERGENCE_ROUNDS: usize = 8;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Cheat {
+pub enum InjectedFault {
     #[default]
     None,
-    /// A piece is believed without its hash.
-    Unchecked,
-    /// An RPC is counted under what holds when it is answered.
-    CountsLate,
-    /// A version that was fetched is not acted on.
-    Sticks,
+    /// A chunk is accepted without a check of its hash.
+    SkipsChecksum,
+    /// An RPC is counted under the version that is active when it is answered.
+    CountsAtAnswer,
+    /// A fetched version is never activated.
+    NeverActivates,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Scope {
-    pub cheat: Cheat,
+    pub injected_fault: InjectedFault,
 }
 
 #[derive(Debug, Default)]
 struct Server {
     versions: VersionStore,
-    acts_on: VersionId,
-    /// The version that the open RPC was read under.
-    open: Option<VersionId>,
-    /// Letters on their way to it, and from whom.
-    way: Vec<(usize, VersionMessage)>,
+    active: VersionId,
+    /// Version that was active when the open RPC was read.
+    open_rpc: Option<VersionId>,
+    /// Messages in flight to this server, each with the index of its sender.
+    inbox: Vec<(usize, VersionMessage)>,
 }
 
 pub struct Fleet {
-    cheat: Cheat,
+    injected_fault: InjectedFault,
     servers: Vec<Server>,
     published: u8,
     now: u64,
     contents: BTreeMap<VersionId, String>,
-    broken: Option<String>,
+    violation: Option<String>,
 }
 
-/// Moves: a kind for each server.
-const KINDS: [&str; 8] = [
-    "publishes",
-    "hears of it",
-    "asks",
-    "reads a letter",
-    "loses a letter",
-    "gets one spoilt",
-    "takes it up",
+/// Kinds of actions; each exists once per server.
+const ACTIONS: [&str; 8] = [
+    "publishes a version",
+    "learns of the newest version",
+    "requests chunks",
+    "receives a message",
+    "loses a message",
+    "receives a corrupt message",
+    "activates the newest version",
     "is killed",
 ];
-const RPC: u8 = (KINDS.len() * SERVERS) as u8;
+const RPC: u8 = (ACTIONS.len() * SERVERS) as u8;
 
 fn member(at: usize) -> Member {
     Member::new(
@@ -77,22 +77,22 @@
 }
 
 impl Fleet {
-    fn breaks(&mut self, why: String) {
-        self.broken.get_or_insert(why);
+    fn report_violation(&mut self, why: String) {
+        self.violation.get_or_insert(why);
     }
 
-    /// Who holds a version must hold what all others hold under its id.
-    fn holds(&mut self, id: VersionId, content: String) {
+    /// Reports a violation if another server holds different content under the same id.
+    fn record_content(&mut self, id: VersionId, content: String) {
         match self.contents.get(&id) {
             Some(known) if *known != content => {
-                self.breaks(format!("two contents under version {id}"))
+                self.report_violation(format!("two contents under version {id}"))
             }
             Some(_) => {}
             None => drop(self.contents.insert(id, content)),
         }
     }
 
-    fn hears_of(&mut self, at: usize) {
+    fn learn_newest(&mut self, at: usize) {
         let known = self
             .servers
             .iter()
@@ -102,7 +102,7 @@
         self.servers[at].versions.record_reported(known);
     }
 
-    fn asks(&mut self, at: usize) {
+    fn request_chunks(&mut self, at: usize) {
         let holds: Vec<Vec<VersionId>> = self
             .servers
             .iter()
@@ -117,35 +117,33 @@
         let now = self.now;
         for request in self.servers[at].versions.poll_fetch(now, holders, 0.0) {
             let to = usize::from(request.holder.address.port()) - 1;
-            if self.servers[to].way.len() < WAY_MOST {
-                self.servers[to].way.push((at, request.message));
+            if self.servers[to].inbox.len() < MAX_IN_FLIGHT {
+                self.servers[to].inbox.push((at, request.message));
             }
         }
     }
 
-    fn reads(&mut self, at: usize, spoilt: bool) {
-        if self.servers[at].way.is_empty() {
+    fn deliver(&mut self, at: usize, corrupt: bool) {
+        if self.servers[at].inbox.is_empty() {
             return;
         }
-        let (from, mut letter) = self.servers[at].way.remove(0);
-        if spoilt && let VersionMessage::Chunk { data: piece, .. } = &mut letter {
-            piece.iter_mut().rev().take(1).for_each(|byte| *byte ^= 1);
+        let (from, mut message) = self.servers[at].inbox.remove(0);
+        if corrupt && let VersionMessage::Chunk { data, .. } = &mut message {
+            data.iter_mut().rev().take(1).for_each(|byte| *byte ^= 1);
         }
-        if self.cheat == Cheat::Unchecked
-            && let VersionMessage::Chunk {
-                id, data: piece, ..
-            } = &letter
+        if self.injected_fault == InjectedFault::SkipsChecksum
+            && let VersionMessage::Chunk { id, data, .. } = &message
         {
-            self.holds(*id, format!("{piece:?}"));
+            self.record_content(*id, format!("{data:?}"));
         }
-        let outcome = self.servers[at].versions.handle_message(self.now, letter);
+        let outcome = self.servers[at].versions.handle_message(self.now, message);
         for answer in outcome.replies {
-            if self.servers[from].way.len() < WAY_MOST {
-                self.servers[from].way.push((at, answer));
+            if self.servers[from].inbox.len() < MAX_IN_FLIGHT {
+                self.servers[from].inbox.push((at, answer));
             }
         }
         if let Some(id) = outcome.completed
-            && self.cheat != Cheat::Unchecked
+            && self.injected_fault != InjectedFault::SkipsChecksum
         {
             let content = self.servers[at]
                 .versions
@@ -153,73 +151,73 @@
                 .map(|version| version.content.clone());
             content
                 .into_iter()
-                .for_each(|content| self.holds(id, content));
+                .for_each(|content| self.record_content(id, content));
         }
     }
 
-    fn takes(&mut self, at: usize) {
+    fn activate_newest(&mut self, at: usize) {
         let server = &mut self.servers[at];
-        if self.cheat != Cheat::Sticks
+        if self.injected_fault != InjectedFault::NeverActivates
             && let Some(newest) = server.versions.newest_accepted()
         {
-            server.acts_on = server.acts_on.max(newest.id);
+            server.active = server.active.max(newest.id);
         }
     }
 
-    /// An RPC is read, or the open one is answered.
-    fn rpc(&mut self, at: usize) {
+    /// Reads an RPC, or answers the open one.
+    fn step_rpc(&mut self, at: usize) {
         let server = &mut self.servers[at];
-        let Some(read) = server.open.take() else {
-            return server.open = Some(server.acts_on);
+        let Some(read) = server.open_rpc.take() else {
+            return server.open_rpc = Some(server.active);
         };
-        let counted = if self.cheat == Cheat::CountsLate {
-            server.acts_on
+        let counted = if self.injected_fault == InjectedFault::CountsAtAnswer {
+            server.active
         } else {
             read
         };
         if counted != read {
-            self.breaks(format!(
+            self.report_violation(format!(
                 "an RPC read under {read} is counted under {counted}"
             ));
         }
     }
 }
 
-impl Play for Fleet {
+impl Model for Fleet {
     type Scope = Scope;
 
     fn start(scope: &Scope) -> Fleet {
         Fleet {
-            cheat: scope.cheat,
+            injected_fault: scope.injected_fault,
             servers: (0..SERVERS).map(|_| Server::default()).collect(),
             published: 0,
             now: 0,
             contents: BTreeMap::new(),
-            broken: None,
+            violation: None,
         }
     }
 
-    fn moves(&self) -> Vec<u8> {
-        let possible = |what: &u8| {
-            if *what >= RPC {
-                return usize::from(*what - RPC) == 0;
+    fn actions(&self) -> Vec<u8> {
+        let possible = |action: &u8| {
+            if *action >= RPC {
+                return usize::from(*action - RPC) == 0;
             }
-            let (kind, at) = (what / SERVERS as u8, usize::from(what % SERVERS as u8));
+            let (kind, at) = (action / SERVERS as u8, usize::from(action % SERVERS as u8));
             match kind {
-                0 => at < 2 && self.published < PUBLISHED_MOST,
-                3..=5 => !self.servers[at].way.is_empty(),
+                0 => at < 2 && self.published < MAX_PUBLISHED,
+                3..=5 => !self.servers[at].inbox.is_empty(),
                 _ => true,
             }
         };
         (0..=RPC).filter(possible).collect()
     }
 
-    fn step(&mut self, what: u8) {
-        self.now += STEP;
-        if what >= RPC {
-            return self.rpc(0);
+    fn apply(&mut self, action: u8) {
+        self.now += STEP_MS;
+        if action >= RPC {
+            return self.step_rpc(0);
         }
-        let (kind, at) = (what / SERVERS as u8, usize::from(what % SERVERS as u8));
+        let (kind, at) = (action / SERVERS as u8, usize::from(action % SERVERS as u8));
         match kind {
             0 => {
                 let replaces = self.servers[at].versions.newest();
@@ -236,57 +234,57 @@
                 };
                 let content = version.content.clone();
                 if let Ok(id) = self.servers[at].versions.publish(self.now, version)
-                    && self.cheat != Cheat::Unchecked
+                    && self.injected_fault != InjectedFault::SkipsChecksum
                 {
-                    self.holds(id, content);
+                    self.record_content(id, content);
                 }
             }
-            1 => self.hears_of(at),
-            2 => self.asks(at),
-            3 => self.reads(at, false),
-            4 => drop(self.servers[at].way.pop()),
-            5 => self.reads(at, true),
-            6 => self.takes(at),
+            1 => self.learn_newest(at),
+            2 => self.request_chunks(at),
+            3 => self.deliver(at, false),
+            4 => drop(self.servers[at].inbox.pop()),
+            5 => self.deliver(at, true),
+            6 => self.activate_newest(at),
             _ => self.servers[at] = Server::default(),
         }
     }
 
-    fn digest(&self) -> u64 {
+    fn state_hash(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        // Times are left out: every question is due at every move.
-        let told = |server: &Server| {
+        // Times are left out: every request is due at every action.
+        let state_text = |server: &Server| {
             let held: Vec<VersionId> = server.versions.iter().map(|stored| stored.id).collect();
             format!(
                 "{held:?} {:?} {:?} {:?} {:?}",
                 server.versions.newest(),
-                server.acts_on,
-                server.open,
-                server.way
+                server.active,
+                server.open_rpc,
+                server.inbox
             )
         };
         self.servers
             .iter()
-            .map(told)
-            .for_each(|told| told.hash(&mut hasher));
+            .map(state_text)
+            .for_each(|text| text.hash(&mut hasher));
         self.published.hash(&mut hasher);
         hasher.finish()
     }
 
-    fn broken(&self) -> Option<&str> {
-        self.broken.as_deref()
+    fn violation(&self) -> Option<&str> {
+        self.violation.as_deref()
     }
 
-    fn comes_free(mut self) -> Option<String> {
-        for _ in 0..ROUNDS {
+    fn check_recovery(mut self) -> Option<String> {
+        for _ in 0..CONVERGENCE_ROUNDS {
             self.now += 60_000;
-            (0..SERVERS).for_each(|at| self.hears_of(at));
-            (0..SERVERS).for_each(|at| self.asks(at));
+            (0..SERVERS).for_each(|at| self.learn_newest(at));
+            (0..SERVERS).for_each(|at| self.request_chunks(at));
             for at in (0..SERVERS).chain(0..SERVERS).chain(0..SERVERS) {
-                while !self.servers[at].way.is_empty() {
-                    self.reads(at, false);
+                while !self.servers[at].inbox.is_empty() {
+                    self.deliver(at, false);
                 }
             }
-            (0..SERVERS).for_each(|at| self.takes(at));
+            (0..SERVERS).for_each(|at| self.activate_newest(at));
         }
         let newest = self
             .servers
@@ -294,17 +292,18 @@
             .map(|server| server.versions.newest_held())
             .max()
             .unwrap_or_default();
-        let on: Vec<VersionId> = self.servers.iter().map(|server| server.acts_on).collect();
-        let apart = on.iter().any(|on| *on != newest);
-        self.broken
-            .or_else(|| apart.then(|| format!("they act on {on:?}, and {newest} is there")))
+        let active: Vec<VersionId> = self.servers.iter().map(|server| server.active).collect();
+        let diverged = active.iter().any(|id| *id != newest);
+        self.violation.or_else(|| {
+            diverged.then(|| format!("servers act on {active:?}, but {newest} is the newest"))
+        })
     }
 
-    fn name(what: u8) -> &'static str {
-        if what >= RPC {
+    fn action_name(action: u8) -> &'static str {
+        if action >= RPC {
             "an RPC"
         } else {
-            KINDS[usize::from(what / SERVERS as u8)]
+            ACTIONS[usize::from(action / SERVERS as u8)]
         }
     }
 }
--- a/crates/coralstep-lab/src/explore/mod.rs
+++ b/crates/coralstep-lab/src/explore/mod.rs
@@ -1,6 +1,6 @@
-//! Every history of a small scope, played through the real decisions; then long ones by chance, with what breaks made short. A
-//! [`Play`] says what may happen and what must hold; this file only walks. States are hashed and met once, so a history is followed
-//! no further where another led to the same.
+//! Model checking of the production code: explores every short history of a small scope, then long random ones. A failing random
+//! history is shrunk. A [`Model`] defines the possible actions and the invariants; this module only searches. States are hashed, so
+//! a history is not extended if an earlier one led to the same state.
 use std::collections::HashSet;
 
 use rand::rngs::SmallRng;
@@ -13,36 +13,43 @@
 pub mod shares;
 pub mod straggler;
 
-/// Something with a state that moves change.
-pub trait Play: Sized {
-    /// A scope by its name.
+/// A state machine under test and its invariants.
+pub trait Model: Sized {
+    /// Configuration and initial state of the model.
     type Scope: Sync;
     fn start(scope: &Self::Scope) -> Self;
-    /// Moves that have a meaning now.
-    fn moves(&self) -> Vec<u8>;
-    /// One that has none is passed over.
-    fn step(&mut self, what: u8);
-    fn digest(&self) -> u64;
-    /// What was broken so far.
-    fn broken(&self) -> Option<&str>;
-    /// The trouble is over from now on: why it does not come free in the stated time, where it doesn't.
-    fn comes_free(self) -> Option<String>;
-    fn name(what: u8) -> &'static str;
+    /// Returns the actions that are possible in this state.
+    fn actions(&self) -> Vec<u8>;
+    /// Applies an action; does nothing if the action is not possible.
+    fn apply(&mut self, action: u8);
+    fn state_hash(&self) -> u64;
+    /// Returns the first invariant violation, if any.
+    fn violation(&self) -> Option<&str>;
+    /// Ends all faults, and returns the reason if the system does not recover within its time limit.
+    fn check_recovery(self) -> Option<String>;
+    fn action_name(action: u8) -> &'static str;
 }
 
-/// A history that breaks something.
+/// A history that violates an invariant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Fault {
-    pub moves: Vec<u8>,
-    pub why: String,
+pub struct Violation {
+    #[serde(rename = "moves")]
+    pub actions: Vec<u8>,
+    #[serde(rename = "why")]
+    pub reason: String,
 }
 
-impl Fault {
-    pub fn told<P: Play>(&self) -> String {
-        let names: Vec<&str> = self.moves.iter().map(|what| P::name(*what)).collect();
+impl Violation {
+    /// Returns the reason and the names of the actions.
+    pub fn describe<P: Model>(&self) -> String {
+        let names: Vec<&str> = self
+            .actions
+            .iter()
+            .map(|action| P::action_name(*action))
+            .collect();
         format!(
             "{}; after: {}",
-            self.why,
+            self.reason,
             if names.is_empty() {
                 "nothing".to_owned()
             } else {
@@ -52,125 +59,136 @@
     }
 }
 
+/// The result of an exploration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Walked {
-    /// Different states met, and steps that led to one met before.
+pub struct Exploration {
+    /// Number of distinct states; for random histories, the number of actions.
     pub states: u64,
-    pub again: u64,
-    pub fault: Option<Fault>,
-    /// The bound on states was met before all was seen.
-    pub cut: bool,
+    /// Number of actions that led to a state seen before.
+    #[serde(rename = "again")]
+    pub revisited: u64,
+    #[serde(rename = "fault")]
+    pub violation: Option<Violation>,
+    /// Whether the limit on states was reached before the search was complete.
+    #[serde(rename = "cut")]
+    pub truncated: bool,
 }
 
-fn played<P: Play>(scope: &P::Scope, moves: &[u8]) -> P {
-    let mut play = P::start(scope);
-    moves.iter().for_each(|what| play.step(*what));
-    play
+fn replay<P: Model>(scope: &P::Scope, actions: &[u8]) -> P {
+    let mut model = P::start(scope);
+    actions.iter().for_each(|action| model.apply(*action));
+    model
 }
 
-/// What a history breaks, by itself or as it can't come free.
-fn fault<P: Play>(scope: &P::Scope, moves: &[u8]) -> Option<String> {
-    let play = played::<P>(scope, moves);
-    match play.broken() {
-        Some(why) => Some(why.to_owned()),
-        None => play.comes_free(),
+/// Replays a history; returns the invariant that it violates, or the reason why the system does not recover after it.
+fn find_violation<P: Model>(scope: &P::Scope, actions: &[u8]) -> Option<String> {
+    let model = replay::<P>(scope, actions);
+    match model.violation() {
+        Some(reason) => Some(reason.to_owned()),
+        None => model.check_recovery(),
     }
 }
 
-/// All histories up to a depth, shortest first, until one breaks something or `most` states were met. `told` hears of each depth.
-pub fn exhaust<P: Play>(
+/// Explores all histories up to `depth` actions, shortest first, until one violates an invariant or `max_states` states were seen.
+/// `on_depth` is called after each depth with the number of states so far.
+pub fn explore_exhaustively<P: Model>(
     scope: &P::Scope,
     depth: usize,
-    most: u64,
-    mut told: impl FnMut(usize, u64),
-) -> Walked {
-    let mut walked = Walked::default();
-    let mut met = HashSet::new();
-    let mut layer: Vec<Vec<u8>> = vec![Vec::new()];
-    met.insert(played::<P>(scope, &[]).digest());
-    walked.states = 1;
-    if let Some(why) = fault::<P>(scope, &[]) {
-        walked.fault = Some(Fault {
-            moves: Vec::new(),
-            why,
+    max_states: u64,
+    mut on_depth: impl FnMut(usize, u64),
+) -> Exploration {
+    let mut exploration = Exploration::default();
+    let mut seen = HashSet::new();
+    let mut frontier: Vec<Vec<u8>> = vec![Vec::new()];
+    seen.insert(replay::<P>(scope, &[]).state_hash());
+    exploration.states = 1;
+    if let Some(reason) = find_violation::<P>(scope, &[]) {
+        exploration.violation = Some(Violation {
+            actions: Vec::new(),
+            reason,
         });
-        return walked;
+        return exploration;
     }
     for level in 1..=depth {
         let mut next = Vec::new();
-        for before in &layer {
-            for what in played::<P>(scope, before).moves() {
-                let mut moves = before.clone();
-                moves.push(what);
-                let play = played::<P>(scope, &moves);
-                if !met.insert(play.digest()) {
-                    walked.again += 1;
+        for prefix in &frontier {
+            for action in replay::<P>(scope, prefix).actions() {
+                let mut actions = prefix.clone();
+                actions.push(action);
+                let model = replay::<P>(scope, &actions);
+                if !seen.insert(model.state_hash()) {
+                    exploration.revisited += 1;
                     continue;
                 }
-                walked.states += 1;
-                if let Some(why) = fault::<P>(scope, &moves) {
-                    walked.fault = Some(Fault { moves, why });
-                    return walked;
+                exploration.states += 1;
+                if let Some(reason) = find_violation::<P>(scope, &actions) {
+                    exploration.violation = Some(Violation { actions, reason });
+                    return exploration;
                 }
-                if walked.states >= most {
-                    walked.cut = true;
-                    return walked;
+                if exploration.states >= max_states {
+                    exploration.truncated = true;
+                    return exploration;
                 }
-                next.push(moves);
+                next.push(actions);
             }
         }
-        told(level, walked.states);
-        layer = next;
+        on_depth(level, exploration.states);
+        frontier = next;
     }
-    walked
+    exploration
 }
 
-/// Long histories by chance; the first that breaks something, made short.
-pub fn wander<P: Play>(scope: &P::Scope, histories: u64, length: usize, seed: u64) -> Walked {
-    let mut walked = Walked::default();
-    for number in 0..histories {
-        let mut chance = SmallRng::seed_from_u64(seed.wrapping_add(number));
-        let (mut play, mut moves) = (P::start(scope), Vec::new());
+/// Runs random histories of up to `length` actions; stops at the first violation and shrinks its history.
+pub fn explore_random<P: Model>(
+    scope: &P::Scope,
+    histories: u64,
+    length: usize,
+    seed: u64,
+) -> Exploration {
+    let mut exploration = Exploration::default();
+    for index in 0..histories {
+        let mut rng = SmallRng::seed_from_u64(seed.wrapping_add(index));
+        let (mut model, mut actions) = (P::start(scope), Vec::new());
         for _ in 0..length {
-            let may = play.moves();
-            if may.is_empty() || play.broken().is_some() {
+            let possible = model.actions();
+            if possible.is_empty() || model.violation().is_some() {
                 break;
             }
-            let what = may[chance.random_range(0..may.len())];
-            play.step(what);
-            moves.push(what);
+            let action = possible[rng.random_range(0..possible.len())];
+            model.apply(action);
+            actions.push(action);
         }
-        walked.states += moves.len() as u64;
-        let why = play
-            .broken()
+        exploration.states += actions.len() as u64;
+        let reason = model
+            .violation()
             .map(str::to_owned)
-            .or_else(|| play.comes_free());
-        if let Some(why) = why {
-            walked.fault = Some(shrink::<P>(scope, Fault { moves, why }));
-            return walked;
+            .or_else(|| model.check_recovery());
+        if let Some(reason) = reason {
+            exploration.violation = Some(shrink::<P>(scope, Violation { actions, reason }));
+            return exploration;
         }
     }
-    walked
+    exploration
 }
 
-/// Leaves out ever smaller parts of a history as long as the rest breaks something, too.
-pub fn shrink<P: Play>(scope: &P::Scope, mut of: Fault) -> Fault {
-    let mut size = of.moves.len().div_ceil(2).max(1);
+/// Removes ever smaller parts of a history as long as the rest still leads to a violation.
+pub fn shrink<P: Model>(scope: &P::Scope, mut violation: Violation) -> Violation {
+    let mut size = violation.actions.len().div_ceil(2).max(1);
     loop {
         let (mut at, mut shorter) = (0, false);
-        while at < of.moves.len() {
-            let mut moves = of.moves.clone();
-            moves.drain(at..(at + size).min(of.moves.len()));
-            match fault::<P>(scope, &moves) {
-                Some(why) => {
-                    of = Fault { moves, why };
+        while at < violation.actions.len() {
+            let mut actions = violation.actions.clone();
+            actions.drain(at..(at + size).min(violation.actions.len()));
+            match find_violation::<P>(scope, &actions) {
+                Some(reason) => {
+                    violation = Violation { actions, reason };
                     shorter = true;
                 }
                 None => at += size,
             }
         }
         match size {
-            1 if !shorter => return of,
+            1 if !shorter => return violation,
             1 => {}
             _ => size = size.div_ceil(2),
         }
--- a/crates/coralstep-lab/src/explore/module.rs
+++ b/crates/coralstep-lab/src/explore/module.rs
@@ -1,6 +1,6 @@
-//! The real module in a small scope: a server of two cores, three methods, one dependency. Moves are arrivals, ends of runs and calls,
-//! callers that leave, the notice to leave, and time in three steps. It plays the edge of the server as the sockets do: calls whose
-//! patience is over end as timed out, RPCs that are answered at their call end there.
+//! Model of the real scheduler in a small scope: a server with two cores, three methods and one dependency. Actions are arrivals, ends of
+//! runs and calls, cancellations, the start of a drain, and four steps of time. The model stands in for the server around the
+//! scheduler: it times out calls, and ends a run if its RPC was answered before its call returned.
 use std::collections::BTreeMap;
 
 use coralstep::{
@@ -8,120 +8,121 @@
     SchedulerConfig, Span, Time,
 };
 
-use super::Play;
+use super::Model;
 use crate::acts::{Act, Acts};
 use crate::rules::{Rules, Told};
 
-/// RPCs of one history.
-const RPCS: usize = 6;
-/// A history starts here, in ticks.
+/// Maximum number of arrivals in one history.
+const MAX_RPCS: usize = 6;
+/// Start time of every history, in ticks.
 const START: u64 = 1 << 40;
-/// Between two beats of the server, as it asks for them.
-const BEAT: u64 = 200;
-/// Within so long after the trouble is over all is served again, in ticks: the longest cooldown, the time after which a run counts as
-/// lost, and as much again.
-const FREE_WITHIN: u64 = 900_000;
-/// The word that a call's patience is over comes so much later, in ticks: by then its RPC may have been answered.
-const WORD: u64 = 300;
-/// A trial decides within so long, in ticks: the patience with its call, its RPC's time, and a beat or two.
-const TRIAL_MOST: u64 = 60_000;
-
-/// What happened before the history begins.
+/// Period of the scheduler's timer, in ticks.
+const TIMER_PERIOD: u64 = 200;
+/// Maximum time from the end of all faults until every method is served again, in ticks: the longest cooldown plus the time after which
+/// a run counts as lost, doubled.
+const MAX_RECOVERY_TIME: u64 = 900_000;
+/// Delay between the timeout of a call and its report to the scheduler, in ticks: its RPC may have been answered by then.
+const TIMEOUT_REPORT_DELAY: u64 = 300;
+/// Maximum time until a probe call decides, in ticks: the timeout of the call, the deadline of its RPC and two timer periods.
+const MAX_PROBE_TIME: u64 = 60_000;
+
+/// Events before the history begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Prelude {
+pub enum InitialState {
     Fresh,
-    /// The dependency hangs from the start: its breaker has just opened.
+    /// The dependency has hung from the start, and its breaker has just opened.
     Hung,
-    /// It answered well for a while, then hung.
+    /// The dependency answered for a while, then hung until its breaker opened.
     HungLater,
-    /// Just started, slow.
+    /// The server has just started and is slow.
     Cold,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct Scope {
-    pub prelude: Prelude,
-    /// The engine ends a run as soon as its RPC has its answer, before any word of its call.
+    pub initial_state: InitialState,
+    /// Whether the engine ends a run as soon as its RPC is answered, before its call returns.
     pub prompt: bool,
-    /// What cheats, for tests of the checks themselves.
-    pub cheat: Cheat,
+    /// Fault injected to test the checks themselves.
+    pub injected_fault: InjectedFault,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Cheat {
+pub enum InjectedFault {
     #[default]
     None,
-    /// No run gets anywhere.
-    NoEnds,
-    /// Calls are made again that the breaker refused.
-    CallsOpen,
+    /// No run ever ends.
+    RunsNeverEnd,
+    /// Calls that the open breaker skipped are made nevertheless.
+    IgnoresBreaker,
 }
 
-pub const PRELUDES: [(&str, Prelude); 4] = [
-    ("fresh", Prelude::Fresh),
-    ("hung", Prelude::Hung),
-    ("hung-later", Prelude::HungLater),
-    ("cold", Prelude::Cold),
+pub const INITIAL_STATES: [(&str, InitialState); 4] = [
+    ("fresh", InitialState::Fresh),
+    ("hung", InitialState::Hung),
+    ("hung-later", InitialState::HungLater),
+    ("cold", InitialState::Cold),
 ];
 
-/// Arrivals of the three methods.
+/// Arrival of a request of each method.
 const READ: u8 = 0;
 const BOOK: u8 = 1;
 const PAY: u8 = 2;
-/// The oldest run comes to its call, or to its end where it has none or has made it.
-const GO_ON: u8 = 3;
-/// The oldest call ends well, or fails.
+/// The oldest run reaches its call, or ends if it has no call left.
+const CONTINUE: u8 = 3;
+/// The oldest call succeeds or fails.
 const CALL_OK: u8 = 4;
 const CALL_FAILS: u8 = 5;
-/// The caller of the oldest open RPC leaves.
-const GONE: u8 = 6;
-const LEAVE: u8 = 7;
-/// Time passes: a beat, 300 ms, 2 s, 12 s.
-const BEATS: [u64; 4] = [1, 15, 100, 600];
+/// The client of the oldest open RPC cancels it.
+const CANCEL: u8 = 6;
+/// The server starts to drain.
+const DRAIN: u8 = 7;
+/// Steps of time in timer periods: 20 ms, 300 ms, 2 s, 12 s.
+const WAIT_PERIODS: [u64; 4] = [1, 15, 100, 600];
 const WAIT: u8 = 8;
 
+/// An RPC that the scheduler has not released yet.
 #[derive(Clone, Debug)]
-struct Live {
+struct ActiveRpc {
     method: usize,
-    due: u64,
+    deadline: u64,
     answered: bool,
     running: bool,
-    /// Its call is still to come.
+    /// Whether its call is still to be made.
     calls: bool,
-    /// Began, and until when it is waited for.
+    /// Start and timeout of its call in progress.
     call: Option<(u64, u64)>,
-    /// Its own time ran out while its call was the trial.
-    cut: bool,
+    /// Whether its deadline passed while its call was the probe call.
+    probe_cut_short: bool,
 }
 
 pub struct Module {
-    server: Scheduler,
-    cheat: Cheat,
+    scheduler: Scheduler,
+    injected_fault: InjectedFault,
     prompt: bool,
-    /// Runs that a prompt engine is about to end.
+    /// Runs that a prompt engine ends next.
     ending: Vec<RpcId>,
     now: u64,
-    /// The next beat.
-    beat: u64,
-    live: BTreeMap<u32, Live>,
+    /// Time of the next timer.
+    next_timer: u64,
+    active: BTreeMap<u32, ActiveRpc>,
     next: u32,
     arrived: usize,
     rules: Rules,
     methods: Vec<Method>,
     share: f64,
-    leaving: bool,
-    /// The state of the breaker as its turns tell, and since when.
+    draining: bool,
+    /// State of the breaker according to its transitions, and since when.
     state: &'static str,
     since: u64,
-    /// Outcomes told since it closed: of a window of 20, 1 for a failure.
+    /// Outcomes of the last 20 calls since the breaker closed; `true` is a failure.
     window: Vec<bool>,
-    /// While the trouble lasts silence is a hang; behind it calls are answered.
-    broken: Option<String>,
-    ok: u64,
-    bad: u64,
+    violation: Option<String>,
+    succeeded: u64,
+    unsuccessful: u64,
 }
 
-fn terms(cold: bool) -> SchedulerConfig {
+fn scheduler_config(cold: bool) -> SchedulerConfig {
     let method = |effect, calls, skip| Method {
         idempotency: effect,
         latency_objective: Span::ms(400),
@@ -155,213 +156,216 @@
 }
 
 impl Module {
-    fn tell(&mut self, what: impl FnOnce(&mut Scheduler, Time, &mut Acts)) {
+    fn with_scheduler(&mut self, event: impl FnOnce(&mut Scheduler, Time, &mut Acts)) {
         let (now, mut acts) = (Time(self.now), Acts::default());
-        what(&mut self.server, now, &mut acts);
+        event(&mut self.scheduler, now, &mut acts);
         for act in acts.0 {
-            self.act(act);
+            self.handle_act(act);
         }
         for id in std::mem::take(&mut self.ending) {
-            // Nobody waits for what the run waited for.
-            let call = self.live.get_mut(&id.0).and_then(|live| live.call.take());
-            // A call that its RPC's own time cut short is a failed one.
+            // The call has no result any more, since its run ends here.
+            let call = self.active.get_mut(&id.0).and_then(|rpc| rpc.call.take());
+            // A call that the deadline of its RPC cut short counts as failed.
             call.into_iter()
-                .for_each(|(began, _)| self.counts(began, true));
-            let trial = self.cut_short(id, call.map_or(0, |(began, _)| began));
+                .for_each(|(began, _)| self.record_call_outcome(began, true));
+            let probe = self.probe_cut_short(id, call.map_or(0, |(began, _)| began));
             self.settle(id, Outcome::Cancelled);
-            self.decided(trial);
+            self.check_probe_decided(probe);
         }
     }
 
-    fn breaks(&mut self, why: String) {
-        if self.broken.is_none() {
-            self.broken = Some(why);
+    fn report_violation(&mut self, why: String) {
+        if self.violation.is_none() {
+            self.violation = Some(why);
         }
     }
 
-    fn act(&mut self, act: Act) {
+    fn handle_act(&mut self, act: Act) {
         let now = self.now;
         match act {
             Act::Admit(id) => {
-                if let Some(live) = self.live.get_mut(&id.0) {
-                    live.running = true;
-                    let token = (live.method == usize::from(PAY))
-                        .then_some((u64::from(id.0), now + 40_000));
-                    self.rules.began(now, u64::from(id.0), token);
+                if let Some(rpc) = self.active.get_mut(&id.0) {
+                    rpc.running = true;
+                    let key =
+                        (rpc.method == usize::from(PAY)).then_some((u64::from(id.0), now + 40_000));
+                    self.rules.began(now, u64::from(id.0), key);
                 }
             }
-            Act::PushBack(id, ..) => self.answered(id, Told::PushedBack),
+            Act::PushBack(id, ..) => self.record_answer(id, Told::PushedBack),
             Act::Abort(id) => {
-                let trial = self.state == "half-open" && !self.leaving;
+                let probe = self.state == "half-open" && !self.draining;
                 let since = self.since;
-                if let Some(live) = self.live.get_mut(&id.0) {
-                    live.cut = trial
-                        && live
+                if let Some(rpc) = self.active.get_mut(&id.0) {
+                    rpc.probe_cut_short = probe
+                        && rpc
                             .call
                             .is_some_and(|(began, until)| began >= since && until > now);
                 }
-                self.answered(id, Told::Aborted);
-                if self.prompt && self.live.get(&id.0).is_some_and(|live| live.running) {
+                self.record_answer(id, Told::Aborted);
+                if self.prompt && self.active.get(&id.0).is_some_and(|rpc| rpc.running) {
                     self.ending.push(id);
                 }
             }
             Act::Skip(id) => {
-                self.live
+                self.active
                     .get_mut(&id.0)
                     .into_iter()
-                    .for_each(|live| live.calls = false);
-                if self.cheat == Cheat::CallsOpen {
-                    self.called(id, Span::ms(300));
+                    .for_each(|rpc| rpc.calls = false);
+                if self.injected_fault == InjectedFault::IgnoresBreaker {
+                    self.start_call(id, Span::ms(300));
                 }
             }
-            Act::Call(id, patience) => self.called(id, patience),
+            Act::Call(id, timeout) => self.start_call(id, timeout),
             Act::Preempt(id) => self.settle(id, Outcome::Cancelled),
             Act::Release(id) => {
-                self.live.remove(&id.0);
+                self.active.remove(&id.0);
                 self.rules.over(now, u64::from(id.0));
             }
-            Act::Turn(turn) => self.turned(turn),
+            Act::Turn(transition) => self.check_transition(transition),
             Act::Keep(_) | Act::Drop(_) | Act::Replay(_) | Act::Health(_) | Act::Timer(_) => {}
         }
     }
 
-    fn called(&mut self, id: RpcId, patience: Span) {
+    fn start_call(&mut self, id: RpcId, timeout: Span) {
         let now = self.now;
-        let in_hand = self
-            .live
+        let calls_in_progress = self
+            .active
             .values()
-            .filter(|live| live.call.is_some())
+            .filter(|rpc| rpc.call.is_some())
             .count();
-        // The design's bulkhead: never more than three quarters of the share, and a part of a permit as a whole one.
-        if in_hand as f64 + 1.0 > (self.share * 0.75).ceil() {
-            self.breaks(format!(
-                "{} calls in hand, {} is the share",
-                in_hand + 1,
+        // The bulkhead admits at most three quarters of the share, rounded up to whole permits.
+        if calls_in_progress as f64 + 1.0 > (self.share * 0.75).ceil() {
+            self.report_violation(format!(
+                "{} calls in progress, the share is {}",
+                calls_in_progress + 1,
                 self.share
             ));
         }
         match self.state {
-            "open" => self.breaks("a call while the breaker is open".to_owned()),
-            // A trial whose RPC is over has left; the next call is the trial.
-            "half-open" if self.trial().is_some() => {
-                self.breaks("a second call beside the trial".to_owned())
+            "open" => self.report_violation("call while the breaker is open".to_owned()),
+            // If the RPC of the probe call is over, the next call is the probe call.
+            "half-open" if self.probe_start().is_some() => {
+                self.report_violation("second call during the probe call".to_owned())
             }
             _ => {}
         }
-        if let Some(live) = self.live.get_mut(&id.0) {
-            live.call = Some((now, now + patience.0 + WORD));
+        if let Some(rpc) = self.active.get_mut(&id.0) {
+            rpc.call = Some((now, now + timeout.0 + TIMEOUT_REPORT_DELAY));
         }
     }
 
-    /// Since when a trial is out.
-    fn trial(&self) -> Option<u64> {
-        let began = |live: &Live| {
-            live.call
+    /// Returns the start of the probe call in progress.
+    fn probe_start(&self) -> Option<u64> {
+        let began = |rpc: &ActiveRpc| {
+            rpc.call
                 .map(|(began, _)| began)
-                .filter(|began| *began >= self.since && !live.answered)
+                .filter(|began| *began >= self.since && !rpc.answered)
         };
-        self.live
+        self.active
             .values()
             .find_map(began)
             .filter(|_| self.state == "half-open")
     }
 
-    /// A change of state must be one that the design knows, and have its reason.
-    fn turned(&mut self, turn: BreakerTransition) {
-        let (from, to) = (turn.from.as_str(), turn.to.as_str());
+    /// Checks that a transition of the breaker is allowed and has its cause.
+    fn check_transition(&mut self, transition: BreakerTransition) {
+        let (from, to) = (transition.from.as_str(), transition.to.as_str());
         match (from, to) {
             ("closed", "open") => {
                 let failed = self.window.iter().filter(|failed| **failed).count();
                 if self.window.len() < 20 || failed * 2 < self.window.len() {
-                    self.breaks(format!(
-                        "it opened after {} outcomes, {failed} of them failures",
+                    self.report_violation(format!(
+                        "breaker opened after {} outcomes, {failed} of them failures",
                         self.window.len()
                     ));
                 }
             }
             ("open", "half-open") | ("half-open", "open" | "closed") => {}
-            (from, to) => self.breaks(format!("from {from} to {to}")),
+            (from, to) => self.report_violation(format!("transition from {from} to {to}")),
         }
         if from != self.state {
-            self.breaks(format!("it left {} and was {}", from, self.state));
+            self.report_violation(format!("transition from {} in state {}", from, self.state));
         }
         (self.state, self.since) = (to, self.now);
         self.window.clear();
     }
 
-    fn answered(&mut self, id: RpcId, told: Told) {
+    fn record_answer(&mut self, id: RpcId, told: Told) {
         let now = self.now;
-        let Some(live) = self.live.get_mut(&id.0) else {
-            return self.breaks(format!("{told:?} for one that is not here"));
+        let Some(rpc) = self.active.get_mut(&id.0) else {
+            return self.report_violation(format!("{told:?} for an unknown RPC"));
         };
-        if live.answered && told == Told::Ok {
+        if rpc.answered && told == Told::Ok {
             return;
         }
-        live.answered = true;
+        rpc.answered = true;
         *(if told == Told::Ok {
-            &mut self.ok
+            &mut self.succeeded
         } else {
-            &mut self.bad
+            &mut self.unsuccessful
         }) += 1;
         self.rules.answered(now, u64::from(id.0), told);
     }
 
     fn settle(&mut self, id: RpcId, outcome: Outcome) {
-        if let Some(live) = self.live.get_mut(&id.0) {
-            live.running = false;
+        if let Some(rpc) = self.active.get_mut(&id.0) {
+            rpc.running = false;
         }
-        self.tell(|server, now, out| server.handle_completion(now, id, outcome, out));
+        self.with_scheduler(|scheduler, now, out| {
+            scheduler.handle_completion(now, id, outcome, out)
+        });
     }
 
-    fn arrives(&mut self, method: usize) {
+    fn send_request(&mut self, method: usize) {
         let (id, now) = (self.next, self.now);
         self.next += 1;
-        let due = now + self.methods[method].deadline.0;
-        let live = Live {
+        let deadline = now + self.methods[method].deadline.0;
+        let rpc = ActiveRpc {
             method,
-            due,
+            deadline,
             answered: false,
             running: false,
             calls: self.methods[method].calls,
             call: None,
-            cut: false,
+            probe_cut_short: false,
         };
-        self.live.insert(id, live);
+        self.active.insert(id, rpc);
         self.rules
-            .read(now, u64::from(id), 0, due, method != usize::from(READ));
+            .read(now, u64::from(id), 0, deadline, method != usize::from(READ));
         let arrival = Request {
             id: RpcId(id),
             method,
             queued_kb: 10.0,
             ..Request::default()
         };
-        self.tell(|server, now, out| server.handle_request(now, arrival, out));
+        self.with_scheduler(|scheduler, now, out| scheduler.handle_request(now, arrival, out));
     }
 
-    /// The oldest run that is on the cores, and the oldest call.
-    fn oldest(&self, which: impl Fn(&Live) -> bool) -> Option<RpcId> {
-        self.live
+    /// Returns the oldest RPC that matches.
+    fn oldest(&self, which: impl Fn(&ActiveRpc) -> bool) -> Option<RpcId> {
+        self.active
             .iter()
-            .find(|(_, live)| which(live))
+            .find(|(_, rpc)| which(rpc))
             .map(|(id, _)| RpcId(*id))
     }
 
-    fn goes_on(&mut self, id: RpcId) {
-        if self.cheat == Cheat::NoEnds {
+    fn continue_run(&mut self, id: RpcId) {
+        if self.injected_fault == InjectedFault::RunsNeverEnd {
             return;
         }
-        let Some(live) = self.live.get_mut(&id.0) else {
+        let Some(rpc) = self.active.get_mut(&id.0) else {
             return;
         };
-        if std::mem::take(&mut live.calls) {
-            return self.tell(|server, now, out| server.handle_call_needed(now, id, out));
+        if std::mem::take(&mut rpc.calls) {
+            return self
+                .with_scheduler(|scheduler, now, out| scheduler.handle_call_needed(now, id, out));
         }
-        self.answered(id, Told::Ok);
+        self.record_answer(id, Told::Ok);
         self.settle(id, Outcome::Ok);
     }
 
-    /// The breaker counts what began since its last change.
-    fn counts(&mut self, began: u64, failed: bool) {
+    /// Records the outcome of a call in the window; the breaker counts only calls that began since its last transition.
+    fn record_call_outcome(&mut self, began: u64, failed: bool) {
         if self.state == "closed" && began >= self.since {
             if self.window.len() == 20 {
                 self.window.remove(0);
@@ -370,296 +374,319 @@
         }
     }
 
-    /// Since when the breaker is half-open, where this call is its trial and its RPC's own time cut it short.
-    fn cut_short(&self, id: RpcId, began: u64) -> Option<u64> {
-        let cut = self.live.get(&id.0).is_some_and(|live| live.cut);
-        (cut && self.state == "half-open" && began >= self.since).then_some(self.since)
+    /// Returns since when the breaker is half-open, if this call is the probe call and the deadline of its RPC cut it short.
+    fn probe_cut_short(&self, id: RpcId, began: u64) -> Option<u64> {
+        let cut_short = self
+            .active
+            .get(&id.0)
+            .is_some_and(|rpc| rpc.probe_cut_short);
+        (cut_short && self.state == "half-open" && began >= self.since).then_some(self.since)
     }
 
-    /// Guards against a breaker that is half-open for as long as its dependency hangs, for each trial is cut short by its RPC's own
-    /// time: no reopening, no longer cooldown.
-    fn decided(&mut self, trial: Option<u64>) {
-        if trial == Some(self.since) && self.state == "half-open" {
-            self.breaks("a trial that its RPC's time cut short decided nothing".to_owned());
+    /// Guards against a breaker that stays half-open while its dependency hangs, because each probe call is cut short by the deadline of
+    /// its RPC: the breaker would not reopen, and the cooldown would not grow.
+    fn check_probe_decided(&mut self, probe: Option<u64>) {
+        if probe == Some(self.since) && self.state == "half-open" {
+            self.report_violation(
+                "probe call cut short by the deadline of its RPC decided nothing".to_owned(),
+            );
         }
     }
 
-    fn call_ends(&mut self, id: RpcId, outcome: Outcome) {
-        let Some((began, _)) = self.live.get_mut(&id.0).and_then(|live| live.call.take()) else {
+    fn end_call(&mut self, id: RpcId, outcome: Outcome) {
+        let Some((began, _)) = self.active.get_mut(&id.0).and_then(|rpc| rpc.call.take()) else {
             return;
         };
-        self.counts(began, outcome != Outcome::Ok);
-        let trial = self.cut_short(id, began);
+        self.record_call_outcome(began, outcome != Outcome::Ok);
+        let probe = self.probe_cut_short(id, began);
         let took = Span(self.now - began);
-        self.tell(|server, now, out| server.handle_call_result(now, id, outcome, took, out));
-        self.decided(trial);
+        self.with_scheduler(|scheduler, now, out| {
+            scheduler.handle_call_result(now, id, outcome, took, out)
+        });
+        self.check_probe_decided(probe);
         let answered = self
-            .live
+            .active
             .get(&id.0)
-            .is_some_and(|live| live.answered && live.running);
+            .is_some_and(|rpc| rpc.answered && rpc.running);
         if outcome != Outcome::Ok && answered {
             self.settle(id, Outcome::Cancelled);
         }
     }
 
-    /// Whether a run is on the cores, not at a call or in line for one.
-    fn on_cores(live: &Live) -> bool {
-        live.running && live.call.is_none()
+    /// Whether the RPC occupies a core: its run is neither in a call nor in the queue for one.
+    fn occupies_core(rpc: &ActiveRpc) -> bool {
+        rpc.running && rpc.call.is_none()
     }
 
-    /// Time up to the next beat, and the beat.
-    fn beats(&mut self) {
-        self.now = self.beat;
-        self.beat += BEAT;
-        while let Some(id) =
-            self.oldest(|live| live.call.is_some_and(|(_, until)| until <= self.now))
+    /// Advances time to the next timer and handles it.
+    fn advance_to_timer(&mut self) {
+        self.now = self.next_timer;
+        self.next_timer += TIMER_PERIOD;
+        while let Some(id) = self.oldest(|rpc| rpc.call.is_some_and(|(_, until)| until <= self.now))
         {
-            self.call_ends(id, Outcome::TimedOut);
+            self.end_call(id, Outcome::TimedOut);
         }
         let busy = self
-            .live
+            .active
             .values()
-            .filter(|live| Module::on_cores(live))
+            .filter(|rpc| Module::occupies_core(rpc))
             .count() as f64
             / 2.0;
         let gauges = Gauges {
             cpu_busy: Some(busy.min(1.0)),
             open_connections: None,
         };
-        self.tell(|server, now, out| server.handle_timeout(now, gauges, out));
+        self.with_scheduler(|scheduler, now, out| scheduler.handle_timeout(now, gauges, out));
         if self
-            .trial()
-            .is_some_and(|began| self.now > began + TRIAL_MOST)
+            .probe_start()
+            .is_some_and(|began| self.now > began + MAX_PROBE_TIME)
         {
-            self.breaks(format!(
-                "half-open for {} ms with its trial out",
+            self.report_violation(format!(
+                "half-open for {} ms with its probe call in progress",
                 (self.now - self.since) / 10
             ));
         }
         let now = self.now;
         self.rules.stands(now, 0, 0.0, 0);
         let late = self
-            .live
+            .active
             .values()
-            .any(|live| !live.answered && now > live.due);
+            .any(|rpc| !rpc.answered && now > rpc.deadline);
         if late {
-            self.breaks("an RPC without an answer past its due time".to_owned());
+            self.report_violation("RPC unanswered after its deadline".to_owned());
         }
         if let Some(breach) = self.rules.breaches.first() {
-            let told = breach.to_string();
-            self.breaks(told);
+            let reason = breach.to_string();
+            self.report_violation(reason);
         }
     }
 
-    /// The dependency hangs while RPCs that call it come, until its breaker opens.
-    fn hangs(&mut self) {
+    /// Lets the dependency hang while RPCs that call it arrive, until its breaker opens.
+    fn hang_dependency(&mut self) {
         for round in 0..400 {
             if self.state != "closed" {
                 break;
             }
-            self.arrives(usize::from(if round % 2 == 0 { READ } else { BOOK }));
-            (0..3).for_each(|_| self.beats());
-            while let Some(id) = self.oldest(|live| Module::on_cores(live) && live.calls) {
-                self.goes_on(id);
+            self.send_request(usize::from(if round % 2 == 0 { READ } else { BOOK }));
+            (0..3).for_each(|_| self.advance_to_timer());
+            while let Some(id) = self.oldest(|rpc| Module::occupies_core(rpc) && rpc.calls) {
+                self.continue_run(id);
             }
-            while let Some(id) = self.oldest(|live| Module::on_cores(live) && live.answered) {
+            while let Some(id) = self.oldest(|rpc| Module::occupies_core(rpc) && rpc.answered) {
                 self.settle(id, Outcome::Cancelled);
             }
         }
-        // What is open ends by itself.
-        (0..100).for_each(|_| self.beats());
-        while let Some(id) = self.oldest(|live| live.running) {
+        // Open RPCs reach their deadline.
+        (0..100).for_each(|_| self.advance_to_timer());
+        while let Some(id) = self.oldest(|rpc| rpc.running) {
             self.settle(id, Outcome::Cancelled);
         }
     }
 
-    /// One that comes, runs, calls and ends well within a few beats; whether it did.
-    fn serves(&mut self, method: usize) -> bool {
-        let (before, id) = (self.ok, RpcId(self.next));
-        self.arrives(method);
+    /// Sends a request whose run and call end within a few timer periods; returns whether it was answered with success.
+    fn serve(&mut self, method: usize) -> bool {
+        let (before, id) = (self.succeeded, RpcId(self.next));
+        self.send_request(method);
         for _ in 0..40 {
-            self.beats();
-            if self.live.get(&id.0).is_some_and(|live| live.call.is_some()) {
-                self.call_ends(id, Outcome::Ok);
+            self.advance_to_timer();
+            if self.active.get(&id.0).is_some_and(|rpc| rpc.call.is_some()) {
+                self.end_call(id, Outcome::Ok);
             }
-            if self.live.get(&id.0).is_some_and(Module::on_cores) {
-                self.goes_on(id);
+            if self.active.get(&id.0).is_some_and(Module::occupies_core) {
+                self.continue_run(id);
             }
-            if self.live.get(&id.0).is_none_or(|live| live.answered) {
+            if self.active.get(&id.0).is_none_or(|rpc| rpc.answered) {
                 break;
             }
         }
-        self.ok > before
+        self.succeeded > before
     }
 }
 
-impl Play for Module {
+impl Model for Module {
     type Scope = Scope;
 
     fn start(scope: &Scope) -> Module {
-        let cold = scope.prelude == Prelude::Cold;
-        let (terms, mut acts) = (terms(cold), Acts::default());
-        let server = Scheduler::start(&terms, 7, Time(START), &mut acts);
+        let cold = scope.initial_state == InitialState::Cold;
+        let (config, mut acts) = (scheduler_config(cold), Acts::default());
+        let scheduler = Scheduler::start(&config, 7, Time(START), &mut acts);
         let mut module = Module {
-            server,
-            cheat: scope.cheat,
+            scheduler,
+            injected_fault: scope.injected_fault,
             prompt: scope.prompt,
             ending: Vec::new(),
             now: START,
-            beat: START + BEAT,
-            live: BTreeMap::new(),
+            next_timer: START + TIMER_PERIOD,
+            active: BTreeMap::new(),
             next: 0,
             arrived: 0,
-            rules: Rules::new(1, terms.memory_kb, 10.0),
-            methods: terms.methods,
+            rules: Rules::new(1, config.memory_kb, 10.0),
+            methods: config.methods,
             share: 8.0,
-            leaving: false,
+            draining: false,
             state: "closed",
             since: START,
             window: Vec::new(),
-            broken: None,
-            ok: 0,
-            bad: 0,
+            violation: None,
+            succeeded: 0,
+            unsuccessful: 0,
         };
-        if scope.prelude == Prelude::HungLater {
+        if scope.initial_state == InitialState::HungLater {
             (0..30).for_each(|_| {
-                module.serves(usize::from(READ));
+                module.serve(usize::from(READ));
             });
         }
-        if matches!(scope.prelude, Prelude::Hung | Prelude::HungLater) {
-            module.hangs();
+        if matches!(
+            scope.initial_state,
+            InitialState::Hung | InitialState::HungLater
+        ) {
+            module.hang_dependency();
         }
         module
     }
 
-    fn moves(&self) -> Vec<u8> {
-        let mut moves = Vec::new();
-        if self.arrived < RPCS {
-            moves.extend([READ, BOOK, PAY]);
+    fn actions(&self) -> Vec<u8> {
+        let mut actions = Vec::new();
+        if self.arrived < MAX_RPCS {
+            actions.extend([READ, BOOK, PAY]);
         }
-        if self.oldest(Module::on_cores).is_some() {
-            moves.push(GO_ON);
+        if self.oldest(Module::occupies_core).is_some() {
+            actions.push(CONTINUE);
         }
-        if self.oldest(|live| live.call.is_some()).is_some() {
-            moves.extend([CALL_OK, CALL_FAILS]);
+        if self.oldest(|rpc| rpc.call.is_some()).is_some() {
+            actions.extend([CALL_OK, CALL_FAILS]);
         }
-        if self.oldest(|live| !live.answered).is_some() {
-            moves.push(GONE);
+        if self.oldest(|rpc| !rpc.answered).is_some() {
+            actions.push(CANCEL);
         }
-        if !self.leaving {
-            moves.push(LEAVE);
+        if !self.draining {
+            actions.push(DRAIN);
         }
-        moves.extend((0..BEATS.len() as u8).map(|step| WAIT + step));
-        moves
+        actions.extend((0..WAIT_PERIODS.len() as u8).map(|step| WAIT + step));
+        actions
     }
 
-    fn step(&mut self, what: u8) {
-        match what {
-            READ | BOOK | PAY if self.arrived < RPCS => {
+    fn apply(&mut self, action: u8) {
+        match action {
+            READ | BOOK | PAY if self.arrived < MAX_RPCS => {
                 self.arrived += 1;
-                self.arrives(usize::from(what));
+                self.send_request(usize::from(action));
             }
-            GO_ON => self
-                .oldest(Module::on_cores)
+            CONTINUE => self
+                .oldest(Module::occupies_core)
                 .into_iter()
-                .for_each(|id| self.goes_on(id)),
+                .for_each(|id| self.continue_run(id)),
             CALL_OK | CALL_FAILS => {
-                let outcome = if what == CALL_OK {
+                let outcome = if action == CALL_OK {
                     Outcome::Ok
                 } else {
                     Outcome::Error
                 };
-                let id = self.oldest(|live| live.call.is_some());
-                id.into_iter().for_each(|id| self.call_ends(id, outcome));
+                let id = self.oldest(|rpc| rpc.call.is_some());
+                id.into_iter().for_each(|id| self.end_call(id, outcome));
             }
-            GONE => {
-                if let Some(id) = self.oldest(|live| !live.answered) {
-                    self.live
+            CANCEL => {
+                if let Some(id) = self.oldest(|rpc| !rpc.answered) {
+                    self.active
                         .get_mut(&id.0)
                         .into_iter()
-                        .for_each(|live| live.answered = true);
+                        .for_each(|rpc| rpc.answered = true);
                     self.rules.gone(u64::from(id.0));
-                    self.tell(|server, now, out| server.handle_cancellation(now, id, out));
+                    self.with_scheduler(|scheduler, now, out| {
+                        scheduler.handle_cancellation(now, id, out)
+                    });
                 }
             }
-            LEAVE if !self.leaving => {
-                self.leaving = true;
+            DRAIN if !self.draining => {
+                self.draining = true;
                 self.rules.notice(0, self.now + 3_000);
-                // It stops long after all that is of interest here.
-                self.tell(|server, now, out| server.begin_drain(now, now + Span::ms(600_000), out));
+                // The drain ends long after the history.
+                self.with_scheduler(|scheduler, now, out| {
+                    scheduler.begin_drain(now, now + Span::ms(600_000), out)
+                });
             }
-            _ if what >= WAIT => {
-                let beats = BEATS.get(usize::from(what - WAIT)).copied().unwrap_or(0);
-                (0..beats).for_each(|_| self.beats());
+            _ if action >= WAIT => {
+                let periods = WAIT_PERIODS
+                    .get(usize::from(action - WAIT))
+                    .copied()
+                    .unwrap_or(0);
+                (0..periods).for_each(|_| self.advance_to_timer());
             }
             _ => {}
         }
     }
 
-    fn digest(&self) -> u64 {
+    fn state_hash(&self) -> u64 {
         use std::hash::{DefaultHasher, Hash, Hasher};
         let mut hasher = DefaultHasher::new();
         (
-            self.server.digest(),
+            self.scheduler.digest(),
             self.now,
             self.arrived,
-            self.leaving,
+            self.draining,
             self.state,
         )
             .hash(&mut hasher);
-        format!("{:?}", self.live).hash(&mut hasher);
+        format!("{:?}", self.active).hash(&mut hasher);
         hasher.finish()
     }
 
-    fn broken(&self) -> Option<&str> {
-        self.broken.as_deref()
+    fn violation(&self) -> Option<&str> {
+        self.violation.as_deref()
     }
 
-    /// Behind the trouble calls are answered and new runs end; runs of before stay silent for good, as those of a wedged application.
-    fn comes_free(mut self) -> Option<String> {
-        if self.leaving {
-            // Who leaves is to come free by its end.
+    /// Calls are answered and new runs end from now on; earlier runs never end, like those of a hung application.
+    fn check_recovery(mut self) -> Option<String> {
+        if self.draining {
+            // A draining server need not recover.
             return None;
         }
-        let until = self.now + FREE_WITHIN;
-        let (mut row, mut why) = ([0u32; 3], String::new());
+        let until = self.now + MAX_RECOVERY_TIME;
+        let (mut consecutive, mut why) = ([0u32; 3], String::new());
         while self.now < until {
-            for (method, row) in row.iter_mut().enumerate() {
-                *row = if self.serves(method) { *row + 1 } else { 0 };
+            for (method, consecutive) in consecutive.iter_mut().enumerate() {
+                *consecutive = if self.serve(method) {
+                    *consecutive + 1
+                } else {
+                    0
+                };
             }
-            if let Some(broken) = self.broken.take() {
-                return Some(format!("while it comes free: {broken}"));
+            if let Some(violation) = self.violation.take() {
+                return Some(format!("during recovery: {violation}"));
             }
-            // Ten in a row of each are served.
-            if row.iter().all(|row| *row >= 10) {
+            // Recovered: ten consecutive requests of each method were served.
+            if consecutive.iter().all(|consecutive| *consecutive >= 10) {
                 return None;
             }
-            // Between two rounds half a second passes.
-            (0..25).for_each(|_| self.beats());
-            why = format!("{row:?} in a row, breaker {}", self.state);
+            // Half a second passes between two rounds.
+            (0..25).for_each(|_| self.advance_to_timer());
+            why = format!(
+                "{consecutive:?} consecutive requests served, breaker {}",
+                self.state
+            );
         }
         Some(format!(
-            "it does not come free in {} s: {why}",
-            FREE_WITHIN / 10_000
+            "no recovery within {} s: {why}",
+            MAX_RECOVERY_TIME / 10_000
         ))
     }
 
-    fn name(what: u8) -> &'static str {
+    fn action_name(action: u8) -> &'static str {
         const NAMES: [&str; 12] = [
             "read arrives",
             "book arrives",
             "pay arrives",
-            "the oldest run goes on",
-            "the oldest call ends well",
+            "the oldest run continues",
+            "the oldest call succeeds",
             "the oldest call fails",
-            "the oldest caller leaves",
-            "notice to leave",
+            "the oldest request is cancelled",
+            "drain starts",
             "20 ms",
             "300 ms",
             "2 s",
             "12 s",
         ];
-        NAMES.get(usize::from(what)).copied().unwrap_or("nothing")
+        NAMES.get(usize::from(action)).copied().unwrap_or("nothing")
     }
 }
 
--- a/crates/coralstep-lab/src/explore/module/tests.rs
+++ b/crates/coralstep-lab/src/explore/module/tests.rs
@@ -1,37 +1,47 @@
 use super::*;
-use crate::explore::{exhaust, wander};
+use crate::explore::{explore_exhaustively, explore_random};
 
-fn scope(prelude: Prelude, cheat: Cheat) -> Scope {
+fn scope(initial_state: InitialState, injected_fault: InjectedFault) -> Scope {
     Scope {
-        prelude,
-        prompt: prelude == Prelude::Hung,
-        cheat,
+        initial_state,
+        prompt: initial_state == InitialState::Hung,
+        injected_fault,
     }
 }
 
 #[test]
-fn small_scopes_of_every_prelude_hold() {
-    for (name, prelude) in PRELUDES {
-        let walked = exhaust::<Module>(&scope(prelude, Cheat::None), 3, 20_000, |_, _| {});
+fn short_histories_from_every_initial_state_hold_invariants() {
+    for (name, initial_state) in INITIAL_STATES {
+        let exploration = explore_exhaustively::<Module>(
+            &scope(initial_state, InjectedFault::None),
+            3,
+            20_000,
+            |_, _| {},
+        );
         assert_eq!(
-            walked.fault.map(|fault| fault.told::<Module>()),
+            exploration
+                .violation
+                .map(|violation| violation.describe::<Module>()),
             None,
             "{name}"
         );
         assert!(
-            walked.states > 100 && !walked.cut,
+            exploration.states > 100 && !exploration.truncated,
             "{name} {}",
-            walked.states
+            exploration.states
         );
     }
 }
 
 #[test]
-fn long_histories_hold() {
-    for (name, prelude) in PRELUDES {
-        let walked = wander::<Module>(&scope(prelude, Cheat::None), 40, 30, 1);
+fn long_random_histories_hold_invariants() {
+    for (name, initial_state) in INITIAL_STATES {
+        let exploration =
+            explore_random::<Module>(&scope(initial_state, InjectedFault::None), 40, 30, 1);
         assert_eq!(
-            walked.fault.map(|fault| fault.told::<Module>()),
+            exploration
+                .violation
+                .map(|violation| violation.describe::<Module>()),
             None,
             "{name}"
         );
@@ -39,18 +49,26 @@
 }
 
 #[test]
-fn places_that_are_never_given_back_and_calls_past_an_open_breaker_are_found() {
-    let lost = exhaust::<Module>(&scope(Prelude::Fresh, Cheat::NoEnds), 2, 20_000, |_, _| {})
-        .fault
-        .unwrap();
-    assert!(lost.why.contains("does not come free"), "{lost:?}");
-    let calls = exhaust::<Module>(
-        &scope(Prelude::Hung, Cheat::CallsOpen),
+fn finds_runs_that_never_end_and_calls_despite_open_breaker() {
+    let lost = explore_exhaustively::<Module>(
+        &scope(InitialState::Fresh, InjectedFault::RunsNeverEnd),
+        2,
+        20_000,
+        |_, _| {},
+    )
+    .violation
+    .unwrap();
+    assert!(lost.reason.contains("no recovery within"), "{lost:?}");
+    let calls = explore_exhaustively::<Module>(
+        &scope(InitialState::Hung, InjectedFault::IgnoresBreaker),
         4,
         20_000,
         |_, _| {},
     )
-    .fault
+    .violation
     .unwrap();
-    assert!(calls.why.contains("while the breaker is open"), "{calls:?}");
+    assert!(
+        calls.reason.contains("while the breaker is open"),
+        "{calls:?}"
+    );
 }
--- a/crates/coralstep-lab/src/explore/pool.rs
+++ b/crates/coralstep-lab/src/explore/pool.rs
@@ -1,131 +1,135 @@
-//! The pool of applications in a small scope: two applications, attempts that end in each way or not at all, applications that go and
-//! come. Checked: no attempt at one that is shut but its trial, no more in hand than allowed, and coming free.
+//! Model of the pool of applications in a small scope: two applications, attempts that end in each way or never, and an application
+//! that is removed and added. Invariants: no attempt to an application whose breaker is not closed except its probe call, never more
+//! attempts in progress than allowed, and recovery.
 use coralstep::{Span, Time};
-use coralstep_balancer::{End, Pick, Pool as Real, PoolTerms, RampTerms};
+use coralstep_balancer::{End, Pick, Pool as BalancerPool, PoolTerms, RampTerms};
 
-use super::Play;
+use super::Model;
 
 const START: u64 = 1 << 40;
-const EACH_MOST: u32 = 3;
-/// An RPC's time, in ticks: an attempt past it is over for the pool, wherever it hangs.
-const DUE: u64 = 12_000;
-/// Within so long after the trouble both serve again, in ticks: the longest cooldown and as much again.
-const FREE_WITHIN: u64 = 700_000;
+/// Maximum number of attempts in progress at each application.
+const MAX_PER_APPLICATION: u32 = 3;
+/// Deadline of an RPC after its start, in ticks: the pool counts an attempt as overrun after it, even if the attempt still hangs.
+const DEADLINE: u64 = 12_000;
+/// Maximum time from the end of all faults until both applications serve again, in ticks: twice the longest cooldown.
+const MAX_RECOVERY_TIME: u64 = 700_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     Fresh,
-    /// Both have just been shut.
-    Shut,
+    /// The breakers of both applications have just opened.
+    BreakersOpen,
 }
 
 const CHOOSE: u8 = 0;
-/// The oldest attempt ends: answered, failed, broken, given up, or its time is over though it stays.
+/// The oldest attempt ends: answered, failed, broken or cancelled; or it overruns its deadline and stays in progress.
 const ANSWERED: u8 = 1;
 const OVERRAN: u8 = 5;
-/// The second application goes, or comes back.
-const OTHER: u8 = 6;
+/// The second application is removed, or added again.
+const TOGGLE_SECOND: u8 = 6;
 const WAIT: u8 = 7;
 const WAITS: [u64; 3] = [1_000, 20_000, 400_000];
 
-/// An attempt that is out.
-struct Out {
+/// An attempt in progress.
+struct Attempt {
     pick: Pick,
-    /// When the time of its RPC is over, and whether it is.
-    due: u64,
-    judged: bool,
-    trial: bool,
+    /// Deadline of its RPC, and whether the pool has been notified of the overrun.
+    deadline: u64,
+    overrun: bool,
+    probe: bool,
 }
 
 pub struct Pool {
-    real: Real<u8>,
+    balancer: BalancerPool<u8>,
     now: u64,
-    out: Vec<Out>,
+    attempts: Vec<Attempt>,
     chosen: u32,
-    both: bool,
-    broken: Option<String>,
+    both_present: bool,
+    violation: Option<String>,
 }
 
 impl Pool {
     fn choose(&mut self) -> bool {
-        let before = self.real.view(Time(u64::MAX / 2));
-        let Ok(pick) = self.real.choose(Time(self.now), None) else {
+        let before = self.balancer.view(Time(u64::MAX / 2));
+        let Ok(pick) = self.balancer.choose(Time(self.now), None) else {
             return false;
         };
-        let key = *self.real.key(&pick);
+        let key = *self.balancer.key(&pick);
         if let Some(view) = before.iter().find(|view| view.key == key && !view.leaving) {
-            if view.state == "closed" && view.in_hand >= EACH_MOST {
-                self.broken = Some(format!("{} in hand and one more", view.in_hand));
+            if view.state == "closed" && view.in_hand >= MAX_PER_APPLICATION {
+                self.violation = Some(format!(
+                    "{} attempts in progress and one more",
+                    view.in_hand
+                ));
             }
-            let trial = view.state != "closed";
-            if trial
-                && self
-                    .out
-                    .iter()
-                    .any(|out| out.trial && !out.judged && *self.real.key(&out.pick) == key)
+            let probe = view.state != "closed";
+            if probe
+                && self.attempts.iter().any(|attempt| {
+                    attempt.probe && !attempt.overrun && *self.balancer.key(&attempt.pick) == key
+                })
             {
-                self.broken = Some("a second attempt beside the trial".to_owned());
+                self.violation = Some("second attempt during the probe call".to_owned());
             }
-            self.out.push(Out {
+            self.attempts.push(Attempt {
                 pick,
-                due: self.now + DUE,
-                judged: false,
-                trial,
+                deadline: self.now + DEADLINE,
+                overrun: false,
+                probe,
             });
             return true;
         }
-        self.out.push(Out {
+        self.attempts.push(Attempt {
             pick,
-            due: self.now + DUE,
-            judged: false,
-            trial: false,
+            deadline: self.now + DEADLINE,
+            overrun: false,
+            probe: false,
         });
         true
     }
 
-    fn passes(&mut self, ticks: u64) {
+    fn advance(&mut self, ticks: u64) {
         self.now += ticks;
-        for out in self
-            .out
+        for attempt in self
+            .attempts
             .iter_mut()
-            .filter(|out| out.due <= self.now && !out.judged)
+            .filter(|attempt| attempt.deadline <= self.now && !attempt.overrun)
         {
-            self.real.overran(Time(self.now), &mut out.pick);
-            out.judged = true;
+            self.balancer.overran(Time(self.now), &mut attempt.pick);
+            attempt.overrun = true;
         }
     }
 
     fn end(&mut self, at: usize, end: End) {
-        if at < self.out.len() {
-            let out = self.out.remove(at);
-            self.real.ended(Time(self.now), out.pick, end);
+        if at < self.attempts.len() {
+            let attempt = self.attempts.remove(at);
+            self.balancer.ended(Time(self.now), attempt.pick, end);
         }
     }
 }
 
-impl Play for Pool {
+impl Model for Pool {
     type Scope = Scope;
 
     fn start(scope: &Scope) -> Pool {
         let terms = PoolTerms {
-            each_most: EACH_MOST,
+            each_most: MAX_PER_APPLICATION,
             ramp: RampTerms {
                 slow_start: Span::ms(1_000),
                 ..PoolTerms::default().ramp
             },
             ..PoolTerms::default()
         };
-        let mut real = Real::new(terms, 7);
-        real.set(Time(START), &[1, 2]);
+        let mut balancer = BalancerPool::new(terms, 7);
+        balancer.set(Time(START), &[1, 2]);
         let mut pool = Pool {
-            real,
+            balancer,
             now: START,
-            out: Vec::new(),
+            attempts: Vec::new(),
             chosen: 0,
-            both: true,
-            broken: None,
+            both_present: true,
+            violation: None,
         };
-        if *scope == Scope::Shut {
+        if *scope == Scope::BreakersOpen {
             for _ in 0..200 {
                 if !pool.choose() {
                     break;
@@ -136,21 +140,21 @@
         pool
     }
 
-    fn moves(&self) -> Vec<u8> {
-        let mut moves = Vec::new();
+    fn actions(&self) -> Vec<u8> {
+        let mut actions = Vec::new();
         if self.chosen < 6 {
-            moves.push(CHOOSE);
+            actions.push(CHOOSE);
         }
-        if !self.out.is_empty() {
-            moves.extend(ANSWERED..=OVERRAN);
+        if !self.attempts.is_empty() {
+            actions.extend(ANSWERED..=OVERRAN);
         }
-        moves.push(OTHER);
-        moves.extend((0..WAITS.len() as u8).map(|step| WAIT + step));
-        moves
+        actions.push(TOGGLE_SECOND);
+        actions.extend((0..WAITS.len() as u8).map(|step| WAIT + step));
+        actions
     }
 
-    fn step(&mut self, what: u8) {
-        match what {
+    fn apply(&mut self, action: u8) {
+        match action {
             CHOOSE => {
                 self.chosen += 1;
                 self.choose();
@@ -161,90 +165,93 @@
             4 => self.end(0, End::GivenUp),
             OVERRAN => {
                 let now = Time(self.now);
-                if let Some(out) = self.out.iter_mut().find(|out| !out.judged) {
-                    self.real.overran(now, &mut out.pick);
-                    out.judged = true;
+                if let Some(attempt) = self.attempts.iter_mut().find(|attempt| !attempt.overrun) {
+                    self.balancer.overran(now, &mut attempt.pick);
+                    attempt.overrun = true;
                 }
             }
-            OTHER => {
-                self.both = !self.both;
-                let keys: &[u8] = if self.both { &[1, 2] } else { &[1] };
-                self.real.set(Time(self.now), keys);
+            TOGGLE_SECOND => {
+                self.both_present = !self.both_present;
+                let keys: &[u8] = if self.both_present { &[1, 2] } else { &[1] };
+                self.balancer.set(Time(self.now), keys);
             }
-            _ => self.passes(
+            _ => self.advance(
                 WAITS
-                    .get(usize::from(what.saturating_sub(WAIT)))
+                    .get(usize::from(action.saturating_sub(WAIT)))
                     .copied()
                     .unwrap_or(0),
             ),
         }
-        let in_hand = self.real.in_hand() as usize;
-        if in_hand != self.out.len() {
-            self.broken = Some(format!("{in_hand} in hand, {} are out", self.out.len()));
+        let in_hand = self.balancer.in_hand() as usize;
+        if in_hand != self.attempts.len() {
+            self.violation = Some(format!(
+                "the pool counts {in_hand} attempts in progress instead of {}",
+                self.attempts.len()
+            ));
         }
     }
 
-    fn digest(&self) -> u64 {
+    fn state_hash(&self) -> u64 {
         use std::hash::{DefaultHasher, Hash, Hasher};
         let mut hasher = DefaultHasher::new();
-        let out: Vec<(u8, bool)> = self
-            .out
+        let attempts: Vec<(u8, bool)> = self
+            .attempts
             .iter()
-            .map(|out| (*self.real.key(&out.pick), out.judged))
+            .map(|attempt| (*self.balancer.key(&attempt.pick), attempt.overrun))
             .collect();
-        (self.now, self.chosen, self.both, out).hash(&mut hasher);
-        format!("{:?}", self.real.view(Time(u64::MAX / 2))).hash(&mut hasher);
+        (self.now, self.chosen, self.both_present, attempts).hash(&mut hasher);
+        format!("{:?}", self.balancer.view(Time(u64::MAX / 2))).hash(&mut hasher);
         hasher.finish()
     }
 
-    fn broken(&self) -> Option<&str> {
-        self.broken.as_deref()
+    fn violation(&self) -> Option<&str> {
+        self.violation.as_deref()
     }
 
-    /// Applications answer again; what hangs in their hands stays there.
-    fn comes_free(mut self) -> Option<String> {
-        let until = self.now + FREE_WITHIN;
-        let mut row = 0;
+    /// Applications answer new attempts; attempts that hang never end.
+    fn check_recovery(mut self) -> Option<String> {
+        let until = self.now + MAX_RECOVERY_TIME;
+        let mut consecutive = 0;
         while self.now < until {
             let served = self.choose();
-            let last = self.out.len().wrapping_sub(1);
+            let last = self.attempts.len().wrapping_sub(1);
             if served {
-                self.passes(100);
+                self.advance(100);
                 self.end(last, End::Answered);
             }
-            // Both are full of what hangs for good: nothing can prove that it ended.
+            // Both are full of attempts that never end: the pool can't know whether they ended.
             let full = self
-                .real
+                .balancer
                 .view(Time(u64::MAX / 2))
                 .iter()
                 .filter(|view| !view.leaving)
-                .all(|view| view.in_hand >= EACH_MOST);
-            row = if served { row + 1 } else { 0 };
-            if row >= 20 || full {
+                .all(|view| view.in_hand >= MAX_PER_APPLICATION);
+            consecutive = if served { consecutive + 1 } else { 0 };
+            if consecutive >= 20 || full {
                 return None;
             }
-            self.passes(1_000);
+            self.advance(1_000);
         }
         Some(format!(
-            "it does not come free in {} s",
-            FREE_WITHIN / 10_000
+            "no recovery within {} s",
+            MAX_RECOVERY_TIME / 10_000
         ))
     }
 
-    fn name(what: u8) -> &'static str {
+    fn action_name(action: u8) -> &'static str {
         const NAMES: [&str; 10] = [
-            "an attempt",
+            "an attempt starts",
             "the oldest is answered",
             "the oldest fails",
             "the oldest breaks",
-            "the oldest is given up",
+            "the oldest is cancelled",
             "the oldest overruns",
-            "the second goes or comes",
+            "the second is removed or added",
             "100 ms",
             "2 s",
             "40 s",
         ];
-        NAMES.get(usize::from(what)).copied().unwrap_or("nothing")
+        NAMES.get(usize::from(action)).copied().unwrap_or("nothing")
     }
 }
 
--- a/crates/coralstep-lab/src/explore/pool/tests.rs
+++ b/crates/coralstep-lab/src/explore/pool/tests.rs
@@ -1,23 +1,25 @@
 use super::*;
-use crate::explore::{exhaust, wander};
+use crate::explore::{explore_exhaustively, explore_random};
 
 #[test]
-fn small_scopes_hold() {
-    for scope in [Scope::Fresh, Scope::Shut] {
-        let walked = exhaust::<Pool>(&scope, 6, 50_000, |_, _| {});
+fn short_and_long_histories_hold_invariants() {
+    for scope in [Scope::Fresh, Scope::BreakersOpen] {
+        let exploration = explore_exhaustively::<Pool>(&scope, 6, 50_000, |_, _| {});
         assert_eq!(
-            walked.fault.map(|fault| fault.told::<Pool>()),
+            exploration
+                .violation
+                .map(|violation| violation.describe::<Pool>()),
             None,
             "{scope:?}"
         );
         assert!(
-            walked.states > 1_000 && !walked.cut,
+            exploration.states > 1_000 && !exploration.truncated,
             "{scope:?} {}",
-            walked.states
+            exploration.states
         );
-        let long = wander::<Pool>(&scope, 200, 60, 1);
+        let long = explore_random::<Pool>(&scope, 200, 60, 1);
         assert_eq!(
-            long.fault.map(|fault| fault.told::<Pool>()),
+            long.violation.map(|violation| violation.describe::<Pool>()),
             None,
             "{scope:?}"
         );
--- a/crates/coralstep-lab/src/explore/shares.rs
+++ b/crates/coralstep-lab/src/explore/shares.rs
@@ -1,6 +1,6 @@
-//! Limits of a fleet in a small scope: three servers that may all give, on clocks that run apart, one limit on what is in hand and one on the
-//! rate. Whatever happens to letters and processes, the limits hold at every moment, one gives at the most, and when the trouble is
-//! over all that is free is in use again within the stated bound.
+//! Model of fleet-wide limits in a small scope: three servers that may all become leader, with drifting clocks, one limit on
+//! concurrency and one on the rate. Invariants under any loss of messages or processes: the limits hold at all times, at most one
+//! leader grants units, and all free units are in use again within the guaranteed time after the faults end.
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use coralstep_quota::LimitKind;
@@ -9,57 +9,58 @@
 use coralstep_quota::guarantees::{max_failover_time, max_reclaim_time};
 use coralstep_quota::lease::lengthen_by_drift;
 
-use super::Play;
+use super::Model;
 use crate::shares::{Cheat, World, limit};
 
 const SERVERS: usize = 3;
-pub const LEASE: u64 = 4_000;
-/// RPCs are answered within so long.
-const HOLDS: u64 = 1_500;
+/// Duration of a lease, in milliseconds.
+pub const LEASE_MS: u64 = 4_000;
+/// Duration of each RPC, in milliseconds.
+const RPC_DURATION_MS: u64 = 1_500;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Prelude {
-    /// All have just been started.
+pub enum InitialState {
+    /// All servers have just started.
     #[default]
     Fresh,
-    /// One gives, and all have shares in use.
+    /// A leader is elected, and all servers use their shares.
     Settled,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Scope {
-    pub prelude: Prelude,
-    pub cheat: Cheat,
+    pub initial_state: InitialState,
+    pub injected_fault: Cheat,
 }
 
 pub struct Shares {
     world: World,
 }
 
-const KINDS: [&str; 12] = [
+const ACTIONS: [&str; 12] = [
     "50 ms pass",
     "700 ms pass",
     "3 s pass",
-    "RPCs come to a server",
-    "RPCs come to all",
-    "the next letter is lost",
-    "the next letter comes again 5 s later",
-    "a server is killed and starts anew",
-    "a server is stopped, or goes on",
-    "a server is cut off",
+    "RPCs arrive at a server",
+    "RPCs arrive at all servers",
+    "the next message is lost",
+    "the next message is delivered again 5 s later",
+    "a server is killed and restarted",
+    "a server is paused or resumed",
+    "a server is partitioned",
     "all links heal",
     "a server leaves",
 ];
 
 impl Shares {
-    fn rpcs(&mut self, server: usize, count: usize) {
+    fn send_rpcs(&mut self, server: usize, count: usize) {
         for _ in 0..count {
-            let _ = self.world.rpc(server, HOLDS);
+            let _ = self.world.rpc(server, RPC_DURATION_MS);
         }
     }
 }
 
-impl Play for Shares {
+impl Model for Shares {
     type Scope = Scope;
 
     fn start(scope: &Scope) -> Shares {
@@ -67,12 +68,12 @@
             limit(LimitKind::InFlight(5), CutOff::Strict),
             limit(LimitKind::Rate { rps: 4.0, burst: 8 }, CutOff::Strict),
         ];
-        let mut world = World::new(SERVERS, SERVERS, &limits, LEASE, 7, scope.cheat);
-        if scope.prelude == Prelude::Settled {
-            world.pass(lengthen_by_drift(LEASE) + max_failover_time() + 1_000);
+        let mut world = World::new(SERVERS, SERVERS, &limits, LEASE_MS, 7, scope.injected_fault);
+        if scope.initial_state == InitialState::Settled {
+            world.pass(lengthen_by_drift(LEASE_MS) + max_failover_time() + 1_000);
             let mut shares = Shares { world };
             for _ in 0..6 {
-                (0..SERVERS).for_each(|server| shares.rpcs(server, 2));
+                (0..SERVERS).for_each(|server| shares.send_rpcs(server, 2));
                 shares.world.pass(250);
             }
             return shares;
@@ -80,29 +81,29 @@
         Shares { world }
     }
 
-    fn moves(&self) -> Vec<u8> {
-        let possible = |what: &u8| {
-            let (kind, _) = (what / SERVERS as u8, what % SERVERS as u8);
+    fn actions(&self) -> Vec<u8> {
+        let possible = |action: &u8| {
+            let (kind, _) = (action / SERVERS as u8, action % SERVERS as u8);
             match kind {
-                // One of a kind: these concern no server.
-                0 | 1 | 2 | 4 | 10 => what.is_multiple_of(SERVERS as u8),
-                5 | 6 => what.is_multiple_of(SERVERS as u8) && self.world.under_way() > 0,
+                // These actions concern no single server and exist once.
+                0 | 1 | 2 | 4 | 10 => action.is_multiple_of(SERVERS as u8),
+                5 | 6 => action.is_multiple_of(SERVERS as u8) && self.world.under_way() > 0,
                 _ => true,
             }
         };
-        (0..(KINDS.len() * SERVERS) as u8)
+        (0..(ACTIONS.len() * SERVERS) as u8)
             .filter(possible)
             .collect()
     }
 
-    fn step(&mut self, what: u8) {
-        let (kind, server) = (what / SERVERS as u8, usize::from(what) % SERVERS);
+    fn apply(&mut self, action: u8) {
+        let (kind, server) = (action / SERVERS as u8, usize::from(action) % SERVERS);
         match kind {
             0 => self.world.pass(50),
             1 => self.world.pass(700),
             2 => self.world.pass(3_000),
-            3 => self.rpcs(server, 6),
-            4 => (0..SERVERS).for_each(|server| self.rpcs(server, 3)),
+            3 => self.send_rpcs(server, 6),
+            4 => (0..SERVERS).for_each(|server| self.send_rpcs(server, 3)),
             5 => self.world.lose_next(),
             6 => self.world.double_next(5_000),
             7 => self.world.start(server),
@@ -114,47 +115,47 @@
             10 => self.world.heal(),
             _ => self.world.leave(server),
         }
-        // What follows from it at once is looked at, too.
+        // Immediate consequences are checked, too.
         self.world.pass(10);
     }
 
-    fn digest(&self) -> u64 {
+    fn state_hash(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.world.digest_text().hash(&mut hasher);
         hasher.finish()
     }
 
-    fn broken(&self) -> Option<&str> {
+    fn violation(&self) -> Option<&str> {
         self.world.broken.as_deref()
     }
 
-    fn comes_free(mut self) -> Option<String> {
+    fn check_recovery(mut self) -> Option<String> {
         self.world.heal();
         for server in 0..SERVERS {
             self.world.pause(server, false);
         }
-        // Who left is replaced.
+        // Servers that left are replaced.
         (0..SERVERS).for_each(|server| self.world.start(server));
         self.world
             .pass(max_failover_time() + lengthen_by_drift(TERM_MS));
-        let kept = self.world.keeper().is_some();
-        self.world.pass(max_reclaim_time(LEASE, 500));
-        // All demand is at one: it gets all.
-        let mut most = 0;
+        let has_leader = self.world.keeper().is_some();
+        self.world.pass(max_reclaim_time(LEASE_MS, 500));
+        // All demand is at one server, which must receive all units.
+        let mut max_units = 0;
         for _ in 0..24 {
-            while self.world.rpc(1, HOLDS).is_ok() {}
+            while self.world.rpc(1, RPC_DURATION_MS).is_ok() {}
             self.world.pass(250);
-            most = most.max(self.world.units(1));
+            max_units = max_units.max(self.world.units(1));
         }
-        let broken = self.world.broken.clone();
-        let stuck = (!kept).then(|| "nobody gives".to_owned());
-        broken
-            .or(stuck)
-            .or_else(|| (most < 5).then(|| format!("{most} of 5 units are in use")))
+        let violation = self.world.broken.clone();
+        let no_leader = (!has_leader).then(|| "there is no leader".to_owned());
+        violation
+            .or(no_leader)
+            .or_else(|| (max_units < 5).then(|| format!("only {max_units} of 5 units are in use")))
     }
 
-    fn name(what: u8) -> &'static str {
-        KINDS[usize::from(what) / SERVERS % KINDS.len()]
+    fn action_name(action: u8) -> &'static str {
+        ACTIONS[usize::from(action) / SERVERS % ACTIONS.len()]
     }
 }
 
--- a/crates/coralstep-lab/src/explore/shares/tests.rs
+++ b/crates/coralstep-lab/src/explore/shares/tests.rs
@@ -1,40 +1,43 @@
-use super::super::{exhaust, wander};
+use super::super::{explore_exhaustively, explore_random};
 use super::*;
 
 #[test]
-fn no_short_history_breaks_a_limit_and_each_planted_fault_is_found() {
-    for prelude in [Prelude::Fresh, Prelude::Settled] {
+fn limits_hold_in_all_histories_and_each_injected_fault_is_found() {
+    for initial_state in [InitialState::Fresh, InitialState::Settled] {
         let scope = Scope {
-            prelude,
+            initial_state,
             ..Scope::default()
         };
-        let walked = exhaust::<Shares>(&scope, 2, 400, |_, _| {});
+        let exploration = explore_exhaustively::<Shares>(&scope, 2, 400, |_, _| {});
         assert_eq!(
-            walked.fault.map(|fault| fault.told::<Shares>()),
+            exploration
+                .violation
+                .map(|violation| violation.describe::<Shares>()),
             None,
-            "{prelude:?}"
+            "{initial_state:?}"
         );
-        let long = wander::<Shares>(&scope, 10, 40, 1);
+        let long = explore_random::<Shares>(&scope, 10, 40, 1);
         assert_eq!(
-            long.fault.map(|fault| fault.told::<Shares>()),
+            long.violation
+                .map(|violation| violation.describe::<Shares>()),
             None,
-            "{prelude:?}"
+            "{initial_state:?}"
         );
     }
-    for (cheat, wanted) in [
+    for (injected_fault, wanted) in [
         (Cheat::StaleClock, ""),
         (Cheat::Forgets, "give at the same time"),
         (Cheat::Drifts, ""),
         (Cheat::Admits, ""),
     ] {
         let scope = Scope {
-            prelude: Prelude::Settled,
-            cheat,
+            initial_state: InitialState::Settled,
+            injected_fault,
         };
-        let fault = wander::<Shares>(&scope, 400, 40, 1).fault;
-        let why = fault
-            .unwrap_or_else(|| panic!("{cheat:?} is not found"))
-            .why;
-        assert!(why.contains(wanted), "{cheat:?}: {why}");
+        let violation = explore_random::<Shares>(&scope, 400, 40, 1).violation;
+        let reason = violation
+            .unwrap_or_else(|| panic!("{injected_fault:?} is not found"))
+            .reason;
+        assert!(reason.contains(wanted), "{injected_fault:?}: {reason}");
     }
 }
--- a/crates/coralstep-lab/src/explore/straggler.rs
+++ b/crates/coralstep-lab/src/explore/straggler.rs
@@ -1,5 +1,6 @@
-//! One server that may fall behind, in a small scope: versions that it hears of, gets, takes up or turns down, stops of the process, words
-//! from before and after a stop, silence, and an operator. What it may admit and when is reckoned here a second time, from what happened.
+//! Model of the exclusion of one member in a small scope: it learns of versions, receives, activates or rejects them; its process is
+//! paused; answers from before and after a pause arrive; it receives nothing; an operator excludes it. When it may admit requests is
+//! computed here independently, from the events alone.
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use coralstep_fleet::VersionId;
@@ -8,328 +9,353 @@
     MIN_PAUSE_MS,
 };
 
-use super::Play;
+use super::Model;
 
-/// Between two looks, as a slow machine makes them, in milliseconds.
-const LOOK: u64 = 500;
-const BEHIND: u64 = 3_000;
-const SILENT: u64 = 4_000;
-const VERSIONS_MOST: u64 = 2;
+/// Interval between two evaluations on a slow machine, in milliseconds.
+const EVALUATION_INTERVAL_MS: u64 = 500;
+const MAX_LAG_MS: u64 = 3_000;
+const MAX_SILENCE_MS: u64 = 4_000;
+const MAX_VERSIONS: u64 = 2;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Cheat {
+pub enum InjectedFault {
     #[default]
     None,
-    /// It doesn't see that it was stopped.
-    Sleeps,
-    /// Words from before a stop let it in.
-    OldWords,
-    /// It is never behind.
-    Patient,
-    /// What turned down a version that must be acted on goes on.
-    Stubborn,
-    /// Once shut out by hand, for good.
-    Deaf,
+    /// The member does not detect that its process was paused.
+    MissesPause,
+    /// An answer to a datagram from before the pause readmits the member.
+    AcceptsStaleAnswers,
+    /// The member never counts as lagging.
+    NeverLags,
+    /// A member that rejected a mandatory version keeps admitting.
+    IgnoresRejectedVersion,
+    /// An exclusion by the operator is never lifted.
+    StaysExcluded,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Scope {
-    pub cheat: Cheat,
-    /// The operator's choice for who hears nobody.
-    pub silent_shuts: bool,
+    pub injected_fault: InjectedFault,
+    /// Whether a member that receives nothing from its peers is excluded.
+    pub exclude_when_isolated: bool,
 }
 
-/// What happened, apart from the server's own books; times are when it began.
+/// Conditions derived from the events, without the state under test. Times are in milliseconds and mark the start of a condition.
 #[derive(Clone, Copy, Debug, Default)]
-struct Truth {
-    by_hand: bool,
-    /// It should act on something newer.
-    lags: Option<u64>,
-    refuses: Option<u64>,
-    /// It went on after a stop and no answer came since.
-    unanswered: Option<u64>,
-    heard: u64,
-    /// Somebody else is out before it.
-    crowded: Option<u64>,
-    roomy: u64,
+struct Expected {
+    by_operator: bool,
+    /// A newer version should be active.
+    lagging_since: Option<u64>,
+    rejected_since: Option<u64>,
+    /// The process was resumed and has received no answer since.
+    unanswered_since: Option<u64>,
+    last_received: u64,
+    /// Another member takes the only place among those that may be excluded.
+    no_room_since: Option<u64>,
+    room_changed_at: u64,
 }
 
-pub struct Lag {
+pub struct LaggingMember {
     scope: Scope,
     now: u64,
-    straggler: ExclusionState,
-    facts: ExclusionInputs,
-    spoken: u64,
-    truth: Truth,
-    broken: Option<String>,
+    exclusion: ExclusionState,
+    inputs: ExclusionInputs,
+    datagrams_sent: u64,
+    expected: Expected,
+    violation: Option<String>,
 }
 
-const KINDS: [&str; 13] = [
+const ACTIONS: [&str; 13] = [
     "half a second passes",
     "five seconds pass",
-    "hears of a version",
-    "gets it",
-    "takes it up",
-    "turns it down",
-    "is stopped for three seconds",
-    "is answered",
-    "reads an old word",
-    "hears nobody for five seconds",
-    "is shut out by hand",
-    "is let in by hand",
-    "another one is out, or back",
+    "learns of a version",
+    "receives the version",
+    "activates the version",
+    "rejects the version",
+    "is paused for three seconds",
+    "receives an answer",
+    "receives a stale answer",
+    "receives nothing for five seconds",
+    "is excluded by the operator",
+    "is readmitted by the operator",
+    "another member is excluded or readmitted",
 ];
 
-impl Lag {
-    /// So much time passes, with looks or without any.
-    fn pass(&mut self, ms: u64, hears: bool) {
-        for _ in 0..ms / LOOK {
-            self.now += LOOK;
-            if hears {
-                self.hears();
+impl LaggingMember {
+    /// Advances time in evaluation intervals; `receives` tells whether a datagram arrives in each.
+    fn advance(&mut self, ms: u64, receives: bool) {
+        for _ in 0..ms / EVALUATION_INTERVAL_MS {
+            self.now += EVALUATION_INTERVAL_MS;
+            if receives {
+                self.receive_datagram();
             }
-            self.look();
+            self.evaluate();
         }
     }
 
-    fn hears(&mut self) {
-        self.straggler.datagram_received(self.now);
-        self.truth.heard = self.now;
+    fn receive_datagram(&mut self) {
+        self.exclusion.datagram_received(self.now);
+        self.expected.last_received = self.now;
     }
 
-    fn look(&mut self) {
-        self.spoken += 1;
-        self.straggler.evaluate(self.now, &self.facts);
-        let admits = self.straggler.retry_after(self.now).is_none();
+    fn evaluate(&mut self) {
+        self.datagrams_sent += 1;
+        self.exclusion.evaluate(self.now, &self.inputs);
+        let admits = self.exclusion.retry_after(self.now).is_none();
         let over =
             |since: Option<u64>, bound: u64| since.is_some_and(|since| self.now > since + bound);
-        let truth = &self.truth;
-        // Room among those who may be out has to be there for as long as it waits to hear of it.
-        let may = truth.crowded.is_none() && self.now > truth.roomy + ANNOUNCE_DELAY_MS + LOOK;
-        let fresh = truth
-            .unanswered
+        let expected = &self.expected;
+        // The member waits for announcements of others before it excludes itself: there must have been room for that long.
+        let has_room = expected.no_room_since.is_none()
+            && self.now > expected.room_changed_at + ANNOUNCE_DELAY_MS + EVALUATION_INTERVAL_MS;
+        let unconfirmed = expected
+            .unanswered_since
             .is_some_and(|since| self.now < since + MAX_RESUME_MS);
         let why = match () {
             () if !admits => return,
-            () if truth.by_hand => "though an operator shut it out",
-            () if fresh => "after a stop, before any answer",
-            () if may && over(truth.lags, BEHIND + ANNOUNCE_DELAY_MS + LOOK) => {
-                "behind for longer than its bound"
+            () if expected.by_operator => "although excluded by the operator",
+            () if unconfirmed => "after a pause, before any answer",
+            () if has_room
+                && over(
+                    expected.lagging_since,
+                    MAX_LAG_MS + ANNOUNCE_DELAY_MS + EVALUATION_INTERVAL_MS,
+                ) =>
+            {
+                "although it lags for longer than its limit"
             }
-            () if may && over(truth.refuses, ANNOUNCE_DELAY_MS + LOOK) => {
-                "though it turned down what must be acted on"
+            () if has_room
+                && over(
+                    expected.rejected_since,
+                    ANNOUNCE_DELAY_MS + EVALUATION_INTERVAL_MS,
+                ) =>
+            {
+                "although it rejected a mandatory version"
             }
-            () if self.scope.silent_shuts && self.now > truth.heard + SILENT + LOOK => {
-                "though it hears nobody"
+            () if self.scope.exclude_when_isolated
+                && self.now > expected.last_received + MAX_SILENCE_MS + EVALUATION_INTERVAL_MS =>
+            {
+                "although it is isolated"
             }
             () => return,
         };
-        self.broken.get_or_insert(format!("it admits, {why}"));
+        self.violation
+            .get_or_insert(format!("the member admits requests {why}"));
     }
 
-    /// The version of this number, as all know it.
-    fn id(number: u64) -> VersionId {
+    /// Returns the version id with this number, the same for all members.
+    fn version_id(number: u64) -> VersionId {
         VersionId {
             number,
             ..VersionId::default()
         }
     }
 
-    fn learn(&mut self) {
-        let target = self.facts.target();
-        let lags = target > self.facts.active_version;
-        self.truth.lags = lags.then(|| self.truth.lags.unwrap_or(self.now));
-        let refuses = self.facts.newest_mandatory && self.facts.newest_rejected;
-        self.truth.refuses = refuses.then(|| self.truth.refuses.unwrap_or(self.now));
+    fn update_expected(&mut self) {
+        let target = self.inputs.target();
+        let lags = target > self.inputs.active_version;
+        self.expected.lagging_since = lags.then(|| self.expected.lagging_since.unwrap_or(self.now));
+        let refuses = self.inputs.newest_mandatory && self.inputs.newest_rejected;
+        self.expected.rejected_since =
+            refuses.then(|| self.expected.rejected_since.unwrap_or(self.now));
     }
 }
 
-impl Play for Lag {
+impl Model for LaggingMember {
     type Scope = Scope;
 
-    fn start(scope: &Scope) -> Lag {
-        let behind = if scope.cheat == Cheat::Patient {
+    fn start(scope: &Scope) -> LaggingMember {
+        let max_lag = if scope.injected_fault == InjectedFault::NeverLags {
             u64::MAX / 4
         } else {
-            BEHIND
+            MAX_LAG_MS
         };
-        let bounds = ExclusionLimits {
-            max_lag: behind,
-            max_silence: SILENT,
-            exclude_when_isolated: scope.silent_shuts,
+        let limits = ExclusionLimits {
+            max_lag,
+            max_silence: MAX_SILENCE_MS,
+            exclude_when_isolated: scope.exclude_when_isolated,
         };
         let now = 60_000;
-        let facts = ExclusionInputs {
+        let inputs = ExclusionInputs {
             other_members: 4,
             target_held: true,
             stage_due: true,
             ..ExclusionInputs::default()
         };
-        let truth = Truth {
-            heard: now,
-            ..Truth::default()
+        let expected = Expected {
+            last_received: now,
+            ..Expected::default()
         };
-        Lag {
+        LaggingMember {
             scope: *scope,
             now,
-            straggler: ExclusionState::new(bounds, now),
-            facts,
-            spoken: 0,
-            truth,
-            broken: None,
+            exclusion: ExclusionState::new(limits, now),
+            inputs,
+            datagrams_sent: 0,
+            expected,
+            violation: None,
         }
     }
 
-    fn moves(&self) -> Vec<u8> {
-        let (facts, truth) = (&self.facts, &self.truth);
-        let lags = facts.newest > facts.active_version && !facts.newest_rejected;
-        let possible = |what: &u8| match what {
-            2 => facts.newest.number < VERSIONS_MOST,
-            3 => lags && !facts.target_held,
-            4 | 5 => lags && facts.target_held,
-            10 => !truth.by_hand,
-            11 => truth.by_hand,
+    fn actions(&self) -> Vec<u8> {
+        let (inputs, expected) = (&self.inputs, &self.expected);
+        let lags = inputs.newest > inputs.active_version && !inputs.newest_rejected;
+        let possible = |action: &u8| match action {
+            2 => inputs.newest.number < MAX_VERSIONS,
+            3 => lags && !inputs.target_held,
+            4 | 5 => lags && inputs.target_held,
+            10 => !expected.by_operator,
+            11 => expected.by_operator,
             _ => true,
         };
-        (0..KINDS.len() as u8).filter(possible).collect()
+        (0..ACTIONS.len() as u8).filter(possible).collect()
     }
 
-    fn step(&mut self, what: u8) {
-        if !self.moves().contains(&what) {
+    fn apply(&mut self, action: u8) {
+        if !self.actions().contains(&action) {
             return;
         }
-        match what {
-            0 => self.pass(LOOK, true),
-            1 => self.pass(5_000, true),
+        match action {
+            0 => self.advance(EVALUATION_INTERVAL_MS, true),
+            1 => self.advance(5_000, true),
             2 => {
-                self.facts.newest = Lag::id(self.facts.newest.number + 1);
+                self.inputs.newest = LaggingMember::version_id(self.inputs.newest.number + 1);
                 (
-                    self.facts.target_held,
-                    self.facts.newest_mandatory,
-                    self.facts.newest_rejected,
+                    self.inputs.target_held,
+                    self.inputs.newest_mandatory,
+                    self.inputs.newest_rejected,
                 ) = (false, false, false);
-                // A newer one is another thing to be behind of.
-                self.truth.lags = None;
+                // The lag is measured anew for each version.
+                self.expected.lagging_since = None;
             }
-            3 => (self.facts.target_held, self.facts.newest_mandatory) = (true, true),
+            3 => (self.inputs.target_held, self.inputs.newest_mandatory) = (true, true),
             4 => {
-                (self.facts.active_version, self.facts.newest_accepted) =
-                    (self.facts.newest, self.facts.newest);
+                (self.inputs.active_version, self.inputs.newest_accepted) =
+                    (self.inputs.newest, self.inputs.newest);
             }
             5 => {
-                self.facts.newest_rejected = true;
-                self.facts.newest_accepted = self.facts.active_version;
+                self.inputs.newest_rejected = true;
+                self.inputs.newest_accepted = self.inputs.active_version;
             }
             6 => {
                 self.now += MIN_PAUSE_MS + 1_000;
-                if self.scope.cheat != Cheat::Sleeps
-                    && self.straggler.detect_pause(
+                if self.scope.injected_fault != InjectedFault::MissesPause
+                    && self.exclusion.detect_pause(
                         self.now,
                         MIN_PAUSE_MS + 1_000,
-                        self.spoken + 1,
-                        self.facts.other_members,
+                        self.datagrams_sent + 1,
+                        self.inputs.other_members,
                     )
                 {
-                    self.truth.unanswered = Some(self.now);
+                    self.expected.unanswered_since = Some(self.now);
                 }
-                if self.scope.cheat == Cheat::Sleeps {
-                    self.truth.unanswered.get_or_insert(self.now);
+                if self.scope.injected_fault == InjectedFault::MissesPause {
+                    self.expected.unanswered_since.get_or_insert(self.now);
                 }
             }
             7 => {
-                self.spoken += 1;
-                self.straggler.answer_received(self.now, self.spoken);
-                self.hears();
-                self.truth.unanswered = None;
+                self.datagrams_sent += 1;
+                self.exclusion
+                    .answer_received(self.now, self.datagrams_sent);
+                self.receive_datagram();
+                self.expected.unanswered_since = None;
             }
             8 => {
-                let echo = if self.scope.cheat == Cheat::OldWords {
+                let echo = if self.scope.injected_fault == InjectedFault::AcceptsStaleAnswers {
                     u64::MAX
                 } else {
                     0
                 };
-                self.straggler.answer_received(self.now, echo);
-                self.hears();
+                self.exclusion.answer_received(self.now, echo);
+                self.receive_datagram();
             }
-            9 => self.pass(5_000, false),
+            9 => self.advance(5_000, false),
             10 => {
-                self.straggler.set_by_operator(true);
-                self.truth.by_hand = true;
+                self.exclusion.set_by_operator(true);
+                self.expected.by_operator = true;
             }
             11 => {
-                self.straggler
-                    .set_by_operator(self.scope.cheat == Cheat::Deaf);
-                self.truth.by_hand = false;
+                self.exclusion
+                    .set_by_operator(self.scope.injected_fault == InjectedFault::StaysExcluded);
+                self.expected.by_operator = false;
             }
             _ => {
-                self.facts.candidates_before = 1 - self.facts.candidates_before;
-                self.truth.crowded = (self.facts.candidates_before > 0).then_some(self.now);
-                self.truth.roomy = self.now;
+                self.inputs.candidates_before = 1 - self.inputs.candidates_before;
+                self.expected.no_room_since =
+                    (self.inputs.candidates_before > 0).then_some(self.now);
+                self.expected.room_changed_at = self.now;
             }
         }
-        if self.scope.cheat == Cheat::Stubborn {
-            self.facts.newest_mandatory = false;
+        if self.scope.injected_fault == InjectedFault::IgnoresRejectedVersion {
+            self.inputs.newest_mandatory = false;
         }
-        self.learn();
-        if self.scope.cheat == Cheat::Stubborn && self.facts.newest_rejected {
-            self.truth.refuses.get_or_insert(self.now);
+        self.update_expected();
+        if self.scope.injected_fault == InjectedFault::IgnoresRejectedVersion
+            && self.inputs.newest_rejected
+        {
+            self.expected.rejected_since.get_or_insert(self.now);
         }
-        self.look();
+        self.evaluate();
     }
 
-    fn digest(&self) -> u64 {
+    fn state_hash(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        self.straggler.relative(self.now).hash(&mut hasher);
-        let truth = self.truth;
+        self.exclusion.relative(self.now).hash(&mut hasher);
+        let expected = self.expected;
         let age = |at: u64| (self.now - at).min(12_000);
         format!(
             "{:?} {:?} {:?} {:?} {:?}",
-            self.facts,
+            self.inputs,
             (
-                truth.by_hand,
-                truth.lags.map(age),
-                truth.refuses.map(age),
-                truth.unanswered.map(age)
+                expected.by_operator,
+                expected.lagging_since.map(age),
+                expected.rejected_since.map(age),
+                expected.unanswered_since.map(age)
             ),
-            (age(truth.heard), truth.crowded.is_some(), age(truth.roomy)),
-            // Only whether the next answer comes after the stop counts, and it always does.
-            self.broken.is_some(),
-            self.scope.silent_shuts
+            (
+                age(expected.last_received),
+                expected.no_room_since.is_some(),
+                age(expected.room_changed_at)
+            ),
+            // Sequence numbers are left out: the next answer always refers to a datagram sent after the pause.
+            self.violation.is_some(),
+            self.scope.exclude_when_isolated
         )
         .hash(&mut hasher);
         hasher.finish()
     }
 
-    fn broken(&self) -> Option<&str> {
-        self.broken.as_deref()
+    fn violation(&self) -> Option<&str> {
+        self.violation.as_deref()
     }
 
-    fn comes_free(mut self) -> Option<String> {
-        if self.truth.by_hand {
-            self.step(11);
+    fn check_recovery(mut self) -> Option<String> {
+        if self.expected.by_operator {
+            self.apply(11);
         }
-        if self.facts.candidates_before > 0 {
-            self.step(12);
+        if self.inputs.candidates_before > 0 {
+            self.apply(12);
         }
-        // Going back is a new version, which it takes up.
-        self.facts.newest = Lag::id(self.facts.newest.number + 1);
+        // A rollback is a new version, which the member activates.
+        self.inputs.newest = LaggingMember::version_id(self.inputs.newest.number + 1);
         (
-            self.facts.target_held,
-            self.facts.newest_rejected,
-            self.facts.newest_mandatory,
+            self.inputs.target_held,
+            self.inputs.newest_rejected,
+            self.inputs.newest_mandatory,
         ) = (true, false, false);
-        (self.facts.active_version, self.facts.newest_accepted) =
-            (self.facts.newest, self.facts.newest);
-        self.learn();
-        self.step(7);
-        self.pass(MAX_RESUME_MS + 2 * LOOK, true);
-        let shut = self.straggler.reason().cloned();
-        self.broken
-            .or_else(|| shut.map(|shut| format!("it stays shut out: {shut:?}")))
+        (self.inputs.active_version, self.inputs.newest_accepted) =
+            (self.inputs.newest, self.inputs.newest);
+        self.update_expected();
+        self.apply(7);
+        self.advance(MAX_RESUME_MS + 2 * EVALUATION_INTERVAL_MS, true);
+        let exclusion_reason = self.exclusion.reason().cloned();
+        self.violation.or_else(|| {
+            exclusion_reason
+                .map(|exclusion_reason| format!("the member stays excluded: {exclusion_reason:?}"))
+        })
     }
 
-    fn name(what: u8) -> &'static str {
-        KINDS[usize::from(what) % KINDS.len()]
+    fn action_name(action: u8) -> &'static str {
+        ACTIONS[usize::from(action) % ACTIONS.len()]
     }
 }
 
--- a/crates/coralstep-lab/src/explore/straggler/tests.rs
+++ b/crates/coralstep-lab/src/explore/straggler/tests.rs
@@ -1,34 +1,47 @@
-use super::super::{exhaust, wander};
+use super::super::{explore_exhaustively, explore_random};
 use super::*;
 
 #[test]
-fn no_straggler_admits_later_than_its_bound_and_each_planted_fault_is_found() {
-    for silent_shuts in [false, true] {
+fn lagging_member_is_excluded_within_limit_and_each_injected_fault_is_found() {
+    for exclude_when_isolated in [false, true] {
         let scope = Scope {
-            silent_shuts,
+            exclude_when_isolated,
             ..Scope::default()
         };
-        let walked = exhaust::<Lag>(&scope, 6, 40_000, |_, _| {});
-        assert_eq!(walked.fault.map(|fault| fault.told::<Lag>()), None);
-        assert!(walked.states > 5_000, "{}", walked.states);
-        let long = wander::<Lag>(&scope, 500, 60, 1);
-        assert_eq!(long.fault.map(|fault| fault.told::<Lag>()), None);
+        let exploration = explore_exhaustively::<LaggingMember>(&scope, 6, 40_000, |_, _| {});
+        assert_eq!(
+            exploration
+                .violation
+                .map(|violation| violation.describe::<LaggingMember>()),
+            None
+        );
+        assert!(exploration.states > 5_000, "{}", exploration.states);
+        let long = explore_random::<LaggingMember>(&scope, 500, 60, 1);
+        assert_eq!(
+            long.violation
+                .map(|violation| violation.describe::<LaggingMember>()),
+            None
+        );
     }
-    for (cheat, wanted) in [
-        (Cheat::Sleeps, "before any answer"),
-        (Cheat::OldWords, "before any answer"),
-        (Cheat::Patient, "behind for longer"),
-        (Cheat::Stubborn, "though it turned down"),
-        (Cheat::Deaf, "stays shut out"),
+    for (injected_fault, wanted) in [
+        (InjectedFault::MissesPause, "before any answer"),
+        (InjectedFault::AcceptsStaleAnswers, "before any answer"),
+        (InjectedFault::NeverLags, "lags for longer"),
+        (
+            InjectedFault::IgnoresRejectedVersion,
+            "although it rejected",
+        ),
+        (InjectedFault::StaysExcluded, "stays excluded"),
     ] {
         let scope = Scope {
-            cheat,
+            injected_fault,
             ..Scope::default()
         };
-        let fault = exhaust::<Lag>(&scope, 5, 20_000, |_, _| {}).fault;
-        let why = fault
-            .unwrap_or_else(|| panic!("{cheat:?} is not found"))
-            .why;
-        assert!(why.contains(wanted), "{cheat:?}: {why}");
+        let violation =
+            explore_exhaustively::<LaggingMember>(&scope, 5, 20_000, |_, _| {}).violation;
+        let reason = violation
+            .unwrap_or_else(|| panic!("{injected_fault:?} is not found"))
+            .reason;
+        assert!(reason.contains(wanted), "{injected_fault:?}: {reason}");
     }
 }
--- a/crates/coralstep-lab/src/explore/tests.rs
+++ b/crates/coralstep-lab/src/explore/tests.rs
@@ -1,55 +1,58 @@
 use super::*;
 
-/// A counter that must not reach a figure; 0 counts up, 1 down, 2 does nothing.
+/// A counter that must not reach 4, and does not recover from -3. Action 0 counts up, 1 counts down, 2 does nothing.
 struct Counter(i32, Option<String>);
 
-impl Play for Counter {
+impl Model for Counter {
     type Scope = i32;
     fn start(_: &i32) -> Counter {
         Counter(0, None)
     }
-    fn moves(&self) -> Vec<u8> {
+    fn actions(&self) -> Vec<u8> {
         vec![0, 1, 2]
     }
-    fn step(&mut self, what: u8) {
-        self.0 += [1, -1, 0][what as usize];
+    fn apply(&mut self, action: u8) {
+        self.0 += [1, -1, 0][action as usize];
         if self.0 == 4 {
             self.1 = Some("four".to_owned());
         }
     }
-    fn digest(&self) -> u64 {
+    fn state_hash(&self) -> u64 {
         self.0 as u64
     }
-    fn broken(&self) -> Option<&str> {
+    fn violation(&self) -> Option<&str> {
         self.1.as_deref()
     }
-    fn comes_free(self) -> Option<String> {
+    fn check_recovery(self) -> Option<String> {
         (self.0 == -3).then(|| "stuck".to_owned())
     }
-    fn name(what: u8) -> &'static str {
-        ["up", "down", "nothing"][what as usize]
+    fn action_name(action: u8) -> &'static str {
+        ["up", "down", "nothing"][action as usize]
     }
 }
 
 #[test]
-fn the_shortest_fault_is_found_and_each_state_met_once() {
-    let walked = exhaust::<Counter>(&0, 9, 1_000, |_, _| {});
-    let fault = walked.fault.unwrap();
+fn exhaustive_exploration_finds_shortest_violation_and_visits_each_state_once() {
+    let exploration = explore_exhaustively::<Counter>(&0, 9, 1_000, |_, _| {});
+    let violation = exploration.violation.unwrap();
     assert_eq!(
-        (fault.moves.clone(), fault.why.as_str()),
+        (violation.actions.clone(), violation.reason.as_str()),
         (vec![1, 1, 1], "stuck")
     );
-    assert_eq!(fault.told::<Counter>(), "stuck; after: down, down, down");
-    let few = exhaust::<Counter>(&0, 2, 1_000, |_, _| {});
-    assert_eq!((few.states, few.fault, few.cut), (5, None, false));
-    assert!(exhaust::<Counter>(&0, 9, 4, |_, _| {}).cut);
+    assert_eq!(
+        violation.describe::<Counter>(),
+        "stuck; after: down, down, down"
+    );
+    let few = explore_exhaustively::<Counter>(&0, 2, 1_000, |_, _| {});
+    assert_eq!((few.states, few.violation, few.truncated), (5, None, false));
+    assert!(explore_exhaustively::<Counter>(&0, 9, 4, |_, _| {}).truncated);
 }
 
 #[test]
-fn a_long_history_is_made_short() {
-    let found = wander::<Counter>(&0, 100, 60, 1).fault.unwrap();
+fn random_exploration_shrinks_violating_history() {
+    let found = explore_random::<Counter>(&0, 100, 60, 1).violation.unwrap();
     assert!(
-        found.moves == [0, 0, 0, 0] || found.moves == [1, 1, 1],
+        found.actions == [0, 0, 0, 0] || found.actions == [1, 1, 1],
         "{found:?}"
     );
 }
--- a/crates/coralstep-lab/src/main.rs
+++ b/crates/coralstep-lab/src/main.rs
@@ -372,11 +372,11 @@
                 )?);
             }
             ["explore"] => {
-                let (depth, most) = (self.depth, self.states);
+                let (depth, max_states) = (self.depth, self.states);
                 let (histories, length) = (self.histories, self.length);
                 let call = cli::explore::Call {
                     depth,
-                    most,
+                    max_states,
                     histories,
                     length,
                     seed,
