--- a/crates/coralstep-lab/src/cli/fleet.rs
+++ b/crates/coralstep-lab/src/cli/fleet.rs
@@ -6,7 +6,7 @@
 use coralstep_lab::fleet::play::Play;
 use coralstep_lab::fleet::{Programs, mixed_builds};
 
-/// In place of a play's file: the scenario of two builds as one fleet.
+/// Argument that selects the scenario with two builds instead of a play file.
 pub const MIXED_BUILDS: &str = "mixed-builds";
 
 fn programs(server: Option<PathBuf>, other: Option<PathBuf>) -> Result<Programs, String> {
@@ -22,7 +22,7 @@
     ))
 }
 
-/// Interrupted, a run ends as at its end: all that was started is ended on the way out.
+/// Returns a flag that an interrupt sets. The run then ends early, and all processes started are ended as usual.
 fn stop_on_interrupt() -> Result<Arc<AtomicBool>, String> {
     let stop = Arc::new(AtomicBool::new(false));
     let stopped = stop.clone();
@@ -31,7 +31,7 @@
     Ok(stop)
 }
 
-/// Whether nothing was broken.
+/// Runs a play; returns whether all invariants held.
 pub fn play(
     file: &str,
     server: Option<PathBuf>,
@@ -68,7 +68,10 @@
     Ok(report.breaches.is_empty())
 }
 
-/// Runs the scenario of two builds; what failed is the error.
+/// Runs the scenario with two builds.
+///
+/// # Errors
+/// Describes the step that failed.
 pub fn mixed_builds(
     server: Option<PathBuf>,
     other: PathBuf,
--- a/crates/coralstep-lab/src/fleet/drive.rs
+++ b/crates/coralstep-lab/src/fleet/drive.rs
@@ -1,5 +1,5 @@
-//! Load on the processes of a play, as callers see it: each thread sends to one process at its rate, whatever is answered, and keeps when it
-//! sent and what it was told when.
+//! Load generator for the processes of a play. Each thread sends RPCs to one process at a fixed rate, whatever the answers, and records
+//! the times and the outcome of each.
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::Scope;
@@ -8,7 +8,7 @@
 use super::{Fleet, RpcOutcome};
 use crate::emulate::lock;
 
-/// One RPC as its caller saw it; times since the drive began.
+/// The outcome of one RPC as its caller saw it. Times are in milliseconds since the load generator was created.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer {
     pub process: usize,
@@ -17,7 +17,7 @@
     pub outcome: RpcOutcome,
 }
 
-/// The callers of a play, until it is stopped.
+/// Runs the callers of a play until it is stopped.
 pub struct LoadGenerator {
     start: Instant,
     answers: Mutex<Vec<Answer>>,
@@ -35,6 +35,7 @@
 }
 
 impl LoadGenerator {
+    /// Returns the time since the load generator was created, in milliseconds.
     pub fn now_ms(&self) -> f64 {
         self.start.elapsed().as_secs_f64() * 1000.0
     }
@@ -72,15 +73,17 @@
         }
     }
 
+    /// Stops all callers after their current RPC.
     pub fn stop(&self) {
         self.stop.store(true, Ordering::SeqCst);
     }
 
+    /// Returns all answers so far.
     pub fn answers(&self) -> Vec<Answer> {
         lock(&self.answers).clone()
     }
 
-    /// RPCs answered well that were sent within the span, by process where one is named.
+    /// Returns the number of successful RPCs sent within the time span; if `at` is given, of that process only.
     pub fn count_ok(&self, from_ms: f64, to_ms: f64, at: Option<usize>) -> usize {
         let within = |answer: &&Answer| answer.sent_ms >= from_ms && answer.sent_ms < to_ms;
         let of_process = |answer: &&Answer| {
--- a/crates/coralstep-lab/src/fleet/guest.rs
+++ b/crates/coralstep-lab/src/fleet/guest.rs
@@ -1,5 +1,5 @@
-//! A member of a play that is no process of the program: it takes part in the fleet as they do, and what rides on it is the play's own, so it
-//! may lie. Others reach it, and it them, over the same relays.
+//! A fleet member that runs inside the test instead of in a process of its own. It takes member in the membership protocol with extensions
+//! of the test, which may send false reports, and communicates over the same relays.
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -8,12 +8,14 @@
 
 use coralstep_fleet::extension::Registration;
 use coralstep_fleet::rollout::RpcCounts;
-use coralstep_fleet::{Fleet as Part, FleetConfig, Member};
+use coralstep_fleet::{Fleet as FleetMember, FleetConfig, Member};
 
 use super::Fleet;
 
-const TICK: Duration = Duration::from_millis(50);
+/// Interval between two calls of `handle_timeout`.
+const TIMEOUT_INTERVAL: Duration = Duration::from_millis(50);
 
+/// A running guest member; it stops when dropped.
 pub struct Guest {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
@@ -27,14 +29,14 @@
 }
 
 impl Guest {
-    /// Joins as `name`; `rides` makes what it says, on its own thread.
+    /// Joins the fleet as `name`; `extension` creates the guest's extension on the guest's thread.
     pub fn join(
         fleet: &Fleet,
         name: &str,
-        rides: impl FnOnce(&Member) -> Registration + Send + 'static,
+        extension: impl FnOnce(&Member) -> Registration + Send + 'static,
     ) -> std::io::Result<Guest> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
-        socket.set_read_timeout(Some(TICK / 5))?;
+        socket.set_read_timeout(Some(TIMEOUT_INTERVAL / 5))?;
         let at = socket.local_addr()?;
         fleet.links.add_guest(at);
         let peers: Vec<SocketAddr> = fleet.links.addresses.iter().copied().take(4).collect();
@@ -43,7 +45,7 @@
             .unwrap_or_default()
             .as_millis() as u64;
         let own = Member::new(name, at, unix);
-        let terms = FleetConfig {
+        let config = FleetConfig {
             name: super::processes::NAME.to_owned(),
             own: own.clone(),
             peers,
@@ -57,23 +59,23 @@
         let thread = std::thread::spawn(move || {
             let start = Instant::now();
             let now = || start.elapsed().as_millis() as u64;
-            let mut part = Part::new(terms, 0, unix);
-            part.register(rides(&own));
-            let (mut buffer, mut ticked) = ([0; 4096], Instant::now());
+            let mut member = FleetMember::new(config, 0, unix);
+            member.register(extension(&own));
+            let (mut buffer, mut last_timeout) = ([0; 4096], Instant::now());
             while !end.load(Ordering::SeqCst) {
                 if let Ok((count, _)) = socket.recv_from(&mut buffer) {
-                    let _ = part.handle_datagram(now(), unix + now(), &buffer[..count]);
+                    let _ = member.handle_datagram(now(), unix + now(), &buffer[..count]);
                 }
-                if ticked.elapsed() >= TICK {
-                    ticked = Instant::now();
-                    part.handle_timeout(now(), unix + now(), RpcCounts::default());
-                    // It acts on whatever is there: nobody shuts it out for that.
-                    if let Some(pending) = part.pending_version(now()) {
-                        part.activate(now(), unix + now(), pending.id);
+                if last_timeout.elapsed() >= TIMEOUT_INTERVAL {
+                    last_timeout = Instant::now();
+                    member.handle_timeout(now(), unix + now(), RpcCounts::default());
+                    // Activates every version, so that the guest is never excluded as lagging.
+                    if let Some(pending) = member.pending_version(now()) {
+                        member.activate(now(), unix + now(), pending.id);
                     }
                 }
-                part.take_events();
-                for datagram in part.take_datagrams() {
+                member.take_events();
+                for datagram in member.take_datagrams() {
                     let _ = socket.send_to(&datagram.bytes, datagram.destination);
                 }
             }
--- a/crates/coralstep-lab/src/fleet/judge.rs
+++ b/crates/coralstep-lab/src/fleet/judge.rs
@@ -1,63 +1,65 @@
-//! What must hold at every moment of a play of processes, judged by what is seen from outside and by what each says of itself.
+//! Invariants of a play of processes, checked against what callers observe and what each process reports.
 use std::collections::HashMap;
 
 use serde::Serialize;
 
 use super::{Answer, RpcOutcome};
 
-/// One process at one moment.
+/// The state of one process at one time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
     pub at_ms: u64,
     pub process: usize,
-    /// Rises with each start.
+    /// Number of restarts of the process.
     pub life: u64,
-    /// Number and hash of the version it says it acts on.
+    /// Number and hash of the version that the process reports as active.
     pub acts_on: (u64, String),
     pub shut: bool,
 }
 
-/// What must not be.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "breach", rename_all = "snake_case")]
 pub enum Breach {
-    /// A process went back to an older version without a restart.
+    /// A process returned to an older version without a restart.
     Back {
         at_ms: u64,
         process: usize,
         from: String,
         to: String,
     },
-    /// More are shut out for a version than may be.
+    /// More members are excluded for a version than the limit allows.
     TooManyOut { at_ms: u64, out: usize, most: usize },
-    /// After a stop it ran an RPC under a version older than what all others had long acted on.
+    /// A resumed process ran an RPC under a version older than the one that all others were active on.
     RanOld {
         at_ms: u64,
         process: usize,
         version: String,
     },
-    /// An RPC got no answer.
+    /// An RPC received no answer.
     NoAnswer { at_ms: u64, process: usize },
-    /// At the end not all act on one version.
+    /// The processes are not active on the same version at the end.
     Apart { versions: Vec<String> },
 }
 
-/// Moments that many may be out together while their words are still under way, in milliseconds.
-const UNDER_WAY: u64 = 2_000;
-/// After a stop nothing is let in under an old version for so long (`docs/fleet.md`).
-pub const HELD: u64 = 3_000;
+/// Time for which more members than the limit may be excluded while their announcements are in flight, in milliseconds.
+const ANNOUNCEMENT_GRACE_MS: u64 = 2_000;
+/// Time after a pause during which a process must not admit requests under an old version, in milliseconds (`docs/fleet.md`).
+pub const RESUME_GUARD_MS: u64 = 3_000;
 
+/// Collects the invariant violations of a play.
 #[derive(Default)]
 pub struct InvariantChecker {
     last: HashMap<usize, Observation>,
     over: Option<u64>,
     pub breaches: Vec<Breach>,
-    /// When a process went on after a stop, and the version that all others acted on then.
+    /// For each resumed process, the time of its resumption and the oldest version active on the others then.
     resumed: HashMap<usize, (u64, u64)>,
 }
 
 impl InvariantChecker {
-    pub fn seen(&mut self, seen: Observation) {
+    /// Records the state of a process and checks it.
+    pub fn observe(&mut self, seen: Observation) {
         if let Some(before) = self.last.get(&seen.process)
             && before.life == seen.life
             && before.acts_on > seen.acts_on
@@ -73,25 +75,25 @@
         }
         let at_ms = seen.at_ms;
         self.last.insert(seen.process, seen);
-        // Three tenths, one of three to six: by the formula in docs/fleet.md.
+        // The exclusion limit of docs/fleet.md: three tenths of the members, at least one from three members on.
         let all = self.last.len();
         let most = ((all as f64 * 0.3) as usize).max(usize::from(all >= 3));
         let out = self.last.values().filter(|seen| seen.shut).count();
         if out <= most {
             self.over = None;
-        } else if at_ms >= *self.over.get_or_insert(at_ms) + UNDER_WAY {
+        } else if at_ms >= *self.over.get_or_insert(at_ms) + ANNOUNCEMENT_GRACE_MS {
             self.breaches.push(Breach::TooManyOut { at_ms, out, most });
             self.over = Some(at_ms);
         }
     }
 
-    /// It doesn't run any more.
-    pub fn gone(&mut self, process: usize) {
+    /// Forgets a process that was killed.
+    pub fn remove_process(&mut self, process: usize) {
         self.last.remove(&process);
     }
 
-    /// It goes on after a stop of over two seconds.
-    pub fn resumed(&mut self, at_ms: u64, process: usize) {
+    /// Records that a process was resumed after a pause of more than two seconds.
+    pub fn record_resume(&mut self, at_ms: u64, process: usize) {
         let others = self
             .last
             .values()
@@ -102,10 +104,10 @@
         }
     }
 
-    /// A process answered an RPC well; right after that it said that it acts on version `number`.
-    pub fn ran(&mut self, at_ms: u64, process: usize, number: u64) {
+    /// Records a successful RPC; the process reported version `number` as active right after it.
+    pub fn record_success(&mut self, at_ms: u64, process: usize, number: u64) {
         if let Some((since, least)) = self.resumed.get(&process)
-            && at_ms < since + HELD
+            && at_ms < since + RESUME_GUARD_MS
             && number < *least
         {
             self.breaches.push(Breach::RanOld {
@@ -116,12 +118,13 @@
         }
     }
 
-    pub fn no_answer(&mut self, at_ms: u64, process: usize) {
+    /// Records an RPC without an answer.
+    pub fn record_no_answer(&mut self, at_ms: u64, process: usize) {
         self.breaches.push(Breach::NoAnswer { at_ms, process });
     }
 
-    /// The play is over, and there was time to come together.
-    pub fn end(&mut self) {
+    /// Checks that all processes are active on one version; to be called after there was time to converge.
+    pub fn check_convergence(&mut self) {
         let mut versions: Vec<String> = self
             .last
             .values()
@@ -135,8 +138,8 @@
     }
 }
 
-/// How far over `burst + rps * window` any window is, by what callers saw: RPCs that were sent and answered well within it were let in within
-/// it. At or under nought where the limit held.
+/// Returns by how many RPCs any time window exceeds `burst + rps * window`; at most zero if the limit held. An RPC that was sent and
+/// answered with success within a window was admitted within it.
 pub fn excess(answers: &[Answer], rps: f64, burst: f64) -> f64 {
     let mut ok: Vec<&Answer> = answers
         .iter()
--- a/crates/coralstep-lab/src/fleet/judge/tests.rs
+++ b/crates/coralstep-lab/src/fleet/judge/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_limit_that_is_broken_in_any_window_is_seen() {
+fn detects_rate_limit_exceeded_in_any_window() {
     let answer = |at: f64, outcome| Answer {
         process: 0,
         sent_ms: at,
@@ -15,7 +15,7 @@
     answers.extend((0..9).map(|_| answer(950.0, RpcOutcome::Rejected(1))));
     assert!(
         excess(&answers, 10.0, 2.0) <= 0.0,
-        "what was turned away was not let in"
+        "rejected RPCs do not count as admitted"
     );
     answers.extend([answer(950.0, RpcOutcome::Ok), answer(951.0, RpcOutcome::Ok)]);
     assert!(excess(&answers, 10.0, 2.0) > 0.5);
@@ -33,37 +33,41 @@
 }
 
 #[test]
-fn each_process_that_cheats_is_caught() {
-    let mut judge = InvariantChecker::default();
-    (0..4).for_each(|process| judge.seen(seen(0, process, 2)));
-    judge.end();
-    assert_eq!(judge.breaches, [], "nobody cheats");
-    judge.seen(seen(10, 1, 1));
+fn detects_each_kind_of_breach() {
+    let mut checker = InvariantChecker::default();
+    (0..4).for_each(|process| checker.observe(seen(0, process, 2)));
+    checker.check_convergence();
+    assert_eq!(checker.breaches, [], "no breach");
+    checker.observe(seen(10, 1, 1));
     assert!(matches!(
-        judge.breaches[..],
+        checker.breaches[..],
         [Breach::Back { process: 1, .. }]
     ));
-    judge.seen(Observation {
+    checker.observe(Observation {
         life: 2,
         ..seen(20, 2, 0)
     });
-    assert_eq!(judge.breaches.len(), 1, "a restart may know nothing");
-    judge.end();
-    assert!(matches!(judge.breaches[1], Breach::Apart { .. }));
-    // Two of four out: for longer than words take.
+    assert_eq!(
+        checker.breaches.len(),
+        1,
+        "a restarted process may have no version"
+    );
+    checker.check_convergence();
+    assert!(matches!(checker.breaches[1], Breach::Apart { .. }));
+    // Two of four members are excluded for longer than announcements take.
     for at_ms in [100, 1_000, 2_200] {
-        judge.seen(Observation {
+        checker.observe(Observation {
             shut: true,
             ..seen(at_ms, 0, 2)
         });
-        judge.seen(Observation {
+        checker.observe(Observation {
             shut: true,
             ..seen(at_ms, 3, 2)
         });
     }
     assert!(
         matches!(
-            judge.breaches[2],
+            checker.breaches[2],
             Breach::TooManyOut {
                 out: 2,
                 most: 1,
@@ -71,17 +75,17 @@
             }
         ),
         "{:?}",
-        judge.breaches
+        checker.breaches
     );
-    let mut judge = InvariantChecker::default();
-    (0..3).for_each(|process| judge.seen(seen(0, process, 5)));
-    judge.resumed(100, 0);
-    judge.ran(200, 0, 5);
-    judge.ran(100 + HELD, 0, 4);
-    assert_eq!(judge.breaches, []);
-    judge.ran(300, 0, 4);
+    let mut checker = InvariantChecker::default();
+    (0..3).for_each(|process| checker.observe(seen(0, process, 5)));
+    checker.record_resume(100, 0);
+    checker.record_success(200, 0, 5);
+    checker.record_success(100 + RESUME_GUARD_MS, 0, 4);
+    assert_eq!(checker.breaches, []);
+    checker.record_success(300, 0, 4);
     assert!(matches!(
-        judge.breaches[..],
+        checker.breaches[..],
         [Breach::RanOld { process: 0, .. }]
     ));
 }
--- a/crates/coralstep-lab/src/fleet/links.rs
+++ b/crates/coralstep-lab/src/fleet/links.rs
@@ -1,4 +1,4 @@
-//! The relays between processes: UDP, one before each process, which knows by the sender's address which link a datagram received on.
+//! UDP relays between processes, one in front of each process. The address of the sender identifies the link of a datagram.
 use std::collections::{BinaryHeap, HashMap};
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,13 +13,13 @@
 
 use crate::emulate::lock;
 
-/// The longest wait before a relay looks at what is due, and whether it should stop where nothing is.
+/// Read timeout of a relay with pending datagrams, and without.
 const BUSY_POLL_INTERVAL: Duration = Duration::from_millis(2);
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Datagrams that may be under pending to one process.
+/// Maximum number of pending datagrams to one process; more are dropped.
 const MAX_PENDING: usize = 10_000;
 
-/// In the place of a process's number, for who is none.
+/// Stands for a sender that is not a process of the play.
 const GUEST: usize = usize::MAX;
 
 /// What a link does to datagrams.
@@ -36,18 +36,19 @@
 
 #[derive(Default)]
 struct Table {
-    /// Where a process listens, and who sends from there.
+    /// Listening address of each process, and the process of each sender's address.
     listen_addresses: HashMap<usize, SocketAddr>,
     senders: HashMap<SocketAddr, usize>,
     faults: HashMap<(usize, usize), Fault>,
-    /// Of links that have none of their own.
+    /// Fault of all links without a fault of their own.
     default_fault: Fault,
-    /// Datagrams and bytes that received on each link.
+    /// Number of datagrams and bytes received on each link.
     traffic: HashMap<(usize, usize), (u64, u64)>,
 }
 
+/// The relays of a play and the faults of their links.
 pub struct Links {
-    /// Where each process is reached.
+    /// Address of the relay in front of each process.
     pub addresses: Vec<SocketAddr>,
     table: Arc<Mutex<Table>>,
     stop: Arc<AtomicBool>,
@@ -63,7 +64,7 @@
     }
 }
 
-/// On its pending to a process, first what is due first.
+/// A datagram to be delivered at a time; the earliest one orders first in a max-heap.
 struct PendingDatagram(Instant, Vec<u8>);
 
 impl PartialEq for PendingDatagram {
@@ -106,7 +107,7 @@
         })
     }
 
-    /// Where process `of` listens, and sends from.
+    /// Sets the address from which process `of` sends and on which it listens.
     pub fn set_listen_address(&self, of: usize, at: SocketAddr) {
         let mut table = lock(&self.table);
         table.senders.retain(|_, sender| *sender != of);
@@ -114,17 +115,17 @@
         table.listen_addresses.insert(of, at);
     }
 
-    /// Who sends from there is no process, and is let through.
+    /// Relays datagrams from an address that belongs to no process.
     pub fn add_guest(&self, at: SocketAddr) {
         lock(&self.table).senders.insert(at, GUEST);
     }
 
-    /// What every link does that has no fault of its own.
+    /// Sets the fault of every link without a fault of its own.
     pub fn set_default_fault(&self, fault: Fault) {
         lock(&self.table).default_fault = fault;
     }
 
-    /// The links from each of `from` to each of `to` do this.
+    /// Sets the fault of the links from each process in `from` to each in `to`.
     pub fn set_faults(&self, from: &[usize], to: &[usize], fault: Fault) {
         let mut table = lock(&self.table);
         for from in from {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Nobody of `one` reaches anybody of `other`, nor back.
+    /// Cuts all links between `one` and `other` in both directions.
     pub fn cut(&self, one: &[usize], other: &[usize]) {
         let cut = Fault {
             cut: true,
@@ -144,14 +145,14 @@
         self.set_faults(other, one, cut);
     }
 
-    /// No link has a fault any more.
+    /// Removes the faults of all links.
     pub fn heal(&self) {
         let mut table = lock(&self.table);
         table.faults.clear();
         table.default_fault = Fault::default();
     }
 
-    /// Datagrams and bytes that process `from` has sent.
+    /// Returns the number of datagrams and bytes that process `from` has sent.
     pub fn sent_traffic(&self, from: usize) -> (u64, u64) {
         let table = lock(&self.table);
         let of = table.traffic.iter().filter(|((by, _), _)| *by == from);
@@ -170,7 +171,7 @@
 ) {
     let (mut pending, mut buffer, mut idle) = (BinaryHeap::new(), [0; 4096], false);
     while !stop.load(Ordering::SeqCst) {
-        // Guards against hundreds of relays that use the machine up by looking at nothing.
+        // Guards against hundreds of idle relays that use up the CPU by polling.
         if idle != pending.is_empty() {
             idle = !idle;
             let _ = socket.set_read_timeout(Some(if idle {
--- a/crates/coralstep-lab/src/fleet/mixed_builds.rs
+++ b/crates/coralstep-lab/src/fleet/mixed_builds.rs
@@ -1,6 +1,6 @@
-//! The scenario of two builds as one fleet: they see each other as members, act on each other's settings versions, share one quota, hear
-//! each other's verdicts, and a process of the primary build starts on a state directory of the other build. Each step waits for its
-//! event; the first that does not come fails the run.
+//! Scenario of one fleet with two builds: the builds see each other as members, activate each other's settings versions, share one limit,
+//! receive each other's verdicts, and a process of the primary build starts on a state directory of the other build. Each step waits
+//! for its event; the first event that does not occur fails the run.
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -19,36 +19,36 @@
 
 pub use report::{Failure, PerBuild, Published, Report, Successor};
 
-/// Members of the fleet, of each build half of them.
+/// Number of members of the fleet, half of them of each build.
 pub const MEMBERS: usize = 6;
-/// Members that may hold the lease of the fleet's limits.
+/// Number of members that may hold the lease of the fleet's limits.
 const LEASE_HOLDERS: usize = 3;
 /// Lease of the shares of a limit, in milliseconds.
 const LEASE_MS: u32 = 6_000;
-/// The longest wait for one event.
+/// Maximum wait for one event.
 const EVENT_LIMIT: Duration = Duration::from_secs(60);
 /// The fleet's limit on one method, in RPCs a second, and its burst in RPCs.
 const LIMIT_RPS: f64 = 40.0;
 const LIMIT_BURST: u32 = 20;
-/// Callers of each member, and the time between two RPCs of one.
+/// Number of callers of each member, and the interval between two RPCs of one caller.
 const CALLERS: u32 = 4;
 const CALL_INTERVAL: Duration = Duration::from_millis(200);
-/// RPCs that each member must admit under the limit.
+/// Number of RPCs that each member must admit under the limit.
 const MIN_ADMITTED: usize = 10;
-/// A member of each build at which versions are published and verdicts begin.
+/// One member of each build: the publisher of versions and reporter of verdicts.
 const PRIMARY_MEMBER: usize = 4;
 const OTHER_MEMBER: usize = 3;
 /// The member of the other build that a process of the primary build takes over from.
 const REPLACED_MEMBER: usize = 5;
-/// The tenant whose demand the successor must know without having served it.
+/// Tenant whose demand the successor must know without having served it.
 const LEARNED_TENANT: &str = TENANTS[0];
-/// The settings of the versions in their order: `levels.record_ms`, in milliseconds.
+/// Value of `levels.record_ms` in each version in order, in milliseconds.
 const RECORD_MS: [u64; 3] = [1_000, 2_000, 3_000];
 
-/// Runs the scenario; `progress` hears of each step that came about, and `stop` ends it early.
+/// Runs the scenario; `progress` receives a line per completed step, and `stop` ends the run early.
 ///
 /// # Errors
-/// The first event that did not come, and each limit or datagram count that did not hold.
+/// Returns the first event that did not occur, and fails if the limit is exceeded or a datagram is refused.
 pub fn run(
     programs: &Programs,
     seed: u64,
@@ -126,7 +126,7 @@
         })
     }
 
-    /// Waits for an event; how long it took, in milliseconds.
+    /// Waits for an event; returns the time waited, in milliseconds.
     fn wait(
         &self,
         step: &'static str,
@@ -186,7 +186,7 @@
         )
     }
 
-    /// All members have more callers than their share of the limit.
+    /// Loads each member beyond its share of the limit and checks that the limit holds.
     fn limit_is_shared(&mut self) -> Result<(), Failure> {
         let load = LoadGenerator::default();
         let limited = |_: &Fleet| (0..MEMBERS).all(|member| admits_and_rejects(&load, member));
@@ -281,7 +281,7 @@
         Ok(())
     }
 
-    /// No member has refused a datagram: all links are free of faults that garble them.
+    /// Checks that no member has refused a datagram: no link corrupts datagrams in this scenario.
     fn datagrams_are_accepted(&mut self) -> Result<(), Failure> {
         const QUESTION: &str = "fleet_members";
         for member in 0..MEMBERS {
@@ -329,7 +329,7 @@
         )
     }
 
-    /// Kills the predecessor once its directory holds what it learned and acts on.
+    /// Kills the predecessor once its state directory contains its learned state and its active version.
     fn predecessor_is_killed(&mut self) -> Result<(), Failure> {
         let (program, directory) = (
             self.programs.of(REPLACED_MEMBER),
@@ -341,7 +341,7 @@
         let recorded = |_: &Fleet| snapshots::records_version(&directory, &content);
         self.wait("the fleet record holds the version", recorded)?;
         self.fleet.kill(REPLACED_MEMBER);
-        // Guards against members that take the successor for the predecessor, which they never missed.
+        // Guards against members that mistake the successor for the predecessor, because they never noticed its end.
         let missed = |fleet: &Fleet| {
             fleet.running().into_iter().all(|at| {
                 fleet
@@ -355,7 +355,7 @@
         same_export(self.programs.of(PRIMARY_MEMBER), program, &directory)
     }
 
-    /// Starts the primary build on the directory, cut off: what it knows is from there alone.
+    /// Starts the primary build on the state directory with all links cut, so that it knows only the stored state.
     fn successor_starts_alone(&mut self, version: &str) -> Result<(), Failure> {
         let rest: Vec<usize> = (0..MEMBERS)
             .filter(|member| *member != REPLACED_MEMBER)
@@ -379,7 +379,7 @@
             has_learned(program, &directory)
                 && snapshots::newest(program, &directory).is_some_and(|number| number > predecessor)
         };
-        // Its first RPC, of no tenant, is what lets it write a snapshot of its own.
+        // The successor writes a snapshot of its own only after its first RPC, which has no tenant.
         let serves =
             |fleet: &Fleet| fleet.call(REPLACED_MEMBER, METHODS[1], None) == RpcOutcome::Ok;
         self.wait("the successor serves an RPC", serves)?;
@@ -403,7 +403,7 @@
     })
 }
 
-/// Whether the member has admitted its part, and rejected some of what came after the first.
+/// Whether the member has admitted enough RPCs, and rejected one after the first admission.
 fn admits_and_rejects(load: &LoadGenerator, member: usize) -> bool {
     let mut answers = load.answers();
     answers.retain(|answer| answer.process == member);
@@ -420,7 +420,7 @@
     admitted >= MIN_ADMITTED && rejected
 }
 
-/// Whether `observer` shows `count` of the store above zero for `reporter`.
+/// Whether `observer` shows a `count` of the store above zero for `reporter`.
 fn shows_count(fleet: &Fleet, observer: usize, reporter: usize, count: &str) -> bool {
     let Ok(answer) = fleet.query(observer, &json!({"ask": "fleet_verdicts"})) else {
         return false;
@@ -431,13 +431,13 @@
         .any(|row| row[count].as_u64().is_some_and(|value| value > 0))
 }
 
-/// Whether the newest snapshot holds demand of the tenant that the limit step called as.
+/// Whether the newest snapshot contains demand of the tenant of the limit step.
 fn has_learned(program: &Path, directory: &Path) -> bool {
     snapshots::export(program, directory)
         .is_some_and(|export| snapshots::has_learned(&export, LEARNED_TENANT))
 }
 
-/// Both builds read the same from the newest snapshot.
+/// Checks that both builds export the same from the newest snapshot.
 fn same_export(primary: &Path, other: &Path, directory: &Path) -> Result<(), Failure> {
     let by_primary = snapshots::export(primary, directory);
     let by_other = snapshots::export(other, directory);
--- a/crates/coralstep-lab/src/fleet/mixed_builds/report.rs
+++ b/crates/coralstep-lab/src/fleet/mixed_builds/report.rs
@@ -1,57 +1,57 @@
-//! What the scenario of two builds measured, and why it failed where it did.
+//! Measurements and failures of the scenario with two builds.
 use std::time::Duration;
 
 use serde::Serialize;
 
-/// A figure for each of the two builds.
+/// A count for each of the two builds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct PerBuild {
     pub primary: usize,
     pub other: usize,
 }
 
-/// A settings version that all members acted on.
+/// A settings version that became active on all members.
 #[derive(Clone, Debug, Serialize)]
 pub struct Published {
     pub id: String,
     /// The member that it was published at.
     pub member: usize,
-    /// From its publication until all members acted on it, in milliseconds.
+    /// Time from publication until the version was active on all members, in milliseconds.
     pub all_on_ms: u64,
 }
 
-/// The process of the primary build on the state directory of one of the other build.
+/// The process of the primary build that took over a state directory of the other build.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Successor {
     pub member: usize,
-    /// The version that it acted on before it heard any other member.
+    /// Version that was active before it received anything from another member.
     pub acted_on: String,
-    /// Numbers of the last snapshot of its predecessor, and of the first one seen of its own.
+    /// Numbers of the last snapshot of its predecessor and of its own first snapshot.
     pub predecessor_snapshot: u64,
     pub own_snapshot: u64,
-    /// From the end of its isolation until all members saw all others, in milliseconds.
+    /// Time from the end of its isolation until all members saw all others, in milliseconds.
     pub rejoined_ms: u64,
 }
 
 /// The measurements of one run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
-    /// From the last start until all members saw all others, in milliseconds.
+    /// Time from the last start until all members saw all others, in milliseconds.
     pub met_ms: u64,
     pub versions: Vec<Published>,
-    /// RPCs that the fleet's limit admitted, and that were rejected.
+    /// RPCs that were admitted and rejected under the fleet's limit.
     pub admitted: PerBuild,
     pub rejected: PerBuild,
-    /// The most that any window had beyond the limit, in RPCs; at or below zero where the limit held.
+    /// Maximum excess of any time window over the limit, in RPCs; at most zero if the limit held.
     pub limit_excess: f64,
-    /// Verdicts of the named build that every member of the opposite build received: of calls, and of failures.
+    /// Number of verdicts of each build, on calls and on failures, that every member of the opposite build received.
     pub verdicts_received: PerBuild,
     pub successor: Successor,
-    /// Datagrams that some member did not accept; all of them.
+    /// Total number of datagrams refused by any member.
     pub refused_datagrams: u64,
 }
 
-/// Why a run ended before its end.
+/// The reason why a run failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
     #[error("{step}: {source}")]
--- a/crates/coralstep-lab/src/fleet/mixed_builds/snapshots.rs
+++ b/crates/coralstep-lab/src/fleet/mixed_builds/snapshots.rs
@@ -1,10 +1,10 @@
-//! The state directory of a fleet member, read by `coralstep state` and by its bytes.
+//! Reads the state directory of a fleet member with `coralstep state`, and its fleet records as raw bytes.
 use std::path::Path;
 use std::process::Command;
 
 use serde_json::Value;
 
-/// What `program` reads from the newest good snapshot in `directory`; nothing where there is none.
+/// Returns what `program` exports from the newest valid snapshot in `directory`; `None` if there is none.
 pub fn export(program: &Path, directory: &Path) -> Option<Value> {
     let output = Command::new(program)
         .args(["state", "export"])
@@ -14,14 +14,14 @@
     serde_json::from_slice(&output.stdout).ok()
 }
 
-/// Whether an export holds RPCs that were asked for by `tenant`.
+/// Whether an export contains demand of `tenant`.
 pub fn has_learned(export: &Value, tenant: &str) -> bool {
     let mut tenants = export["tenants"].as_array().into_iter().flatten();
-    // Each is its name, then the weights of what was asked and of what ended well.
+    // Each entry is the name of the tenant, then the weights of its demand and of its successful RPCs.
     tenants.any(|entry| entry[0] == tenant && entry[1][0].as_f64().is_some_and(|asked| asked > 0.0))
 }
 
-/// The number of the newest snapshot in `directory` that `program` believes.
+/// Returns the number of the newest snapshot in `directory` that `program` accepts as valid.
 pub fn newest(program: &Path, directory: &Path) -> Option<u64> {
     let output = Command::new(program)
         .args(["state", "show"])
@@ -36,7 +36,7 @@
         .max()
 }
 
-/// Whether any fleet record in `directory` holds the text of a version.
+/// Whether any fleet record in `directory` contains the text of a version.
 pub fn records_version(directory: &Path, text: &str) -> bool {
     let Ok(files) = std::fs::read_dir(directory.join("fleet")) else {
         return false;
--- a/crates/coralstep-lab/src/fleet/mod.rs
+++ b/crates/coralstep-lab/src/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! Several real processes of `coralstep` that hear each other, with a relay on every link between any two of them: what is lost, late,
-//! doubled, changed or cut is the play's to say, and so on each process's way to the store. Engines and control plane are stand-ins; all that was started ends with the play.
+//! Fleets of real `coralstep` processes with a relay on every link between two of them. A play decides which datagrams are lost, delayed,
+//! duplicated, corrupted or cut off, and likewise the faults on the connection of each process to the store. Engines and control plane
+//! are stand-ins; every process started is ended with the play.
 pub mod drive;
 pub mod guest;
 pub mod judge;
--- a/crates/coralstep-lab/src/fleet/play.rs
+++ b/crates/coralstep-lab/src/fleet/play.rs
@@ -1,4 +1,4 @@
-//! A play of processes: a file says how many, what load, and what happens when. What failed can be played again from the same file.
+//! A play of processes: a file defines their number, the load and the timed events. The same file reproduces a failed play.
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
@@ -9,13 +9,13 @@
 use super::judge::{Breach, InvariantChecker, Observation};
 use super::{Fault, Fleet, Programs, RpcOutcome};
 
-/// Processes and steps at the most.
+/// Limits of a play file.
 const PROCESSES_MOST: usize = 400;
 const STEPS_MOST: usize = 10_000;
-/// All processes are looked at this often.
-const LOOK: Duration = Duration::from_millis(200);
-/// After the last step and `seconds`, so long is waited for all to come together.
-const TOGETHER: Duration = Duration::from_secs(60);
+/// Interval at which the state of all processes is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum wait after the end of the play until all processes are active on one version.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
@@ -74,14 +74,14 @@
     Boot(usize),
 }
 
-/// What a play came to.
+/// The result of a play.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
     pub met_ms: u64,
     pub ok: u64,
     pub pushed_back: u64,
     pub aborted: u64,
-    /// From the end until all acted on one version.
+    /// Time from the end until all processes were active on one version, in milliseconds; `None` if they did not converge.
     pub together_ms: Option<u64>,
     pub bytes_a_second: f64,
     pub breaches: Vec<Breach>,
@@ -138,7 +138,7 @@
         text
     }
 
-    /// Plays it with `programs`; `progress` hears what happens, and `stop` ends it early.
+    /// Runs the play with `programs`; `progress` receives a line per event, and `stop` ends the play early.
     pub fn run(
         &self,
         programs: impl Into<Programs>,
@@ -152,14 +152,14 @@
                 || (0..all).all(|at| fleet.count_alive(at).is_ok_and(|alive| alive == all))
         };
         let met = fleet
-            .wait_until(TOGETHER * 3, met)
-            .ok_or_else(|| std::io::Error::other("they don't meet"))?;
+            .wait_until(CONVERGENCE_TIMEOUT * 3, met)
+            .ok_or_else(|| std::io::Error::other("the processes did not find each other"))?;
         progress(&format!(
             "{all} processes met after {:.1} s",
             met.as_secs_f64()
         ));
         let mut run = Run {
-            judge: InvariantChecker::default(),
+            checker: InvariantChecker::default(),
             lives: vec![0; all],
             stopped: vec![None; all],
             report: Report::default(),
@@ -175,7 +175,7 @@
             let at_s = start.elapsed().as_secs_f64();
             while let Some(step) = steps.get(next).filter(|step| step.at_s <= at_s) {
                 progress(&format!("{at_s:.1} s: {}", json!(step.what)));
-                run.does(&mut fleet, &step.what, (at_s * 1000.0) as u64)?;
+                run.apply(&mut fleet, &step.what, (at_s * 1000.0) as u64)?;
                 next += 1;
             }
             if (sent as f64) < at_s * self.rpcs {
@@ -184,7 +184,7 @@
             } else {
                 std::thread::sleep(Duration::from_millis(5));
             }
-            if looked.elapsed() >= LOOK {
+            if looked.elapsed() >= CHECK_INTERVAL {
                 looked = Instant::now();
                 run.look(&fleet, start);
             }
@@ -201,24 +201,24 @@
             on.windows(2).all(|two| two[0] == two[1])
         };
         run.report.together_ms = fleet
-            .wait_until(TOGETHER, one)
+            .wait_until(CONVERGENCE_TIMEOUT, one)
             .map(|took| took.as_millis() as u64);
         run.look(&fleet, start);
-        run.judge.end();
-        run.report.breaches = run.judge.breaches;
+        run.checker.check_convergence();
+        run.report.breaches = run.checker.breaches;
         Ok(run.report)
     }
 }
 
 struct Run {
-    judge: InvariantChecker,
+    checker: InvariantChecker,
     lives: Vec<u64>,
     stopped: Vec<Option<Instant>>,
     report: Report,
 }
 
 impl Run {
-    fn does(&mut self, fleet: &mut Fleet, what: &What, at_ms: u64) -> std::io::Result<()> {
+    fn apply(&mut self, fleet: &mut Fleet, what: &What, at_ms: u64) -> std::io::Result<()> {
         match what {
             What::Publish {
                 at,
@@ -242,13 +242,13 @@
                     .take()
                     .is_some_and(|since| since.elapsed() > Duration::from_secs(2));
                 if long {
-                    self.judge.resumed(at_ms, *at);
+                    self.checker.record_resume(at_ms, *at);
                 }
                 fleet.set_stopped(*at, false)?;
             }
             What::Kill(at) => {
                 fleet.kill(*at);
-                self.judge.gone(*at);
+                self.checker.remove_process(*at);
             }
             What::Boot(at) => {
                 self.lives[*at] += 1;
@@ -267,34 +267,39 @@
             RpcOutcome::Ok => {
                 self.report.ok += 1;
                 if let Ok(on) = fleet.active_version(at) {
-                    self.judge
-                        .ran(start.elapsed().as_millis() as u64, at, version(&on).0);
+                    self.checker.record_success(
+                        start.elapsed().as_millis() as u64,
+                        at,
+                        version(&on).0,
+                    );
                 }
             }
             RpcOutcome::Rejected(_) => self.report.pushed_back += 1,
             RpcOutcome::Failed => self.report.aborted += 1,
-            RpcOutcome::NoAnswer => self.judge.no_answer(start.elapsed().as_millis() as u64, at),
+            RpcOutcome::NoAnswer => self
+                .checker
+                .record_no_answer(start.elapsed().as_millis() as u64, at),
         }
     }
 
     fn look(&mut self, fleet: &Fleet, start: Instant) {
         for at in fleet.running() {
-            let Ok(said) = fleet.query(at, &json!({"ask": "fleet_members"})) else {
+            let Ok(answer) = fleet.query(at, &json!({"ask": "fleet_members"})) else {
                 continue;
             };
             let own = format!("n{at}");
-            let members = said["members"].as_array().cloned().unwrap_or_default();
+            let members = answer["members"].as_array().cloned().unwrap_or_default();
             let on = members
                 .iter()
                 .find(|member| member["server"] == own.as_str())
                 .and_then(|own| own["version"].as_str());
-            // Shut out by hand, for a pause or by a cut is not for a version.
-            let shut = said["shut"].is_object();
+            // Only exclusions for a version count, not those by the operator, for a pause or by a partition.
+            let shut = answer["shut"].is_object();
             let (acts_on, at_ms) = (
                 version(on.unwrap_or("0")),
                 start.elapsed().as_millis() as u64,
             );
-            self.judge.seen(Observation {
+            self.checker.observe(Observation {
                 at_ms,
                 process: at,
                 life: self.lives[at],
@@ -305,7 +310,7 @@
     }
 }
 
-/// Number and hash of a version as it is written.
+/// Parses the number and the hash of a version.
 fn version(text: &str) -> (u64, String) {
     let (number, hash) = text.split_once('-').unwrap_or((text, ""));
     (number.parse().unwrap_or(0), hash.to_owned())
--- a/crates/coralstep-lab/src/fleet/play/tests.rs
+++ b/crates/coralstep-lab/src/fleet/play/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_play_is_read_and_one_that_is_at_fault_names_the_step() {
+fn parse_accepts_valid_play_and_names_invalid_step() {
     let text = r#"{"seed": 1, "processes": 3, "seconds": 5, "steps": [
             {"at_s": 1, "do": {"publish": {"at": 0, "content": {}}}}, {"at_s": 2, "do": {"cut": {"one": [0], "other": [1, 2]}}},
             {"at_s": 3, "do": "heal"}, {"at_s": 3.5, "do": {"all": {"loss": 0.3, "delay": [100, 500]}}}, {"at_s": 4, "do": {"stop": 2}}]}"#;
--- a/crates/coralstep-lab/src/fleet/processes.rs
+++ b/crates/coralstep-lab/src/fleet/processes.rs
@@ -1,5 +1,5 @@
-//! The processes of a play: started, stopped, continued, killed, asked. What they say of themselves comes by the operators' door and the
-//! log; what callers were told is the play's own.
+//! Starts, pauses, resumes, kills and queries the processes of a play. Their state is read from the operator listener and the log, the
+//! outcomes of RPCs from the play's own callers.
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -15,45 +15,45 @@
 use crate::emulate::lock;
 use crate::emulate::wire::{Faults, Wire};
 
-/// The longest that a process may take to come up or to answer.
+/// Maximum time until a process has started or answers.
 const LIMIT: Duration = Duration::from_secs(15);
-/// Seconds between two snapshots of a process that keeps its state from its first start on: the least that a site file may say.
+/// Snapshot interval of a process that keeps its state from its first start on, in seconds: the minimum in a site file.
 const SNAPSHOT_INTERVAL_S: u32 = 1;
-/// Methods of every process: tokened, calls nothing; and idempotent, calls the store where there is one.
+/// Methods of every process: one with idempotency keys and no call, and an idempotent one that calls the store if there is one.
 pub const METHODS: [&str; 2] = ["save", "read"];
-/// Tenants, by the header that the site file names.
+/// Tenants, identified by the header in the site file.
 pub const TENANTS: [&str; 2] = ["north", "south"];
 /// The fleet's name.
 pub const NAME: &str = "alps";
-/// Peers that each is told of.
-const PEERS: usize = 12;
+/// Maximum number of peers in the configuration of each process.
+const MAX_PEERS: usize = 12;
 
-/// How an RPC ended.
+/// The outcome of an RPC for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RpcOutcome {
     Ok,
-    /// With the time to return, in milliseconds.
+    /// Rejected, with the Retry-After time in milliseconds.
     Rejected(u64),
     Failed,
     NoAnswer,
 }
 
-/// What the processes of a play are given.
+/// Configuration of the processes of a play.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// Further keys of the site file's `fleet`; null for processes that have none.
     pub fleet: Value,
-    /// Work of each run, in milliseconds of a core; each engine has two.
+    /// Work of each run, in milliseconds of CPU time; each engine has two cores.
     pub work_ms: f64,
-    /// The store that `read` calls; each process has a way of its own to it.
+    /// The store that `read` calls; each process connects to it through a relay of its own.
     pub store: Option<SocketAddr>,
     /// This server's share of the calls that the store survives.
     pub call_share: f64,
     /// The site file's `limits`.
     pub limits: Value,
-    /// Levels of reduced service, the built-in ones. They turn calls away by themselves when a store hangs.
+    /// Whether the built-in degradation levels are enabled. They also reject calls when a store hangs.
     pub levels: bool,
-    /// Each process keeps a state directory from its first start on, with a snapshot every second.
+    /// Whether each process has a state directory from its first start on, with a snapshot every second.
     pub keeps_state: bool,
 }
 
@@ -71,7 +71,7 @@
     }
 }
 
-/// What runs on all engines together: how much now, and the most there ever was.
+/// Number of runs on each engine, and the maximum of their sum so far.
 #[derive(Debug, Default)]
 pub struct RunCounts {
     running: Vec<usize>,
@@ -109,13 +109,13 @@
     log: Arc<Mutex<Vec<String>>>,
     _engine: Engine,
     stopped: bool,
-    /// Ends the process should the laboratory be killed itself: it waits for the end of a pipe.
+    /// Shell that kills the process if the laboratory itself is killed: it waits for the end of a pipe.
     watch: Child,
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // First, so that it never kills who has that number later.
+        // Killed first, so that it never kills another process with a reused PID.
         let _ = self.watch.kill();
         let _ = self.watch.wait();
         let _ = self.child.kill();
@@ -124,19 +124,19 @@
 }
 
 pub struct Fleet {
-    /// The program that each process is started from.
+    /// The program of each process.
     programs: Vec<PathBuf>,
     folder: PathBuf,
     pub links: Links,
     processes: Vec<Option<Process>>,
     setup: Setup,
-    /// Each process's way to the store.
-    ways: Vec<Wire>,
-    /// Of the engines, not of what the processes say.
+    /// Relay of each process to the store.
+    store_relays: Vec<Wire>,
+    /// Counted by the engines, not reported by the processes.
     pub concurrency: Arc<Mutex<RunCounts>>,
     control: UdpSocket,
     sent: AtomicU64,
-    /// Processes that are booted from now on keep a folder over their restarts.
+    /// Whether processes started from now on keep their state directory over restarts.
     pub keeps_state: bool,
 }
 
@@ -159,7 +159,7 @@
 }
 
 impl Fleet {
-    /// `more`: further keys of the site file's `fleet`; null for processes that have none.
+    /// Starts `count` processes. `more` has further keys of the site file's `fleet`, or is null for processes without a fleet.
     pub fn start(
         programs: impl Into<Programs>,
         count: usize,
@@ -169,6 +169,7 @@
         Fleet::start_with_setup(programs, count, seed, Setup::new(more))
     }
 
+    /// Starts `count` processes with a setup.
     pub fn start_with_setup(
         programs: impl Into<Programs>,
         count: usize,
@@ -176,11 +177,11 @@
         setup: Setup,
     ) -> std::io::Result<Fleet> {
         let programs = programs.into();
-        let ways = setup
+        let store_relays = setup
             .store
             .iter()
             .flat_map(|store| (0..count).map(move |at| Wire::to(*store, seed ^ at as u64)));
-        let ways = ways.collect::<std::io::Result<Vec<Wire>>>()?;
+        let store_relays = store_relays.collect::<std::io::Result<Vec<Wire>>>()?;
         let links = Links::start(count, seed)?;
         let place = links.addresses.first().map_or(0, SocketAddr::port);
         let folder =
@@ -195,7 +196,7 @@
             processes,
             keeps_state: setup.keeps_state,
             setup,
-            ways,
+            store_relays,
             concurrency: Arc::new(Mutex::new(RunCounts {
                 running: vec![0; count],
                 max_total: 0,
@@ -207,7 +208,7 @@
         Ok(fleet)
     }
 
-    /// All are killed and started again, with a folder that outlives them from now on.
+    /// Kills and restarts all processes, which keep their state directories from now on.
     pub fn restart_all(&mut self) -> std::io::Result<()> {
         self.keeps_state = true;
         self.processes
@@ -216,7 +217,7 @@
         (0..self.count()).try_for_each(|at| self.start_process(at))
     }
 
-    /// Starts process `at`, in place of the one that was there.
+    /// Starts process `at`; kills its predecessor, if any.
     pub fn start_process(&mut self, at: usize) -> std::io::Result<()> {
         self.processes[at] = None;
         let terms = EngineTerms {
@@ -228,7 +229,7 @@
             never_ends: false,
         };
         let plight: Arc<Mutex<Plight>> = Arc::default();
-        let store = self.ways.get(at).map(|way| way.address);
+        let store = self.store_relays.get(at).map(|relay| relay.address);
         lock(&self.concurrency).running[at] = 0;
         let work = FixedWork {
             ms: self.setup.work_ms,
@@ -263,9 +264,9 @@
         if let Some(store) = store {
             config["store"] = json!(store.to_string());
         }
-        // The next ones round the ring: as many as any site file may name.
+        // The next processes in ring order, up to the limit of peers.
         let addresses = &self.links.addresses;
-        let peers: Vec<String> = (1..addresses.len().min(PEERS + 1))
+        let peers: Vec<String> = (1..addresses.len().min(MAX_PEERS + 1))
             .map(|next| addresses[(at + next) % addresses.len()].to_string())
             .collect();
         let mut section = json!({
@@ -338,17 +339,17 @@
             watch,
         };
         let start = Instant::now();
-        let named = |process: &Process, before: &str, after: &str| -> Option<SocketAddr> {
+        let logged_address = |process: &Process, before: &str, after: &str| -> Option<SocketAddr> {
             lock(&process.log)
                 .iter()
                 .find_map(|line| line.split(before).nth(1)?.strip_suffix(after)?.parse().ok())
         };
         loop {
             let found = (
-                named(&process, "listens on ", " for SCGI"),
-                named(&process, "operators ask at ", ""),
-                named(&process, "hears its fleet at ", "").or_else(|| {
-                    // Without a fleet nobody is heard, anywhere.
+                logged_address(&process, "listens on ", " for SCGI"),
+                logged_address(&process, "operators ask at ", ""),
+                logged_address(&process, "hears its fleet at ", "").or_else(|| {
+                    // Without a fleet there is no fleet address: a placeholder stands for it.
                     self.setup
                         .fleet
                         .is_null()
@@ -362,7 +363,7 @@
             }
             if start.elapsed() > LIMIT || process.child.try_wait()?.is_some() {
                 return Err(std::io::Error::other(format!(
-                    "n{at} doesn't come up: {:?}",
+                    "process n{at} did not start: {:?}",
                     lock(&process.log)
                 )));
             }
@@ -378,16 +379,17 @@
         self.start_process(at)
     }
 
-    /// Where process `at` keeps its state, if it does.
+    /// Returns the state directory of process `at`, whether or not it uses one.
     pub fn state_directory(&self, at: usize) -> PathBuf {
         self.folder.join(format!("state-{at}"))
     }
 
+    /// Returns the number of processes.
     pub fn count(&self) -> usize {
         self.processes.len()
     }
 
-    /// Those that run and were not stopped.
+    /// Returns the processes that run and are not paused.
     pub fn running(&self) -> Vec<usize> {
         let runs =
             |process: &Option<Process>| process.as_ref().is_some_and(|process| !process.stopped);
@@ -396,12 +398,12 @@
             .collect()
     }
 
-    /// SIGKILL.
+    /// Kills process `at` with SIGKILL.
     pub fn kill(&mut self, at: usize) {
         self.processes[at] = None;
     }
 
-    /// SIGSTOP, or SIGCONT.
+    /// Pauses process `at` with SIGSTOP, or resumes it with SIGCONT.
     pub fn set_stopped(&mut self, at: usize, stopped: bool) -> std::io::Result<()> {
         let Some(process) = &mut self.processes[at] else {
             return Ok(());
@@ -410,42 +412,43 @@
         signal(&process.child, if stopped { "STOP" } else { "CONT" })
     }
 
-    /// SIGHUP.
+    /// Makes process `at` reload its configuration with SIGHUP.
     pub fn reload(&self, at: usize) -> std::io::Result<()> {
         self.processes[at]
             .as_ref()
             .map_or(Ok(()), |process| signal(&process.child, "HUP"))
     }
 
-    /// SIGTERM.
+    /// Makes process `at` drain and exit with SIGTERM.
     pub fn terminate(&self, at: usize) -> std::io::Result<()> {
         self.processes[at]
             .as_ref()
             .map_or(Ok(()), |process| signal(&process.child, "TERM"))
     }
 
-    /// Asks process `at` as an operator does.
+    /// Sends an operator query to process `at` and returns the answer.
     pub fn query(&self, at: usize, question: &Value) -> std::io::Result<Value> {
         let Some(process) = &self.processes[at] else {
-            return Err(std::io::Error::other("it doesn't run"));
+            return Err(std::io::Error::other("the process is not running"));
         };
         let mut stream = TcpStream::connect_timeout(&process.operator, LIMIT)?;
         stream.set_read_timeout(Some(LIMIT))?;
         stream.write_all(format!("{question}\n").as_bytes())?;
-        let mut said = String::new();
-        BufReader::new(stream).read_line(&mut said)?;
-        Ok(serde_json::from_str(&said)?)
+        let mut answer = String::new();
+        BufReader::new(stream).read_line(&mut answer)?;
+        Ok(serde_json::from_str(&answer)?)
     }
 
+    /// Returns the address of the operator listener of process `at`.
     pub fn operator_address(&self, at: usize) -> Option<SocketAddr> {
         self.processes[at].as_ref().map(|process| process.operator)
     }
 
-    /// The version that process `at` acts on, as it says itself.
+    /// Returns the version that process `at` reports as active.
     pub fn active_version(&self, at: usize) -> std::io::Result<String> {
-        let said = self.query(at, &json!({"ask": "fleet_members"}))?;
+        let answer = self.query(at, &json!({"ask": "fleet_members"}))?;
         let own = format!("n{at}");
-        let members = said["members"].as_array().cloned().unwrap_or_default();
+        let members = answer["members"].as_array().cloned().unwrap_or_default();
         let version = members
             .iter()
             .find(|member| member["server"] == own.as_str())
@@ -455,17 +458,17 @@
             .unwrap_or_default())
     }
 
-    /// How many members process `at` says are there.
+    /// Returns the number of members that process `at` reports as alive.
     pub fn count_alive(&self, at: usize) -> std::io::Result<usize> {
-        let said = self.query(at, &json!({"ask": "fleet_members"}))?;
-        let members = said["members"].as_array().cloned().unwrap_or_default();
+        let answer = self.query(at, &json!({"ask": "fleet_members"}))?;
+        let members = answer["members"].as_array().cloned().unwrap_or_default();
         Ok(members
             .iter()
             .filter(|member| member["state"] == "alive")
             .count())
     }
 
-    /// Publishes at process `at`; its id.
+    /// Publishes a version at process `at` and returns its id.
     pub fn publish(
         &self,
         at: usize,
@@ -475,14 +478,14 @@
         pause_ms: u64,
     ) -> std::io::Result<String> {
         let question = json!({"ask": "fleet_publish", "content": content, "must": must, "waves": waves, "pause_ms": pause_ms});
-        let said = self.query(at, &question)?;
-        said["published"]
+        let answer = self.query(at, &question)?;
+        answer["published"]
             .as_str()
             .map(str::to_owned)
-            .ok_or_else(|| std::io::Error::other(said.to_string()))
+            .ok_or_else(|| std::io::Error::other(answer.to_string()))
     }
 
-    /// Waits until `done` says so, at most so long.
+    /// Waits until `done` returns true; returns the time waited, or `None` after `limit`.
     pub fn wait_until(
         &self,
         limit: Duration,
@@ -498,14 +501,14 @@
         None
     }
 
-    /// Whether all that run act on `version`.
+    /// Whether `version` is active on all running processes.
     pub fn all_active_on(&self, version: &str) -> bool {
         self.running()
             .into_iter()
             .all(|at| self.active_version(at).is_ok_and(|on| on == version))
     }
 
-    /// CPU seconds that process `at` has used.
+    /// Returns the CPU time that process `at` has used, in seconds.
     pub fn cpu_seconds(&self, at: usize) -> f64 {
         let Some(process) = &self.processes[at] else {
             return 0.0;
@@ -522,12 +525,14 @@
             / 100.0
     }
 
+    /// Whether a log line of process `at` contains `text`.
     pub fn log_contains(&self, at: usize, text: &str) -> bool {
         self.processes[at]
             .as_ref()
             .is_some_and(|process| lock(&process.log).iter().any(|line| line.contains(text)))
     }
 
+    /// Returns the log lines of process `at`.
     pub fn log(&self, at: usize) -> Vec<String> {
         self.processes[at]
             .as_ref()
@@ -535,18 +540,18 @@
             .unwrap_or_default()
     }
 
-    /// Sends an RPC to process `at` and waits for its answer.
+    /// Sends an RPC of the first method to process `at` and waits for its answer.
     pub fn rpc(&mut self, at: usize) -> RpcOutcome {
         self.call(at, METHODS[0], None)
     }
 
-    /// The same of any method, for a tenant; from several threads at once, too.
+    /// Sends an RPC of a method for a tenant; may be called from several threads at once.
     pub fn call(&self, at: usize, method: &str, tenant: Option<&str>) -> RpcOutcome {
         let token = format!("token {}", self.sent.fetch_add(1, Ordering::SeqCst));
         self.call_with_key(at, method, tenant, &token)
     }
 
-    /// The same under a token of the caller's: a second time it is a repeat.
+    /// Sends an RPC with an idempotency key of the caller; a second RPC with the same key is a retry.
     pub fn call_with_key(
         &self,
         at: usize,
@@ -560,10 +565,10 @@
         rpc(process.scgi, method, tenant, token).unwrap_or(RpcOutcome::NoAnswer)
     }
 
-    /// What the way of process `at` to the store does from now on.
+    /// Sets the faults on the connection of process `at` to the store.
     pub fn set_store_faults(&self, at: usize, faults: Faults) {
-        if let Some(way) = self.ways.get(at) {
-            *lock(&way.faults) = faults;
+        if let Some(relay) = self.store_relays.get(at) {
+            *lock(&relay.faults) = faults;
         }
     }
 }
@@ -591,15 +596,15 @@
         head.extend_from_slice(format!("{key}\0{value}\0").as_bytes());
     }
     stream.write_all(&[format!("{}:", head.len()).as_bytes(), &head, b",x"].concat())?;
-    let mut said = String::new();
-    stream.read_to_string(&mut said)?;
-    let retry = said.lines().find_map(|line| {
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer)?;
+    let retry = answer.lines().find_map(|line| {
         line.strip_prefix("Retry-After: ")?
             .trim()
             .parse::<u64>()
             .ok()
     });
-    Ok(match said.split_whitespace().nth(1) {
+    Ok(match answer.split_whitespace().nth(1) {
         Some("200") => RpcOutcome::Ok,
         Some("503") => RpcOutcome::Rejected(retry.unwrap_or(0) * 1000),
         Some(_) => RpcOutcome::Failed,
--- a/crates/coralstep-lab/src/fleet/programs.rs
+++ b/crates/coralstep-lab/src/fleet/programs.rs
@@ -1,7 +1,7 @@
 //! The builds of `coralstep` that the members of a fleet are started from.
 use std::path::{Path, PathBuf};
 
-/// One program for all members, or two that take turns.
+/// One program for all members, or two that alternate.
 #[derive(Clone, Debug)]
 pub struct Programs {
     primary: PathBuf,
@@ -9,12 +9,12 @@
 }
 
 impl Programs {
-    /// Members with an even number are started from `primary`, the rest from `other` where there is one.
+    /// Members with an even number are started from `primary`, the rest from `other` if there is one.
     pub fn alternating(primary: PathBuf, other: Option<PathBuf>) -> Programs {
         Programs { primary, other }
     }
 
-    /// The program of member `member`.
+    /// Returns the program of a member.
     pub fn of(&self, member: usize) -> &Path {
         self.other
             .as_deref()
