--- a/crates/coralstep-lab/src/demo.rs
+++ b/crates/coralstep-lab/src/demo.rs
@@ -1,7 +1,7 @@
-//! What the demonstration plays: three servers past their load, their store slowed and hung.
+//! World of the demonstration: three overloaded servers whose store first slows down, then hangs.
 use crate::world::World;
 
-/// Seconds that requests come.
+/// Duration of the load, in seconds.
 pub const SECONDS: u64 = 30;
 
 const WORLD: &str = r#"{
@@ -27,6 +27,7 @@
   ]
 }"#;
 
+/// Parses the world of the demonstration.
 pub fn world() -> Result<World, String> {
     World::parse(WORLD)
 }
--- a/crates/coralstep-lab/src/demo/tests.rs
+++ b/crates/coralstep-lab/src/demo/tests.rs
@@ -1,5 +1,5 @@
 #[test]
-fn its_world_is_sound_and_short() {
+fn demo_world_is_valid_and_lasts_as_stated() {
     let world = super::world().unwrap();
     assert_eq!(
         (world.seconds, world.servers.count),
--- a/crates/coralstep-lab/src/fleet/drive.rs
+++ b/crates/coralstep-lab/src/fleet/drive.rs
@@ -40,8 +40,8 @@
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// `threads` callers of process `at` for so long, each with an RPC interval `interval` unless the one before takes longer. Their ends are
-    /// spread over `interval`.
+    /// Starts `threads` callers of process `at` for `duration`. Each sends an RPC per `interval`, later if the previous one takes longer;
+    /// their starts are spread over the interval.
     #[allow(clippy::too_many_arguments)]
     pub fn spawn_callers<'scope, 'env>(
         &'env self,
--- a/crates/coralstep-lab/src/fleet/guest.rs
+++ b/crates/coralstep-lab/src/fleet/guest.rs
@@ -1,4 +1,4 @@
-//! A fleet member that runs inside the test instead of in a process of its own. It takes member in the membership protocol with extensions
+//! A fleet member that runs inside the test instead of in a process of its own. It takes part in the membership protocol with extensions
 //! of the test, which may send false reports, and communicates over the same relays.
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
--- a/crates/coralstep-lab/src/lib.rs
+++ b/crates/coralstep-lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The laboratory. A [`World`] describes a fleet and its troubles; [`simulate()`] plays a day of it in virtual time, the real
-//! decisions (`coralstep::Scheduler`) in every server, and checks the four rules on the way. The same world and seed lead to the
+//! The laboratory. A [`World`] describes a fleet and its faults; [`simulate()`] runs a day of it in virtual time, with the production
+//! scheduler (`coralstep::Scheduler`) in every server, and checks the four rules throughout. The same world and seed lead to the
 //! same day on any machine.
 mod acts;
 pub mod baseline;
