--- a/crates/coralstep-lab/src/fleet/processes.rs
+++ b/crates/coralstep-lab/src/fleet/processes.rs
@@ -1,5 +1,5 @@
-//! The processes of a play: started, stopped, continued, killed, asked. What they say of themselves comes by the operators' door and the
-//! log; what callers were told is the play's own.
+//! Starts, pauses, resumes, kills and queries the processes of a play. Their state is read from the operator listener and the log, the
+//! outcomes of RPCs from the play's own callers.
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -15,45 +15,45 @@
 use crate::emulate::lock;
 use crate::emulate::wire::{Faults, FaultyRelay};
 
-/// The longest that a process may take to come up or to answer.
+/// Maximum time until a process has started or answers.
 const LIMIT: Duration = Duration::from_secs(15);
-/// Seconds between two snapshots of a process that keeps its state from its first start on: the least that a site file may say.
+/// Snapshot interval of a process that keeps its state from its first start on, in seconds: the minimum in a site file.
 const SNAPSHOT_INTERVAL_S: u32 = 1;
-/// Methods of every process: tokened, calls nothing; and idempotent, calls the store where there is one.
+/// Methods of every process: one with idempotency keys and no call, and an idempotent one that calls the store if there is one.
 pub const METHODS: [&str; 2] = ["save", "read"];
-/// Tenants, by the header that the site file names.
+/// Tenants, identified by the header in the site file.
 pub const TENANTS: [&str; 2] = ["north", "south"];
 /// The fleet's name.
 pub const NAME: &str = "alps";
-/// Peers that each is told of.
-const PEERS: usize = 12;
+/// Maximum number of peers in the configuration of each process.
+const MAX_PEERS: usize = 12;
 
-/// How an RPC ended.
+/// The outcome of an RPC for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum RpcOutcome {
     Ok,
-    /// With the time to return, in milliseconds.
-    PushedBack(u64),
-    Aborted,
-    Nothing,
+    /// Rejected, with the Retry-After time in milliseconds.
+    Rejected(u64),
+    Failed,
+    NoAnswer,
 }
 
-/// What the processes of a play are given.
+/// Configuration of the processes of a play.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// Further keys of the site file's `fleet`; null for processes that have none.
     pub fleet: Value,
-    /// Workload of each run, in milliseconds of a core; each engine has two.
+    /// Work of each run, in milliseconds of CPU time; each engine has two cores.
     pub work_ms: f64,
-    /// The store that `read` calls; each process has a way of its own to it.
+    /// The store that `read` calls; each process connects to it through a relay of its own.
     pub store: Option<SocketAddr>,
     /// This server's share of the calls that the store survives.
     pub call_share: f64,
     /// The site file's `limits`.
     pub limits: Value,
-    /// Levels of reduced service, the built-in ones. They turn calls away by themselves when a store hangs.
+    /// Whether the built-in degradation levels are enabled. They also reject calls when a store hangs.
     pub levels: bool,
-    /// Each process keeps a state directory from its first start on, with a snapshot every second.
+    /// Whether each process has a state directory from its first start on, with a snapshot every second.
     pub keeps_state: bool,
 }
 
@@ -71,21 +71,21 @@
     }
 }
 
-/// What runs on all engines together: how much now, and the most there ever was.
+/// Number of runs on each engine, and the maximum of their sum so far.
 #[derive(Debug, Default)]
-pub struct Crowd {
+pub struct RunCounts {
     running: Vec<usize>,
-    pub most: usize,
+    pub max_total: usize,
 }
 
-struct Even {
+struct FixedWork {
     ms: f64,
     calls: bool,
     at: usize,
-    crowd: Arc<Mutex<Crowd>>,
+    concurrency: Arc<Mutex<RunCounts>>,
 }
 
-impl Workload for Even {
+impl Workload for FixedWork {
     fn start_run(&mut self, _id: &str, method: &str, _body: &[u8]) -> Option<(f64, Option<f64>)> {
         let calls = self.calls && method == METHODS[1];
         Some(if calls {
@@ -96,9 +96,9 @@
     }
 
     fn report_running(&mut self, running: usize) {
-        let mut crowd = lock(&self.crowd);
-        crowd.running[self.at] = running;
-        crowd.most = crowd.most.max(crowd.running.iter().sum());
+        let mut counts = lock(&self.concurrency);
+        counts.running[self.at] = running;
+        counts.max_total = counts.max_total.max(counts.running.iter().sum());
     }
 }
 
@@ -109,13 +109,13 @@
     log: Arc<Mutex<Vec<String>>>,
     _engine: Engine,
     stopped: bool,
-    /// Ends the process should the laboratory be killed itself: it waits for the end of a pipe.
+    /// Shell that kills the process if the laboratory itself is killed: it waits for the end of a pipe.
     watch: Child,
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // First, so that it never kills who has that number later.
+        // Killed first, so that it never kills another process with a reused PID.
         let _ = self.watch.kill();
         let _ = self.watch.wait();
         let _ = self.child.kill();
@@ -124,20 +124,20 @@
 }
 
 pub struct Fleet {
-    /// The program that each process is started from.
+    /// The program of each process.
     programs: Vec<PathBuf>,
     folder: PathBuf,
     pub links: Links,
     processes: Vec<Option<Process>>,
     setup: Setup,
-    /// Each process's way to the store.
-    ways: Vec<FaultyRelay>,
-    /// Of the engines, not of what the processes say.
-    pub crowd: Arc<Mutex<Crowd>>,
+    /// Relay of each process to the store.
+    store_relays: Vec<FaultyRelay>,
+    /// Counted by the engines, not reported by the processes.
+    pub concurrency: Arc<Mutex<RunCounts>>,
     control: UdpSocket,
     sent: AtomicU64,
-    /// Processes that are booted from now on keep a folder over their restarts.
-    pub keeps: bool,
+    /// Whether processes started from now on keep their state directory over restarts.
+    pub keeps_state: bool,
 }
 
 impl Drop for Fleet {
@@ -159,27 +159,28 @@
 }
 
 impl Fleet {
-    /// `more`: further keys of the site file's `fleet`; null for processes that have none.
+    /// Starts `count` processes. `more` has further keys of the site file's `fleet`, or is null for processes without a fleet.
     pub fn start(
         programs: impl Into<Programs>,
         count: usize,
         seed: u64,
         more: Value,
     ) -> std::io::Result<Fleet> {
-        Fleet::set_up(programs, count, seed, Setup::new(more))
+        Fleet::start_with_setup(programs, count, seed, Setup::new(more))
     }
 
-    pub fn set_up(
+    /// Starts `count` processes with a setup.
+    pub fn start_with_setup(
         programs: impl Into<Programs>,
         count: usize,
         seed: u64,
         setup: Setup,
     ) -> std::io::Result<Fleet> {
         let programs = programs.into();
-        let ways = setup.store.iter().flat_map(|store| {
+        let store_relays = setup.store.iter().flat_map(|store| {
             (0..count).map(move |at| FaultyRelay::start(*store, seed ^ at as u64))
         });
-        let ways = ways.collect::<std::io::Result<Vec<FaultyRelay>>>()?;
+        let store_relays = store_relays.collect::<std::io::Result<Vec<FaultyRelay>>>()?;
         let links = Links::start(count, seed)?;
         let place = links.addresses.first().map_or(0, SocketAddr::port);
         let folder =
@@ -192,31 +193,31 @@
             folder,
             links,
             processes,
-            keeps: setup.keeps_state,
+            keeps_state: setup.keeps_state,
             setup,
-            ways,
-            crowd: Arc::new(Mutex::new(Crowd {
+            store_relays,
+            concurrency: Arc::new(Mutex::new(RunCounts {
                 running: vec![0; count],
-                most: 0,
+                max_total: 0,
             })),
             control,
             sent: AtomicU64::new(0),
         };
-        (0..count).try_for_each(|at| fleet.boot(at))?;
+        (0..count).try_for_each(|at| fleet.start_process(at))?;
         Ok(fleet)
     }
 
-    /// All are killed and started again, with a folder that outlives them from now on.
-    pub fn reboot(&mut self) -> std::io::Result<()> {
-        self.keeps = true;
+    /// Kills and restarts all processes, which keep their state directories from now on.
+    pub fn restart_all(&mut self) -> std::io::Result<()> {
+        self.keeps_state = true;
         self.processes
             .iter_mut()
             .for_each(|process| *process = None);
-        (0..self.count()).try_for_each(|at| self.boot(at))
+        (0..self.count()).try_for_each(|at| self.start_process(at))
     }
 
-    /// Starts process `at`, in place of the one that was there.
-    pub fn boot(&mut self, at: usize) -> std::io::Result<()> {
+    /// Starts process `at`; kills its predecessor, if any.
+    pub fn start_process(&mut self, at: usize) -> std::io::Result<()> {
         self.processes[at] = None;
         let terms = EngineConfig {
             cores: 2,
@@ -227,13 +228,13 @@
             never_ends: false,
         };
         let faults: Arc<Mutex<EngineFaults>> = Arc::default();
-        let store = self.ways.get(at).map(|way| way.address);
-        lock(&self.crowd).running[at] = 0;
-        let work = Even {
+        let store = self.store_relays.get(at).map(|relay| relay.address);
+        lock(&self.concurrency).running[at] = 0;
+        let work = FixedWork {
             ms: self.setup.work_ms,
             calls: store.is_some(),
             at,
-            crowd: self.crowd.clone(),
+            concurrency: self.concurrency.clone(),
         };
         let engine = Engine::serve(
             std::net::TcpListener::bind("127.0.0.1:0")?,
@@ -262,9 +263,9 @@
         if let Some(store) = store {
             config["store"] = json!(store.to_string());
         }
-        // The next ones round the ring: as many as any site file may name.
+        // The next processes in ring order, up to the limit of peers.
         let addresses = &self.links.addresses;
-        let peers: Vec<String> = (1..addresses.len().min(PEERS + 1))
+        let peers: Vec<String> = (1..addresses.len().min(MAX_PEERS + 1))
             .map(|next| addresses[(at + next) % addresses.len()].to_string())
             .collect();
         let mut section = json!({
@@ -293,7 +294,7 @@
         if !self.setup.limits.is_null() {
             site["limits"] = self.setup.limits.clone();
         }
-        if self.keeps {
+        if self.keeps_state {
             site["state"] = json!({"folder": self.state_directory(at)});
             if self.setup.keeps_state {
                 site["state"]["every_s"] = json!(SNAPSHOT_INTERVAL_S);
@@ -337,17 +338,17 @@
             watch,
         };
         let start = Instant::now();
-        let named = |process: &Process, before: &str, after: &str| -> Option<SocketAddr> {
+        let logged_address = |process: &Process, before: &str, after: &str| -> Option<SocketAddr> {
             lock(&process.log)
                 .iter()
                 .find_map(|line| line.split(before).nth(1)?.strip_suffix(after)?.parse().ok())
         };
         loop {
             let found = (
-                named(&process, "listens on ", " for SCGI"),
-                named(&process, "operators ask at ", ""),
-                named(&process, "hears its fleet at ", "").or_else(|| {
-                    // Without a fleet nobody is heard, anywhere.
+                logged_address(&process, "listens on ", " for SCGI"),
+                logged_address(&process, "operators ask at ", ""),
+                logged_address(&process, "hears its fleet at ", "").or_else(|| {
+                    // Without a fleet there is no fleet address: a placeholder stands for it.
                     self.setup
                         .fleet
                         .is_null()
@@ -356,12 +357,12 @@
             );
             if let (Some(scgi), Some(operator), Some(fleet)) = found {
                 (process.scgi, process.operator) = (scgi, operator);
-                self.links.listens(at, fleet);
+                self.links.set_listen_address(at, fleet);
                 break;
             }
             if start.elapsed() > LIMIT || process.child.try_wait()?.is_some() {
                 return Err(std::io::Error::other(format!(
-                    "n{at} doesn't come up: {:?}",
+                    "process n{at} did not start: {:?}",
                     lock(&process.log)
                 )));
             }
@@ -372,21 +373,22 @@
     }
 
     /// Starts process `at` from `program`, now and at each later boot.
-    pub fn boot_from(&mut self, at: usize, program: &Path) -> std::io::Result<()> {
+    pub fn start_process_from(&mut self, at: usize, program: &Path) -> std::io::Result<()> {
         program.clone_into(&mut self.programs[at]);
-        self.boot(at)
+        self.start_process(at)
     }
 
-    /// Where process `at` keeps its state, if it does.
+    /// Returns the state directory of process `at`, whether or not it uses one.
     pub fn state_directory(&self, at: usize) -> PathBuf {
         self.folder.join(format!("state-{at}"))
     }
 
+    /// Returns the number of processes.
     pub fn count(&self) -> usize {
         self.processes.len()
     }
 
-    /// Those that run and were not stopped.
+    /// Returns the processes that run and are not paused.
     pub fn running(&self) -> Vec<usize> {
         let runs =
             |process: &Option<Process>| process.as_ref().is_some_and(|process| !process.stopped);
@@ -395,13 +397,13 @@
             .collect()
     }
 
-    /// SIGKILL.
+    /// Kills process `at` with SIGKILL.
     pub fn kill(&mut self, at: usize) {
         self.processes[at] = None;
     }
 
-    /// SIGSTOP, or SIGCONT.
-    pub fn pause(&mut self, at: usize, stopped: bool) -> std::io::Result<()> {
+    /// Pauses process `at` with SIGSTOP, or resumes it with SIGCONT.
+    pub fn set_stopped(&mut self, at: usize, stopped: bool) -> std::io::Result<()> {
         let Some(process) = &mut self.processes[at] else {
             return Ok(());
         };
@@ -409,42 +411,43 @@
         signal(&process.child, if stopped { "STOP" } else { "CONT" })
     }
 
-    /// SIGHUP.
+    /// Makes process `at` reload its configuration with SIGHUP.
     pub fn reload(&self, at: usize) -> std::io::Result<()> {
         self.processes[at]
             .as_ref()
             .map_or(Ok(()), |process| signal(&process.child, "HUP"))
     }
 
-    /// SIGTERM.
-    pub fn leave(&self, at: usize) -> std::io::Result<()> {
+    /// Makes process `at` drain and exit with SIGTERM.
+    pub fn terminate(&self, at: usize) -> std::io::Result<()> {
         self.processes[at]
             .as_ref()
             .map_or(Ok(()), |process| signal(&process.child, "TERM"))
     }
 
-    /// Asks process `at` as an operator does.
-    pub fn ask(&self, at: usize, question: &Value) -> std::io::Result<Value> {
+    /// Sends an operator query to process `at` and returns the answer.
+    pub fn query(&self, at: usize, question: &Value) -> std::io::Result<Value> {
         let Some(process) = &self.processes[at] else {
-            return Err(std::io::Error::other("it doesn't run"));
+            return Err(std::io::Error::other("the process is not running"));
         };
         let mut stream = TcpStream::connect_timeout(&process.operator, LIMIT)?;
         stream.set_read_timeout(Some(LIMIT))?;
         stream.write_all(format!("{question}\n").as_bytes())?;
-        let mut said = String::new();
-        BufReader::new(stream).read_line(&mut said)?;
-        Ok(serde_json::from_str(&said)?)
+        let mut answer = String::new();
+        BufReader::new(stream).read_line(&mut answer)?;
+        Ok(serde_json::from_str(&answer)?)
     }
 
-    pub fn operator(&self, at: usize) -> Option<SocketAddr> {
+    /// Returns the address of the operator listener of process `at`.
+    pub fn operator_address(&self, at: usize) -> Option<SocketAddr> {
         self.processes[at].as_ref().map(|process| process.operator)
     }
 
-    /// The version that process `at` acts on, as it says itself.
-    pub fn acts_on(&self, at: usize) -> std::io::Result<String> {
-        let said = self.ask(at, &json!({"ask": "fleet_members"}))?;
+    /// Returns the version that process `at` reports as active.
+    pub fn active_version(&self, at: usize) -> std::io::Result<String> {
+        let answer = self.query(at, &json!({"ask": "fleet_members"}))?;
         let own = format!("n{at}");
-        let members = said["members"].as_array().cloned().unwrap_or_default();
+        let members = answer["members"].as_array().cloned().unwrap_or_default();
         let version = members
             .iter()
             .find(|member| member["server"] == own.as_str())
@@ -454,17 +457,17 @@
             .unwrap_or_default())
     }
 
-    /// How many members process `at` says are there.
-    pub fn alive(&self, at: usize) -> std::io::Result<usize> {
-        let said = self.ask(at, &json!({"ask": "fleet_members"}))?;
-        let members = said["members"].as_array().cloned().unwrap_or_default();
+    /// Returns the number of members that process `at` reports as alive.
+    pub fn count_alive(&self, at: usize) -> std::io::Result<usize> {
+        let answer = self.query(at, &json!({"ask": "fleet_members"}))?;
+        let members = answer["members"].as_array().cloned().unwrap_or_default();
         Ok(members
             .iter()
             .filter(|member| member["state"] == "alive")
             .count())
     }
 
-    /// Publishes at process `at`; its id.
+    /// Publishes a version at process `at` and returns its id.
     pub fn publish(
         &self,
         at: usize,
@@ -474,15 +477,19 @@
         pause_ms: u64,
     ) -> std::io::Result<String> {
         let question = json!({"ask": "fleet_publish", "content": content, "must": must, "waves": waves, "pause_ms": pause_ms});
-        let said = self.ask(at, &question)?;
-        said["published"]
+        let answer = self.query(at, &question)?;
+        answer["published"]
             .as_str()
             .map(str::to_owned)
-            .ok_or_else(|| std::io::Error::other(said.to_string()))
+            .ok_or_else(|| std::io::Error::other(answer.to_string()))
     }
 
-    /// Waits until `done` says so, at most so long.
-    pub fn until(&self, limit: Duration, mut done: impl FnMut(&Fleet) -> bool) -> Option<Duration> {
+    /// Waits until `done` returns true; returns the time waited, or `None` after `limit`.
+    pub fn wait_until(
+        &self,
+        limit: Duration,
+        mut done: impl FnMut(&Fleet) -> bool,
+    ) -> Option<Duration> {
         let start = Instant::now();
         while start.elapsed() < limit {
             if done(self) {
@@ -493,15 +500,15 @@
         None
     }
 
-    /// Whether all that run act on `version`.
-    pub fn all_on(&self, version: &str) -> bool {
+    /// Whether `version` is active on all running processes.
+    pub fn all_active_on(&self, version: &str) -> bool {
         self.running()
             .into_iter()
-            .all(|at| self.acts_on(at).is_ok_and(|on| on == version))
+            .all(|at| self.active_version(at).is_ok_and(|on| on == version))
     }
 
-    /// CPU seconds that process `at` has used.
-    pub fn cpu(&self, at: usize) -> f64 {
+    /// Returns the CPU time that process `at` has used, in seconds.
+    pub fn cpu_seconds(&self, at: usize) -> f64 {
         let Some(process) = &self.processes[at] else {
             return 0.0;
         };
@@ -517,12 +524,14 @@
             / 100.0
     }
 
-    pub fn logged(&self, at: usize, text: &str) -> bool {
+    /// Whether a log line of process `at` contains `text`.
+    pub fn log_contains(&self, at: usize, text: &str) -> bool {
         self.processes[at]
             .as_ref()
             .is_some_and(|process| lock(&process.log).iter().any(|line| line.contains(text)))
     }
 
+    /// Returns the log lines of process `at`.
     pub fn log(&self, at: usize) -> Vec<String> {
         self.processes[at]
             .as_ref()
@@ -530,34 +539,45 @@
             .unwrap_or_default()
     }
 
-    /// Sends an RPC to process `at` and waits for its answer.
-    pub fn rpc(&mut self, at: usize) -> Told {
+    /// Sends an RPC of the first method to process `at` and waits for its answer.
+    pub fn rpc(&mut self, at: usize) -> RpcOutcome {
         self.call(at, METHODS[0], None)
     }
 
-    /// The same of any method, for a tenant; from several threads at once, too.
-    pub fn call(&self, at: usize, method: &str, tenant: Option<&str>) -> Told {
+    /// Sends an RPC of a method for a tenant; may be called from several threads at once.
+    pub fn call(&self, at: usize, method: &str, tenant: Option<&str>) -> RpcOutcome {
         let token = format!("token {}", self.sent.fetch_add(1, Ordering::SeqCst));
-        self.repeat(at, method, tenant, &token)
+        self.call_with_key(at, method, tenant, &token)
     }
 
-    /// The same under a token of the caller's: a second time it is a repeat.
-    pub fn repeat(&self, at: usize, method: &str, tenant: Option<&str>, token: &str) -> Told {
+    /// Sends an RPC with an idempotency key of the caller; a second RPC with the same key is a retry.
+    pub fn call_with_key(
+        &self,
+        at: usize,
+        method: &str,
+        tenant: Option<&str>,
+        token: &str,
+    ) -> RpcOutcome {
         let Some(process) = &self.processes[at] else {
-            return Told::Nothing;
+            return RpcOutcome::NoAnswer;
         };
-        rpc(process.scgi, method, tenant, token).unwrap_or(Told::Nothing)
+        rpc(process.scgi, method, tenant, token).unwrap_or(RpcOutcome::NoAnswer)
     }
 
-    /// What the way of process `at` to the store does from now on.
-    pub fn way(&self, at: usize, faults: Faults) {
-        if let Some(way) = self.ways.get(at) {
-            *lock(&way.faults) = faults;
+    /// Sets the faults on the connection of process `at` to the store.
+    pub fn set_store_faults(&self, at: usize, faults: Faults) {
+        if let Some(relay) = self.store_relays.get(at) {
+            *lock(&relay.faults) = faults;
         }
     }
 }
 
-fn rpc(at: SocketAddr, method: &str, tenant: Option<&str>, token: &str) -> std::io::Result<Told> {
+fn rpc(
+    at: SocketAddr,
+    method: &str,
+    tenant: Option<&str>,
+    token: &str,
+) -> std::io::Result<RpcOutcome> {
     let path = format!("/{method}");
     let mut stream = TcpStream::connect_timeout(&at, LIMIT)?;
     stream.set_read_timeout(Some(LIMIT))?;
@@ -575,18 +595,18 @@
         head.extend_from_slice(format!("{key}\0{value}\0").as_bytes());
     }
     stream.write_all(&[format!("{}:", head.len()).as_bytes(), &head, b",x"].concat())?;
-    let mut said = String::new();
-    stream.read_to_string(&mut said)?;
-    let retry = said.lines().find_map(|line| {
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer)?;
+    let retry = answer.lines().find_map(|line| {
         line.strip_prefix("Retry-After: ")?
             .trim()
             .parse::<u64>()
             .ok()
     });
-    Ok(match said.split_whitespace().nth(1) {
-        Some("200") => Told::Ok,
-        Some("503") => Told::PushedBack(retry.unwrap_or(0) * 1000),
-        Some(_) => Told::Aborted,
-        None => Told::Nothing,
+    Ok(match answer.split_whitespace().nth(1) {
+        Some("200") => RpcOutcome::Ok,
+        Some("503") => RpcOutcome::Rejected(retry.unwrap_or(0) * 1000),
+        Some(_) => RpcOutcome::Failed,
+        None => RpcOutcome::NoAnswer,
     })
 }
--- a/crates/coralstep-server/tests/fleet.rs
+++ b/crates/coralstep-server/tests/fleet.rs
@@ -4,7 +4,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use coralstep_lab::fleet::{Fault, Fleet, Setup, Told};
+use coralstep_lab::fleet::{Fault, Fleet, RpcOutcome, Setup};
 use serde_json::{Value, json};
 
 const LIMIT: Duration = Duration::from_secs(40);
@@ -16,14 +16,15 @@
 /// Starts a fleet and waits until all members know each other.
 fn fleet(count: usize, seed: u64, more: Value) -> Fleet {
     let fleet = Fleet::start(program(), count, seed, more).unwrap();
-    let discovered =
-        |fleet: &Fleet| (0..count).all(|at| fleet.alive(at).is_ok_and(|alive| alive == count));
-    let discovered = fleet.until(LIMIT, discovered);
+    let discovered = |fleet: &Fleet| {
+        (0..count).all(|at| fleet.count_alive(at).is_ok_and(|alive| alive == count))
+    };
+    let discovered = fleet.wait_until(LIMIT, discovered);
     println!("members discovered each other after {discovered:?}");
     assert!(
         discovered.is_some(),
         "members did not discover each other: {:?}",
-        fleet.ask(0, &json!({"ask": "fleet_members"}))
+        fleet.query(0, &json!({"ask": "fleet_members"}))
     );
     fleet
 }
@@ -33,16 +34,16 @@
 }
 
 fn assert_all_active_on(fleet: &Fleet, version: &str) {
-    let on = |fleet: &Fleet| fleet.all_on(version);
+    let on = |fleet: &Fleet| fleet.all_active_on(version);
     let members = || {
         fleet
             .running()
             .into_iter()
-            .map(|at| (at, fleet.acts_on(at)))
+            .map(|at| (at, fleet.active_version(at)))
             .collect::<Vec<_>>()
     };
     assert!(
-        fleet.until(LIMIT, on).is_some(),
+        fleet.wait_until(LIMIT, on).is_some(),
         "not all act on {version}: {:?}",
         members()
     );
@@ -50,7 +51,7 @@
 
 fn audit(fleet: &Fleet, at: usize) -> Vec<Value> {
     let question = json!({"ask": "fleet_audit", "version": null, "server": null, "at_ms": null});
-    fleet.ask(at, &question).unwrap()["audit"]
+    fleet.query(at, &question).unwrap()["audit"]
         .as_array()
         .unwrap()
         .clone()
@@ -59,11 +60,11 @@
 #[test]
 fn version_published_at_one_server_is_active_on_all_and_audited_anywhere() {
     let mut fleet = fleet(7, 1, json!({}));
-    assert_eq!(fleet.rpc(2), Told::Ok);
+    assert_eq!(fleet.rpc(2), RpcOutcome::Ok);
     // Publishes with the command line, as an operator does.
     let file = std::env::temp_dir().join(format!("coralstep-version-{}.json", std::process::id()));
     std::fs::write(&file, levels_version(1.0).to_string()).unwrap();
-    let at = fleet.operator(3).unwrap().to_string();
+    let at = fleet.operator_address(3).unwrap().to_string();
     let call = |words: &[&str]| {
         let output = Command::new(program())
             .arg("fleet")
@@ -79,11 +80,16 @@
     let published: Value = serde_json::from_str(&published).unwrap();
     let version = published["published"].as_str().unwrap().to_owned();
     assert_all_active_on(&fleet, &version);
-    assert_eq!(fleet.rpc(5), Told::Ok);
+    assert_eq!(fleet.rpc(5), RpcOutcome::Ok);
     // A reload of the site file doesn't replace sections set by the fleet's version.
     fleet.reload(5).unwrap();
-    let kept = |fleet: &Fleet| fleet.logged(5, "reload: sections of the fleet's version stay");
-    assert!(fleet.until(LIMIT, kept).is_some(), "{:?}", fleet.log(5));
+    let kept =
+        |fleet: &Fleet| fleet.log_contains(5, "reload: sections of the fleet's version stay");
+    assert!(
+        fleet.wait_until(LIMIT, kept).is_some(),
+        "{:?}",
+        fleet.log(5)
+    );
     let known = |fleet: &Fleet| {
         (0..7).all(|at| {
             let rows = audit(fleet, at);
@@ -97,7 +103,7 @@
         })
     };
     assert!(
-        fleet.until(LIMIT, known).is_some(),
+        fleet.wait_until(LIMIT, known).is_some(),
         "{:?}",
         audit(&fleet, 0)
     );
@@ -125,7 +131,7 @@
     assert_ne!(left, right);
     let each_side_on_its_version = |fleet: &Fleet| {
         (0..6).all(|at| {
-            fleet.acts_on(at).is_ok_and(|on| {
+            fleet.active_version(at).is_ok_and(|on| {
                 on == if at < 3 {
                     left.as_str()
                 } else {
@@ -134,17 +140,17 @@
             })
         })
     };
-    assert!(fleet.until(LIMIT, each_side_on_its_version).is_some());
+    assert!(fleet.wait_until(LIMIT, each_side_on_its_version).is_some());
     fleet.links.heal();
     let (lost, wins) = (left.clone().min(right.clone()), left.max(right));
     assert_all_active_on(&fleet, &wins);
     let fork = |fleet: &Fleet| {
         (0..6).any(|at| {
-            fleet.ask(at, &json!({"ask": "fleet_versions"})).unwrap()["forks"]
+            fleet.query(at, &json!({"ask": "fleet_versions"})).unwrap()["forks"]
                 == json!([[lost, wins]])
         })
     };
-    assert!(fleet.until(LIMIT, fork).is_some());
+    assert!(fleet.wait_until(LIMIT, fork).is_some());
     assert!(
         audit(&fleet, 0)
             .iter()
@@ -160,8 +166,8 @@
         .publish(0, &levels_version(1.0), false, &[], 0)
         .unwrap();
     assert_all_active_on(&fleet, &first);
-    assert_eq!(fleet.rpc(4), Told::Ok);
-    fleet.pause(4, true).unwrap();
+    assert_eq!(fleet.rpc(4), RpcOutcome::Ok);
+    fleet.set_stopped(4, true).unwrap();
     std::thread::sleep(Duration::from_millis(2_500));
     let second = fleet
         .publish(0, &levels_version(2.0), false, &[], 0)
@@ -171,16 +177,16 @@
         .publish(1, &levels_version(3.0), false, &[], 0)
         .unwrap();
     assert_all_active_on(&fleet, &last);
-    fleet.pause(4, false).unwrap();
+    fleet.set_stopped(4, false).unwrap();
     // Under load from the start. The process must act on the last version within three seconds after it
     // resumes, and admit no RPC before.
     let start = Instant::now();
     let mut outcomes = Vec::new();
     loop {
         let reply = fleet.rpc(4);
-        let acts_on = fleet.acts_on(4).unwrap();
+        let acts_on = fleet.active_version(4).unwrap();
         outcomes.push(reply);
-        if reply == Told::Ok {
+        if reply == RpcOutcome::Ok {
             let late = start.elapsed() > Duration::from_secs(3);
             assert!(
                 acts_on == last || late,
@@ -195,11 +201,11 @@
         std::thread::sleep(Duration::from_millis(10));
     }
     assert!(
-        matches!(outcomes[0], Told::PushedBack(recoveries) if recoveries > 0),
+        matches!(outcomes[0], RpcOutcome::Rejected(recoveries) if recoveries > 0),
         "{outcomes:?}"
     );
     assert!(
-        fleet.logged(4, "fleet: process paused pause_ms="),
+        fleet.log_contains(4, "fleet: process paused pause_ms="),
         "{:?}",
         fleet.log(4)
     );
@@ -222,36 +228,37 @@
         )
         .unwrap();
     let rejected = |fleet: &Fleet| {
-        (0..5).all(|at| fleet.logged(at, &format!("fleet: version rejected version={bad}")))
+        (0..5).all(|at| fleet.log_contains(at, &format!("fleet: version rejected version={bad}")))
     };
-    assert!(fleet.until(LIMIT, rejected).is_some());
+    assert!(fleet.wait_until(LIMIT, rejected).is_some());
     let outcomes =
-        |fleet: &Fleet| (0..5).any(|at| fleet.logged(at, "fleet: exclusion limit reached"));
-    assert!(fleet.until(LIMIT, outcomes).is_some());
+        |fleet: &Fleet| (0..5).any(|at| fleet.log_contains(at, "fleet: exclusion limit reached"));
+    assert!(fleet.wait_until(LIMIT, outcomes).is_some());
     let excluded: Vec<usize> = (0..5)
-        .filter(|at| fleet.logged(*at, "fleet: server excluded reason=rejected_version"))
+        .filter(|at| fleet.log_contains(*at, "fleet: server excluded reason=rejected_version"))
         .collect();
     assert!(excluded.len() <= 1, "{excluded:?}");
     assert!(
-        (0..5).all(|at| fleet.acts_on(at).unwrap() == good),
+        (0..5).all(|at| fleet.active_version(at).unwrap() == good),
         "the previous version must stay active"
     );
-    let served = (0..5).filter(|at| fleet.rpc(*at) == Told::Ok).count();
+    let served = (0..5).filter(|at| fleet.rpc(*at) == RpcOutcome::Ok).count();
     assert!(served >= 4, "{served}");
     let recoveries = fleet
         .publish(2, &levels_version(2.0), true, &[], 0)
         .unwrap();
     assert_all_active_on(&fleet, &recoveries);
     let open = |fleet: &Fleet| {
-        (0..5).all(|at| fleet.ask(at, &json!({"ask": "fleet_members"})).unwrap()["shut"].is_null())
+        (0..5)
+            .all(|at| fleet.query(at, &json!({"ask": "fleet_members"})).unwrap()["shut"].is_null())
     };
-    assert!(fleet.until(LIMIT, open).is_some());
+    assert!(fleet.wait_until(LIMIT, open).is_some());
 }
 
 #[test]
 fn rollout_completes_while_four_of_seven_restart_under_loss_and_delay() {
     let mut fleet = fleet(7, 5, json!({}));
-    fleet.links.all(Fault {
+    fleet.links.set_default_fault(Fault {
         loss: 0.3,
         delay: (100, 500),
         doubled: 0.05,
@@ -264,10 +271,10 @@
     for at in 0..4 {
         fleet.kill(at);
         std::thread::sleep(Duration::from_millis(700));
-        fleet.boot(at).unwrap();
+        fleet.start_process(at).unwrap();
     }
     assert_all_active_on(&fleet, &version);
-    assert!((0..7).all(|at| fleet.rpc(at) == Told::Ok));
+    assert!((0..7).all(|at| fleet.rpc(at) == RpcOutcome::Ok));
 }
 
 #[test]
@@ -275,7 +282,7 @@
     let mut fleet = fleet(3, 6, json!({}));
     let ask = |fleet: &Fleet, at: usize, ask: &str, server: &str| {
         fleet
-            .ask(at, &json!({"ask": ask, "server": server}))
+            .query(at, &json!({"ask": ask, "server": server}))
             .unwrap()
     };
     let unknown = ask(&fleet, 0, "fleet_shut_out", "n9");
@@ -287,16 +294,25 @@
         "{unknown}"
     );
     assert_eq!(ask(&fleet, 0, "fleet_shut_out", "n0")["shut_out"], "n0");
-    assert!(matches!(fleet.rpc(0), Told::PushedBack(recoveries) if recoveries > 0));
-    assert_eq!(fleet.rpc(1), Told::Ok);
+    assert!(matches!(fleet.rpc(0), RpcOutcome::Rejected(recoveries) if recoveries > 0));
+    assert_eq!(fleet.rpc(1), RpcOutcome::Ok);
     assert_eq!(ask(&fleet, 1, "fleet_shut_out", "n2")["shut_out"], "n2");
-    let excluded = |fleet: &Fleet| fleet.logged(2, "fleet: server excluded reason=by_operator");
-    assert!(fleet.until(LIMIT, excluded).is_some(), "{:?}", fleet.log(2));
-    assert!(matches!(fleet.rpc(2), Told::PushedBack(recoveries) if recoveries > 0));
+    let excluded =
+        |fleet: &Fleet| fleet.log_contains(2, "fleet: server excluded reason=by_operator");
+    assert!(
+        fleet.wait_until(LIMIT, excluded).is_some(),
+        "{:?}",
+        fleet.log(2)
+    );
+    assert!(matches!(fleet.rpc(2), RpcOutcome::Rejected(recoveries) if recoveries > 0));
     // A restart doesn't readmit the server: it receives the order again.
     fleet.kill(2);
-    fleet.boot(2).unwrap();
-    assert!(fleet.until(LIMIT, excluded).is_some(), "{:?}", fleet.log(2));
+    fleet.start_process(2).unwrap();
+    assert!(
+        fleet.wait_until(LIMIT, excluded).is_some(),
+        "{:?}",
+        fleet.log(2)
+    );
     // Both are readmitted through the third server, although the orders were given at others.
     for server in ["n0", "n2"] {
         assert_eq!(ask(&fleet, 1, "fleet_let_in", server)["let_in"], server);
@@ -304,10 +320,10 @@
     let open = |fleet: &Fleet| {
         [0, 2]
             .iter()
-            .all(|at| fleet.logged(*at, "fleet: server readmitted"))
+            .all(|at| fleet.log_contains(*at, "fleet: server readmitted"))
     };
-    assert!(fleet.until(LIMIT, open).is_some());
-    assert!((0..3).all(|at| fleet.rpc(at) == Told::Ok));
+    assert!(fleet.wait_until(LIMIT, open).is_some());
+    assert!((0..3).all(|at| fleet.rpc(at) == RpcOutcome::Ok));
 }
 
 #[test]
@@ -315,7 +331,7 @@
     let fleet = fleet(4, 11, json!({"clock_steps": true}));
     let step = |at: usize, offset_ms: i64| {
         let reply = fleet
-            .ask(at, &json!({"ask": "fleet_clock", "offset_ms": offset_ms}))
+            .query(at, &json!({"ask": "fleet_clock", "offset_ms": offset_ms}))
             .unwrap();
         assert_eq!(reply["offset_ms"], offset_ms);
     };
@@ -327,8 +343,8 @@
     assert_all_active_on(&fleet, &first);
     assert!(
         fleet
-            .until(LIMIT, |fleet| fleet
-                .logged(0, "fleet: clock skewed server=n1"))
+            .wait_until(LIMIT, |fleet| fleet
+                .log_contains(0, "fleet: clock skewed server=n1"))
             .is_some()
     );
     // The clock of the next publisher is stepped back; its version still counts as newer.
@@ -362,7 +378,7 @@
         .unwrap();
     let rejected = |fleet: &Fleet| {
         (0..3).all(|at| {
-            fleet.logged(
+            fleet.log_contains(
                 at,
                 &format!(
                     "fleet: version rejected version={bad} reason=levels.list[0].does.least_criticality: starves"
@@ -370,21 +386,28 @@
             )
         })
     };
-    assert!(fleet.until(LIMIT, rejected).is_some(), "{:?}", fleet.log(0));
-    assert!((0..3).all(|at| fleet.acts_on(at).unwrap() == good && fleet.rpc(at) == Told::Ok));
+    assert!(
+        fleet.wait_until(LIMIT, rejected).is_some(),
+        "{:?}",
+        fleet.log(0)
+    );
+    assert!(
+        (0..3)
+            .all(|at| fleet.active_version(at).unwrap() == good && fleet.rpc(at) == RpcOutcome::Ok)
+    );
 }
 
 #[test]
 fn restart_of_whole_fleet_keeps_version_and_lagging_member_catches_up() {
     let mut fleet = fleet(4, 7, json!({}));
-    fleet.reboot().unwrap();
+    fleet.restart_all().unwrap();
     let first = fleet
         .publish(0, &levels_version(1.0), false, &[], 0)
         .unwrap();
     assert_all_active_on(&fleet, &first);
     // The state is written by a separate thread without a log line to wait for.
     std::thread::sleep(Duration::from_millis(300));
-    fleet.reboot().unwrap();
+    fleet.restart_all().unwrap();
     assert_all_active_on(&fleet, &first);
     let kept = audit(&fleet, 2)
         .iter()
@@ -400,10 +423,10 @@
         .publish(1, &levels_version(2.0), false, &[], 0)
         .unwrap();
     assert_all_active_on(&fleet, &second);
-    fleet.boot(3).unwrap();
+    fleet.start_process(3).unwrap();
     assert_all_active_on(&fleet, &second);
     assert!(
-        fleet.logged(3, &format!("version {first} was active before the restart")),
+        fleet.log_contains(3, &format!("version {first} was active before the restart")),
         "{:?}",
         fleet.log(3)
     );
@@ -417,13 +440,14 @@
         ..Fault::default()
     };
     // One member that receives but can't send; then three partitions; then a flapping link.
-    fleet.links.set(&[0], &[1, 2, 3, 4, 5], cut);
+    fleet.links.set_faults(&[0], &[1, 2, 3, 4, 5], cut);
     std::thread::sleep(Duration::from_secs(2));
     let one = fleet
         .publish(3, &levels_version(1.0), false, &[], 0)
         .unwrap();
-    let received = |fleet: &Fleet| (1..6).all(|at| fleet.acts_on(at).is_ok_and(|on| on == one));
-    assert!(fleet.until(LIMIT, received).is_some());
+    let received =
+        |fleet: &Fleet| (1..6).all(|at| fleet.active_version(at).is_ok_and(|on| on == one));
+    assert!(fleet.wait_until(LIMIT, received).is_some());
     fleet.links.heal();
     assert_all_active_on(&fleet, &one);
     fleet.links.cut(&[0, 1], &[2, 3, 4, 5]);
@@ -434,9 +458,9 @@
     let part = |fleet: &Fleet| {
         [2, 3]
             .iter()
-            .all(|at| fleet.acts_on(*at).is_ok_and(|on| on == two))
+            .all(|at| fleet.active_version(*at).is_ok_and(|on| on == two))
     };
-    assert!(fleet.until(LIMIT, part).is_some());
+    assert!(fleet.wait_until(LIMIT, part).is_some());
     fleet.links.heal();
     assert_all_active_on(&fleet, &two);
     let three = fleet
@@ -461,7 +485,7 @@
         .unwrap();
     assert_all_active_on(&fleet, &first);
     // A large version over links that lose a third of the datagrams takes a while to fetch.
-    fleet.links.all(Fault {
+    fleet.links.set_default_fault(Fault {
         loss: 0.3,
         delay: (50, 150),
         ..Fault::default()
@@ -476,27 +500,28 @@
     fleet.links.heal();
     // Either some members had fetched all of it, then all activate it, or none has, and the previous version
     // stays active.
-    let settled = |fleet: &Fleet| fleet.all_on(&second) || fleet.all_on(&first);
-    assert!(fleet.until(LIMIT, settled).is_some());
+    let settled = |fleet: &Fleet| fleet.all_active_on(&second) || fleet.all_active_on(&first);
+    assert!(fleet.wait_until(LIMIT, settled).is_some());
     let last = fleet
         .publish(2, &levels_version(3.0), false, &[], 0)
         .unwrap();
     assert_all_active_on(&fleet, &last);
     let open = |fleet: &Fleet| {
-        (1..5).all(|at| fleet.ask(at, &json!({"ask": "fleet_members"})).unwrap()["shut"].is_null())
+        (1..5)
+            .all(|at| fleet.query(at, &json!({"ask": "fleet_members"})).unwrap()["shut"].is_null())
     };
-    assert!(fleet.until(LIMIT, open).is_some());
+    assert!(fleet.wait_until(LIMIT, open).is_some());
     // A member that leaves announces it before it drains, even if it has just begun to fetch a version.
     fleet.publish(1, &content, false, &[], 0).unwrap();
-    fleet.leave(4).unwrap();
+    fleet.terminate(4).unwrap();
     let left = |fleet: &Fleet| {
-        let reply = fleet.ask(1, &json!({"ask": "fleet_members"})).unwrap();
+        let reply = fleet.query(1, &json!({"ask": "fleet_members"})).unwrap();
         let members = reply["members"].as_array().unwrap();
         members
             .iter()
             .any(|member| member["server"] == "n4" && member["state"] == "leaving")
     };
-    assert!(fleet.until(LIMIT, left).is_some());
+    assert!(fleet.wait_until(LIMIT, left).is_some());
 }
 
 /// COUNT processes: time until half and all of them act on a version, without faults, with loss and delay,
@@ -508,17 +533,21 @@
 fn manual_many_processes() {
     let count = std::env::var("COUNT").map_or(50, |count| count.parse().unwrap());
     let mut fleet = Fleet::start(program(), count, 11, json!({})).unwrap();
-    let discovered = |fleet: &Fleet| fleet.alive(count / 2).is_ok_and(|alive| alive == count);
+    let discovered = |fleet: &Fleet| {
+        fleet
+            .count_alive(count / 2)
+            .is_ok_and(|alive| alive == count)
+    };
     println!(
         "{count} members discovered each other after {:?}",
-        fleet.until(LIMIT * 3, discovered)
+        fleet.wait_until(LIMIT * 3, discovered)
     );
     std::thread::sleep(Duration::from_secs(10));
     let figures = |fleet: &Fleet| {
-        let bytes: u64 = (0..count).map(|at| fleet.links.sent(at).1).sum();
+        let bytes: u64 = (0..count).map(|at| fleet.links.sent_traffic(at).1).sum();
         (
             bytes as f64 / count as f64,
-            (0..count).map(|at| fleet.cpu(at)).sum::<f64>() / count as f64,
+            (0..count).map(|at| fleet.cpu_seconds(at)).sum::<f64>() / count as f64,
         )
     };
     let (before, start) = (figures(&fleet), Instant::now());
@@ -557,7 +586,7 @@
     .into_iter()
     .enumerate()
     {
-        fleet.links.all(fault);
+        fleet.links.set_default_fault(fault);
         let halves: (Vec<usize>, Vec<usize>) =
             ((0..count / 2).collect(), (count / 2..count).collect());
         if name == "cut" {
@@ -576,7 +605,7 @@
             "replaced" => {
                 let replaced = count * 6 / 10;
                 for at in 1..=replaced {
-                    fleet.boot(at).unwrap();
+                    fleet.start_process(at).unwrap();
                     let due = Duration::from_secs_f64(7.0 * at as f64 / replaced as f64);
                     std::thread::sleep(due.saturating_sub(start.elapsed()));
                 }
@@ -585,10 +614,10 @@
             _ => {}
         }
         let mut half = None;
-        let all = fleet.until(LIMIT * 5, |fleet| {
+        let all = fleet.wait_until(LIMIT * 5, |fleet| {
             let on = (0..count)
                 .filter(|at| {
-                    fleet.logged(*at, &format!("fleet: version activated version={version}"))
+                    fleet.log_contains(*at, &format!("fleet: version activated version={version}"))
                 })
                 .count();
             if on * 2 >= count {
@@ -614,12 +643,13 @@
         work_ms: 400.0,
         ..Setup::new(json!({}))
     };
-    let fleet = Fleet::set_up(program(), count, 21, setup).unwrap();
-    let discovered =
-        |fleet: &Fleet| (0..count).all(|at| fleet.alive(at).is_ok_and(|alive| alive == count));
-    assert!(fleet.until(LIMIT, discovered).is_some());
+    let fleet = Fleet::start_with_setup(program(), count, 21, setup).unwrap();
+    let discovered = |fleet: &Fleet| {
+        (0..count).all(|at| fleet.count_alive(at).is_ok_and(|alive| alive == count))
+    };
+    assert!(fleet.wait_until(LIMIT, discovered).is_some());
     let end = Instant::now() + Duration::from_secs(seconds);
-    let outcomes: Vec<Told> = std::thread::scope(|scope| {
+    let outcomes: Vec<RpcOutcome> = std::thread::scope(|scope| {
         for _ in 0..cores * 2 {
             scope.spawn(|| while Instant::now() < end {});
         }
@@ -645,11 +675,11 @@
     });
     let ok = outcomes
         .iter()
-        .filter(|outcomes| **outcomes == Told::Ok)
+        .filter(|outcomes| **outcomes == RpcOutcome::Ok)
         .count();
     let pushed_back = outcomes
         .iter()
-        .filter(|outcomes| matches!(outcomes, Told::PushedBack(_)))
+        .filter(|outcomes| matches!(outcomes, RpcOutcome::Rejected(_)))
         .count();
     let failure_detections: usize = (0..count)
         .map(|at| {
@@ -690,7 +720,7 @@
         ] {
             let mut fleet = Fleet::start(program(), 7, 12 + round, more).unwrap();
             std::thread::sleep(Duration::from_secs(4));
-            let (cpu, start, mut times) = (fleet.cpu(3), Instant::now(), Vec::new());
+            let (cpu, start, mut times) = (fleet.cpu_seconds(3), Instant::now(), Vec::new());
             for number in 0..900 {
                 if name == "roll-outs" && number % 90 == 0 {
                     fleet
@@ -698,12 +728,12 @@
                         .unwrap();
                 }
                 let began = Instant::now();
-                assert_eq!(fleet.rpc(3), Told::Ok);
+                assert_eq!(fleet.rpc(3), RpcOutcome::Ok);
                 times.push(began.elapsed().as_secs_f64() * 1000.0);
             }
             times.sort_by(f64::total_cmp);
             let (middle, high) = (times[450], times[891]);
-            let cpu = (fleet.cpu(3) - cpu) / start.elapsed().as_secs_f64() * 100.0;
+            let cpu = (fleet.cpu_seconds(3) - cpu) / start.elapsed().as_secs_f64() * 100.0;
             println!(
                 "{name}: p50 {middle:.2} ms, p99 {high:.2} ms, {cpu:.1}% of a core at {:.0} a second",
                 900.0 / start.elapsed().as_secs_f64()
--- a/crates/coralstep-server/tests/limits.rs
+++ b/crates/coralstep-server/tests/limits.rs
@@ -13,7 +13,7 @@
 };
 use coralstep_lab::fleet::judge::excess;
 use coralstep_lab::fleet::processes::{METHODS, TENANTS};
-use coralstep_lab::fleet::{Drive, Fault, Fleet, Guest, Setup, Told};
+use coralstep_lab::fleet::{Fault, Fleet, Guest, LoadGenerator, RpcOutcome, Setup};
 use coralstep_quota::config::{KnownNames, resolve_limits};
 use coralstep_quota::guarantees::{max_admitted, max_failover_time, max_reclaim_time};
 use coralstep_quota::lease::{MAX_CLOCK_DRIFT, TOKEN_LIFETIME_MS, lengthen_by_drift};
@@ -39,17 +39,19 @@
         limits,
         ..Setup::new(more)
     };
-    let fleet = Fleet::set_up(program(), count, seed, setup).unwrap();
-    let discovered =
-        |fleet: &Fleet| (0..count).all(|at| fleet.alive(at).is_ok_and(|alive| alive == count));
+    let fleet = Fleet::start_with_setup(program(), count, seed, setup).unwrap();
+    let discovered = |fleet: &Fleet| {
+        (0..count).all(|at| fleet.count_alive(at).is_ok_and(|alive| alive == count))
+    };
     assert!(
-        fleet.until(LIMIT, discovered).is_some(),
+        fleet.wait_until(LIMIT, discovered).is_some(),
         "members did not discover each other"
     );
-    let has_leader =
-        |fleet: &Fleet| (0..3).any(|at| fleet.logged(at, "this server became the quota leader"));
+    let has_leader = |fleet: &Fleet| {
+        (0..3).any(|at| fleet.log_contains(at, "this server became the quota leader"))
+    };
     assert!(
-        fleet.until(LIMIT, has_leader).is_some(),
+        fleet.wait_until(LIMIT, has_leader).is_some(),
         "no quota leader: {:?}",
         fleet.log(0)
     );
@@ -76,12 +78,12 @@
 }
 
 /// Asserts that the rate limit held in every window, and that the capacity was used in the windows `used`.
-fn assert_rate_limit_held(drive: &Drive, used: &[(f64, f64)]) {
+fn assert_rate_limit_held(drive: &LoadGenerator, used: &[(f64, f64)]) {
     let over = excess(&drive.answers(), RPS * (1.0 + MAX_CLOCK_DRIFT), BURST);
     assert!(over <= 0.0, "{over} over the limit in some window");
     for (from, to) in used {
         let (ok, most) = (
-            drive.ok(*from, *to, None) as f64,
+            drive.count_ok(*from, *to, None) as f64,
             max_admitted(LimitKind::Rate { rps: RPS, burst: 0 }, (to - from) as u64),
         );
         assert!(
@@ -94,12 +96,14 @@
 #[test]
 fn rate_limit_holds_while_demand_moves_between_servers() {
     let fleet = fleet(7, 41, 2.0, rate_limit());
-    let drive = Drive::default();
+    let drive = LoadGenerator::default();
     let mut used = Vec::new();
     for at in [1, 5, 4] {
         let from = drive.now_ms();
         // Twice the limit, all at one server.
-        std::thread::scope(|scope| drive.calls(scope, &fleet, at, 16, ms(200), "save", ms(3_000)));
+        std::thread::scope(|scope| {
+            drive.spawn_callers(scope, &fleet, at, 16, ms(200), "save", ms(3_000))
+        });
         used.push((from + 1_000.0, from + 3_000.0));
     }
     assert_rate_limit_held(&drive, &used);
@@ -107,23 +111,23 @@
     let rejections = drive
         .answers()
         .iter()
-        .filter(|answer| matches!(answer.told, Told::PushedBack(after) if after > 0))
+        .filter(|answer| matches!(answer.outcome, RpcOutcome::Rejected(after) if after > 0))
         .count();
     assert!(rejections > 50, "{rejections}");
     // A tenant without a limit is not affected.
-    assert!((0..20).all(|_| fleet.call(1, "save", Some("south")) == Told::Ok));
+    assert!((0..20).all(|_| fleet.call(1, "save", Some("south")) == RpcOutcome::Ok));
     // A repeat of an RPC that has run uses no unit and is answered even when the limit is reached.
-    let repeat = || fleet.repeat(2, "save", Some("north"), "again");
-    let ran = fleet.until(LIMIT, |_| repeat() == Told::Ok);
+    let repeat = || fleet.call_with_key(2, "save", Some("north"), "again");
+    let ran = fleet.wait_until(LIMIT, |_| repeat() == RpcOutcome::Ok);
     assert!(ran.is_some(), "never admitted");
-    let outcomes: Vec<Told> = (0..200).map(|_| repeat()).collect();
+    let outcomes: Vec<RpcOutcome> = (0..200).map(|_| repeat()).collect();
     assert!(
-        outcomes.iter().all(|outcomes| *outcomes == Told::Ok),
+        outcomes.iter().all(|outcomes| *outcomes == RpcOutcome::Ok),
         "{outcomes:?}"
     );
     // Any server shows all shares.
     let shown = |fleet: &Fleet| {
-        let reply = fleet.ask(6, &json!({"ask": "fleet_limits"})).unwrap();
+        let reply = fleet.query(6, &json!({"ask": "fleet_limits"})).unwrap();
         reply["limits"]
             .as_array()
             .unwrap()
@@ -131,16 +135,16 @@
             .any(|row| row["limit"] == "north" && row["server"] == "n4")
     };
     assert!(
-        fleet.until(LIMIT, shown).is_some(),
+        fleet.wait_until(LIMIT, shown).is_some(),
         "{:?}",
-        fleet.ask(6, &json!({"ask": "fleet_limits"}))
+        fleet.query(6, &json!({"ask": "fleet_limits"}))
     );
 }
 
 #[test]
 fn rate_limit_holds_when_leader_is_killed_isolated_or_paused() {
     let mut fleet = fleet(7, 42, 2.0, rate_limit());
-    let drive = Drive::default();
+    let drive = LoadGenerator::default();
     let mut used = Vec::new();
     let gap = (max_failover_time() + lengthen_by_drift(TOKEN_LIFETIME_MS) + 1_500) as f64;
     for fault in ["killed", "cut off", "stopped"] {
@@ -149,12 +153,12 @@
         match fault {
             "killed" => fleet.kill(leader),
             "cut off" => fleet.links.cut(&[leader], &rest),
-            _ => fleet.pause(leader, true).unwrap(),
+            _ => fleet.set_stopped(leader, true).unwrap(),
         }
         let from = drive.now_ms();
         std::thread::scope(|scope| {
             for at in rest.iter().copied().filter(|at| *at >= 3) {
-                drive.calls(
+                drive.spawn_callers(
                     scope,
                     &fleet,
                     at,
@@ -166,7 +170,7 @@
             }
             // The isolated leader receives requests, too: it admits until its lease expires, and then nothing.
             if fault == "cut off" {
-                drive.calls(
+                drive.spawn_callers(
                     scope,
                     &fleet,
                     leader,
@@ -179,21 +183,21 @@
         });
         used.push((from + gap, from + gap + 2_500.0));
         match fault {
-            "killed" => fleet.boot(leader).unwrap(),
+            "killed" => fleet.start_process(leader).unwrap(),
             "cut off" => fleet.links.heal(),
             _ => {
-                fleet.pause(leader, false).unwrap();
+                fleet.set_stopped(leader, false).unwrap();
                 // The resumed leader grants nothing on the basis of its state before the pause.
                 std::thread::scope(|scope| {
-                    drive.calls(scope, &fleet, leader, 8, ms(100), "save", ms(1_000))
+                    drive.spawn_callers(scope, &fleet, leader, 8, ms(100), "save", ms(1_000))
                 });
             }
         }
         let all = |fleet: &Fleet| {
-            (0..7).all(|at| fleet.alive(at).is_ok_and(|alive| alive == 7))
+            (0..7).all(|at| fleet.count_alive(at).is_ok_and(|alive| alive == 7))
                 && quota_leader(fleet).is_some()
         };
-        assert!(fleet.until(LIMIT, all).is_some(), "after {fault}");
+        assert!(fleet.wait_until(LIMIT, all).is_some(), "after {fault}");
     }
     assert_rate_limit_held(&drive, &used);
 }
@@ -207,18 +211,18 @@
         300.0,
         json!([{"name": "saves", "method": "save", "in_hand": MAX_CONCURRENT_RUNS}]),
     );
-    let drive = Drive::default();
-    let most = |fleet: &Fleet| fleet.crowd.lock().unwrap().most;
+    let drive = LoadGenerator::default();
+    let most = |fleet: &Fleet| fleet.concurrency.lock().unwrap().max_total;
     // The first leader knows of no earlier one and still waits until leases of that would have expired.
     std::thread::sleep(ms(lengthen_by_drift(LEASE_MS)));
     let load = |fleet: &Fleet, servers: &[usize], duration_ms: u64| {
         let from = drive.now_ms();
         std::thread::scope(|scope| {
-            servers
-                .iter()
-                .for_each(|at| drive.calls(scope, fleet, *at, 4, ms(100), "save", ms(duration_ms)));
+            servers.iter().for_each(|at| {
+                drive.spawn_callers(scope, fleet, *at, 4, ms(100), "save", ms(duration_ms))
+            });
         });
-        drive.ok(
+        drive.count_ok(
             from + duration_ms as f64 / 2.0,
             from + duration_ms as f64,
             None,
@@ -227,30 +231,30 @@
     // All requests at one server: it gets the whole limit.
     assert!(load(&fleet, &[3], 2_500) >= 4, "two cores, 300 ms per run");
     assert!(load(&fleet, &[3, 4, 5], 2_500) >= 6);
-    let all = fleet.until(LIMIT, |fleet| {
-        let reply = fleet.ask(0, &json!({"ask": "fleet_limits"})).unwrap();
+    let all = fleet.wait_until(LIMIT, |fleet| {
+        let reply = fleet.query(0, &json!({"ask": "fleet_limits"})).unwrap();
         reply["limits"].as_array().unwrap().len() >= 3
     });
     assert!(all.is_some());
     // The holder of most units is paused for longer than its lease; the others get its units, and it admits
     // nothing on expired leases.
-    fleet.pause(3, true).unwrap();
+    fleet.set_stopped(3, true).unwrap();
     std::thread::sleep(ms(max_reclaim_time(LEASE_MS, 500)));
     assert!(
         load(&fleet, &[4, 5], 2_000) >= 4,
         "the units of the paused server must be in use again"
     );
-    fleet.pause(3, false).unwrap();
+    fleet.set_stopped(3, false).unwrap();
     load(&fleet, &[3, 4, 5], 1_500);
     // Lost, delayed and duplicated datagrams; meanwhile one server leaves and one is killed.
-    fleet.links.all(Fault {
+    fleet.links.set_default_fault(Fault {
         loss: 0.2,
         delay: (0, 300),
         doubled: 0.3,
         ..Fault::default()
     });
     load(&fleet, &[3, 4, 5], 1_500);
-    fleet.leave(4).unwrap();
+    fleet.terminate(4).unwrap();
     fleet.kill(5);
     load(&fleet, &[1, 2, 3], 2_500);
     fleet.links.heal();
@@ -288,41 +292,46 @@
 #[test]
 fn lower_limit_holds_for_all_servers_during_rollout() {
     let fleet = fleet(6, 45, 2.0, rate_limit());
-    let drive = Drive::default();
+    let drive = LoadGenerator::default();
     let waves = [0.4f32, 1.0];
     let lower = json!({"limits": [{"name": "north", "tenant": "north", "rps": 10.0, "burst": 10}]});
     let version = fleet.publish(4, &lower, false, &waves, 8_000).unwrap();
     let received = |fleet: &Fleet| {
-        (0..6).all(|at| fleet.logged(at, &format!("fleet: version received version={version}")))
+        (0..6)
+            .all(|at| fleet.log_contains(at, &format!("fleet: version received version={version}")))
     };
-    assert!(fleet.until(LIMIT, received).is_some());
+    assert!(fleet.wait_until(LIMIT, received).is_some());
     // Units granted under the old version have expired.
     std::thread::sleep(ms(lengthen_by_drift(TOKEN_LIFETIME_MS) + 500));
     let early = (0..6)
-        .filter(|at| fleet.acts_on(*at).is_ok_and(|on| on == version))
+        .filter(|at| fleet.active_version(*at).is_ok_and(|on| on == version))
         .count();
     std::thread::scope(|scope| {
-        (0..6).for_each(|at| drive.calls(scope, &fleet, at, 4, ms(200), "save", ms(3_000)))
+        (0..6).for_each(|at| drive.spawn_callers(scope, &fleet, at, 4, ms(200), "save", ms(3_000)))
     });
     let over = excess(&drive.answers(), 10.0 * (1.0 + MAX_CLOCK_DRIFT), 10.0);
     assert!(
         over <= 0.0,
         "{over} over the lower limit, while {early} of 6 acted on it"
     );
-    let on = |fleet: &Fleet| fleet.all_on(&version);
-    assert!(fleet.until(LIMIT, on).is_some());
+    let on = |fleet: &Fleet| fleet.all_active_on(&version);
+    assert!(fleet.wait_until(LIMIT, on).is_some());
     // An unreachable limit is rejected by all servers.
     let bad = json!({"limits": [{"name": "north", "tenant": "north", "rps": 100.0, "burst": 2}]});
     let bad = fleet.publish(0, &bad, false, &[], 0).unwrap();
     let rejected = |fleet: &Fleet| {
         (0..6).all(|at| {
-            fleet.logged(
+            fleet.log_contains(
                 at,
                 &format!("fleet: version rejected version={bad} reason=limits[0].burst"),
             )
         })
     };
-    assert!(fleet.until(LIMIT, rejected).is_some(), "{:?}", fleet.log(1));
+    assert!(
+        fleet.wait_until(LIMIT, rejected).is_some(),
+        "{:?}",
+        fleet.log(1)
+    );
 }
 
 /// Requests all units, and claims to hold all of them.
@@ -378,15 +387,15 @@
     };
     let _guest = Guest::join(&fleet, "greedy", greedy).unwrap();
     std::thread::sleep(ms(1_500));
-    let drive = Drive::default();
+    let drive = LoadGenerator::default();
     let from = drive.now_ms();
     std::thread::scope(|scope| {
-        (0..5).for_each(|at| drive.calls(scope, &fleet, at, 6, ms(200), "save", ms(5_000)))
+        (0..5).for_each(|at| drive.spawn_callers(scope, &fleet, at, 6, ms(200), "save", ms(5_000)))
     });
     assert_rate_limit_held(&drive, &[]);
     // The member requests as much as all others together; five of six shares go to the others. Its own share is
     // unused.
-    let ok = drive.ok(from + 1_000.0, from + 5_000.0, None) as f64;
+    let ok = drive.count_ok(from + 1_000.0, from + 5_000.0, None) as f64;
     assert!(ok >= RPS * 4.0 * 0.2, "{ok} of {}", RPS * 4.0);
 }
 
@@ -402,7 +411,7 @@
     let limits =
         json!([{"name": "north", "tenant": "north", "rps": rps, "burst": (rps * 4.0) as u32}]);
     let mut fleet = fleet(count, 44, 2.0, limits);
-    let drive = Drive::default();
+    let drive = LoadGenerator::default();
     let all: Vec<usize> = (0..count).collect();
     let mut spans = Vec::new();
     let mut load =
@@ -410,7 +419,7 @@
             let from = drive.now_ms();
             std::thread::scope(|scope| {
                 servers.iter().for_each(|at| {
-                    drive.calls(
+                    drive.spawn_callers(
                         scope,
                         fleet,
                         *at,
@@ -442,7 +451,7 @@
         let seconds = ((to - from) / 1000.0) as usize;
         let by_second: Vec<usize> = (0..seconds)
             .map(|second| {
-                drive.ok(
+                drive.count_ok(
                     from + second as f64 * 1000.0,
                     from + (second + 1) as f64 * 1000.0,
                     None,
@@ -453,7 +462,7 @@
     }
     let over = excess(&drive.answers(), rps * (1.0 + MAX_CLOCK_DRIFT), rps * 4.0);
     println!("greatest over the limit in any window: {over:.1} (zero or less: the limit held)");
-    let bytes: u64 = left.iter().map(|at| fleet.links.sent(*at).1).sum();
+    let bytes: u64 = left.iter().map(|at| fleet.links.sent_traffic(*at).1).sum();
     println!(
         "{:.0} bytes a second and process",
         bytes as f64 / left.len() as f64 / (drive.now_ms() / 1000.0)
--- a/crates/coralstep-server/tests/verdicts.rs
+++ b/crates/coralstep-server/tests/verdicts.rs
@@ -12,7 +12,7 @@
     ExtensionId, GossipExtension, MembershipView, Message, Registration,
 };
 use coralstep_lab::emulate::store::Store;
-use coralstep_lab::fleet::{Drive, Faults, Fleet, Guest, Setup, Told};
+use coralstep_lab::fleet::{Faults, Fleet, Guest, LoadGenerator, RpcOutcome, Setup};
 use coralstep_lab::world::Dependency;
 use coralstep_shared_health::{LocalHealth, ReportedBreakerState, SharedHealth, SharingConfig};
 use serde_json::{Value, json};
@@ -41,11 +41,12 @@
         levels: false,
         ..Setup::new(more)
     };
-    let fleet = Fleet::set_up(program(), count, seed, setup).unwrap();
-    let discovered =
-        |fleet: &Fleet| (0..count).all(|at| fleet.alive(at).is_ok_and(|alive| alive == count));
+    let fleet = Fleet::start_with_setup(program(), count, seed, setup).unwrap();
+    let discovered = |fleet: &Fleet| {
+        (0..count).all(|at| fleet.count_alive(at).is_ok_and(|alive| alive == count))
+    };
     assert!(
-        fleet.until(LIMIT * 2, discovered).is_some(),
+        fleet.wait_until(LIMIT * 2, discovered).is_some(),
         "members did not discover each other"
     );
     fleet
@@ -95,7 +96,7 @@
     after: Duration,
 ) -> Outage {
     let count = fleet.count();
-    let drive = Drive::default();
+    let drive = LoadGenerator::default();
     // An RPC on a hung store may take its whole deadline.
     let threads = (rate * 4.0).ceil() as u32;
     let every = Duration::from_secs_f64(f64::from(threads) / rate);
@@ -106,7 +107,7 @@
         // The periods of the servers' callers are staggered.
         for at in 0..count {
             std::thread::sleep(Duration::from_secs_f64(1.0 / rate / count as f64));
-            drive.calls(scope, fleet, at, threads, every, "read", duration);
+            drive.spawn_callers(scope, fleet, at, threads, every, "read", duration);
         }
         std::thread::sleep(before);
         hung = store.elapsed();
@@ -127,7 +128,7 @@
     let usual_ok = rate * count as f64;
     let seconds = after.as_secs() as usize;
     let served = |second: usize| {
-        drive.ok(
+        drive.count_ok(
             healed_ms + second as f64 * 1000.0,
             healed_ms + (second + 1) as f64 * 1000.0,
             None,
@@ -159,7 +160,7 @@
     // On its own, each server would need twenty outcomes, ten seconds' worth: no breaker would open within the
     // eight seconds.
     let opened = (0..8)
-        .filter(|at| fleet.logged(*at, "from=\"closed\" to=\"open\""))
+        .filter(|at| fleet.log_contains(*at, "from=\"closed\" to=\"open\""))
         .count();
     let outcomes: Vec<String> = (0..8)
         .flat_map(|at| fleet.log(at))
@@ -176,11 +177,11 @@
         "{outage:?}"
     );
     assert!(
-        (0..8).any(|at| fleet.logged(at, "store fails")),
+        (0..8).any(|at| fleet.log_contains(at, "store fails")),
         "{:?}",
         fleet.log(0)
     );
-    let rows = fleet.ask(3, &json!({"ask": "fleet_verdicts"})).unwrap();
+    let rows = fleet.query(3, &json!({"ask": "fleet_verdicts"})).unwrap();
     let rows = rows["verdicts"].as_array().unwrap();
     assert!(
         rows.len() >= 7 && rows.iter().all(|row| row["dependency"] == "store"),
@@ -193,47 +194,47 @@
     let store = store();
     let fleet = fleet(6, 52, &store, json!({}));
     // The bytes on its connection are dropped: all its calls time out, and it reports that to all servers.
-    fleet.way(
+    fleet.set_store_faults(
         2,
         Faults {
             half_open: 1.0,
             ..Faults::default()
         },
     );
-    let drive = Drive::default();
+    let drive = LoadGenerator::default();
     std::thread::scope(|scope| {
         for at in 0..6 {
-            drive.calls(scope, &fleet, at, 16, ms(2_000), "read", ms(9_000));
+            drive.spawn_callers(scope, &fleet, at, 16, ms(2_000), "read", ms(9_000));
         }
     });
-    assert!(fleet.logged(2, "breaker"), "{:?}", fleet.log(2));
+    assert!(fleet.log_contains(2, "breaker"), "{:?}", fleet.log(2));
     assert!(
-        fleet.logged(2, "this server's path to store fails"),
+        fleet.log_contains(2, "this server's path to store fails"),
         "{:?}",
         fleet.log(2)
     );
     for at in [0, 1, 3, 4, 5] {
         assert!(
-            !fleet.logged(at, "breaker"),
+            !fleet.log_contains(at, "breaker"),
             "reports of other servers alone must not open a breaker: {:?}",
             fleet.log(at)
         );
-        let outcomes: Vec<Told> = drive
+        let outcomes: Vec<RpcOutcome> = drive
             .answers()
             .iter()
-            .filter(|of| of.at == at)
-            .map(|of| of.told)
+            .filter(|of| of.process == at)
+            .map(|of| of.outcome)
             .collect();
         let ok = outcomes
             .iter()
-            .filter(|outcomes| **outcomes == Told::Ok)
+            .filter(|outcomes| **outcomes == RpcOutcome::Ok)
             .count();
         assert!(ok * 10 >= outcomes.len() * 8, "{at}: {outcomes:?}");
     }
     // The connection works again: the server recovers by its own probe call.
-    fleet.way(2, Faults::default());
+    fleet.set_store_faults(2, Faults::default());
     let start = Instant::now();
-    while fleet.call(2, "read", None) != Told::Ok {
+    while fleet.call(2, "read", None) != RpcOutcome::Ok {
         assert!(start.elapsed() < LIMIT, "{:?}", fleet.log(2));
         std::thread::sleep(ms(100));
     }
@@ -295,7 +296,7 @@
         let _guest = Guest::join(&fleet, "liar", liar).unwrap();
         let received = |fleet: &Fleet| {
             (0..6).all(|at| {
-                let reply = fleet.ask(at, &json!({"ask": "fleet_verdicts"})).unwrap();
+                let reply = fleet.query(at, &json!({"ask": "fleet_verdicts"})).unwrap();
                 reply["verdicts"]
                     .as_array()
                     .unwrap()
@@ -303,15 +304,16 @@
                     .any(|row| row["server"] == "liar")
             })
         };
-        assert!(fleet.until(LIMIT, received).is_some());
-        let drive = Drive::default();
+        assert!(fleet.wait_until(LIMIT, received).is_some());
+        let drive = LoadGenerator::default();
         if matches!(false_report, FalseReport::Fails) {
             std::thread::scope(|scope| {
-                (0..6)
-                    .for_each(|at| drive.calls(scope, &fleet, at, 8, ms(1_000), "read", ms(4_000)));
+                (0..6).for_each(|at| {
+                    drive.spawn_callers(scope, &fleet, at, 8, ms(1_000), "read", ms(4_000))
+                });
             });
             assert!(
-                (0..6).all(|at| !fleet.logged(at, "breaker")),
+                (0..6).all(|at| !fleet.log_contains(at, "breaker")),
                 "one lying member must not open a breaker"
             );
             continue;
