--- a/crates/coralstep-server/src/base/descriptors.rs
+++ b/crates/coralstep-server/src/base/descriptors.rs
@@ -15,7 +15,7 @@
 
 /// Number of descriptors that callers' connections never use: for connections to the engine, store and control plane, an
 /// operator's connection, and the files of a reload.
-const RESERVED: usize = 6;
+const RESERVED_DESCRIPTORS: usize = 6;
 /// Delay before a dial that found no descriptor is retried, unless one is freed sooner.
 const DIAL_RETRY_DELAY: Duration = Duration::from_millis(20);
 
@@ -56,7 +56,7 @@
     ///
     /// The system assigns the lowest free number, so all lower numbers are in use.
     pub fn is_reserved(&self, descriptor: &impl AsRawFd) -> bool {
-        descriptor.as_raw_fd() as usize + RESERVED >= self.max_open
+        descriptor.as_raw_fd() as usize + RESERVED_DESCRIPTORS >= self.max_open
     }
 
     /// Returns a listener that is notified when a dial finds no descriptor.
--- a/crates/coralstep-server/src/base/log.rs
+++ b/crates/coralstep-server/src/base/log.rs
@@ -69,7 +69,7 @@
 pub enum LineCause {
     /// A client, through the data it sent.
     Client,
-    /// Anything else.
+    /// Any other cause.
     Server,
 }
 
--- a/crates/coralstep-server/src/callers/connection.rs
+++ b/crates/coralstep-server/src/callers/connection.rs
@@ -114,7 +114,7 @@
         self.served_request.get()
     }
 
-    /// Returns the time of the last message or finished request.
+    /// Returns the time of the last message or finished request, or of the accept if there was none.
     pub fn idle_since(&self) -> Instant {
         self.idle_since.get()
     }
@@ -244,7 +244,7 @@
         if stream.get_ref().shutdown(Shutdown::Write).is_err() {
             return;
         }
-        // Guards against a flood of silent clients that use up descriptors. Nothing was sent to them that a reset could discard.
+        // Guards against a flood of silent clients that use up descriptors: they have no replies that a reset could discard.
         let timeout = if self.received_message.get() || self.outbox.was_used() {
             LINGER_TIMEOUT
         } else {
--- a/crates/coralstep-server/src/callers/connections.rs
+++ b/crates/coralstep-server/src/callers/connections.rs
@@ -83,7 +83,7 @@
                     // Guards against a busy loop: the listener stays readable while no descriptor is available.
                     note!(%error, "accept failed");
                     let closed = self.closed.listen();
-                    self.shed_one();
+                    self.shed_idle_connection();
                     closed.or(sleep(ACCEPT_RETRY_DELAY)).await;
                 }
             }
@@ -159,7 +159,7 @@
         if let Some(lingering) = lingering {
             lingering.abort();
         } else if self.active_count() >= self.max_active() {
-            self.shed_one();
+            self.shed_idle_connection();
         }
     }
 
@@ -169,7 +169,7 @@
     /// [`FIRST_MESSAGE_GRACE`]; within each group, the one idle longest. Guards against silent clients that lock out
     /// gateways. Among silent connections, one of the protocol with the most of them is closed. Guards against a flood at
     /// one protocol that leaves callers of another no time for a first message.
-    fn shed_one(&self) -> bool {
+    fn shed_idle_connection(&self) -> bool {
         let all = self.all.borrow();
         let is_idle =
             |connection: &&Rc<Connection>| !connection.is_busy() && !connection.is_closing();
@@ -210,7 +210,7 @@
         loop {
             self.descriptors.listen_for_exhaustion().await;
             note!("descriptors exhausted, shedding an idle connection");
-            self.shed_one();
+            self.shed_idle_connection();
         }
     }
 
@@ -220,7 +220,7 @@
         let connection = Rc::new(Connection::new(protocol.clone(), peer));
         if self.active_count() >= self.limits.connections || self.descriptors.is_reserved(&stream) {
             note!(client: %peer, "connection table full");
-            if !self.shed_one() {
+            if !self.shed_idle_connection() {
                 // All others have open requests. Requests on this one are still answered, since its caller may already
                 // have written some.
                 connection.request_close();
--- a/crates/coralstep-server/src/callers/scgi/mod.rs
+++ b/crates/coralstep-server/src/callers/scgi/mod.rs
@@ -71,9 +71,9 @@
         let config = self.config.borrow().clone();
         let mut buffer = ReadBuffer::new();
         match receive_request(&mut buffer, &config, stream, connection).await? {
-            Received::Request => {}
-            Received::Closed => return Ok(()),
-            Received::Invalid(error) => {
+            ReceiveOutcome::Request => {}
+            ReceiveOutcome::Closed => return Ok(()),
+            ReceiveOutcome::Invalid(error) => {
                 reject_invalid(connection, error);
                 return Ok(());
             }
@@ -116,7 +116,7 @@
 }
 
 /// Result of waiting for a request.
-enum Received {
+enum ReceiveOutcome {
     /// The buffer contains a complete request.
     Request,
     /// The caller closed the connection without a request.
@@ -131,23 +131,23 @@
     config: &ProtocolConfig,
     stream: &Async<TcpStream>,
     connection: &Connection,
-) -> Result<Received, ConnectionError> {
+) -> Result<ReceiveOutcome, ConnectionError> {
     // Guards against parsing the headers again after each read of a body that arrives in small pieces.
     let mut encoded_len = None;
     loop {
         if encoded_len.is_none() {
             match request::encoded_len(buffer.bytes(), &config.limits) {
                 Ok(known) => encoded_len = known,
-                Err(error) => return Ok(Received::Invalid(error.into())),
+                Err(error) => return Ok(ReceiveOutcome::Invalid(error.into())),
             }
         }
         if encoded_len.is_some_and(|needed| buffer.bytes().len() >= needed) {
-            return Ok(Received::Request);
+            return Ok(ReceiveOutcome::Request);
         }
         match buffer.read(stream, connection).await? {
             ReadOutcome::Data => {}
-            ReadOutcome::Closed => return Ok(Received::Closed),
-            ReadOutcome::TimedOut => return Ok(Received::Invalid(RequestError::TimedOut)),
+            ReadOutcome::Closed => return Ok(ReceiveOutcome::Closed),
+            ReadOutcome::TimedOut => return Ok(ReceiveOutcome::Invalid(RequestError::TimedOut)),
         }
     }
 }
--- a/crates/coralstep-server/src/fleet/health_exchange.rs
+++ b/crates/coralstep-server/src/fleet/health_exchange.rs
@@ -9,14 +9,14 @@
 use crate::decisions::{BreakerStatus, SchedulerHandle};
 
 /// Name of the store in health reports.
-const STORE: &str = "store";
+const STORE_NAME: &str = "store";
 
 /// Adjustments to a circuit breaker that follow from peers' reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerAdvice {
     /// Minimum number of local outcomes before the breaker may open.
     pub min_outcomes: u32,
-    /// Remaining time of a running cooldown; `None` leaves it unchanged.
+    /// New remaining time of a running cooldown; `None` leaves it unchanged.
     pub cooldown_left: Option<Duration>,
 }
 
@@ -38,7 +38,7 @@
             return;
         };
         if let Some(status) = scheduler.breaker_status() {
-            let advice = observe(&mut shared_health.borrow_mut(), now, STORE, status);
+            let advice = observe(&mut shared_health.borrow_mut(), now, STORE_NAME, status);
             scheduler.apply_peer_reports(advice.min_outcomes, advice.cooldown_left);
         }
         sources(&mut |dependency, status| {
--- a/crates/coralstep-server/src/fleet/recorder.rs
+++ b/crates/coralstep-server/src/fleet/recorder.rs
@@ -11,7 +11,7 @@
 use crate::note;
 
 /// Subdirectory of the state directory that holds the record.
-const DIRECTORY: &str = "fleet";
+const RECORD_DIRECTORY: &str = "fleet";
 const THREAD_NAME: &str = "record";
 
 /// Sends records to the writer thread.
@@ -20,7 +20,7 @@
 impl Recorder {
     /// Opens the directory, loads its record and starts the writer thread. Logs an error and returns `None` on failure.
     pub(super) fn start(state_dir: &Path) -> Option<(Recorder, FleetRecord)> {
-        let path = state_dir.join(DIRECTORY);
+        let path = state_dir.join(RECORD_DIRECTORY);
         let log = |error: &dyn Display| {
             note!(
                 "fleet: {}: {error}; fleet state is not persisted",
@@ -32,7 +32,7 @@
         let loaded = fleet_record::load(&storage)
             .map_err(log_storage_error)
             .ok()?;
-        let record = loaded.map(intact_record).unwrap_or_default();
+        let record = loaded.map(discard_if_corrupt).unwrap_or_default();
         let (sender, receiver) = sync_channel::<FleetRecord>(1);
         std::thread::Builder::new()
             .name(THREAD_NAME.to_owned())
@@ -49,7 +49,7 @@
 }
 
 /// Returns the loaded record, or an empty one if any of it is corrupt.
-fn intact_record(loaded: LoadedFleetRecord) -> FleetRecord {
+fn discard_if_corrupt(loaded: LoadedFleetRecord) -> FleetRecord {
     let corrupt_bytes = loaded.corrupt_bytes;
     if corrupt_bytes == 0 {
         return loaded.record;
--- a/crates/coralstep-server/src/fleet/service.rs
+++ b/crates/coralstep-server/src/fleet/service.rs
@@ -27,7 +27,7 @@
 use super::health_exchange::HealthSources;
 use super::quotas::{LimitVersions, LimitsForVersion};
 use super::recorder::Recorder;
-use super::socket::{FleetSocket, Received};
+use super::socket::{FleetSocket, ReceivedDatagram};
 use super::wall_clock::{WallClock, unix_ms};
 use crate::decisions::SchedulerHandle;
 use crate::note;
@@ -185,7 +185,7 @@
         }
     }
 
-    fn receive_batch(&self, first: Received, buffer: &mut [u8]) {
+    fn receive_batch(&self, first: ReceivedDatagram, buffer: &mut [u8]) {
         self.handle_datagram(&buffer[..first.bytes], first.from);
         for _ in 1..MAX_DATAGRAMS_PER_BATCH {
             let Ok(next) = self.socket.try_receive(buffer) else {
--- a/crates/coralstep-server/src/fleet/socket.rs
+++ b/crates/coralstep-server/src/fleet/socket.rs
@@ -33,7 +33,7 @@
 }
 
 /// Length in bytes and sender of a received datagram.
-pub(super) struct Received {
+pub(super) struct ReceivedDatagram {
     pub(super) bytes: usize,
     pub(super) from: SocketAddr,
 }
@@ -66,15 +66,15 @@
     }
 
     /// Waits for a datagram.
-    pub(super) async fn receive(&self, buffer: &mut [u8]) -> io::Result<Received> {
+    pub(super) async fn receive(&self, buffer: &mut [u8]) -> io::Result<ReceivedDatagram> {
         let (bytes, from) = self.socket.recv_from(buffer).await?;
-        Ok(Received { bytes, from })
+        Ok(ReceivedDatagram { bytes, from })
     }
 
     /// Receives a datagram that is already in the socket buffer, without waiting.
-    pub(super) fn try_receive(&self, buffer: &mut [u8]) -> io::Result<Received> {
+    pub(super) fn try_receive(&self, buffer: &mut [u8]) -> io::Result<ReceivedDatagram> {
         let (bytes, from) = self.socket.get_ref().recv_from(buffer)?;
-        Ok(Received { bytes, from })
+        Ok(ReceivedDatagram { bytes, from })
     }
 
     /// Returns whether datagrams from `address` are accepted.
--- a/deploy/standing.sh
+++ b/deploy/standing.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# The standing test of a whole fleet and the earlier regression, before a landing. Prints GATE, rule and day, each score and its change
-# since the last landing (docs/ROADMAP.md); exits with 1 where the standing test fails or a figure fell by more than 0.03.
+# Runs the standing test of a whole fleet and the earlier regression test, before a landing. Prints the lines about GATE, rules and days,
+# each score and its change since the last landing (docs/ROADMAP.md). Exits with 1 if the standing test fails or a score fell by more
+# than 0.03.
 #
 #   deploy/standing.sh [--full] [--why TEXT] BENCH
 #
-# BENCH is the folder of the operators' bench: BENCH/more/mass/bin/lbreal, BENCH/real/bin/lbreal and BENCH/sites/ are in it. The bench has
-# the cores to itself meanwhile, and the sources stay as they are.
+# BENCH is the directory of the operators' bench, with BENCH/more/mass/bin/lbreal, BENCH/real/bin/lbreal and BENCH/sites/. Run nothing else
+# on the machine meanwhile and don't change the sources.
 set -uo pipefail
 usage() { sed -n 's/^#   //p' "$0" >&2; exit 2; }
 full='' why='before a landing' bench=''
